--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -59,11 +59,11 @@
 	for _, id := range []work.JobID{"j1", "j2", "j3"} {
 		b.accept(id, short(4))
 	}
-	b.core.LimitStarts(overload.MostStarts - 5)
+	b.core.LimitStarts(overload.MaxStarts - 5)
 	first := b.plan()
 	assert.Equal(t, len(first.Starts), 8, "jobs are begun whole")
 	assert.Assert(t, b.core.Held())
-	b.core.LimitStarts(overload.MostStarts)
+	b.core.LimitStarts(overload.MaxStarts)
 	assert.Equal(t, len(b.plan().Starts), 0)
 	b.answer(first, OutcomeOK)
 	b.core.LimitStarts(0)
@@ -99,7 +99,7 @@
 	assert.Equal(t, term.ended, "relieved")
 	assert.Assert(t, e.core.Level() > 1)
 	assert.Assert(t, e.core.pollPause() > usual)
-	assert.Assert(t, e.core.mayStart < overload.MostStarts)
+	assert.Assert(t, e.core.mayStart < overload.MaxStarts)
 }
 
 // Starts are kept back until others are answered. Nobody plans as they are, and the rest
--- a/policy/overload/governor.go
+++ b/policy/overload/governor.go
@@ -20,10 +20,10 @@
 	// pollsApart bounds the pause between polls: with what an answer may take, a worker's
 	// lease of several seconds is extended in time.
 	pollsApart = 500 * time.Millisecond
-	// MostStarts is how many starts may be without an answer at the first level: half
+	// MaxStarts is how many starts may be without an answer at the first level: half
 	// a millisecond of processor each makes a queue of a tenth of a second, and answers
 	// that come within milliseconds let ten thousand a second pass.
-	MostStarts = 200
+	MaxStarts = 200
 	// leastStarts keeps work going at any level.
 	leastStarts = 8
 )
@@ -62,5 +62,5 @@
 // The rest waits in its order, which an unbounded queue of starts would not keep: two
 // thousand in one plan held everything else up for a second.
 func (g *Governor) Starts(underWay int) int {
-	return max(0, max(leastStarts, int(MostStarts/g.Level()))-underWay)
+	return max(0, max(leastStarts, int(MaxStarts/g.Level()))-underWay)
 }
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -61,10 +61,10 @@
 	usual := 40 * time.Millisecond
 	step(little, 3)
 	assert.Equal(t, g.Pause(usual), usual)
-	assert.Equal(t, g.Starts(50), MostStarts-50)
+	assert.Equal(t, g.Starts(50), MaxStarts-50)
 	step(2*most, 4)
 	assert.Assert(t, g.Pause(usual) > 4*usual)
-	assert.Assert(t, g.Starts(0) < MostStarts/4)
+	assert.Assert(t, g.Starts(0) < MaxStarts/4)
 	level := g.Level()
 	step((little+most)/2, 5)
 	assert.Equal(t, g.Level(), level)
