--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -153,7 +153,7 @@
 }
 
 func (o *owner) probe() {
-	o.after(overload.Every, 0, func() {
+	o.after(overload.ProbeInterval, 0, func() {
 		o.meter.Begin(o.now)
 		o.line = append(o.line, chore{do: func() {
 			o.meter.End(o.now)
--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -41,7 +41,7 @@
 }
 
 func (p *pressure) run(ctx context.Context) {
-	for sleep.For(ctx, overload.Every) {
+	for sleep.For(ctx, overload.ProbeInterval) {
 		p.probe()
 	}
 }
--- a/policy/overload/meter.go
+++ b/policy/overload/meter.go
@@ -18,15 +18,15 @@
 import "time"
 
 const (
-	// Every separates two probes. A queue of a tenth of a second is seen by four of them.
-	Every = 25 * time.Millisecond
+	// ProbeInterval separates two probes. A queue of a tenth of a second is seen by four of them.
+	ProbeInterval = 25 * time.Millisecond
 	// recent is how long a probe counts for time-outs: calls last a second.
 	recent = 1 * time.Second
 	// standing is over how long the least wait counts: pauses of the collector, and what
 	// is left of a tenth of a second in which the VM has used its share, are over sooner.
 	standing = 150 * time.Millisecond
 	// kept is how many probes are remembered: all recent ones.
-	kept = int(recent/Every) + 1
+	kept = int(recent/ProbeInterval) + 1
 )
 
 // probe is how long something that was ready waited to run.
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -19,10 +19,10 @@
 	var m Meter
 	now := time.Minute
 	for range 6 {
-		now += Every
+		now += ProbeInterval
 		measure(&m, now, time.Millisecond)
 	}
-	now += Every
+	now += ProbeInterval
 	measure(&m, now, 300*time.Millisecond)
 	assert.Equal(t, m.Standing(now), time.Millisecond)
 	assert.Equal(t, m.Behind(now), 300*time.Millisecond, "an answer may have waited as long")
