--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -149,7 +149,7 @@
 	if !o.guarded {
 		return 0
 	}
-	return o.meter.Behind(o.now)
+	return o.meter.MaxDelay(o.now)
 }
 
 func (o *owner) probe() {
--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -30,7 +30,7 @@
 func (p *pressure) Behind() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.meter.Behind(p.clock.Now())
+	return p.meter.MaxDelay(p.clock.Now())
 }
 
 // Standing implements engine.Pressure.
--- a/policy/overload/meter.go
+++ b/policy/overload/meter.go
@@ -55,9 +55,9 @@
 	m.asked = 0
 }
 
-// Behind is the longest that anything waited in the last second: as long may an answer
+// MaxDelay is the longest that anything waited in the last second: as long may an answer
 // that has arrived have waited to be read.
-func (m *Meter) Behind(now time.Duration) time.Duration {
+func (m *Meter) MaxDelay(now time.Duration) time.Duration {
 	longest := m.underWay(now)
 	for _, p := range m.probes {
 		if p.at != 0 && p.at > now-recent {
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -25,9 +25,9 @@
 	now += ProbeInterval
 	measure(&m, now, 300*time.Millisecond)
 	assert.Equal(t, m.Standing(now), time.Millisecond)
-	assert.Equal(t, m.Behind(now), 300*time.Millisecond, "an answer may have waited as long")
+	assert.Equal(t, m.MaxDelay(now), 300*time.Millisecond, "an answer may have waited as long")
 	now += recent
-	assert.Equal(t, m.Behind(now), time.Duration(0))
+	assert.Equal(t, m.MaxDelay(now), time.Duration(0))
 }
 
 // All probes wait for seconds: none has ended, and the meter would tell of the calm before.
@@ -37,13 +37,13 @@
 	measure(&m, now, time.Millisecond)
 	m.Begin(now)
 	now += 2 * time.Second
-	assert.Equal(t, m.Behind(now), 2*time.Second)
+	assert.Equal(t, m.MaxDelay(now), 2*time.Second)
 	assert.Equal(t, m.Standing(now), 2*time.Second)
 }
 
 func TestNothingIsMeasuredAtFirst(t *testing.T) {
 	var m Meter
-	assert.Equal(t, m.Behind(time.Hour), time.Duration(0))
+	assert.Equal(t, m.MaxDelay(time.Hour), time.Duration(0))
 	assert.Equal(t, m.Standing(time.Hour), time.Duration(0))
 }
 
