--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -37,7 +37,7 @@
 func (p *pressure) Standing() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.meter.Standing(p.clock.Now())
+	return p.meter.MinDelay(p.clock.Now())
 }
 
 func (p *pressure) run(ctx context.Context) {
--- a/policy/overload/meter.go
+++ b/policy/overload/meter.go
@@ -67,8 +67,8 @@
 	return longest
 }
 
-// Standing is the least that anything waited of late: a queue that does not empty.
-func (m *Meter) Standing(now time.Duration) time.Duration {
+// MinDelay is the least that anything waited of late: a queue that does not empty.
+func (m *Meter) MinDelay(now time.Duration) time.Duration {
 	least := m.underWay(now)
 	found := false
 	for _, p := range m.probes {
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -24,7 +24,7 @@
 	}
 	now += ProbeInterval
 	measure(&m, now, 300*time.Millisecond)
-	assert.Equal(t, m.Standing(now), time.Millisecond)
+	assert.Equal(t, m.MinDelay(now), time.Millisecond)
 	assert.Equal(t, m.MaxDelay(now), 300*time.Millisecond, "an answer may have waited as long")
 	now += recent
 	assert.Equal(t, m.MaxDelay(now), time.Duration(0))
@@ -38,13 +38,13 @@
 	m.Begin(now)
 	now += 2 * time.Second
 	assert.Equal(t, m.MaxDelay(now), 2*time.Second)
-	assert.Equal(t, m.Standing(now), 2*time.Second)
+	assert.Equal(t, m.MinDelay(now), 2*time.Second)
 }
 
 func TestNothingIsMeasuredAtFirst(t *testing.T) {
 	var m Meter
 	assert.Equal(t, m.MaxDelay(time.Hour), time.Duration(0))
-	assert.Equal(t, m.Standing(time.Hour), time.Duration(0))
+	assert.Equal(t, m.MinDelay(time.Hour), time.Duration(0))
 }
 
 // An owner is behind: it does less, by steps, until little waits, and more again after.
