--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -25,7 +25,7 @@
 
 // within gives a call so much time, and more while this owner is behind.
 func (e *Engine) within(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, d+overload.Patience(e.behind()))
+	return context.WithTimeout(ctx, d+overload.ExtraTimeout(e.behind()))
 }
 
 // relieved reports whether the cell is to be handed over to a VM that can bear it.
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -195,7 +195,7 @@
 }
 
 func (o *owner) start(s StartOrder) {
-	by := o.now + orderTimeout + overload.Patience(o.behind())
+	by := o.now + orderTimeout + overload.ExtraTimeout(o.behind())
 	takes := loadTaskTime * time.Duration(2+(len(o.core.jobs)+s.Start.Task.Index)%3) / 3
 	o.world(loadTrip, func() {
 		o.running[s.Worker.ID][s.Start.Task] = fakeRun{run: s.Start.Run, end: o.now + takes}
@@ -246,7 +246,7 @@
 		return
 	}
 	o.line = append(o.line, chore{cost: costPoll, do: func() {
-		p := &fakePoll{hold: h, sent: o.now, by: o.now + h.Wait + pollTimeout + overload.Patience(o.behind())}
+		p := &fakePoll{hold: h, sent: o.now, by: o.now + h.Wait + pollTimeout + overload.ExtraTimeout(o.behind())}
 		o.polls[id] = p
 		o.world(h.Wait, func() { o.answer(id, p) })
 		if len(o.ended[id]) > 0 && o.ended[id][len(o.ended[id])-1].Seq > h.AckedThrough {
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -344,7 +344,7 @@
 	if e.o.Behind == nil {
 		return 0
 	}
-	return overload.Patience(e.o.Behind())
+	return overload.ExtraTimeout(e.o.Behind())
 }
 
 // renewed takes the outcome of a renewal over. Only a renewal that failed
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -86,9 +86,9 @@
 }
 
 func TestPatienceGrowsWithTheQueueAndIsBounded(t *testing.T) {
-	assert.Equal(t, Patience(0), time.Duration(0))
-	assert.Equal(t, Patience(100*time.Millisecond), 300*time.Millisecond)
-	assert.Equal(t, Patience(time.Minute), mostPatience)
+	assert.Equal(t, ExtraTimeout(0), time.Duration(0))
+	assert.Equal(t, ExtraTimeout(100*time.Millisecond), 300*time.Millisecond)
+	assert.Equal(t, ExtraTimeout(time.Minute), mostPatience)
 	assert.Assert(t, !OwnDoing(ownDoing-1))
 	assert.Assert(t, OwnDoing(ownDoing))
 }
