--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -280,7 +280,7 @@
 	switch {
 	case o.now <= p.by:
 		o.core.HoldAnswered(id, p.hold, l, p.sent, o.now)
-	case overload.OwnDoing(o.behind()):
+	case overload.AnswerMayBeUnread(o.behind()):
 		o.core.HoldUnread()
 	default:
 		o.core.HoldFailed(id, OutcomeUnknown, o.now)
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -153,7 +153,7 @@
 	switch {
 	case out == OutcomeOK:
 		e.core.HoldAnswered(s.id, h, l, sent, e.Clock.Now())
-	case overload.OwnDoing(behind) && (out == OutcomeUnknown || out == OutcomeNotSent):
+	case overload.AnswerMayBeUnread(behind) && (out == OutcomeUnknown || out == OutcomeNotSent):
 		e.core.HoldUnread()
 	default:
 		e.core.HoldFailed(s.id, out, e.Clock.Now())
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -146,7 +146,7 @@
 func (w *Workers) came(to work.WorkerID, p Peer, reached ownerlink.Reached, out engine.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if reached == ownerlink.ReachedUnknown && w.Behind != nil && overload.OwnDoing(w.Behind()) {
+	if reached == ownerlink.ReachedUnknown && w.Behind != nil && overload.AnswerMayBeUnread(w.Behind()) {
 		return // its answer may lie here unread
 	}
 	if reached != ownerlink.ReachedWorker {
--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -274,7 +274,7 @@
 }
 
 // behind reports whether an answer may lie here unread.
-func (c *Client) behind() bool { return c.Behind != nil && overload.OwnDoing(c.Behind()) }
+func (c *Client) behind() bool { return c.Behind != nil && overload.AnswerMayBeUnread(c.Behind()) }
 
 // add notes a call; heard counts the answers that had come before it.
 func (l *link) add(req *request, answer chan *response) (heard uint64, ok bool) {
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -89,8 +89,8 @@
 	assert.Equal(t, ExtraTimeout(0), time.Duration(0))
 	assert.Equal(t, ExtraTimeout(100*time.Millisecond), 300*time.Millisecond)
 	assert.Equal(t, ExtraTimeout(time.Minute), mostPatience)
-	assert.Assert(t, !OwnDoing(ownDoing-1))
-	assert.Assert(t, OwnDoing(ownDoing))
+	assert.Assert(t, !AnswerMayBeUnread(ownDoing-1))
+	assert.Assert(t, AnswerMayBeUnread(ownDoing))
 }
 
 // The owner on a VM that is slow for seconds hands its service over; one with a burst's
--- a/policy/overload/patience.go
+++ b/policy/overload/patience.go
@@ -17,6 +17,6 @@
 // ExtraTimeout is what a call gets beyond its usual time while what is ready waits so long.
 func ExtraTimeout(behind time.Duration) time.Duration { return min(mostPatience, passes*behind) }
 
-// OwnDoing reports whether a call that was not answered in time may have been: the answer
+// AnswerMayBeUnread reports whether a call that was not answered in time may have been: the answer
 // may lie here unread. A worker taken for silent then loses its work for nothing.
-func OwnDoing(behind time.Duration) bool { return behind >= ownDoing }
+func AnswerMayBeUnread(behind time.Duration) bool { return behind >= ownDoing }
