--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -116,7 +116,7 @@
 	// fleetToken is of the last owner of the fleet that gave orders.
 	fleetToken int64
 
-	relief overload.Relief
+	relief overload.Handover
 	began  time.Duration // of the term
 	starts atomic.Int64  // given and not answered yet
 
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -113,7 +113,7 @@
 		{"taken by a small one", strained, LargerSuccessor, keepSmall, long, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var r Relief
+			var r Handover
 			next := func() Successor { return c.next }
 			now := time.Minute
 			assert.Assert(t, !r.Due(c.level, next, c.held, now))
@@ -124,7 +124,7 @@
 
 // Two spells of strain do not add up.
 func TestARestBetweenBeginsAnew(t *testing.T) {
-	var r Relief
+	var r Handover
 	next := func() Successor { return EqualSuccessor }
 	now := time.Minute
 	assert.Assert(t, !r.Due(strained, next, time.Hour, now))
@@ -137,7 +137,7 @@
 func TestAnOwnerAtRestMakesWayForALargerVM(t *testing.T) {
 	larger := func() Successor { return LargerSuccessor }
 	equal := func() Successor { return EqualSuccessor }
-	var r Relief
+	var r Handover
 	now := time.Minute
 	assert.Equal(t, r.DueAtRest(larger, restEvery-1, now), false, "just taken")
 	assert.Equal(t, r.DueAtRest(equal, time.Hour, now), false)
--- a/policy/overload/relief.go
+++ b/policy/overload/relief.go
@@ -29,9 +29,9 @@
 	LargerSuccessor           // carries more, and has no duty
 )
 
-// Relief says when an owner that stays behind hands its duty over. The zero value is an
+// Handover says when an owner that stays behind hands its duty over. The zero value is an
 // owner that is not behind.
-type Relief struct {
+type Handover struct {
 	since  time.Duration // strained since then
 	is     bool
 	looked time.Duration // for a larger VM, at rest
@@ -39,7 +39,7 @@
 
 // DueAtRest reports whether an owner with nothing to do is to hand its duty to a VM that carries
 // more: a small one that was the first to start has a large service until it breaks under it.
-func (r *Relief) DueAtRest(next func() Successor, held, now time.Duration) bool {
+func (r *Handover) DueAtRest(next func() Successor, held, now time.Duration) bool {
 	if held < restEvery || now < r.looked+restEvery {
 		return false
 	}
@@ -49,7 +49,7 @@
 
 // Due reports whether the duty is to be handed over. next is asked only where it matters;
 // held is how long this VM has had the duty.
-func (r *Relief) Due(level float64, next func() Successor, held, now time.Duration) bool {
+func (r *Handover) Due(level float64, next func() Successor, held, now time.Duration) bool {
 	if level < strained {
 		r.is = false
 		return false
