--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -21,7 +21,7 @@
 	// would give back what its predecessor's work still uses.
 	planned bool
 
-	arrivals workspace.Arrivals
+	arrivals workspace.TokenBucket
 
 	ledger workspace.Ledger // as last read or written
 	rev    infra.Revision   // of its key; 0: there is none
--- a/policy/workspace/arrivals.go
+++ b/policy/workspace/arrivals.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Arrivals tells which jobs of a workspace are within its weight, which is how many a second it
+// TokenBucket tells which jobs of a workspace are within its weight, which is how many a second it
 // is owed when there is no room for all.
 //
 // Load pattern: one workspace hands in hundreds of jobs within a second, and others a few each.
 // Ordered by what each is worth for its cost, theirs are among its many and most are late; a job
 // that goes behind for being beyond its workspace's weight leaves them first. While there is room
 // for all nothing waits, and order does not matter.
-type Arrivals struct {
+type TokenBucket struct {
 	left float64       // jobs that may still come now
 	at   time.Duration // when that was
 	met  bool
@@ -21,7 +21,7 @@
 
 // Take counts a job that comes now and reports whether it is within the weight; without a weight
 // all are.
-func (a *Arrivals) Take(weight int, now time.Duration) bool {
+func (a *TokenBucket) Take(weight int, now time.Duration) bool {
 	if weight <= 0 {
 		return true
 	}
--- a/policy/workspace/arrivals_test.go
+++ b/policy/workspace/arrivals_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func within(a *Arrivals, weight, jobs int, from, pause time.Duration) (n int) {
+func within(a *TokenBucket, weight, jobs int, from, pause time.Duration) (n int) {
 	for i := range jobs {
 		if a.Take(weight, from+time.Duration(i)*pause) {
 			n++
@@ -30,7 +30,7 @@
 		{"no weight", 0, 1000, 0, 1000, 1000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := within(new(Arrivals), c.weight, c.jobs, time.Hour, c.pause)
+			n := within(new(TokenBucket), c.weight, c.jobs, time.Hour, c.pause)
 			assert.Assert(t, n <= c.within && n >= c.least, "%d", n)
 		})
 	}
@@ -38,7 +38,7 @@
 
 // A workspace that was idle for an hour has a second's worth, not an hour's.
 func TestAnIdleWorkspaceSavesNothingUp(t *testing.T) {
-	var a Arrivals
+	var a TokenBucket
 	assert.Assert(t, a.Take(10, 0))
 	assert.Equal(t, within(&a, 10, 100, time.Hour, 0), 10)
 }
