--- a/internal/jobfront/gate.go
+++ b/internal/jobfront/gate.go
@@ -75,7 +75,7 @@
 }
 
 func (g *Gate) judge(q engine.Queue, key workspace.Digest) (work.WorkspaceName, workspace.Verdict) {
-	return g.Configs.Keys().Admit(key, q.Open, workspace.Confirmation{Age: g.Configs.Age(), Most: g.Most})
+	return g.Configs.Keys().Admit(key, q.Open, workspace.Confirmation{Age: g.Configs.Age(), MaxAge: g.Most})
 }
 
 func (g *Gate) refuse(q engine.Queue, reason string, err error) error {
--- a/policy/workspace/keys.go
+++ b/policy/workspace/keys.go
@@ -40,8 +40,8 @@
 type Confirmation struct {
 	// Age is how long ago the configuration was known to be the newest.
 	Age time.Duration
-	// Most is the greatest age at which keys may still be accepted; 0: any.
-	Most time.Duration
+	// MaxAge is the greatest age at which keys may still be accepted; 0: any.
+	MaxAge time.Duration
 }
 
 // Admit decides on a call with the key on a route that is open to all or not.
@@ -60,7 +60,7 @@
 		return "", AskFirst
 	case !known:
 		return "", UnknownKey
-	case c.Most > 0 && c.Age > c.Most:
+	case c.MaxAge > 0 && c.Age > c.MaxAge:
 		return "", Unconfirmed
 	}
 	return name, Admitted
--- a/policy/workspace/keys_test.go
+++ b/policy/workspace/keys_test.go
@@ -12,7 +12,7 @@
 func TestAdmission(t *testing.T) {
 	keys := Keys{"k1": "red", "k2": "red", "k3": "blue"}
 	fresh, old := Confirmation{Age: trustFor}, Confirmation{Age: trustFor + 1}
-	strict := Confirmation{Age: 5*time.Second + 1, Most: 5 * time.Second}
+	strict := Confirmation{Age: 5*time.Second + 1, MaxAge: 5 * time.Second}
 	for _, c := range []struct {
 		name      string
 		key       Digest
