--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -113,7 +113,7 @@
 // one waits for what others have, and, half as often, where it has more than its even share and
 // the word of others may have been lost.
 func (c *Core) lookDue(now time.Duration) bool {
-	even, due := workspace.Even(len(c.cells)), false
+	even, due := workspace.EvenShare(len(c.cells)), false
 	for _, a := range c.limits.accounts {
 		waits, above := a.ledger.Wants[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
 		if a.inFlight || !a.lookNow && !(waits && now >= a.looked+reviewEvery) && !(above && now >= a.looked+2*reviewEvery) {
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -52,7 +52,7 @@
 	if a.explicit {
 		return a.granted
 	}
-	return workspace.Even(cells)
+	return workspace.EvenShare(cells)
 }
 
 // lower bounds what the cell has from here on.
--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -28,8 +28,8 @@
 	headroom = 4
 )
 
-// Even is what each of so many cells may use without a record.
-func Even(cells int) Parts { return evenParts / Parts(max(1, cells)) }
+// EvenShare is what each of so many cells may use without a record.
+func EvenShare(cells int) Parts { return evenParts / Parts(max(1, cells)) }
 
 // Provisional is what an owner of one of so many cells may use while it can't tell whether the
 // limit was cut.
@@ -88,7 +88,7 @@
 	if has, named := l.Has[cell]; named {
 		return has
 	}
-	return Even(cells)
+	return EvenShare(cells)
 }
 
 // left is what no cell has. A cell that is named and no longer declared still has its entry.
@@ -99,7 +99,7 @@
 	}
 	for _, cell := range cells {
 		if _, named := l.Has[cell]; !named {
-			left -= Even(len(cells))
+			left -= EvenShare(len(cells))
 		}
 	}
 	return max(0, left)
@@ -131,7 +131,7 @@
 func (l *Ledger) Settle(c Claim) Settlement {
 	has := l.Of(c.Cell, len(c.Cells))
 	most := has + l.left(c.Cells)
-	ask := max(Even(len(c.Cells)), roundUp(c.Need+c.Need/headroom))
+	ask := max(EvenShare(len(c.Cells)), roundUp(c.Need+c.Need/headroom))
 	if l.othersWant(c) {
 		most = min(most, l.fairShare(c))
 		ask = c.Need
@@ -139,7 +139,7 @@
 	use := min(ask, most)
 	now := max(use, min(c.InUse, has))
 	out := Ledger{Has: with(l.Has, c.Cell, now), Wants: without(l.Wants, c.Cell)}
-	if now == Even(len(c.Cells)) {
+	if now == EvenShare(len(c.Cells)) {
 		delete(out.Has, c.Cell)
 	}
 	if use < c.Need {
@@ -150,7 +150,7 @@
 
 // Idle reports whether the cell has more than its even share and may give some of it back.
 func (l *Ledger) Idle(c Claim) bool {
-	has, even := l.Of(c.Cell, len(c.Cells)), Even(len(c.Cells))
+	has, even := l.Of(c.Cell, len(c.Cells)), EvenShare(len(c.Cells))
 	return has > even && max(even, roundUp(c.Need+c.Need/headroom)) <= has-drawStep
 }
 
--- a/policy/workspace/ledger_test.go
+++ b/policy/workspace/ledger_test.go
@@ -15,7 +15,7 @@
 // for a while has none any more.
 func TestAnEvenShareNeedsNoRecord(t *testing.T) {
 	s := new(Ledger).Settle(Claim{Cell: "a", Cells: cells, Need: 100})
-	assert.Equal(t, s.Use, Even(len(cells)))
+	assert.Equal(t, s.Use, EvenShare(len(cells)))
 	assert.Assert(t, s.Ledger.Empty())
 	s = new(Ledger).Settle(Claim{Cell: "a", Cells: cells, Need: 2500})
 	assert.Assert(t, s.Use >= 2500)
@@ -30,7 +30,7 @@
 func TestACellThatBurstsGetsWhatTheOthersLend(t *testing.T) {
 	burst := Claim{Cell: "a", Cells: cells, Need: Whole}
 	s := new(Ledger).Settle(burst)
-	assert.Equal(t, s.Use, Even(len(cells))+Whole-evenParts)
+	assert.Equal(t, s.Use, EvenShare(len(cells))+Whole-evenParts)
 	for _, idle := range []string{"b", "c", "d"} {
 		lends := Claim{Cell: idle, Cells: cells}
 		assert.Assert(t, s.Ledger.Contended(lends))
@@ -38,7 +38,7 @@
 		assert.Equal(t, s.Use, Parts(0))
 	}
 	s = s.Ledger.Settle(burst)
-	assert.Equal(t, s.Use, Whole-Even(len(cells)))
+	assert.Equal(t, s.Use, Whole-EvenShare(len(cells)))
 	assert.Assert(t, s.Use > Whole/2)
 }
 
@@ -68,7 +68,7 @@
 func TestACellThatIsNoLongerDeclaredKeepsWhatItHas(t *testing.T) {
 	l := Ledger{Has: map[string]Parts{"old": 6000}}
 	s := l.Settle(Claim{Cell: "a", Cells: []string{"a", "b"}, Need: Whole})
-	assert.Assert(t, s.Use <= Whole-6000-Even(2) || s.Use == Even(2))
+	assert.Assert(t, s.Use <= Whole-6000-EvenShare(2) || s.Use == EvenShare(2))
 }
 
 func TestPartsOfALimit(t *testing.T) {
@@ -106,7 +106,7 @@
 			}
 		}
 		for _, cell := range cells {
-			assert.Assert(t, l.Of(cell, len(cells)) >= Even(len(cells)), "%s has %d", cell, l.Of(cell, len(cells)))
+			assert.Assert(t, l.Of(cell, len(cells)) >= EvenShare(len(cells)), "%s has %d", cell, l.Of(cell, len(cells)))
 		}
 	})
 }
