--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -136,7 +136,7 @@
 // configuration.
 func (c *Core) usesShares() bool {
 	for _, a := range c.limits.accounts {
-		if a.limited() && a.need > workspace.Provisional(len(c.cells)) {
+		if a.limited() && a.need > workspace.ProvisionalShare(len(c.cells)) {
 			return true
 		}
 	}
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -127,7 +127,7 @@
 func (c *Core) share(a *account, now time.Duration) workspace.Parts {
 	share := a.share(len(c.cells))
 	if within := c.bounds.ConfigWithin; within > 0 && now > c.limits.confirmed+within {
-		return min(share, workspace.Provisional(len(c.cells)))
+		return min(share, workspace.ProvisionalShare(len(c.cells)))
 	}
 	return share
 }
--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -31,9 +31,9 @@
 // EvenShare is what each of so many cells may use without a record.
 func EvenShare(cells int) Parts { return evenParts / Parts(max(1, cells)) }
 
-// Provisional is what an owner of one of so many cells may use while it can't tell whether the
+// ProvisionalShare is what an owner of one of so many cells may use while it can't tell whether the
 // limit was cut.
-func Provisional(cells int) Parts { return provisionalParts / Parts(max(1, cells)) }
+func ProvisionalShare(cells int) Parts { return provisionalParts / Parts(max(1, cells)) }
 
 // Of returns so many parts of the limit; a kind of resource without a limit stays 0.
 func (p Parts) Of(limit work.Resources) work.Resources {
