--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -87,7 +87,7 @@
 	}
 	claim.Need = peak
 	restores := a.explicit && a.granted < min(has, claim.Need)
-	return waits || noted || restores || a.inDoubt || a.ledger.Idle(*claim)
+	return waits || noted || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
 }
 
 // settle settles the claim with the ledger as it is known; false where the ledger says so already.
--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -148,8 +148,8 @@
 	return Settlement{Ledger: out, Has: now, Use: use}
 }
 
-// Idle reports whether the cell has more than its even share and may give some of it back.
-func (l *Ledger) Idle(c Claim) bool {
+// HasSurplus reports whether the cell has more than its even share and may give some of it back.
+func (l *Ledger) HasSurplus(c Claim) bool {
 	has, even := l.Of(c.Cell, len(c.Cells)), EvenShare(len(c.Cells))
 	return has > even && max(even, roundUp(c.Need+c.Need/headroom)) <= has-drawStep
 }
--- a/policy/workspace/ledger_test.go
+++ b/policy/workspace/ledger_test.go
@@ -20,7 +20,7 @@
 	s = new(Ledger).Settle(Claim{Cell: "a", Cells: cells, Need: 2500})
 	assert.Assert(t, s.Use >= 2500)
 	calm := Claim{Cell: "a", Cells: cells, Need: 100}
-	assert.Assert(t, s.Ledger.Idle(calm))
+	assert.Assert(t, s.Ledger.HasSurplus(calm))
 	s = s.Ledger.Settle(calm)
 	assert.Assert(t, s.Ledger.Empty())
 }
