--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -175,7 +175,7 @@
 	l := admission.Load{
 		InFlight: svc.running,
 		Limit:    d.limit(svc),
-		Ahead:    svc.queue.Ahead(r.Caller, r.Class),
+		Ahead:    svc.queue.CostAhead(r.Caller, r.Class),
 		Mean:     svc.hold.Mean(),
 		High:     svc.hold.High(),
 	}
--- a/policy/queue/queue.go
+++ b/policy/queue/queue.go
@@ -83,10 +83,10 @@
 // LenOf returns the number of the caller's queued items.
 func (q *Queue) LenOf(caller string) int { return q.callers[caller] }
 
-// Ahead returns the cost that runs before a further request of the caller and
+// CostAhead returns the cost that runs before a further request of the caller and
 // class: all of more urgent classes, and of its own class what each caller may
 // run while this caller's own items get their turn.
-func (q *Queue) Ahead(caller string, class model.Class) float64 {
+func (q *Queue) CostAhead(caller string, class model.Class) float64 {
 	ahead := 0.0
 	for l := levels - 1; l > int(class); l-- {
 		ahead += q.levels[l].cost()
--- a/policy/queue/queue_test.go
+++ b/policy/queue/queue_test.go
@@ -132,7 +132,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.Equal(t, q.Ahead(tc.caller, tc.class), tc.want)
+			assert.Equal(t, q.CostAhead(tc.caller, tc.class), tc.want)
 		})
 	}
 }
