--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -42,10 +42,10 @@
 	return min(high, r.Deadline.Sub(r.Arrived)/2)
 }
 
-// Hopeless reports whether a request that has waited is better turned away
+// CannotMeetDeadline reports whether a request that has waited is better turned away
 // than sent: less than the margin is left, as the prediction at its coming was
 // too good, and others wait for the slot.
-func Hopeless(r Request, high time.Duration, now time.Time) bool {
+func CannotMeetDeadline(r Request, high time.Duration, now time.Time) bool {
 	return now.After(r.Arrived) && r.Deadline.Sub(now) < r.margin(high)
 }
 
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -47,10 +47,10 @@
 
 func TestHopeless(t *testing.T) {
 	r := Request{Arrived: t0, Deadline: t0.Add(time.Second)}
-	assert.Assert(t, !Hopeless(r, 2*time.Second, t0), "nobody is hopeless at once")
-	assert.Assert(t, !Hopeless(r, 300*ms, t0.Add(700*ms)))
-	assert.Assert(t, Hopeless(r, 300*ms, t0.Add(701*ms)))
-	assert.Assert(t, Hopeless(r, 2*time.Second, t0.Add(501*ms)))
+	assert.Assert(t, !CannotMeetDeadline(r, 2*time.Second, t0), "nobody is hopeless at once")
+	assert.Assert(t, !CannotMeetDeadline(r, 300*ms, t0.Add(700*ms)))
+	assert.Assert(t, CannotMeetDeadline(r, 300*ms, t0.Add(701*ms)))
+	assert.Assert(t, CannotMeetDeadline(r, 2*time.Second, t0.Add(501*ms)))
 }
 
 func TestIdleKeepsAReserve(t *testing.T) {
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -269,7 +269,7 @@
 			return
 		}
 		t := it.Data.(*Ticket)
-		if svc.queue.Len() > 0 && admission.Hopeless(t.Request.admission(), svc.hold.High(), now) {
+		if svc.queue.Len() > 0 && admission.CannotMeetDeadline(t.Request.admission(), svc.hold.High(), now) {
 			d.refuse(t, Refusal{Reason: DeadlinePast, RetryAfter: svc.hold.High()})
 			continue
 		}
