--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -16,14 +16,14 @@
 
 // Load is a service's state at one entry VM when a request comes.
 type Load struct {
-	Slots    int           // slots of live targets this entry VM may use
-	Free     int           // of these, free now
-	Live     int           // targets in use, with or without slots for this entry VM
-	InFlight int           // requests at targets
-	Limit    int           // most in flight by the service's declared limit; 0 for none
-	Ahead    float64       // cost waiting that goes before the request, in mean requests
-	Mean     time.Duration // mean time a request holds a slot; 0 where unknown
-	High     time.Duration // time within which most requests are done; 0 where unknown
+	Slots     int           // slots of live targets this entry VM may use
+	Free      int           // of these, free now
+	Live      int           // targets in use, with or without slots for this entry VM
+	InFlight  int           // requests at targets
+	Limit     int           // most in flight by the service's declared limit; 0 for none
+	CostAhead float64       // cost waiting that goes before the request, in mean requests
+	Mean      time.Duration // mean time a request holds a slot; 0 where unknown
+	High      time.Duration // time within which most requests are done; 0 where unknown
 }
 
 // Request is what admission looks at.
@@ -119,7 +119,7 @@
 	if l.Limit > 0 {
 		free = min(free, l.Limit-l.InFlight)
 	}
-	short := l.Ahead + 1 - float64(max(free, 0))
+	short := l.CostAhead + 1 - float64(max(free, 0))
 	if short <= 0 || usable <= 0 {
 		return 0
 	}
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -29,12 +29,12 @@
 		{"no target", Load{}, time.Second, NoTargets, noTargetRetry},
 		{"no slot, time for a loan", Load{Live: 2}, 3 * time.Second, Admit, 0},
 		{"no slot, no time for a loan", Load{Live: 2}, time.Second, WouldBeLate, borrowTime},
-		{"waits in time", with(busy, func(l *Load) { l.Ahead = 50 }), time.Second, Admit, 0},
-		{"would be late", with(busy, func(l *Load) { l.Ahead = 99 }), time.Second, WouldBeLate, 300 * ms},
-		{"a short timeout asks for half of it", with(busy, func(l *Load) { l.Ahead = 4 }), 100 * ms, Admit, 0},
-		{"and no more", with(busy, func(l *Load) { l.Ahead = 9 }), 100 * ms, WouldBeLate, 50 * ms},
-		{"nothing known of the service", Load{Live: 2, Slots: 10, InFlight: 10, Ahead: 99}, time.Second, Admit, 0},
-		{"the limit binds though slots are free", with(idle, func(l *Load) { l.Limit, l.InFlight, l.Ahead = 2, 2, 20 }), time.Second, WouldBeLate, 350 * ms},
+		{"waits in time", with(busy, func(l *Load) { l.CostAhead = 50 }), time.Second, Admit, 0},
+		{"would be late", with(busy, func(l *Load) { l.CostAhead = 99 }), time.Second, WouldBeLate, 300 * ms},
+		{"a short timeout asks for half of it", with(busy, func(l *Load) { l.CostAhead = 4 }), 100 * ms, Admit, 0},
+		{"and no more", with(busy, func(l *Load) { l.CostAhead = 9 }), 100 * ms, WouldBeLate, 50 * ms},
+		{"nothing known of the service", Load{Live: 2, Slots: 10, InFlight: 10, CostAhead: 99}, time.Second, Admit, 0},
+		{"the limit binds though slots are free", with(idle, func(l *Load) { l.Limit, l.InFlight, l.CostAhead = 2, 2, 20 }), time.Second, WouldBeLate, 350 * ms},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
