--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -16,14 +16,14 @@
 
 // Load is a service's state at one entry VM when a request comes.
 type Load struct {
-	Slots     int           // slots of live targets this entry VM may use
-	Free      int           // of these, free now
-	Live      int           // targets in use, with or without slots for this entry VM
-	InFlight  int           // requests at targets
-	Limit     int           // most in flight by the service's declared limit; 0 for none
-	CostAhead float64       // cost waiting that goes before the request, in mean requests
-	Mean      time.Duration // mean time a request holds a slot; 0 where unknown
-	High      time.Duration // time within which most requests are done; 0 where unknown
+	Slots        int           // slots of live targets this entry VM may use
+	Free         int           // of these, free now
+	Live         int           // targets in use, with or without slots for this entry VM
+	InFlight     int           // requests at targets
+	Limit        int           // most in flight by the service's declared limit; 0 for none
+	CostAhead    float64       // cost waiting that goes before the request, in mean requests
+	Mean         time.Duration // mean time a request holds a slot; 0 where unknown
+	HighQuantile time.Duration // time within which most requests are done; 0 where unknown
 }
 
 // Request is what admission looks at.
@@ -83,7 +83,7 @@
 	}
 	wait := l.Wait()
 	left := r.Deadline.Sub(now)
-	needed := wait + r.margin(l.High)
+	needed := wait + r.margin(l.HighQuantile)
 	if wait > 0 && needed > left {
 		return Decision{Verdict: WouldBeLate, Wait: wait, RetryAfter: needed - left}
 	}
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -14,8 +14,8 @@
 var t0 = time.Unix(1_000_000, 0)
 
 func TestDecide(t *testing.T) {
-	idle := Load{Live: 2, Slots: 10, Free: 10, Mean: 100 * ms, High: 300 * ms}
-	busy := Load{Live: 2, Slots: 10, Mean: 100 * ms, High: 300 * ms, InFlight: 10}
+	idle := Load{Live: 2, Slots: 10, Free: 10, Mean: 100 * ms, HighQuantile: 300 * ms}
+	busy := Load{Live: 2, Slots: 10, Mean: 100 * ms, HighQuantile: 300 * ms, InFlight: 10}
 	with := func(l Load, change func(*Load)) Load { change(&l); return l }
 	cases := []struct {
 		name    string
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -173,11 +173,11 @@
 // load is what admission sees of the service.
 func (d *Dispatcher) load(svc *service, r Request, now time.Time) admission.Load {
 	l := admission.Load{
-		InFlight:  svc.running,
-		Limit:     d.limit(svc),
-		CostAhead: svc.queue.CostAhead(r.Caller, r.Class),
-		Mean:      svc.hold.Mean(),
-		High:      svc.hold.High(),
+		InFlight:     svc.running,
+		Limit:        d.limit(svc),
+		CostAhead:    svc.queue.CostAhead(r.Caller, r.Class),
+		Mean:         svc.hold.Mean(),
+		HighQuantile: svc.hold.High(),
 	}
 	for _, t := range svc.targets {
 		if d.out(t, now) {
