--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -193,5 +193,5 @@
 // Mean returns the estimate, 0 where nothing is known.
 func (h *HoldTime) Mean() time.Duration { return time.Duration(h.mean) }
 
-// High returns the time within which most requests are done, 0 where unknown.
-func (h *HoldTime) High() time.Duration { return time.Duration(h.high) }
+// HighQuantile returns the time within which most requests are done, 0 where unknown.
+func (h *HoldTime) HighQuantile() time.Duration { return time.Duration(h.high) }
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -77,10 +77,10 @@
 		h.Observe(time.Duration(rnd.ExpFloat64() * float64(100*ms)))
 	}
 	assert.Assert(t, h.Mean() > 70*ms && h.Mean() < 130*ms, "%v", h.Mean())
-	assert.Assert(t, h.High() > 200*ms && h.High() < 450*ms, "95%% of exponential times are within 300 ms, not %v", h.High())
-	high := h.High()
+	assert.Assert(t, h.HighQuantile() > 200*ms && h.HighQuantile() < 450*ms, "95%% of exponential times are within 300 ms, not %v", h.HighQuantile())
+	high := h.HighQuantile()
 	h.Observe(time.Hour)
-	assert.Assert(t, h.High() < high*11/10, "one sample's size does not matter: %v", h.High())
+	assert.Assert(t, h.HighQuantile() < high*11/10, "one sample's size does not matter: %v", h.HighQuantile())
 	assert.Assert(t, h.Mean() < 200*ms, "one sample moves it little: %v", h.Mean())
 	for range 200 {
 		h.Observe(time.Second)
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -148,7 +148,7 @@
 	for _, svc := range d.order {
 		s := ServiceState{
 			Service: svc.decl.Name, Queued: svc.queue.Len(), InFlight: svc.running,
-			Mean: svc.hold.Mean(), High: svc.hold.High(), Away: svc.shift.Share(),
+			Mean: svc.hold.Mean(), High: svc.hold.HighQuantile(), Away: svc.shift.Share(),
 			Heavy: svc.costs.Heaviest(heavyShare),
 		}
 		for _, t := range svc.targets {
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -177,7 +177,7 @@
 		Limit:        d.limit(svc),
 		CostAhead:    svc.queue.CostAhead(r.Caller, r.Class),
 		Mean:         svc.hold.Mean(),
-		HighQuantile: svc.hold.High(),
+		HighQuantile: svc.hold.HighQuantile(),
 	}
 	for _, t := range svc.targets {
 		if d.out(t, now) {
@@ -269,8 +269,8 @@
 			return
 		}
 		t := it.Data.(*Ticket)
-		if svc.queue.Len() > 0 && admission.CannotMeetDeadline(t.Request.admission(), svc.hold.High(), now) {
-			d.refuse(t, Refusal{Reason: DeadlinePast, RetryAfter: svc.hold.High()})
+		if svc.queue.Len() > 0 && admission.CannotMeetDeadline(t.Request.admission(), svc.hold.HighQuantile(), now) {
+			d.refuse(t, Refusal{Reason: DeadlinePast, RetryAfter: svc.hold.HighQuantile()})
 			continue
 		}
 		d.grant(t, c)
