--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -141,8 +141,8 @@
 // target's eight: the load at which urgent work would wait anyway.
 const reserveShare = 8
 
-// Idle reports whether deferrable work may take a slot.
-func Idle(free, slots int) bool {
+// DeferrableMayStart reports whether deferrable work may take a slot.
+func DeferrableMayStart(free, slots int) bool {
 	reserve := (slots + reserveShare - 1) / reserveShare
 	if slots <= 1 {
 		reserve = 0
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -59,7 +59,7 @@
 		want        bool
 	}{{10, 10, true}, {3, 10, true}, {2, 10, false}, {0, 10, false}, {1, 1, true}, {0, 1, false}, {1, 8, false}}
 	for _, tc := range cases {
-		assert.Equal(t, Idle(tc.free, tc.slots), tc.want, "%d of %d", tc.free, tc.slots)
+		assert.Equal(t, DeferrableMayStart(tc.free, tc.slots), tc.want, "%d of %d", tc.free, tc.slots)
 	}
 }
 
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -264,7 +264,7 @@
 			return
 		}
 		free, total := capacity(c.Targets)
-		it := svc.queue.Pop(now, admission.Idle(free, total))
+		it := svc.queue.Pop(now, admission.DeferrableMayStart(free, total))
 		if it == nil {
 			return
 		}
