--- a/policy/admission/costs.go
+++ b/policy/admission/costs.go
@@ -102,22 +102,22 @@
 	return min(max(cc.mean/typical.Seconds(), minCost), maxCost)
 }
 
-// Heavy is a caller with much of the load.
-type Heavy struct {
+// HeavyCaller is a caller with much of the load.
+type HeavyCaller struct {
 	Caller string
 	Share  float64 // of the slot time, at least
 }
 
 // Heaviest returns the callers that certainly have at least share of the slot
 // time, the heaviest first.
-func (c *Costs) Heaviest(share float64) []Heavy {
-	var heavy []Heavy
+func (c *Costs) Heaviest(share float64) []HeavyCaller {
+	var heavy []HeavyCaller
 	for name, cc := range c.callers {
 		if c.total > 0 && (cc.used-cc.error)/c.total >= share {
-			heavy = append(heavy, Heavy{name, (cc.used - cc.error) / c.total})
+			heavy = append(heavy, HeavyCaller{name, (cc.used - cc.error) / c.total})
 		}
 	}
-	slices.SortFunc(heavy, func(a, b Heavy) int {
+	slices.SortFunc(heavy, func(a, b HeavyCaller) int {
 		if a.Share != b.Share {
 			if a.Share > b.Share {
 				return -1
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -135,7 +135,7 @@
 	Mean     time.Duration
 	High     time.Duration
 	Away     float64 // share of work that goes to other zones first
-	Heavy    []admission.Heavy
+	Heavy    []admission.HeavyCaller
 }
 
 // heavyShare is from which share of a service's slot time a caller is named to
