--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -33,7 +33,7 @@
 	byID    map[model.VMID]int
 	index   *index
 	tasks   map[model.VMID][]Task
-	book    *quota.Book
+	book    *quota.Tracker
 	weights Weights
 	spread  spread
 	queues  []*queue
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -21,16 +21,16 @@
 	Waits
 )
 
-// Book counts what each team uses. Where no team is declared there are no
+// Tracker counts what each team uses. Where no team is declared there are no
 // quotas and all work stands within.
-type Book struct {
+type Tracker struct {
 	guaranteed map[model.TeamName]model.Resources
 	used       map[model.TeamName]model.Resources
 }
 
 // NewBook returns a Book in which nothing is used.
-func NewBook(teams []model.Team) *Book {
-	b := &Book{used: make(map[model.TeamName]model.Resources)}
+func NewBook(teams []model.Team) *Tracker {
+	b := &Tracker{used: make(map[model.TeamName]model.Resources)}
 	if len(teams) == 0 {
 		return b
 	}
@@ -42,32 +42,32 @@
 }
 
 // Take counts size as used by the team.
-func (b *Book) Take(team model.TeamName, size model.Resources) {
+func (b *Tracker) Take(team model.TeamName, size model.Resources) {
 	b.used[team] = b.used[team].Add(size)
 }
 
 // Give takes a Take back.
-func (b *Book) Give(team model.TeamName, size model.Resources) {
+func (b *Tracker) Give(team model.TeamName, size model.Resources) {
 	b.used[team] = b.used[team].Sub(size)
 }
 
 // Used returns what the team uses.
-func (b *Book) Used(team model.TeamName) model.Resources { return b.used[team] }
+func (b *Tracker) Used(team model.TeamName) model.Resources { return b.used[team] }
 
 // Guaranteed returns the team's guarantee; false where there are no quotas.
-func (b *Book) Guaranteed(team model.TeamName) (model.Resources, bool) {
+func (b *Tracker) Guaranteed(team model.TeamName) (model.Resources, bool) {
 	return b.guaranteed[team], b.guaranteed != nil
 }
 
 // Over reports whether the team uses more than its guarantee.
-func (b *Book) Over(team model.TeamName) bool {
+func (b *Tracker) Over(team model.TeamName) bool {
 	return b.guaranteed != nil && !b.used[team].Fits(b.guaranteed[team])
 }
 
 // Stand returns how a job of the size would stand. Work that is not repeatable
 // is never stopped, so it never borrows: what it borrowed could not be taken
 // back when the owner of the share returns.
-func (b *Book) Stand(job *model.Job, size model.Resources) Standing {
+func (b *Tracker) Stand(job *model.Job, size model.Resources) Standing {
 	switch {
 	case b.guaranteed == nil || b.used[job.Team].Add(size).Fits(b.guaranteed[job.Team]):
 		return Within
@@ -79,7 +79,7 @@
 
 // Never reports whether the job can't run however idle the fleet is, because
 // it may not borrow and is larger than the whole guarantee.
-func (b *Book) Never(job *model.Job, size model.Resources) bool {
+func (b *Tracker) Never(job *model.Job, size model.Resources) bool {
 	return b.guaranteed != nil && !TakesBack(job) && !size.Fits(b.guaranteed[job.Team])
 }
 
@@ -89,7 +89,7 @@
 
 // Ratio returns the largest share of its guarantee that the team uses in any
 // dimension. A team without a guarantee is behind all others once it uses any.
-func (b *Book) Ratio(team model.TeamName) float64 {
+func (b *Tracker) Ratio(team model.TeamName) float64 {
 	used, share := b.used[team], b.guaranteed[team]
 	return max(ratio(used.MilliCPU, share.MilliCPU), ratio(used.MemoryMB, share.MemoryMB), ratio(used.Accelerators, share.Accelerators))
 }
