--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -74,7 +74,7 @@
 		workers:  slices.Clone(s.Workers),
 		byID:     make(map[model.VMID]int, len(s.Workers)),
 		tasks:    make(map[model.VMID][]Task),
-		book:     quota.NewBook(s.Teams),
+		book:     quota.NewTracker(s.Teams),
 		weights:  s.Weights,
 		spread:   make(spread),
 		full:     make(map[shape]Refusal),
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -28,8 +28,8 @@
 	used       map[model.TeamName]model.Resources
 }
 
-// NewBook returns a Book in which nothing is used.
-func NewBook(teams []model.Team) *Tracker {
+// NewTracker returns a Book in which nothing is used.
+func NewTracker(teams []model.Team) *Tracker {
 	b := &Tracker{used: make(map[model.TeamName]model.Resources)}
 	if len(teams) == 0 {
 		return b
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -31,7 +31,7 @@
 		{"no quotas declared", nil, 100, once, 100, Within, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := NewBook(tc.teams)
+			b := NewTracker(tc.teams)
 			b.Take("a", cpu(tc.used))
 			assert.Equal(t, b.Stand(tc.job, cpu(tc.size)), tc.want)
 			assert.Equal(t, b.Never(tc.job, cpu(tc.size)), tc.never)
@@ -40,7 +40,7 @@
 }
 
 func TestRatio(t *testing.T) {
-	b := NewBook([]model.Team{{Name: "a", Guaranteed: cpu(10)}})
+	b := NewTracker([]model.Team{{Name: "a", Guaranteed: cpu(10)}})
 	b.Take("a", model.Resources{MilliCPU: 5, MemoryMB: 20})
 	b.Take("none", cpu(1))
 	assert.Equal(t, b.Ratio("a"), 2.0)
