--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -8,13 +8,13 @@
 
 import "github.com/pumicestage/pumicestage/policy/model"
 
-// Standing is how a job would stand against its team's guarantee.
-type Standing int8
+// Verdict is how a job would stand against its team's guarantee.
+type Verdict int8
 
 // The standings.
 const (
 	// Within: the team's use with the job stays inside its guarantee.
-	Within Standing = iota
+	Within Verdict = iota
 	// Borrows: the job uses idle capacity and can be taken back.
 	Borrows
 	// Waits: over the guarantee, and the job can't be taken back once it runs.
@@ -67,7 +67,7 @@
 // Stand returns how a job of the size would stand. Work that is not repeatable
 // is never stopped, so it never borrows: what it borrowed could not be taken
 // back when the owner of the share returns.
-func (b *Tracker) Stand(job *model.Job, size model.Resources) Standing {
+func (b *Tracker) Stand(job *model.Job, size model.Resources) Verdict {
 	switch {
 	case b.guaranteed == nil || b.used[job.Team].Add(size).Fits(b.guaranteed[job.Team]):
 		return Within
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -19,7 +19,7 @@
 		used  int64
 		job   *model.Job
 		size  int64
-		want  Standing
+		want  Verdict
 		never bool
 	}{
 		{"within", teams, 5, once, 5, Within, false},
