--- a/policy/placement/displace.go
+++ b/policy/placement/displace.go
@@ -24,7 +24,7 @@
 // guarantee on what others have borrowed. Work that is not repeatable is never
 // stopped, urgent work neither.
 func (p *planner) displace(k rank, r *Request) bool {
-	borrows := p.book.Stand(r.Job, r.Size) == quota.Borrows
+	borrows := p.book.Check(r.Job, r.Size) == quota.Borrows
 	if p.stops >= maxStops || k != urgentRank && p.stops >= maxReclaims || k != urgentRank && (borrows || !p.anyOver()) {
 		return false
 	}
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -190,7 +190,7 @@
 // try places the request or refuses it, and returns false where a later rank
 // is to look at it again.
 func (p *planner) try(k rank, r *Request) bool {
-	stand := p.book.Stand(r.Job, r.Size)
+	stand := p.book.Check(r.Job, r.Size)
 	if stand == quota.Waits {
 		p.refuse(p.overQuota(r))
 		return true
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -64,10 +64,10 @@
 	return b.guaranteed != nil && !b.used[team].Fits(b.guaranteed[team])
 }
 
-// Stand returns how a job of the size would stand. Work that is not repeatable
+// Check returns how a job of the size would stand. Work that is not repeatable
 // is never stopped, so it never borrows: what it borrowed could not be taken
 // back when the owner of the share returns.
-func (b *Tracker) Stand(job *model.Job, size model.Resources) Verdict {
+func (b *Tracker) Check(job *model.Job, size model.Resources) Verdict {
 	switch {
 	case b.guaranteed == nil || b.used[job.Team].Add(size).Fits(b.guaranteed[job.Team]):
 		return Within
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -33,7 +33,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewTracker(tc.teams)
 			b.Take("a", cpu(tc.used))
-			assert.Equal(t, b.Stand(tc.job, cpu(tc.size)), tc.want)
+			assert.Equal(t, b.Check(tc.job, cpu(tc.size)), tc.want)
 			assert.Equal(t, b.Never(tc.job, cpu(tc.size)), tc.never)
 		})
 	}
