--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -110,7 +110,7 @@
 
 func (p *planner) overQuota(r *Request) Refusal {
 	share, _ := p.book.Guaranteed(r.Job.Team)
-	if p.book.Never(r.Job, r.Size) {
+	if p.book.NeverFits(r.Job, r.Size) {
 		_, binds := lacking(r.Size, share)
 		return Refusal{Job: r.Job.ID, Never: true, Binds: BindsQuota, Detail: fmt.Sprintf(
 			"needs %s, team %s is guaranteed %s, and work that is not repeatable can't borrow",
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -77,9 +77,9 @@
 	return Waits
 }
 
-// Never reports whether the job can't run however idle the fleet is, because
+// NeverFits reports whether the job can't run however idle the fleet is, because
 // it may not borrow and is larger than the whole guarantee.
-func (b *Tracker) Never(job *model.Job, size model.Resources) bool {
+func (b *Tracker) NeverFits(job *model.Job, size model.Resources) bool {
 	return b.guaranteed != nil && !TakesBack(job) && !size.Fits(b.guaranteed[job.Team])
 }
 
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -34,7 +34,7 @@
 			b := NewTracker(tc.teams)
 			b.Take("a", cpu(tc.used))
 			assert.Equal(t, b.Check(tc.job, cpu(tc.size)), tc.want)
-			assert.Equal(t, b.Never(tc.job, cpu(tc.size)), tc.never)
+			assert.Equal(t, b.NeverFits(tc.job, cpu(tc.size)), tc.never)
 		})
 	}
 }
