--- a/policy/placement/displace.go
+++ b/policy/placement/displace.go
@@ -134,7 +134,7 @@
 // team then has left within the guarantee is not taken from it.
 func (p *planner) yieldsStill(r *Request, t *Task, chosen model.Resources) bool {
 	p.book.Give(t.Job.Team, chosen)
-	defer p.book.Take(t.Job.Team, chosen)
+	defer p.book.Reserve(t.Job.Team, chosen)
 	return p.yields(r, t)
 }
 
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -86,7 +86,7 @@
 		p.byID[p.workers[i].ID] = i
 	}
 	for _, t := range s.Running {
-		p.book.Take(t.Job.Team, t.Size)
+		p.book.Reserve(t.Job.Team, t.Size)
 		p.tasks[t.VM] = append(p.tasks[t.VM], t)
 		if i, ok := p.byID[t.VM]; ok {
 			p.spread.add(t.Job, &p.workers[i])
@@ -229,7 +229,7 @@
 
 // take books a size for a team, or with a negative size gives it back.
 func (p *planner) take(team model.TeamName, size model.Resources) {
-	p.book.Take(team, size)
+	p.book.Reserve(team, size)
 	if q := p.teams[team]; q != nil {
 		q.share = p.book.Ratio(team)
 	}
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -41,8 +41,8 @@
 	return b
 }
 
-// Take counts size as used by the team.
-func (b *Tracker) Take(team model.TeamName, size model.Resources) {
+// Reserve counts size as used by the team.
+func (b *Tracker) Reserve(team model.TeamName, size model.Resources) {
 	b.used[team] = b.used[team].Add(size)
 }
 
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewTracker(tc.teams)
-			b.Take("a", cpu(tc.used))
+			b.Reserve("a", cpu(tc.used))
 			assert.Equal(t, b.Check(tc.job, cpu(tc.size)), tc.want)
 			assert.Equal(t, b.NeverFits(tc.job, cpu(tc.size)), tc.never)
 		})
@@ -41,8 +41,8 @@
 
 func TestRatio(t *testing.T) {
 	b := NewTracker([]model.Team{{Name: "a", Guaranteed: cpu(10)}})
-	b.Take("a", model.Resources{MilliCPU: 5, MemoryMB: 20})
-	b.Take("none", cpu(1))
+	b.Reserve("a", model.Resources{MilliCPU: 5, MemoryMB: 20})
+	b.Reserve("none", cpu(1))
 	assert.Equal(t, b.Ratio("a"), 2.0)
 	assert.Assert(t, b.Over("a") && b.Over("none") && b.Ratio("none") > b.Ratio("a"))
 	b.Give("a", model.Resources{MemoryMB: 10})
