--- a/policy/placement/displace.go
+++ b/policy/placement/displace.go
@@ -133,7 +133,7 @@
 // yieldsStill asks again after others of the same team were chosen: what its
 // team then has left within the guarantee is not taken from it.
 func (p *planner) yieldsStill(r *Request, t *Task, chosen model.Resources) bool {
-	p.book.Give(t.Job.Team, chosen)
+	p.book.Release(t.Job.Team, chosen)
 	defer p.book.Reserve(t.Job.Team, chosen)
 	return p.yields(r, t)
 }
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -46,8 +46,8 @@
 	b.used[team] = b.used[team].Add(size)
 }
 
-// Give takes a Take back.
-func (b *Tracker) Give(team model.TeamName, size model.Resources) {
+// Release takes a Take back.
+func (b *Tracker) Release(team model.TeamName, size model.Resources) {
 	b.used[team] = b.used[team].Sub(size)
 }
 
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -45,6 +45,6 @@
 	b.Reserve("none", cpu(1))
 	assert.Equal(t, b.Ratio("a"), 2.0)
 	assert.Assert(t, b.Over("a") && b.Over("none") && b.Ratio("none") > b.Ratio("a"))
-	b.Give("a", model.Resources{MemoryMB: 10})
+	b.Release("a", model.Resources{MemoryMB: 10})
 	assert.Assert(t, !b.Over("a"))
 }
