--- a/policy/placement/displace.go
+++ b/policy/placement/displace.go
@@ -59,7 +59,7 @@
 
 func (p *planner) anyOver() bool {
 	for _, t := range p.declared {
-		if p.book.Over(t.Name) {
+		if p.book.OverGuarantee(t.Name) {
 			return true
 		}
 	}
@@ -127,7 +127,7 @@
 	if r.Job.Class == model.ClassUrgent && t.Job.Class == model.ClassDeferrable {
 		return true
 	}
-	return t.Job.Team != r.Job.Team && p.book.Over(t.Job.Team)
+	return t.Job.Team != r.Job.Team && p.book.OverGuarantee(t.Job.Team)
 }
 
 // yieldsStill asks again after others of the same team were chosen: what its
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -59,8 +59,8 @@
 	return b.guaranteed[team], b.guaranteed != nil
 }
 
-// Over reports whether the team uses more than its guarantee.
-func (b *Tracker) Over(team model.TeamName) bool {
+// OverGuarantee reports whether the team uses more than its guarantee.
+func (b *Tracker) OverGuarantee(team model.TeamName) bool {
 	return b.guaranteed != nil && !b.used[team].Fits(b.guaranteed[team])
 }
 
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -44,7 +44,7 @@
 	b.Reserve("a", model.Resources{MilliCPU: 5, MemoryMB: 20})
 	b.Reserve("none", cpu(1))
 	assert.Equal(t, b.Ratio("a"), 2.0)
-	assert.Assert(t, b.Over("a") && b.Over("none") && b.Ratio("none") > b.Ratio("a"))
+	assert.Assert(t, b.OverGuarantee("a") && b.OverGuarantee("none") && b.Ratio("none") > b.Ratio("a"))
 	b.Release("a", model.Resources{MemoryMB: 10})
-	assert.Assert(t, !b.Over("a"))
+	assert.Assert(t, !b.OverGuarantee("a"))
 }
