--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -97,7 +97,7 @@
 	p.teams = make(map[model.TeamName]*queue, len(p.queues))
 	for _, q := range p.queues {
 		p.teams[q.team] = q
-		q.share = p.book.Ratio(q.team)
+		q.share = p.book.UsageRatio(q.team)
 	}
 	return p
 }
@@ -231,7 +231,7 @@
 func (p *planner) take(team model.TeamName, size model.Resources) {
 	p.book.Reserve(team, size)
 	if q := p.teams[team]; q != nil {
-		q.share = p.book.Ratio(team)
+		q.share = p.book.UsageRatio(team)
 	}
 }
 
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -87,9 +87,9 @@
 // it keeps its progress or may run again, and is not a not-repeatable one.
 func TakesBack(job *model.Job) bool { return job.Repeatable }
 
-// Ratio returns the largest share of its guarantee that the team uses in any
+// UsageRatio returns the largest share of its guarantee that the team uses in any
 // dimension. A team without a guarantee is behind all others once it uses any.
-func (b *Tracker) Ratio(team model.TeamName) float64 {
+func (b *Tracker) UsageRatio(team model.TeamName) float64 {
 	used, share := b.used[team], b.guaranteed[team]
 	return max(ratio(used.MilliCPU, share.MilliCPU), ratio(used.MemoryMB, share.MemoryMB), ratio(used.Accelerators, share.Accelerators))
 }
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -43,8 +43,8 @@
 	b := NewTracker([]model.Team{{Name: "a", Guaranteed: cpu(10)}})
 	b.Reserve("a", model.Resources{MilliCPU: 5, MemoryMB: 20})
 	b.Reserve("none", cpu(1))
-	assert.Equal(t, b.Ratio("a"), 2.0)
-	assert.Assert(t, b.OverGuarantee("a") && b.OverGuarantee("none") && b.Ratio("none") > b.Ratio("a"))
+	assert.Equal(t, b.UsageRatio("a"), 2.0)
+	assert.Assert(t, b.OverGuarantee("a") && b.OverGuarantee("none") && b.UsageRatio("none") > b.UsageRatio("a"))
 	b.Release("a", model.Resources{MemoryMB: 10})
 	assert.Assert(t, !b.OverGuarantee("a"))
 }
