--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -199,7 +199,7 @@
 	snap := p.view.Load()
 	for _, r := range p.records {
 		vm, ok := snap.VMs[r.VM]
-		if !ok || r.State != Running || vm.State != model.VMLeaving || !r.Checkpoints || !quota.TakesBack(&r.Job) {
+		if !ok || r.State != Running || vm.State != model.VMLeaving || !r.Checkpoints || !quota.Preemptible(&r.Job) {
 			continue
 		}
 		errs = append(errs, fault("stop task", "", p.machines.StopTask(ctx, r.Attempt, true)))
--- a/policy/placement/displace.go
+++ b/policy/placement/displace.go
@@ -121,7 +121,7 @@
 
 // yields reports whether the task may be stopped for the job.
 func (p *planner) yields(r *Request, t *Task) bool {
-	if !quota.TakesBack(t.Job) || t.Job.Class == model.ClassUrgent {
+	if !quota.Preemptible(t.Job) || t.Job.Class == model.ClassUrgent {
 		return false
 	}
 	if r.Job.Class == model.ClassUrgent && t.Job.Class == model.ClassDeferrable {
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -71,7 +71,7 @@
 	switch {
 	case b.guaranteed == nil || b.used[job.Team].Add(size).Fits(b.guaranteed[job.Team]):
 		return Within
-	case TakesBack(job):
+	case Preemptible(job):
 		return Borrows
 	}
 	return Waits
@@ -80,12 +80,12 @@
 // NeverFits reports whether the job can't run however idle the fleet is, because
 // it may not borrow and is larger than the whole guarantee.
 func (b *Tracker) NeverFits(job *model.Job, size model.Resources) bool {
-	return b.guaranteed != nil && !TakesBack(job) && !size.Fits(b.guaranteed[job.Team])
+	return b.guaranteed != nil && !Preemptible(job) && !size.Fits(b.guaranteed[job.Team])
 }
 
-// TakesBack reports whether a running job may be stopped to free its worker:
+// Preemptible reports whether a running job may be stopped to free its worker:
 // it keeps its progress or may run again, and is not a not-repeatable one.
-func TakesBack(job *model.Job) bool { return job.Repeatable }
+func Preemptible(job *model.Job) bool { return job.Repeatable }
 
 // UsageRatio returns the largest share of its guarantee that the team uses in any
 // dimension. A team without a guarantee is behind all others once it uses any.
