--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -50,7 +50,7 @@
 			filling = append(filling, t)
 		} else if t.step.spec.Serving() && t.atWork() {
 			tail := time.Duration(t.gauge) * time.Millisecond
-			load.Worst = max(load.Worst, float64(tail)/float64(t.step.spec.TargetTail))
+			load.WorstTailRatio = max(load.WorstTailRatio, float64(tail)/float64(t.step.spec.TargetTail))
 		}
 	}
 	return load, filling
--- a/policy/pacing/pacing.go
+++ b/policy/pacing/pacing.go
@@ -11,8 +11,8 @@
 
 // Load is what is known of the serving tasks on one worker.
 type Load struct {
-	// Worst is the highest tail latency over its target; 0 without serving tasks.
-	Worst float64
+	// WorstTailRatio is the highest tail latency over its target; 0 without serving tasks.
+	WorstTailRatio float64
 }
 
 // Thresholds, as parts of the target, and steps in percent.
@@ -28,15 +28,15 @@
 // Next returns the pace after now, in percent of the task's share.
 func Next(now int, l Load) int {
 	switch {
-	case l.Worst >= stopFrom:
+	case l.WorstTailRatio >= stopFrom:
 		return 0
-	case l.Worst >= slowFrom:
+	case l.WorstTailRatio >= slowFrom:
 		half := now / 2
 		if half < floor {
 			return 0
 		}
 		return half
-	case l.Worst < raiseFrom:
+	case l.WorstTailRatio < raiseFrom:
 		return min(full, now+raiseStep)
 	}
 	return now
--- a/policy/pacing/pacing_test.go
+++ b/policy/pacing/pacing_test.go
@@ -21,7 +21,7 @@
 		{"far over it", 100, 1.3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, Next(c.now, Load{Worst: c.worst}), c.want)
+			assert.Equal(t, Next(c.now, Load{WorstTailRatio: c.worst}), c.want)
 		})
 	}
 }
@@ -36,7 +36,7 @@
 		if tail > 1 && look > 3 {
 			over++
 		}
-		pace = Next(pace, Load{Worst: tail})
+		pace = Next(pace, Load{WorstTailRatio: tail})
 		worked += pace
 	}
 	assert.Assert(t, over <= 6, "over target in %d of 60 looks", over)
