--- a/policy/polling/polling.go
+++ b/policy/polling/polling.go
@@ -26,9 +26,9 @@
 	fullEvery = 500 * time.Millisecond
 )
 
-// Pause returns the least time between two polls of a worker of a cell with so many
+// MinInterval returns the least time between two polls of a worker of a cell with so many
 // busy workers.
-func Pause(workers int) time.Duration {
+func MinInterval(workers int) time.Duration {
 	return min(mostPause, max(leastPause, time.Duration(workers)*perWorker))
 }
 
--- a/policy/polling/polling_test.go
+++ b/policy/polling/polling_test.go
@@ -11,11 +11,11 @@
 // take in, nor may the steps of a small cell wait for it.
 func TestPollsAreBoundedOverACell(t *testing.T) {
 	for _, workers := range []int{1, 12, 48, 100, 280} {
-		rate := float64(workers) / Pause(workers).Seconds()
+		rate := float64(workers) / MinInterval(workers).Seconds()
 		assert.Assert(t, rate <= 3000, "%d workers: %.0f polls a second", workers, rate)
 	}
-	assert.Equal(t, Pause(48), leastPause)
-	assert.Equal(t, Pause(5000), mostPause)
+	assert.Equal(t, MinInterval(48), leastPause)
+	assert.Equal(t, MinInterval(5000), mostPause)
 }
 
 // What is in doubt is settled by the list alone.
