--- a/internal/engine/lives.go
+++ b/internal/engine/lives.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		l.read(ctx)
-		sleep.For(ctx, max(livesEvery, polling.ListEvery(l.listed, l.engine.ListRate)))
+		sleep.For(ctx, max(livesEvery, polling.MinListInterval(l.listed, l.engine.ListRate)))
 	}
 }
 
--- a/internal/fleetowner/fleet.go
+++ b/internal/fleetowner/fleet.go
@@ -146,7 +146,7 @@
 	if !f.busy() && now < f.listed+listQuiet {
 		return
 	}
-	if f.vms == nil || now >= f.listed+polling.ListEvery(len(f.vms), f.ListRate) {
+	if f.vms == nil || now >= f.listed+polling.MinListInterval(len(f.vms), f.ListRate) {
 		if !f.list(ctx) {
 			return
 		}
--- a/policy/polling/polling.go
+++ b/policy/polling/polling.go
@@ -46,11 +46,11 @@
 	listPage = 200
 )
 
-// ListEvery returns the least time between two lists of so many VMs where the platform
+// MinListInterval returns the least time between two lists of so many VMs where the platform
 // takes so many reads a second; 0 reads: any number. A list of three thousand VMs takes
 // fifteen reads; read at every pass it took three times what the platform gives, and
 // most were refused.
-func ListEvery(vms int, readsPerSecond float64) time.Duration {
+func MinListInterval(vms int, readsPerSecond float64) time.Duration {
 	if readsPerSecond <= 0 {
 		return 0
 	}
--- a/policy/polling/polling_test.go
+++ b/policy/polling/polling_test.go
@@ -31,9 +31,9 @@
 	const reads = 64.0
 	for _, vms := range []int{1, 48, 200, 201, 349, 3000} {
 		pages := float64((vms + listPage - 1) / listPage)
-		rate := pages / ListEvery(vms, reads).Seconds()
+		rate := pages / MinListInterval(vms, reads).Seconds()
 		assert.Assert(t, rate <= reads*listShare+0.01, "%d VMs: %.1f reads a second", vms, rate)
 	}
-	assert.Assert(t, ListEvery(48, reads) < 80*time.Millisecond)
-	assert.Equal(t, ListEvery(48, 0), time.Duration(0))
+	assert.Assert(t, MinListInterval(48, reads) < 80*time.Millisecond)
+	assert.Equal(t, MinListInterval(48, 0), time.Duration(0))
 }
