--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,7 +125,7 @@
 	}
 	n.leases = &leases{
 		store: n.store, give: n.link.EndLease, log: n.log.WithName("leases"),
-		others: func() []cutoff.Peer { return cutoff.Ask(n.reach.others(), n.settings.Zone) },
+		others: func() []cutoff.Peer { return cutoff.SelectPeers(n.reach.others(), n.settings.Zone) },
 	}
 	n.front = jobfront.New(jobfront.Options{
 		Store: n.store, Owners: n.duties.cellOwner, Local: n.duties.owner, Link: n.link,
--- a/internal/node/reach.go
+++ b/internal/node/reach.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	var answered atomic.Int64
 	var asks sync.WaitGroup
-	ask := cutoff.Ask(r.others(), r.zone)
+	ask := cutoff.SelectPeers(r.others(), r.zone)
 	for _, p := range ask {
 		asks.Go(func() {
 			if r.ping(call, p.Address) {
--- a/policy/cutoff/cutoff.go
+++ b/policy/cutoff/cutoff.go
@@ -28,8 +28,8 @@
 	Address string
 }
 
-// Ask returns the peers to ask: some of each zone but the own.
-func Ask(peers []Peer, own string) []Peer {
+// SelectPeers returns the peers to ask: some of each zone but the own.
+func SelectPeers(peers []Peer, own string) []Peer {
 	sorted := slices.SortedFunc(slices.Values(peers), func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	asked := make(map[string]int)
 	var out []Peer
--- a/policy/cutoff/cutoff_test.go
+++ b/policy/cutoff/cutoff_test.go
@@ -31,7 +31,7 @@
 func TestEveryOtherZoneIsAsked(t *testing.T) {
 	peers := []Peer{{Name: "c1", Zone: "c"}, {Name: "b3", Zone: "b"}, {Name: "a1", Zone: "a"}, {Name: "b2", Zone: "b"}, {Name: "b1", Zone: "b"}}
 	var names []string
-	for _, p := range Ask(peers, "a") {
+	for _, p := range SelectPeers(peers, "a") {
 		names = append(names, p.Name)
 	}
 	assert.DeepEqual(t, names, []string{"b1", "b2", "c1"})
