--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -38,7 +38,7 @@
 	level, resting := e.core.Level(), len(e.core.open) == 0
 	e.mu.Unlock()
 	held := now - e.began
-	return e.relief.Due(level, e.Successor, held, now) || resting && e.relief.DueAtRest(e.Successor, held, now)
+	return e.relief.Due(level, e.Successor, held, now) || resting && e.relief.DueWhenIdle(e.Successor, held, now)
 }
 
 // Strain takes over how long what is ready to run waits for the processor at the least.
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -139,8 +139,8 @@
 	equal := func() Successor { return EqualSuccessor }
 	var r Handover
 	now := time.Minute
-	assert.Equal(t, r.DueAtRest(larger, restEvery-1, now), false, "just taken")
-	assert.Equal(t, r.DueAtRest(equal, time.Hour, now), false)
-	assert.Equal(t, r.DueAtRest(larger, time.Hour, now+restEvery-1), false, "looked a moment ago")
-	assert.Equal(t, r.DueAtRest(larger, time.Hour, now+restEvery), true)
+	assert.Equal(t, r.DueWhenIdle(larger, restEvery-1, now), false, "just taken")
+	assert.Equal(t, r.DueWhenIdle(equal, time.Hour, now), false)
+	assert.Equal(t, r.DueWhenIdle(larger, time.Hour, now+restEvery-1), false, "looked a moment ago")
+	assert.Equal(t, r.DueWhenIdle(larger, time.Hour, now+restEvery), true)
 }
--- a/policy/overload/relief.go
+++ b/policy/overload/relief.go
@@ -37,9 +37,9 @@
 	looked time.Duration // for a larger VM, at rest
 }
 
-// DueAtRest reports whether an owner with nothing to do is to hand its duty to a VM that carries
+// DueWhenIdle reports whether an owner with nothing to do is to hand its duty to a VM that carries
 // more: a small one that was the first to start has a large service until it breaks under it.
-func (r *Handover) DueAtRest(next func() Successor, held, now time.Duration) bool {
+func (r *Handover) DueWhenIdle(next func() Successor, held, now time.Duration) bool {
 	if held < restEvery || now < r.looked+restEvery {
 		return false
 	}
