--- a/policy/polling/polling.go
+++ b/policy/polling/polling.go
@@ -1,55 +1,57 @@
-// Package polling decides how often a worker is polled and what for, and how often the
-// platform's list of VMs is read.
+// Package polling decides how often a worker is polled, whether a poll lists what
+// runs there, and how often the platform's list of VMs is read.
 //
-// Load pattern: in a burst a large service has drawn most of a fleet, and each of its
-// workers ends a task every sixty milliseconds. Polled at each end, three hundred
-// workers give their owner five thousand answers a second, each listing all that
-// runs there; taking them in leaves no time to start what could run. Ends are
-// therefore gathered a little longer the more workers there are, and most answers
-// tell of ends alone.
+// Load pattern: in a burst a large service has requested most of a fleet, and each
+// of its workers ends a task every sixty milliseconds. If each end were followed by
+// a poll, three hundred workers would give their owner five thousand answers a
+// second, each with a list of all that runs there, and processing them would leave
+// no time to start what could run. Therefore the time between polls grows with the
+// number of workers, so that one answer tells of several ends, and most polls are
+// brief: their answers tell of ends alone.
 package polling
 
 import "time"
 
 const (
-	// leastPause lies between two polls of one worker: a step of a job loses at
-	// most this much between its tasks.
-	leastPause = 30 * time.Millisecond
-	// mostPause bounds what a step loses to a sixth of the shortest tasks.
-	mostPause = 100 * time.Millisecond
-	// perWorker keeps all polls of a cell below three thousand a second, which
-	// take an owner a quarter of a core.
-	perWorker = 350 * time.Microsecond
-	// fullEvery is how old the list of what runs may be: a task that stands still
-	// is found by looks over a second and a half, and a run that vanished, in
-	// which no end was listed, is rare.
-	fullEvery = 500 * time.Millisecond
+	// minPause is the least time between two polls of one worker: a step of a job
+	// waits at most this much between its tasks.
+	minPause = 30 * time.Millisecond
+	// maxPause bounds what a step loses between its tasks: a sixth of the duration of
+	// the shortest tasks.
+	maxPause = 100 * time.Millisecond
+	// pausePerWorker keeps all polls of a cell below three thousand a second, which
+	// take a quarter of one of the owner's processors.
+	pausePerWorker = 350 * time.Microsecond
+	// maxListAge is how old the list of what runs on a worker may be. A task is found
+	// to be stalled from the lists of a second and a half, and a run that vanished
+	// without an end in an answer is rare.
+	maxListAge = 500 * time.Millisecond
 )
 
-// MinInterval returns the least time between two polls of a worker of a cell with so many
-// busy workers.
+// MinInterval returns the least time between two polls of a worker of a cell with
+// so many busy workers.
 func MinInterval(workers int) time.Duration {
-	return min(mostPause, max(leastPause, time.Duration(workers)*perWorker))
+	return min(maxPause, max(minPause, time.Duration(workers)*pausePerWorker))
 }
 
-// Brief reports whether a poll may leave out what runs. listed is how long ago it
-// was last listed; open whether the list can settle something: an order without an
-// answer, or a stop under way.
-func Brief(listed time.Duration, open bool) bool { return !open && listed < fullEvery }
+// Brief reports whether a poll may be brief, which leaves out the list of what runs
+// on the worker. listed is the time since it was last listed. unsettled tells that
+// the list can settle something: an unanswered order, or a stop that has not ended.
+func Brief(listed time.Duration, unsettled bool) bool { return !unsettled && listed < maxListAge }
 
 const (
-	// listShare is the part of the platform's rate of reads that lists of VMs may
-	// take: the rate is for all entry VMs together, and owners of cells list VMs as
-	// well while workers do not answer.
+	// listShare is the part of the platform's read rate that listing VMs here may use.
+	// That rate is for all entry VMs together, and owners of cells list VMs as well
+	// while workers don't answer.
 	listShare = 0.25
-	// listPage is how many VMs a read returns; each page counts as one.
+	// listPage is how many VMs one read returns; each page counts as a read.
 	listPage = 200
 )
 
-// MinListInterval returns the least time between two lists of so many VMs where the platform
-// takes so many reads a second; 0 reads: any number. A list of three thousand VMs takes
-// fifteen reads; read at every pass it took three times what the platform gives, and
-// most were refused.
+// MinListInterval returns the least time between two lists of so many VMs where the
+// platform allows so many reads a second; 0 reads: any number. A list of three
+// thousand VMs takes fifteen reads. Read at every pass of the owner, it would take
+// three times the platform's rate, and most reads would be refused.
 func MinListInterval(vms int, readsPerSecond float64) time.Duration {
 	if readsPerSecond <= 0 {
 		return 0
