--- a/policy/overload/governor.go
+++ b/policy/overload/governor.go
@@ -3,64 +3,68 @@
 import "time"
 
 const (
-	// most is the standing wait above which less is done. A call passes the queue some
-	// three times, to be sent, read and taken in: a short task loses an eighth of a second.
-	most = 40 * time.Millisecond
-	// little is the standing wait below which more is done again.
-	little = most / 2
-	// adjustEvery is how often the level changes: a change shows after the queue of
-	// before has run.
-	adjustEvery = 100 * time.Millisecond
-	// harder and easier are the factors of a change. Down to a quarter takes 0.4 s, back
-	// up 0.7 s: what was too much a moment ago is tried again carefully.
-	harder = 1.5
-	easier = 0.8
-	// mostLevel leaves two polls of a worker a second and a few starts at a time.
-	mostLevel = 16.0
-	// pollsApart bounds the pause between polls: with what an answer may take, a worker's
-	// lease of several seconds is extended in time.
-	pollsApart = 500 * time.Millisecond
-	// MaxStarts is how many starts may be without an answer at the first level: half
-	// a millisecond of processor each makes a queue of a tenth of a second, and answers
-	// that come within milliseconds let ten thousand a second pass.
+	// highDelay is the minimum scheduling delay above which load is shed. A call waits for the
+	// processor about three times, to be sent, read and processed, so a short task loses an
+	// eighth of a second at this delay.
+	highDelay = 40 * time.Millisecond
+	// lowDelay is the minimum scheduling delay below which load is restored.
+	lowDelay = highDelay / 2
+	// adjustInterval is the time between two changes of the overload level. The effect of a
+	// change shows only after what was queued before it has run.
+	adjustInterval = 100 * time.Millisecond
+	// increaseFactor and decreaseFactor are the factors by which the overload level changes.
+	// Shedding down to a quarter of the load takes 0.4 s, restoring it 0.7 s: the load that was
+	// too much a moment ago is restored carefully.
+	increaseFactor = 1.5
+	decreaseFactor = 0.8
+	// maxLevel leaves each worker two polls a second, and a few starts under way at a time.
+	maxLevel = 16.0
+	// maxPollInterval bounds the time between two polls of a worker. Together with the time
+	// that an answer may take, it extends a worker's lease of several seconds in time.
+	maxPollInterval = 500 * time.Millisecond
+	// MaxStarts is how many starts may be unanswered at level 1. Each takes half a millisecond
+	// of processor time, which makes a queue of a tenth of a second; where answers come within
+	// milliseconds, ten thousand starts a second are possible.
 	MaxStarts = 200
-	// leastStarts keeps work going at any level.
-	leastStarts = 8
+	// minStarts is how many starts may be unanswered at any level, so that work goes on.
+	minStarts = 8
 )
 
-// Governor sheds an owner's load while it is behind: it says how much of the usual polls and
-// starts is left, by multiplicative decrease and increase. The zero value sheds nothing.
+// Governor sheds the load of an overloaded owner: it tells which part of the usual polls and
+// starts remains, by multiplicative decrease and increase. The zero value sheds nothing.
 type Governor struct {
-	level float64 // 1 and less: nothing is left out
+	level float64 // 1 or less: nothing is shed
 	at    time.Duration
 }
 
-// Adjust follows the standing wait; it may be called at any pace.
-func (g *Governor) Adjust(standing, now time.Duration) {
-	if now < g.at+adjustEvery {
+// Adjust follows the minimum scheduling delay. It may be called at any rate and changes the
+// level at most once in adjustInterval.
+func (g *Governor) Adjust(minDelay, now time.Duration) {
+	if now < g.at+adjustInterval {
 		return
 	}
 	g.at = now
 	switch {
-	case standing > most:
-		g.level = min(mostLevel, max(1, g.level)*harder)
-	case standing < little:
-		g.level = max(1, g.level*easier)
+	case minDelay > highDelay:
+		g.level = min(maxLevel, max(1, g.level)*increaseFactor)
+	case minDelay < lowDelay:
+		g.level = max(1, g.level*decreaseFactor)
 	}
 }
 
-// Level is by how much less is done: 1 is nothing less.
+// Level returns the overload level: the factor by which polls and starts are reduced. 1 means
+// that nothing is shed.
 func (g *Governor) Level() float64 { return max(1, g.level) }
 
-// Pause returns the pause between polls in place of the usual one. Ends that gather
-// meanwhile come with one answer.
+// Pause returns the pause between two polls of a worker in place of the usual one. Ends of
+// tasks that accumulate meanwhile come with one answer.
 func (g *Governor) Pause(usual time.Duration) time.Duration {
-	return max(usual, min(pollsApart, time.Duration(float64(usual)*g.Level())))
+	return max(usual, min(maxPollInterval, time.Duration(float64(usual)*g.Level())))
 }
 
-// Starts returns how many more starts may be given while so many are without an answer.
-// The rest waits in its order, which an unbounded queue of starts would not keep: two
-// thousand in one plan held everything else up for a second.
+// Starts returns how many more starts may be sent while underWay of them are unanswered. The
+// others keep waiting in their planned order, which an unbounded queue of starts would not keep:
+// two thousand starts in one plan delayed everything else by a second.
 func (g *Governor) Starts(underWay int) int {
-	return max(0, max(leastStarts, int(MaxStarts/g.Level()))-underWay)
+	return max(0, max(minStarts, int(MaxStarts/g.Level()))-underWay)
 }
--- a/policy/overload/handover.go
+++ b/policy/overload/handover.go
@@ -3,68 +3,70 @@
 import "time"
 
 const (
-	// strained is the level from which an owner can't do its work.
-	strained = 3.0
-	// strainedFor is how long it must last. A handover takes a third of a second and
-	// makes the successor look at every worker; a burst's first moment is shorter.
-	strainedFor = 1 * time.Second
-	// keepFor is how long an owner keeps a duty before it hands it on: two slow VMs would
-	// pass it to and fro, and nobody do the work.
-	keepFor = 8 * time.Second
-	// keepSmall is the same where a larger VM is free: it took the duty as no other was
-	// there, and has had time to restore what was stored.
-	keepSmall = 3 * time.Second
-	// restEvery is how often an owner at rest looks for a larger VM, and how long it has kept
-	// the duty by then: as a fleet starts, larger VMs may come moments later.
-	restEvery = 2 * time.Second
+	// overloadedLevel is the overload level from which an owner can't do its work.
+	overloadedLevel = 3.0
+	// overloadedFor is how long that level must last before a hand-over. A hand-over takes a
+	// third of a second and makes the successor poll every worker; the first moment of a burst
+	// is shorter.
+	overloadedFor = 1 * time.Second
+	// minHeld is how long an owner keeps a duty before it hands it over: otherwise two slow VMs
+	// would hand it to each other repeatedly and neither would do the work.
+	minHeld = 8 * time.Second
+	// minHeldForLarger is the same where a larger VM is free: the owner took the duty when there
+	// was no other VM, and has had time to restore what was stored.
+	minHeldForLarger = 3 * time.Second
+	// idleCheckInterval is how often an idle owner checks for a larger VM, and how long it must
+	// have held the duty by then: while a fleet starts, larger VMs may come moments later.
+	idleCheckInterval = 2 * time.Second
 )
 
-// Successor is what is known of the VMs that could take a duty over.
+// Successor tells which VM, at best, could take a duty over.
 type Successor uint8
 
 // The kinds of Successor.
 const (
 	NoSuccessor     Successor = iota
-	EqualSuccessor            // carries as much, and has no duty
-	LargerSuccessor           // carries more, and has no duty
+	EqualSuccessor            // has the same capacity, and no duty
+	LargerSuccessor           // has more capacity, and no duty
 )
 
-// Handover says when an owner that stays behind hands its duty over. The zero value is an
-// owner that is not behind.
+// Handover decides when an owner that stays overloaded hands its duty over. The zero value is
+// that of an owner that is not overloaded.
 type Handover struct {
-	since  time.Duration // strained since then
-	is     bool
-	looked time.Duration // for a larger VM, at rest
+	overloadedSince time.Duration
+	overloaded      bool
+	checkedAt       time.Duration // when an idle owner last checked for a larger VM
 }
 
-// DueWhenIdle reports whether an owner with nothing to do is to hand its duty to a VM that carries
-// more: a small one that was the first to start has a large service until it breaks under it.
+// DueWhenIdle reports whether an owner with nothing to do is to hand its duty to a VM with more
+// capacity. Otherwise a small VM that was the first to start owns a large service until it fails
+// under the load. held is how long this VM has had the duty.
 func (r *Handover) DueWhenIdle(next func() Successor, held, now time.Duration) bool {
-	if held < restEvery || now < r.looked+restEvery {
+	if held < idleCheckInterval || now < r.checkedAt+idleCheckInterval {
 		return false
 	}
-	r.looked = now
+	r.checkedAt = now
 	return next() == LargerSuccessor
 }
 
-// Due reports whether the duty is to be handed over. next is asked only where it matters;
-// held is how long this VM has had the duty.
+// Due reports whether an owner at this overload level is to hand its duty over. next is called
+// only if the answer depends on it; held is how long this VM has had the duty.
 func (r *Handover) Due(level float64, next func() Successor, held, now time.Duration) bool {
-	if level < strained {
-		r.is = false
+	if level < overloadedLevel {
+		r.overloaded = false
 		return false
 	}
-	if !r.is {
-		r.is, r.since = true, now
+	if !r.overloaded {
+		r.overloaded, r.overloadedSince = true, now
 	}
-	if now < r.since+strainedFor {
+	if now < r.overloadedSince+overloadedFor {
 		return false
 	}
 	switch next() {
 	case LargerSuccessor:
-		return held >= keepSmall
+		return held >= minHeldForLarger
 	case EqualSuccessor:
-		return held >= keepFor
+		return held >= minHeld
 	}
 	return false
 }
--- a/policy/overload/meter.go
+++ b/policy/overload/meter.go
@@ -1,88 +1,90 @@
-// Package overload tells how far a process is behind its own work, which load it then
-// sheds, and when it hands its duty over.
+// Package overload measures the scheduling delay of a process, decides which load it then sheds,
+// and decides when it hands its duty (a cell or the fleet) over.
 //
-// Load pattern: the owner of a large service places a thousand tasks a second in a burst,
-// and its VM loses most of its processor for some seconds. What is ready to run waits for
-// the processor longer than the time-outs of its calls. Answers that have arrived count as
-// missing, so that workers pass for silent, their leases are not extended and their work
-// ends; what it did is done again, what is in doubt is asked again. More work than the
-// processor bears makes work that keeps it so, and the service stays down after the
-// processor is back.
+// Load pattern: the owner of a large service places a thousand tasks a second in a burst, and
+// its VM loses most of its processor for some seconds. Goroutines that are ready to run wait for
+// the processor longer than the timeouts of the owner's calls. Answers that have arrived count as
+// missing, so workers are taken for silent, their leases are not extended and their work ends;
+// work that they did is repeated, and uncertain outcomes are asked for again. More work than the
+// processor can do creates further work, and the service stays down after the processor is back.
 //
-// An owner therefore measures how long what is ready waits, the scheduling delay of its
-// process. It gives its calls that much more time and takes no worker for silent meanwhile;
-// it sheds load, with fewer polls and fewer starts under way, until the delay is small; and
-// if that lasts while another VM is free, it hands the duty over.
+// An owner therefore measures its scheduling delay: how long it takes until something that is
+// ready runs. It extends the timeouts of its calls accordingly and takes no worker for silent
+// meanwhile; it sheds load, with fewer polls and fewer unanswered starts, until the delay is
+// small; and if the delay lasts while another VM is free, it hands the duty over.
 package overload
 
 import "time"
 
 const (
-	// ProbeInterval separates two probes. A queue of a tenth of a second is seen by four of them.
+	// ProbeInterval is the time between two probes. A queue of a tenth of a second is seen by
+	// four of them.
 	ProbeInterval = 25 * time.Millisecond
-	// recent is how long a probe counts for time-outs: calls last a second.
-	recent = 1 * time.Second
-	// standing is over how long the least wait counts: pauses of the collector, and what
-	// is left of a tenth of a second in which the VM has used its share, are over sooner.
-	standing = 150 * time.Millisecond
-	// kept is how many probes are remembered: all recent ones.
-	kept = int(recent/ProbeInterval) + 1
+	// maxDelayWindow is how long a probe counts for timeouts: calls last a second.
+	maxDelayWindow = 1 * time.Second
+	// minDelayWindow is the time over which the minimum delay is taken. Pauses of the garbage
+	// collector are shorter, and so is what remains of a tenth of a second in which the VM has
+	// used up its processor share.
+	minDelayWindow = 150 * time.Millisecond
+	// probeCount is how many probes are kept: all of maxDelayWindow.
+	probeCount = int(maxDelayWindow/ProbeInterval) + 1
 )
 
-// probe is how long something that was ready waited to run.
+// probe is the delay of something that was ready to run.
 type probe struct {
 	at   time.Duration // when it ran
 	wait time.Duration
 }
 
-// Meter holds how long what was ready to run waited of late. The zero value has measured
-// nothing. It is not safe for concurrent use.
+// Meter holds the recent scheduling delays of the process. The zero value has measured nothing.
+// It is not safe for concurrent use.
 type Meter struct {
-	probes [kept]probe
-	next   int
-	asked  time.Duration // when the probe under way was made; 0: none
+	probes  [probeCount]probe
+	next    int
+	begunAt time.Duration // when the pending probe was made; 0: none is pending
 }
 
-// Begin notes that a probe was made.
+// Begin records that a probe was made.
 func (m *Meter) Begin(now time.Duration) {
-	m.asked = now
+	m.begunAt = now
 }
 
-// End notes that the probe has run.
+// End records that the pending probe has run.
 func (m *Meter) End(now time.Duration) {
-	m.probes[m.next] = probe{at: now, wait: now - m.asked}
-	m.next = (m.next + 1) % kept
-	m.asked = 0
+	m.probes[m.next] = probe{at: now, wait: now - m.begunAt}
+	m.next = (m.next + 1) % probeCount
+	m.begunAt = 0
 }
 
-// MaxDelay is the longest that anything waited in the last second: as long may an answer
-// that has arrived have waited to be read.
+// MaxDelay returns the longest scheduling delay of the last second: an answer that has arrived
+// may have waited as long to be read.
 func (m *Meter) MaxDelay(now time.Duration) time.Duration {
-	longest := m.underWay(now)
+	longest := m.pendingDelay(now)
 	for _, p := range m.probes {
-		if p.at != 0 && p.at > now-recent {
+		if p.at != 0 && p.at > now-maxDelayWindow {
 			longest = max(longest, p.wait)
 		}
 	}
 	return longest
 }
 
-// MinDelay is the least that anything waited of late: a queue that does not empty.
+// MinDelay returns the shortest scheduling delay of the last 150 ms. It is large only where the
+// queue of what is ready to run does not empty.
 func (m *Meter) MinDelay(now time.Duration) time.Duration {
-	least := m.underWay(now)
+	shortest := m.pendingDelay(now)
 	found := false
 	for _, p := range m.probes {
-		if p.at != 0 && p.at > now-standing && (!found || p.wait < least) {
-			least, found = p.wait, true
+		if p.at != 0 && p.at > now-minDelayWindow && (!found || p.wait < shortest) {
+			shortest, found = p.wait, true
 		}
 	}
-	return least
+	return shortest
 }
 
-// underWay is how long the probe under way has waited so far.
-func (m *Meter) underWay(now time.Duration) time.Duration {
-	if m.asked == 0 {
+// pendingDelay returns how long the pending probe has waited so far; 0 if none is pending.
+func (m *Meter) pendingDelay(now time.Duration) time.Duration {
+	if m.begunAt == 0 {
 		return 0
 	}
-	return now - m.asked
+	return now - m.begunAt
 }
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -7,14 +7,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// measure has a probe wait that long at that time.
+// measure records a probe that ran at the time at, after the wait.
 func measure(m *Meter, at, wait time.Duration) {
 	m.Begin(at - wait)
 	m.End(at)
 }
 
-// An owner takes a pause of the collector for a queue, and polls less for nothing; or it
-// takes a queue for a pause. A queue is what the least of several probes waited.
+// An owner that took a pause of the garbage collector for a queue would shed load for no reason,
+// and one that took a queue for a pause would shed none. In a queue every recent probe waits, so
+// the minimum delay rises; a pause delays a single one.
 func TestAPauseIsNoStandingQueue(t *testing.T) {
 	var m Meter
 	now := time.Minute
@@ -26,12 +27,13 @@
 	measure(&m, now, 300*time.Millisecond)
 	assert.Equal(t, m.MinDelay(now), time.Millisecond)
 	assert.Equal(t, m.MaxDelay(now), 300*time.Millisecond, "an answer may have waited as long")
-	now += recent
+	now += maxDelayWindow
 	assert.Equal(t, m.MaxDelay(now), time.Duration(0))
 }
 
-// All probes wait for seconds: none has ended, and the meter would tell of the calm before.
-func TestAProbeThatStillWaitsCounts(t *testing.T) {
+// While a probe waits for seconds, none ends. If only ended probes counted, the meter would
+// report the small delays from before the overload.
+func TestAPendingProbeCounts(t *testing.T) {
 	var m Meter
 	now := time.Minute
 	measure(&m, now, time.Millisecond)
@@ -41,106 +43,109 @@
 	assert.Equal(t, m.MinDelay(now), 2*time.Second)
 }
 
-func TestNothingIsMeasuredAtFirst(t *testing.T) {
+func TestNoDelayBeforeTheFirstProbe(t *testing.T) {
 	var m Meter
 	assert.Equal(t, m.MaxDelay(time.Hour), time.Duration(0))
 	assert.Equal(t, m.MinDelay(time.Hour), time.Duration(0))
 }
 
-// An owner is behind: it does less, by steps, until little waits, and more again after.
-// Between the two limits nothing changes, so that the level does not swing.
-func TestLessIsDoneUntilLittleWaits(t *testing.T) {
+// An overloaded owner sheds load step by step until the scheduling delay is low, and restores it
+// afterwards. Between the two limits the level stays, so that it does not oscillate.
+func TestLoadIsShedUntilTheDelayIsLow(t *testing.T) {
 	var g Governor
 	now := time.Minute
-	step := func(standing time.Duration, times int) {
+	step := func(minDelay time.Duration, times int) {
 		for range times {
-			now += adjustEvery
-			g.Adjust(standing, now)
+			now += adjustInterval
+			g.Adjust(minDelay, now)
 		}
 	}
 	usual := 40 * time.Millisecond
-	step(little, 3)
+	step(lowDelay, 3)
 	assert.Equal(t, g.Pause(usual), usual)
 	assert.Equal(t, g.Starts(50), MaxStarts-50)
-	step(2*most, 4)
+	step(2*highDelay, 4)
 	assert.Assert(t, g.Pause(usual) > 4*usual)
 	assert.Assert(t, g.Starts(0) < MaxStarts/4)
 	level := g.Level()
-	step((little+most)/2, 5)
+	step((lowDelay+highDelay)/2, 5)
 	assert.Equal(t, g.Level(), level)
-	step(2*most, 50)
-	assert.Equal(t, g.Pause(usual), pollsApart, "leases are extended at any level")
-	assert.Assert(t, g.Starts(0) >= leastStarts)
+	step(2*highDelay, 50)
+	assert.Equal(t, g.Pause(usual), maxPollInterval, "leases are extended at any level")
+	assert.Assert(t, g.Starts(0) >= minStarts)
 	assert.Equal(t, g.Starts(1000), 0)
 	step(0, 50)
 	assert.Equal(t, g.Level(), 1.0)
 }
 
-// A long answer of one pass asks for several changes at once: a change shows later.
-func TestOneChangeAtATime(t *testing.T) {
+// Several calls of Adjust may follow each other at once. The level changes only once, since the
+// effect of a change shows later.
+func TestTheLevelChangesOncePerInterval(t *testing.T) {
 	var g Governor
 	for range 10 {
 		g.Adjust(time.Second, time.Minute)
 	}
-	assert.Equal(t, g.Level(), harder)
+	assert.Equal(t, g.Level(), increaseFactor)
 }
 
-func TestPatienceGrowsWithTheQueueAndIsBounded(t *testing.T) {
+func TestExtraTimeoutGrowsWithTheDelayAndIsBounded(t *testing.T) {
 	assert.Equal(t, ExtraTimeout(0), time.Duration(0))
 	assert.Equal(t, ExtraTimeout(100*time.Millisecond), 300*time.Millisecond)
-	assert.Equal(t, ExtraTimeout(time.Minute), mostPatience)
-	assert.Assert(t, !AnswerMayBeUnread(ownDoing-1))
-	assert.Assert(t, AnswerMayBeUnread(ownDoing))
+	assert.Equal(t, ExtraTimeout(time.Minute), maxExtraTimeout)
+	assert.Assert(t, !AnswerMayBeUnread(unreadAnswerDelay-1))
+	assert.Assert(t, AnswerMayBeUnread(unreadAnswerDelay))
 }
 
-// The owner on a VM that is slow for seconds hands its service over; one with a burst's
-// first moment does not, nor one that nobody could relieve, nor two slow ones by turns.
+// An owner on a VM that is slow for seconds hands its service over. It keeps the service in the
+// first moment of a burst, where there is no successor, and where it took the service only just
+// now: two slow VMs would hand it to each other in turns.
 func TestWhenADutyIsHandedOver(t *testing.T) {
 	const long = time.Hour
 	for _, c := range []struct {
-		name     string
-		level    float64
-		next     Successor
-		held     time.Duration
-		strained time.Duration
-		due      bool
+		name         string
+		level        float64
+		next         Successor
+		held         time.Duration
+		overloadTime time.Duration
+		due          bool
 	}{
-		{"behind for long", strained, EqualSuccessor, long, strainedFor, true},
-		{"a moment", strained, EqualSuccessor, long, strainedFor - 1, false},
-		{"a little", strained - 0.1, EqualSuccessor, long, long, false},
-		{"nobody else", strained, NoSuccessor, long, long, false},
-		{"just taken from one that is slow, too", strained, EqualSuccessor, keepFor - 1, long, false},
-		{"taken by a small one", strained, LargerSuccessor, keepSmall, long, true},
+		{"overloaded for long", overloadedLevel, EqualSuccessor, long, overloadedFor, true},
+		{"overloaded for a moment", overloadedLevel, EqualSuccessor, long, overloadedFor - 1, false},
+		{"a level below the limit", overloadedLevel - 0.1, EqualSuccessor, long, long, false},
+		{"no successor", overloadedLevel, NoSuccessor, long, long, false},
+		{"just taken from a VM that is slow, too", overloadedLevel, EqualSuccessor, minHeld - 1, long, false},
+		{"taken by a small VM while a larger one is free", overloadedLevel, LargerSuccessor, minHeldForLarger, long, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var r Handover
 			next := func() Successor { return c.next }
 			now := time.Minute
 			assert.Assert(t, !r.Due(c.level, next, c.held, now))
-			assert.Equal(t, r.Due(c.level, next, c.held, now+c.strained), c.due)
+			assert.Equal(t, r.Due(c.level, next, c.held, now+c.overloadTime), c.due)
 		})
 	}
 }
 
-// Two spells of strain do not add up.
-func TestARestBetweenBeginsAnew(t *testing.T) {
+// Two periods of overload with a normal one between them don't add up to a long one.
+func TestANormalLevelRestartsTheOverloadPeriod(t *testing.T) {
 	var r Handover
 	next := func() Successor { return EqualSuccessor }
 	now := time.Minute
-	assert.Assert(t, !r.Due(strained, next, time.Hour, now))
-	assert.Assert(t, !r.Due(1, next, time.Hour, now+strainedFor/2))
-	assert.Assert(t, !r.Due(strained, next, time.Hour, now+strainedFor))
-	assert.Assert(t, r.Due(strained, next, time.Hour, now+2*strainedFor))
+	assert.Assert(t, !r.Due(overloadedLevel, next, time.Hour, now))
+	assert.Assert(t, !r.Due(1, next, time.Hour, now+overloadedFor/2))
+	assert.Assert(t, !r.Due(overloadedLevel, next, time.Hour, now+overloadedFor))
+	assert.Assert(t, r.Due(overloadedLevel, next, time.Hour, now+2*overloadedFor))
 }
 
-// A small VM that happened to start first has a service of a thousand workers as its burst comes.
-func TestAnOwnerAtRestMakesWayForALargerVM(t *testing.T) {
+// A small VM that was the first to start would still own a service of a thousand workers when a
+// burst comes, if it did not hand it over while idle.
+func TestAnIdleOwnerHandsOverToALargerVM(t *testing.T) {
 	larger := func() Successor { return LargerSuccessor }
 	equal := func() Successor { return EqualSuccessor }
 	var r Handover
 	now := time.Minute
-	assert.Equal(t, r.DueWhenIdle(larger, restEvery-1, now), false, "just taken")
+	assert.Equal(t, r.DueWhenIdle(larger, idleCheckInterval-1, now), false, "just taken")
 	assert.Equal(t, r.DueWhenIdle(equal, time.Hour, now), false)
-	assert.Equal(t, r.DueWhenIdle(larger, time.Hour, now+restEvery-1), false, "looked a moment ago")
-	assert.Equal(t, r.DueWhenIdle(larger, time.Hour, now+restEvery), true)
+	assert.Equal(t, r.DueWhenIdle(larger, time.Hour, now+idleCheckInterval-1), false, "checked a moment ago")
+	assert.Equal(t, r.DueWhenIdle(larger, time.Hour, now+idleCheckInterval), true)
 }
--- a/policy/overload/timeout.go
+++ b/policy/overload/timeout.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// passes is how often a call waits for the processor: to be sent, to be read, to be
-	// taken in.
-	passes = 3
-	// mostPatience bounds what is added to a time-out: a worker that is really silent is
-	// to be known before its lease of several seconds has run out.
-	mostPatience = 2 * time.Second
-	// ownDoing is the wait from which a call without an answer says nothing of the other
-	// side: it is half of what an answer may usually take.
-	ownDoing = 150 * time.Millisecond
+	// waitsPerCall is how often a call waits for the processor: to be sent, to be read and to
+	// be processed.
+	waitsPerCall = 3
+	// maxExtraTimeout bounds what is added to a timeout: a worker that really is silent has to
+	// be known before its lease of several seconds has expired.
+	maxExtraTimeout = 2 * time.Second
+	// unreadAnswerDelay is the scheduling delay from which an unanswered call tells nothing
+	// about the other side: half of the time that an answer may usually take.
+	unreadAnswerDelay = 150 * time.Millisecond
 )
 
-// ExtraTimeout is what a call gets beyond its usual time while what is ready waits so long.
-func ExtraTimeout(behind time.Duration) time.Duration { return min(mostPatience, passes*behind) }
+// ExtraTimeout returns what is added to the usual timeout of a call at a scheduling delay.
+func ExtraTimeout(delay time.Duration) time.Duration { return min(maxExtraTimeout, waitsPerCall*delay) }
 
-// AnswerMayBeUnread reports whether a call that was not answered in time may have been: the answer
-// may lie here unread. A worker taken for silent then loses its work for nothing.
-func AnswerMayBeUnread(behind time.Duration) bool { return behind >= ownDoing }
+// AnswerMayBeUnread reports whether a call that timed out may have been answered: at this
+// scheduling delay the answer may have arrived here unread. A worker that is taken for silent
+// then would lose its work for no reason.
+func AnswerMayBeUnread(delay time.Duration) bool { return delay >= unreadAnswerDelay }
