--- a/policy/workspace/doc.go
+++ b/policy/workspace/doc.go
@@ -1,22 +1,23 @@
-// Package workspace decides what belongs to the workspaces that callers work for: whose a
-// call is, and how much of its limit each cell may use. No owner of a cell sees what runs in
-// the others.
+// Package workspace decides what concerns the workspaces that callers work for: to which
+// workspace a call belongs, and how much of a workspace's limit each cell may use. A cell is a
+// service's workers and the jobs on them; the owner of one cell does not see what runs in others.
 //
-// Load patterns: a burst of calls with keys that nobody has; a workspace that asks in one cell
-// for all it may have while it is idle in the others; several cells that want more of one
-// limit than there is. Without decisions of their own the first costs a read of the store for
-// each call, the second runs a part of what it could, and in the third whoever came first keeps
-// all of it.
+// Load patterns: a burst of calls with unknown keys; a workspace that needs its whole limit in one
+// cell while it is idle in the others; several cells that together need more of one limit than
+// there is. Without the decisions made here the first costs a read of the store for each call, the
+// second runs only a part of what it could, and in the third the cell that came first keeps the
+// whole limit.
 package workspace
 
 import "github.com/pumicestage/pumicestage/policy/work"
 
-// Workspace is one as the operator declares it.
+// Workspace is a workspace as the operator declares it.
 type Workspace struct {
 	Name work.WorkspaceName `msgpack:"n"`
-	// Weight is its share against others' when there is no room for all.
+	// Weight is the workspace's share relative to others where there is not enough capacity for
+	// all.
 	Weight int `msgpack:"w,omitempty"`
-	// Limit is what it may have running in all cells together; 0 in a kind of resource: any
-	// amount of it.
+	// Limit bounds what the workspace may have running in all cells together. A kind of resource
+	// that is 0 has no limit.
 	Limit work.Resources `msgpack:"l"`
 }
--- a/policy/workspace/keys.go
+++ b/policy/workspace/keys.go
@@ -6,47 +6,50 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Digest stands for a key, which is not kept: whoever reads the memory, a log or a message
-// between entry VMs learns no key from it. Empty: no key.
+// Digest is the digest of a key. The key itself is not kept, so that the memory, a log or a
+// message between entry VMs reveals none. Empty: no key.
 type Digest string
 
-// Keys tells whose each key is. Finding one takes as long for any key: what is compared is
-// digests, of which a caller can't choose the beginning.
+// Keys maps the digest of each key to its workspace. A lookup leaks nothing useful through its
+// timing: it compares digests, whose first bytes a caller can't choose.
 type Keys map[Digest]work.WorkspaceName
 
-// Verdict is what becomes of a call by its key.
+// Verdict is the decision on a call by its key.
 type Verdict int8
 
 // The verdicts.
 const (
-	// Admitted: the call is the workspace's, or nobody's on a route that is open to all.
+	// Admitted: the key is a workspace's, or there is none on a route that is open to all.
 	Admitted Verdict = iota
-	// NoKey: the route asks for a key.
+	// NoKey: the route requires a key and there is none.
 	NoKey
-	// UnknownKey: no workspace has the key, by a configuration that is certain to be new enough.
+	// UnknownKey: no workspace has the key, by a configuration that is certainly recent enough.
 	UnknownKey
-	// AskFirst: the key may be in a configuration that this entry VM has not seen.
+	// AskFirst: the key may be in a configuration that this entry VM has not seen. It has to read
+	// the newest one and decide again.
 	AskFirst
-	// Unconfirmed: the key may have been taken away by one that it has not seen.
+	// Unconfirmed: the key may have been revoked by a configuration that this entry VM has not
+	// seen.
 	Unconfirmed
 )
 
-// trustFor is how old a confirmation of the configuration may be to call a key unknown.
-// A caller gets a key the moment it is declared and uses it at once. At most one read of the
-// store in this time follows from calls with unknown keys, however many there are.
+// trustFor is the greatest age of a confirmed configuration by which a key may be called unknown.
+// A caller may use a key the moment it is declared. Calls with unknown keys cause at most one read
+// of the store in this time, however many there are.
 const trustFor = 500 * time.Millisecond
 
-// Confirmation tells how sure an entry VM is of its configuration.
+// Confirmation tells how recent an entry VM's configuration is known to be.
 type Confirmation struct {
-	// Age is how long ago the configuration was known to be the newest.
+	// Age is the time since the configuration was last known to be the newest.
 	Age time.Duration
 	// MaxAge is the greatest age at which keys may still be accepted; 0: any.
 	MaxAge time.Duration
 }
 
-// Admit decides on a call with the key on a route that is open to all or not.
-// A key that is given is checked on open routes as well: a caller who sends one that was taken
-// away is told so, rather than served as somebody else.
+// Admit decides on a call with the key and returns the workspace that it belongs to, if any. open
+// tells that the route is open to all.
+// A key that is given is checked on open routes as well: a caller with a revoked key is told so
+// instead of being served without its workspace.
 func (k Keys) Admit(key Digest, open bool, c Confirmation) (work.WorkspaceName, Verdict) {
 	if key == "" {
 		if open {
--- a/policy/workspace/keys_test.go
+++ b/policy/workspace/keys_test.go
@@ -21,16 +21,16 @@
 		workspace work.WorkspaceName
 		verdict   Verdict
 	}{
-		{"a key", "k1", false, fresh, "red", Admitted},
-		{"another key of the same", "k2", false, old, "red", Admitted},
-		{"a key on an open route", "k3", true, fresh, "blue", Admitted},
-		{"none on an open route", "", true, fresh, "", Admitted},
-		{"none", "", false, fresh, "", NoKey},
-		{"a false one", "k4", false, fresh, "", UnknownKey},
-		{"a false one on an open route", "k4", true, fresh, "", UnknownKey},
-		{"one that may be new", "k4", false, old, "", AskFirst},
-		{"one that may have been taken away", "k1", false, strict, "", Unconfirmed},
-		{"a cut-off entry VM on an open route", "", true, strict, "", Admitted},
+		{"known key", "k1", false, fresh, "red", Admitted},
+		{"second key of the same workspace", "k2", false, old, "red", Admitted},
+		{"known key on an open route", "k3", true, fresh, "blue", Admitted},
+		{"no key on an open route", "", true, fresh, "", Admitted},
+		{"no key", "", false, fresh, "", NoKey},
+		{"unknown key", "k4", false, fresh, "", UnknownKey},
+		{"unknown key on an open route", "k4", true, fresh, "", UnknownKey},
+		{"unknown key that may be new", "k4", false, old, "", AskFirst},
+		{"known key that may have been revoked", "k1", false, strict, "", Unconfirmed},
+		{"no key on an open route of a cut-off entry VM", "", true, strict, "", Admitted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			workspace, verdict := keys.Admit(c.key, c.open, c.confirmed)
--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -7,35 +7,37 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Parts of a workspace's limit. Cells have parts and not amounts: a limit that is cut or raised
-// is so in every cell at once, without a change of what they have.
+// Parts is a share of a workspace's limit, in ten-thousandths of it. Cells hold parts and not
+// amounts: a limit that is lowered or raised changes in every cell at once, while their parts stay.
 type Parts int
 
 const (
-	// Whole is a whole limit.
+	// Whole is the whole limit.
 	Whole Parts = 10_000
-	// evenParts are divided evenly among the cells without a record: a workspace whose use in
-	// each cell is below that costs no call, also while the store is away. The rest is there at
-	// once for a cell that needs more, and bounds what an owner uses that has not heard of a
-	// new cell.
+	// evenParts are divided evenly among the cells without an entry in the ledger: a workspace
+	// that needs less than that in each cell costs no call, also while the store is unavailable.
+	// The rest is available at once to a cell that needs more, and bounds the excess of an owner
+	// that has not heard of a new cell.
 	evenParts = Whole * 9 / 10
-	// provisionalParts are divided among owners that can't tell whether the limit was cut.
+	// provisionalParts are divided among owners that can't tell whether the limit was lowered.
 	provisionalParts = Whole / 10
-	// drawStep is what claims are rounded up to, so that work which grows is not claimed for at
-	// every job.
-	drawStep = Whole / 40
-	// headroom beyond what is needed is claimed where it is left over: a fourth.
-	headroom = 4
+	// claimStep is the unit that claims are rounded up to, so that growing work does not need a
+	// claim for every job.
+	claimStep = Whole / 40
+	// surplusDivisor gives the surplus that is claimed beyond the need, as far as parts are
+	// unallocated: a fourth of the need.
+	surplusDivisor = 4
 )
 
-// EvenShare is what each of so many cells may use without a record.
+// EvenShare returns what each of so many cells may use without an entry in the ledger.
 func EvenShare(cells int) Parts { return evenParts / Parts(max(1, cells)) }
 
-// ProvisionalShare is what an owner of one of so many cells may use while it can't tell whether the
-// limit was cut.
+// ProvisionalShare returns what the owner of one of so many cells may use while it can't tell
+// whether the limit was lowered.
 func ProvisionalShare(cells int) Parts { return provisionalParts / Parts(max(1, cells)) }
 
-// Of returns so many parts of the limit; a kind of resource without a limit stays 0.
+// Of returns the amount that so many parts of the limit are. A kind of resource without a limit
+// stays 0.
 func (p Parts) Of(limit work.Resources) work.Resources {
 	return work.Resources{
 		MilliCPU: int64(p) * limit.MilliCPU / int64(Whole),
@@ -44,8 +46,8 @@
 	}
 }
 
-// PartsFor returns how many parts of the limit an amount takes: of the kind of resource of
-// which it takes most.
+// PartsFor returns how many parts of the limit an amount takes, by the kind of resource of which
+// it takes the largest part.
 func PartsFor(amount, limit work.Resources) Parts {
 	return max(partsFor(amount.MilliCPU, limit.MilliCPU), partsFor(amount.MemoryMB, limit.MemoryMB), partsFor(amount.GPU, limit.GPU))
 }
@@ -57,33 +59,36 @@
 	return Parts((amount*int64(Whole) + limit - 1) / limit)
 }
 
-// Fitting returns how many tasks of the size fit into what is left of the limit; most bounds it.
-func Fitting(size, left, limit work.Resources, most int) int {
-	n := fitting(size.MilliCPU, left.MilliCPU, limit.MilliCPU, int64(most))
-	n = min(n, fitting(size.MemoryMB, left.MemoryMB, limit.MemoryMB, int64(most)))
-	return int(min(n, fitting(size.GPU, left.GPU, limit.GPU, int64(most))))
+// Fitting returns how many tasks of the size fit into what is left of the limit, at most maxTasks.
+// A kind of resource without a limit does not count.
+func Fitting(size, left, limit work.Resources, maxTasks int) int {
+	n := fitting(size.MilliCPU, left.MilliCPU, limit.MilliCPU, int64(maxTasks))
+	n = min(n, fitting(size.MemoryMB, left.MemoryMB, limit.MemoryMB, int64(maxTasks)))
+	return int(min(n, fitting(size.GPU, left.GPU, limit.GPU, int64(maxTasks))))
 }
 
-func fitting(size, left, limit, most int64) int64 {
+func fitting(size, left, limit, maxTasks int64) int64 {
 	if limit <= 0 || size <= 0 {
-		return most
+		return maxTasks
 	}
-	return max(0, min(most, left/size))
+	return max(0, min(maxTasks, left/size))
 }
 
-// Ledger tells what cells have of one workspace's limit where that is not their even share. It
-// lies in the store and is changed under the condition that nobody else has: all cells together
-// never have more than the whole. A cell's entry is changed by its own owner alone.
+// Ledger holds the parts of one workspace's limit that are allocated to cells, where those are not
+// their even share. It is kept in the store and written on the condition that nobody else has
+// changed it: all cells together never hold more than the whole limit. A cell's entry is changed
+// by the cell's own owner alone.
 type Ledger struct {
-	Has map[string]Parts `json:"has,omitempty"` // by cell; one that is not named has its even share
-	// Wants tells what cells need that found less than that left.
+	// Has holds the parts allocated to each cell. A cell without an entry has its even share.
+	Has map[string]Parts `json:"has,omitempty"`
+	// Wants holds the need of the cells that were allocated less than that.
 	Wants map[string]Parts `json:"wants,omitempty"`
 }
 
-// Empty reports whether every cell has its even share and none waits.
+// Empty reports whether every cell has its even share and none needs more.
 func (l *Ledger) Empty() bool { return len(l.Has) == 0 && len(l.Wants) == 0 }
 
-// Of returns what the cell has, among so many.
+// Of returns the parts allocated to the cell, which is one of so many.
 func (l *Ledger) Of(cell string, cells int) Parts {
 	if has, named := l.Has[cell]; named {
 		return has
@@ -91,8 +96,9 @@
 	return EvenShare(cells)
 }
 
-// left is what no cell has. A cell that is named and no longer declared still has its entry.
-func (l *Ledger) left(cells []string) Parts {
+// unallocated returns the parts that no cell has. A cell that has an entry and is no longer
+// declared keeps the parts in it.
+func (l *Ledger) unallocated(cells []string) Parts {
 	left := Whole
 	for _, has := range l.Has {
 		left -= has
@@ -105,61 +111,63 @@
 	return max(0, left)
 }
 
-// Claim is what a cell asks of a ledger.
+// Claim is a cell's request for parts of the limit.
 type Claim struct {
 	Cell  string
-	Cells []string // all that the limit is divided among
-	Need  Parts    // for what runs and waits
-	// InUse cannot be given back: it runs.
+	Cells []string // all cells that the limit is divided among
+	Need  Parts    // for running and for waiting work
+	// InUse is taken by running work and can't be given back.
 	InUse Parts
 }
 
-// Settlement is what becomes of a claim.
+// Settlement is the outcome of a claim.
 type Settlement struct {
 	Ledger Ledger
-	// Has is what the ledger then says of the cell.
+	// Has is what the ledger then allocates to the cell.
 	Has Parts
-	// Use is what the cell may begin work by. It is less while the cell gives back: what runs
-	// stays the cell's until it ends, and nothing new takes its place.
+	// Use is the bound up to which the cell may start work. It is less than Has while the cell
+	// gives parts back: running work keeps its parts until it ends, and no new work takes them.
 	Use Parts
 }
 
-// Settle returns the ledger as the claim changes it. A cell gets what it needs, and some more,
-// while that is left, and keeps its even share while nobody else wants any of it. Where several
-// need more than there is, each gets as much as the others, or all it needs: a cell that has
-// more than that gives it back as its runs end.
+// Settle returns the ledger as the claim changes it. While nobody else needs more, a cell gets
+// what it needs and a surplus, as far as parts are unallocated, and at least its even share. Where
+// several cells need more than there is, the limit is divided max-min fairly: each gets as much as
+// the others, or all that it needs. A cell that has more than that gives it back as its runs end.
 func (l *Ledger) Settle(c Claim) Settlement {
 	has := l.Of(c.Cell, len(c.Cells))
-	most := has + l.left(c.Cells)
-	ask := max(EvenShare(len(c.Cells)), roundUp(c.Need+c.Need/headroom))
+	available := has + l.unallocated(c.Cells)
+	ask := max(EvenShare(len(c.Cells)), roundUp(c.Need+c.Need/surplusDivisor))
 	if l.othersWant(c) {
-		most = min(most, l.fairShare(c))
+		available = min(available, l.fairShare(c))
 		ask = c.Need
 	}
-	use := min(ask, most)
-	now := max(use, min(c.InUse, has))
-	out := Ledger{Has: with(l.Has, c.Cell, now), Wants: without(l.Wants, c.Cell)}
-	if now == EvenShare(len(c.Cells)) {
+	use := min(ask, available)
+	allocated := max(use, min(c.InUse, has))
+	out := Ledger{Has: with(l.Has, c.Cell, allocated), Wants: without(l.Wants, c.Cell)}
+	if allocated == EvenShare(len(c.Cells)) {
 		delete(out.Has, c.Cell)
 	}
 	if use < c.Need {
 		out.Wants = with(l.Wants, c.Cell, c.Need)
 	}
-	return Settlement{Ledger: out, Has: now, Use: use}
+	return Settlement{Ledger: out, Has: allocated, Use: use}
 }
 
-// HasSurplus reports whether the cell has more than its even share and may give some of it back.
+// HasSurplus reports whether the cell has more than its even share and at least claimStep more
+// than it would claim, so that it may give some back.
 func (l *Ledger) HasSurplus(c Claim) bool {
 	has, even := l.Of(c.Cell, len(c.Cells)), EvenShare(len(c.Cells))
-	return has > even && max(even, roundUp(c.Need+c.Need/headroom)) <= has-drawStep
+	return has > even && max(even, roundUp(c.Need+c.Need/surplusDivisor)) <= has-claimStep
 }
 
-// Contended reports whether the cell has more than its share while another one waits.
+// Contended reports whether the cell has more than its fair share while another cell needs more
+// than it has.
 func (l *Ledger) Contended(c Claim) bool {
 	return l.othersWant(c) && l.Of(c.Cell, len(c.Cells)) > min(c.Need, l.fairShare(c))
 }
 
-func roundUp(p Parts) Parts { return (p + drawStep - 1) / drawStep * drawStep }
+func roundUp(p Parts) Parts { return (p + claimStep - 1) / claimStep * claimStep }
 
 // othersWant reports whether another cell needs more than it has.
 func (l *Ledger) othersWant(c Claim) bool {
@@ -171,8 +179,8 @@
 	return false
 }
 
-// fairShare divides the limit among the cells by what each needs: the least needs are met whole,
-// the others get the same. A cell that is not named may use its even share.
+// fairShare returns the cell's max-min fair share of the limit: the smallest needs are met whole,
+// the other cells get equal shares. A cell without an entry may use its even share.
 func (l *Ledger) fairShare(c Claim) Parts {
 	needs := []Parts{c.Need}
 	for _, other := range l.others(c) {
@@ -181,15 +189,16 @@
 	slices.SortFunc(needs, cmp.Compare[Parts])
 	left := Whole
 	for i, need := range needs {
-		same := left / Parts(len(needs)-i)
-		if need >= same {
-			return same
+		equalShare := left / Parts(len(needs)-i)
+		if need >= equalShare {
+			return equalShare
 		}
 		left -= need
 	}
 	return Whole
 }
 
+// others returns the other cells, declared or with an entry.
 func (l *Ledger) others(c Claim) []string {
 	out := slices.Clone(c.Cells)
 	for cell := range l.Has {
--- a/policy/workspace/ledger_test.go
+++ b/policy/workspace/ledger_test.go
@@ -11,30 +11,31 @@
 
 var cells = []string{"a", "b", "c", "d", "e"}
 
-// A workspace whose use in every cell is far from the limit has no ledger, and one that used more
-// for a while has none any more.
+// A workspace that uses far less than its limit in every cell would cost calls to the store if
+// its shares were recorded. Its ledger is empty, and is empty again after a time of higher use.
 func TestAnEvenShareNeedsNoRecord(t *testing.T) {
 	s := new(Ledger).Settle(Claim{Cell: "a", Cells: cells, Need: 100})
 	assert.Equal(t, s.Use, EvenShare(len(cells)))
 	assert.Assert(t, s.Ledger.Empty())
 	s = new(Ledger).Settle(Claim{Cell: "a", Cells: cells, Need: 2500})
 	assert.Assert(t, s.Use >= 2500)
-	calm := Claim{Cell: "a", Cells: cells, Need: 100}
-	assert.Assert(t, s.Ledger.HasSurplus(calm))
-	s = s.Ledger.Settle(calm)
+	reduced := Claim{Cell: "a", Cells: cells, Need: 100}
+	assert.Assert(t, s.Ledger.HasSurplus(reduced))
+	s = s.Ledger.Settle(reduced)
 	assert.Assert(t, s.Ledger.Empty())
 }
 
-// A workspace is idle in four cells and bursts in the fifth, which gets what is left at once, and
-// what the others lend as they hear of it: half and more also without one of them.
+// A workspace has a burst in one of five cells. That cell gets the unallocated parts at once, and
+// those of idle cells as their owners learn of its need: more than half of the limit, even if one
+// of the others gives nothing.
 func TestACellThatBurstsGetsWhatTheOthersLend(t *testing.T) {
 	burst := Claim{Cell: "a", Cells: cells, Need: Whole}
 	s := new(Ledger).Settle(burst)
 	assert.Equal(t, s.Use, EvenShare(len(cells))+Whole-evenParts)
 	for _, idle := range []string{"b", "c", "d"} {
-		lends := Claim{Cell: idle, Cells: cells}
-		assert.Assert(t, s.Ledger.Contended(lends))
-		s = s.Ledger.Settle(lends)
+		noNeed := Claim{Cell: idle, Cells: cells}
+		assert.Assert(t, s.Ledger.Contended(noNeed))
+		s = s.Ledger.Settle(noNeed)
 		assert.Equal(t, s.Use, Parts(0))
 	}
 	s = s.Ledger.Settle(burst)
@@ -42,9 +43,9 @@
 	assert.Assert(t, s.Use > Whole/2)
 }
 
-// One cell has all there is for hours, as its work never runs out, and the same workspace's jobs
-// in another one wait: that one is noted, and the first begins nothing above what is fair and
-// gives back as its runs end.
+// A cell whose work never runs out would keep the whole limit for hours while jobs of the same
+// workspace wait in another cell. The need of the other cell is recorded; the first cell then
+// starts nothing above its fair share and gives parts back as its runs end.
 func TestACellThatCameLaterGetsAsMuchAsTheFirst(t *testing.T) {
 	two := []string{"a", "b"}
 	l := Ledger{Has: map[string]Parts{"a": Whole, "b": 0}}
@@ -54,8 +55,8 @@
 	all := Claim{Cell: "a", Cells: two, Need: Whole, InUse: 9000}
 	assert.Assert(t, later.Ledger.Contended(all))
 	first := later.Ledger.Settle(all)
-	assert.Equal(t, first.Has, Parts(9000), "what runs is not taken away")
-	assert.Equal(t, first.Use, Parts(7000), "the lesser need is met whole")
+	assert.Equal(t, first.Has, Parts(9000), "running work keeps its parts")
+	assert.Equal(t, first.Use, Parts(7000), "the smaller need is met whole")
 	first = first.Ledger.Settle(Claim{Cell: "a", Cells: two, Need: Whole, InUse: 7000})
 	assert.Equal(t, first.Has, Parts(7000))
 	later = first.Ledger.Settle(Claim{Cell: "b", Cells: two, Need: 3000})
@@ -63,8 +64,8 @@
 	assert.Assert(t, !later.Ledger.Contended(all))
 }
 
-// A service was taken away and another declared. What the first one's cell has stays its own
-// until its owner gives it back.
+// A service is removed and another declared while work of the first still runs. The parts of its
+// cell must not be allocated again before its owner gives them back.
 func TestACellThatIsNoLongerDeclaredKeepsWhatItHas(t *testing.T) {
 	l := Ledger{Has: map[string]Parts{"old": 6000}}
 	s := l.Settle(Claim{Cell: "a", Cells: []string{"a", "b"}, Need: Whole})
@@ -76,13 +77,13 @@
 	assert.Equal(t, PartsFor(work.Resources{MilliCPU: 1000, MemoryMB: 500, GPU: 7}, limit), Whole/2)
 	assert.Equal(t, (Whole / 4).Of(limit), work.Resources{MilliCPU: 25_000, MemoryMB: 250})
 	left := work.Resources{MilliCPU: 10_000, MemoryMB: 90, GPU: -1}
-	assert.Equal(t, Fitting(work.Resources{MilliCPU: 1000, MemoryMB: 20, GPU: 1}, left, limit, 8), 4, "accelerators have no limit")
+	assert.Equal(t, Fitting(work.Resources{MilliCPU: 1000, MemoryMB: 20, GPU: 1}, left, limit, 8), 4, "GPUs have no limit")
 	assert.Equal(t, Fitting(work.Resources{MilliCPU: 1000}, work.Resources{MilliCPU: -5000}, limit, 8), 0)
 }
 
-// Whatever cells claim in whatever order: all of them together never have more than the whole,
-// none loses what runs, and once all want more than there is and nothing old runs, all have the
-// same.
+// Whatever cells claim, and in whatever order: together they never have more than the whole limit,
+// and none loses the parts of its running work. Once all need the whole limit and nothing runs,
+// each has at least its even share.
 func TestClaimsInAnyOrderNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
--- a/policy/workspace/tokenbucket.go
+++ b/policy/workspace/tokenbucket.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// TokenBucket tells which jobs of a workspace are within its weight, which is how many a second it
-// is owed when there is no room for all.
+// TokenBucket tells which jobs of a workspace are within its weight: the number of jobs a second
+// that the workspace is entitled to when there is not enough capacity for all jobs.
 //
-// Load pattern: one workspace hands in hundreds of jobs within a second, and others a few each.
-// Ordered by what each is worth for its cost, theirs are among its many and most are late; a job
-// that goes behind for being beyond its workspace's weight leaves them first. While there is room
-// for all nothing waits, and order does not matter.
+// Load pattern: one workspace submits hundreds of jobs within a second, and others a few each.
+// Ordered by value for their cost alone, the jobs of the others are spread among its many and most
+// are late. A job beyond the weight of its workspace is therefore ordered after those that are
+// within theirs. While there is capacity for all jobs nothing waits, and the order does not matter.
 type TokenBucket struct {
-	left float64       // jobs that may still come now
-	at   time.Duration // when that was
-	met  bool
+	tokens    float64       // jobs that may still come now
+	updatedAt time.Duration // when tokens was computed
+	filled    bool          // false until the first job, which finds the bucket full
 }
 
-// burstFor is how much of what a workspace is owed may come at once: jobs come by hundreds when a
-// caller's timer strikes, and not evenly over the second.
-const burstFor = 1 * time.Second
+// burstDuration bounds the tokens to what a workspace is entitled to in this time: jobs come by
+// hundreds when a caller's timer fires, and not evenly over the second.
+const burstDuration = 1 * time.Second
 
-// Take counts a job that comes now and reports whether it is within the weight; without a weight
-// all are.
+// Take counts a job that comes now and reports whether it is within the weight, in jobs a second.
+// With a weight of 0 or less every job is.
 func (a *TokenBucket) Take(weight int, now time.Duration) bool {
 	if weight <= 0 {
 		return true
 	}
-	most := max(1, float64(weight)*burstFor.Seconds())
-	if !a.met {
-		a.left, a.met = most, true
+	capacity := max(1, float64(weight)*burstDuration.Seconds())
+	if !a.filled {
+		a.tokens, a.filled = capacity, true
 	}
-	a.left = min(most, a.left+float64(weight)*max(0, now-a.at).Seconds())
-	a.at = max(a.at, now)
-	if a.left < 1 {
+	a.tokens = min(capacity, a.tokens+float64(weight)*max(0, now-a.updatedAt).Seconds())
+	a.updatedAt = max(a.updatedAt, now)
+	if a.tokens < 1 {
 		return false
 	}
-	a.left--
+	a.tokens--
 	return true
 }
