--- a/policy/queue/flow.go
+++ b/policy/queue/flow.go
@@ -5,96 +5,99 @@
 	"time"
 )
 
-// flow is one caller's items within a level.
+// flow holds one caller's items within a level.
 type flow struct {
-	caller  string
-	level   *level
-	items   itemHeap
-	cost    float64 // of all items
-	deficit float64 // cost it may still run in this round
-	fresh   bool    // it has had no quantum in this visit yet
+	caller     string
+	level      *level
+	items      itemHeap
+	cost       float64 // total cost of its items
+	deficit    float64 // cost that it may still run in this round
+	quantumDue bool    // it was given no quantum in this visit yet
 }
 
-// level holds the flows of one class in round robin order.
+// level holds the flows of one class in round-robin order.
 type level struct {
-	flows map[string]*flow
-	ring  []*flow
-	at    int // the flow whose turn it is
+	flows   map[string]*flow
+	ring    []*flow
+	current int // index in ring of the flow whose turn it is
 }
 
 func (l *level) flowOf(caller string) *flow {
 	if f, ok := l.flows[caller]; ok {
 		return f
 	}
-	f := &flow{caller: caller, level: l, fresh: true}
+	f := &flow{caller: caller, level: l, quantumDue: true}
 	l.flows[caller] = f
 	l.ring = append(l.ring, f)
 	return f
 }
 
-// drop forgets an empty flow. Its deficit goes with it: a caller that was
-// away must not come back with credit for the time it asked for nothing.
-func (l *level) drop(f *flow) {
+// removeFlow removes an empty flow together with its deficit: a caller that
+// returns must not have credit for the time in which it sent no requests.
+func (l *level) removeFlow(f *flow) {
 	delete(l.flows, f.caller)
 	for i, other := range l.ring {
 		if other != f {
 			continue
 		}
 		l.ring = append(l.ring[:i], l.ring[i+1:]...)
-		if i < l.at {
-			l.at--
+		if i < l.current {
+			l.current--
 		}
 		break
 	}
-	if l.at >= len(l.ring) {
-		l.at = 0
+	if l.current >= len(l.ring) {
+		l.current = 0
 	}
 }
 
-// next returns the item whose turn it is by deficit round robin, without
-// taking it out; it charges the flow. Each visit gives a flow a quantum of its
-// weight, so that over time callers get cost in proportion to weight.
+// next returns the next item by deficit round robin and charges its flow, but
+// does not remove the item; it returns nil if every item has expired. Each
+// visit gives a flow a quantum of its weight, so that over time the cost that
+// callers run is in proportion to their weights.
 func (l *level) next(now time.Time, weight func(string) float64) *Item {
 	for range l.maxVisits(now, weight) {
-		f := l.ring[l.at]
-		if f.fresh {
+		f := l.ring[l.current]
+		if f.quantumDue {
 			f.deficit += max(weight(f.caller), minWeight)
-			f.fresh = false
+			f.quantumDue = false
 		}
-		it := f.items.earliestAlive(now)
+		it := f.items.earliestUnexpired(now)
 		if it != nil && it.Cost <= f.deficit {
 			f.deficit -= it.Cost
 			return it
 		}
-		f.fresh = true
-		l.at = (l.at + 1) % len(l.ring)
+		f.quantumDue = true
+		l.current = (l.current + 1) % len(l.ring)
 	}
 	return nil
 }
 
-// minWeight keeps a weight of zero or less from starving a caller for ever.
+// minWeight replaces smaller weights: with a weight of zero or less a caller
+// would be starved for ever.
 const minWeight = 0.01
 
 // maxVisits bounds the search for the next item: after so many visits the flow
-// that needs the fewest rounds has collected its first item's cost.
+// that needs the fewest rounds has a deficit of at least its first item's cost.
 func (l *level) maxVisits(now time.Time, weight func(string) float64) int {
-	least := -1
+	minRounds := -1
 	for _, f := range l.ring {
-		it := f.items.earliestAlive(now)
+		it := f.items.earliestUnexpired(now)
 		if it == nil {
 			continue
 		}
 		rounds := 2
-		if short := it.Cost - f.deficit; short > 0 {
-			rounds += int(short / max(weight(f.caller), minWeight))
+		if missing := it.Cost - f.deficit; missing > 0 {
+			rounds += int(missing / max(weight(f.caller), minWeight))
 		}
-		if least < 0 || rounds < least {
-			least = rounds
+		if minRounds < 0 || rounds < minRounds {
+			minRounds = rounds
 		}
 	}
-	return (least + 1) * len(l.ring)
+	return (minRounds + 1) * len(l.ring)
 }
 
+// cost returns the total cost of the level's items.
 func (l *level) cost() float64 {
 	sum := 0.0
 	for _, f := range l.ring {
@@ -103,9 +106,9 @@
 	return sum
 }
 
-// ahead returns what the level's callers may run until the caller's queued
-// items and one more of cost 1 have run.
-func (l *level) ahead(caller string, weight func(string) float64) float64 {
+// costAhead returns the cost that the level's callers may run before a further
+// item of the caller, of cost 1, gets its turn after the caller's queued items.
+func (l *level) costAhead(caller string, weight func(string) float64) float64 {
 	own := 1.0
 	if f, ok := l.flows[caller]; ok {
 		own += f.cost
@@ -120,19 +123,21 @@
 	return ahead
 }
 
-func (l *level) longest(weight func(string) float64) *flow {
+// mostLoaded returns the flow with the most items relative to its caller's
+// weight; nil if the level is empty.
+func (l *level) mostLoaded(weight func(string) float64) *flow {
 	var found *flow
-	most := 0.0
+	maxLoad := 0.0
 	for _, f := range l.ring {
 		load := float64(len(f.items)) / max(weight(f.caller), minWeight)
-		if found == nil || load > most {
-			found, most = f, load
+		if found == nil || load > maxLoad {
+			found, maxLoad = f, load
 		}
 	}
 	return found
 }
 
-// itemHeap is one flow's items by deadline.
+// itemHeap holds one flow's items by deadline.
 type itemHeap []*Item
 
 func (h itemHeap) Len() int           { return len(h) }
@@ -159,9 +164,10 @@
 	return it
 }
 
-// earliestAlive returns the item with the earliest deadline after now. Expired
-// items are rare, as the executor takes them out, so a scan does.
-func (h itemHeap) earliestAlive(now time.Time) *Item {
+// earliestUnexpired returns the item with the earliest deadline after now, nil if
+// there is none. It scans all items only where the earliest has expired, which is
+// rare, as TakeExpired removes those.
+func (h itemHeap) earliestUnexpired(now time.Time) *Item {
 	if len(h) > 0 && h[0].Deadline.After(now) {
 		return h[0]
 	}
@@ -174,6 +180,7 @@
 	return found
 }
 
+// latest returns the item with the latest deadline; the heap must not be empty.
 func (h itemHeap) latest() *Item {
 	found := h[0]
 	for _, it := range h {
@@ -184,7 +191,7 @@
 	return found
 }
 
-// deadlineHeap is all items of a queue by deadline.
+// deadlineHeap holds all items of a queue by deadline.
 type deadlineHeap []*Item
 
 func (h deadlineHeap) Len() int           { return len(h) }
--- a/policy/queue/queue.go
+++ b/policy/queue/queue.go
@@ -1,11 +1,11 @@
 // Package queue orders the requests of one service that wait for a slot.
 //
-// It answers three patterns of load: a burst longer than the slots, one caller
-// with most of the load, and urgent work that arrives behind work that can
-// wait. Order is by class first, then by deficit round robin between callers
-// (weighted, in units of expected service time), then by earliest deadline
-// within one caller. Deferrable work is taken only where slots would otherwise
-// be idle, and is treated as normal once it has waited DeferrableAge.
+// Load patterns: a burst that exceeds the slots, one caller with most of the
+// load, and urgent work that arrives after work that can wait. Requests are
+// ordered by class, then by deficit round robin between callers (weighted, in
+// units of expected service time), then by earliest deadline within a caller.
+// Deferrable work runs only on slots that would otherwise be idle, and is
+// treated as normal once it has waited DeferrableAge.
 package queue
 
 import (
@@ -16,26 +16,27 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// DefaultMax bounds the requests that wait for one service at one entry VM.
-// 512 requests over the about 10 slots one entry VM has of a service are 50
-// service times of waiting, longer than any answer is of use; what a bound
-// must stop is memory growing with the load, not waiting (admission does that).
+// DefaultMax bounds the requests that wait for one service at one entry VM. An
+// entry VM has about 10 slots of a service, so 512 requests wait for 50 service
+// times, longer than any answer is of use. The bound is there to limit memory
+// as the load grows; package admission limits the wait.
 const DefaultMax = 512
 
-// DeferrableAge is how long deferrable work yields to all other. Panel
-// cleaning may wait for minutes, but a steady normal load must not starve it:
-// after this time it competes as normal work within its caller's share.
+// DeferrableAge is how long deferrable work yields to all other work. Such work,
+// panel cleaning for example, may wait for minutes, but a steady normal load must
+// not starve it: after this time it competes as normal work within its caller's
+// share.
 const DeferrableAge = 30 * time.Second
 
-// Item is one waiting request. The caller of this package owns it; a queued
-// Item must not be changed.
+// Item is one waiting request. It belongs to the user of this package, who must
+// not change it while it is queued.
 type Item struct {
 	Caller   string
 	Class    model.Class
 	Arrived  time.Time
-	Deadline time.Time // after it nobody wants the answer
+	Deadline time.Time // the answer is of no use after it
 	Cost     float64   // expected service time relative to the service's mean; 0 counts as 1
-	Data     any       // the executor's own
+	Data     any       // opaque to this package
 
 	flow     *flow
 	index    int // in flow.items, -1 when not queued
@@ -44,8 +45,8 @@
 
 // Config sets a Queue's bounds.
 type Config struct {
-	Max    int                         // most items; 0 for DefaultMax
-	Weight func(caller string) float64 // share of a caller; nil for equal shares
+	Max    int                         // bound on the queued items; 0 for DefaultMax
+	Weight func(caller string) float64 // weight of a caller's share; nil for equal shares
 }
 
 // Queue holds waiting requests. It is not safe for concurrent use.
@@ -55,11 +56,11 @@
 	levels     [levels]level
 	callers    map[string]int // queued items per caller, all classes
 	byDeadline deadlineHeap
-	deferred   []*Item // deferrable items in order of arrival, nil where gone
+	deferred   []*Item // deferrable items in order of arrival, and some that have left the queue or aged
 }
 
-// levels is the number of classes; the level of a class is its value, so that
-// a greater level is served first.
+// levels is the number of classes. The index of a class's level is the value of
+// the class; greater ones are served first.
 const levels = int(model.ClassUrgent) + 1
 
 // New returns an empty Queue.
@@ -77,26 +78,27 @@
 	return q
 }
 
-// Len returns the number of queued items.
+// Len returns the number of queued items of all callers.
 func (q *Queue) Len() int { return len(q.byDeadline) }
 
 // LenOf returns the number of the caller's queued items.
 func (q *Queue) LenOf(caller string) int { return q.callers[caller] }
 
-// CostAhead returns the cost that runs before a further request of the caller and
-// class: all of more urgent classes, and of its own class what each caller may
-// run while this caller's own items get their turn.
+// CostAhead returns the cost that runs before a further request of the caller
+// and class: that of all items of more urgent classes and, of its own class,
+// what each caller may run until this caller's queued items have had their turn.
 func (q *Queue) CostAhead(caller string, class model.Class) float64 {
 	ahead := 0.0
 	for l := levels - 1; l > int(class); l-- {
 		ahead += q.levels[l].cost()
 	}
-	return ahead + q.levels[class].ahead(caller, q.weight)
+	return ahead + q.levels[class].costAhead(caller, q.weight)
 }
 
-// Push queues the item. Where the queue is full, room is made by taking out
-// the least urgent item of the caller that has most queued relative to its
-// weight; that item, which may be the pushed one, is returned and will not run.
+// Push queues the item. If the queue is then over its bound, it evicts an item
+// of the least urgent class: the one with the latest deadline of the caller that
+// has the most queued relative to its weight. The evicted item, which may be the
+// pushed one, is returned and will not run; nil if none was evicted.
 func (q *Queue) Push(it *Item) (evicted *Item) {
 	if it.Cost <= 0 {
 		it.Cost = 1
@@ -110,10 +112,10 @@
 	return evicted
 }
 
-// Pop takes out the item to run next, nil if there is none. idle tells that
-// slots are free beyond what urgent and normal work may need at once; without
-// it deferrable work stays queued. Items past their deadline at now are never
-// returned; TakeExpired returns those.
+// Pop removes and returns the item to run next, nil if there is none. idle tells
+// that more slots are free than urgent and normal work may need at once; without
+// it deferrable work stays queued. Items whose deadline is not after now are
+// never returned; TakeExpired returns those.
 func (q *Queue) Pop(now time.Time, idle bool) *Item {
 	q.age(now)
 	lowest := int(model.ClassNormal)
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// TakeExpired takes out every item whose deadline is not after now.
+// TakeExpired removes and returns every item whose deadline is not after now.
 func (q *Queue) TakeExpired(now time.Time) []*Item {
 	var expired []*Item
 	for len(q.byDeadline) > 0 && !q.byDeadline[0].Deadline.After(now) {
@@ -140,7 +142,7 @@
 	return expired
 }
 
-// Remove takes the item out, for example because its caller went away. It
+// Remove removes the item, for example because its caller has disconnected. It
 // reports whether the item was queued.
 func (q *Queue) Remove(it *Item) bool {
 	if it.flow == nil {
@@ -152,7 +154,7 @@
 	f.cost -= it.Cost
 	it.flow = nil
 	if len(f.items) == 0 {
-		f.level.drop(f)
+		f.level.removeFlow(f)
 	}
 	q.callers[it.Caller]--
 	if q.callers[it.Caller] == 0 {
@@ -161,6 +163,7 @@
 	return true
 }
 
+// insert queues the item at the level with the index lvl.
 func (q *Queue) insert(it *Item, lvl int) {
 	l := &q.levels[lvl]
 	f := l.flowOf(it.Caller)
@@ -175,8 +178,8 @@
 	}
 }
 
-// compactDeferred drops items that left the queue otherwise than by ageing, so
-// that the list stays within twice the queue's bound.
+// compactDeferred removes items from the list that left the queue other than by
+// ageing, so that the list stays within twice the queue's bound.
 func (q *Queue) compactDeferred() {
 	if len(q.deferred) <= 2*q.max {
 		return
@@ -184,11 +187,12 @@
 	q.deferred = slices.DeleteFunc(q.deferred, func(it *Item) bool { return !q.isDeferred(it) })
 }
 
+// isDeferred reports whether the item is queued at the deferrable level.
 func (q *Queue) isDeferred(it *Item) bool {
 	return it.flow != nil && it.flow.level == &q.levels[model.ClassDeferrable]
 }
 
-// age moves deferrable items that waited DeferrableAge to the normal level.
+// age moves deferrable items that have waited DeferrableAge to the normal level.
 func (q *Queue) age(now time.Time) {
 	for len(q.deferred) > 0 {
 		it := q.deferred[0]
@@ -204,11 +208,11 @@
 	}
 }
 
-// victim returns the item to evict: of the least urgent class that has any,
-// the latest deadline of the caller with most queued per weight.
+// victim returns the item to evict: of the least urgent class that has any item,
+// the one with the latest deadline of the most loaded caller.
 func (q *Queue) victim() *Item {
 	for l := range q.levels {
-		if f := q.levels[l].longest(q.weight); f != nil {
+		if f := q.levels[l].mostLoaded(q.weight); f != nil {
 			return f.items.latest()
 		}
 	}
--- a/policy/queue/queue_test.go
+++ b/policy/queue/queue_test.go
@@ -16,7 +16,7 @@
 	return &Item{Caller: caller, Class: class, Arrived: t0, Deadline: t0.Add(deadline), Cost: cost, Data: caller}
 }
 
-// order pops everything and returns whose turn it was.
+// order pops all items and returns their Data, joined in that order.
 func order(q *Queue, now time.Time) string {
 	s := ""
 	for it := q.Pop(now, true); it != nil; it = q.Pop(now, true) {
@@ -36,15 +36,15 @@
 	}{
 		{"earliest deadline within a caller", nil,
 			[]*Item{{Caller: "a", Class: n, Deadline: t0.Add(3), Data: "3"}, {Caller: "a", Class: n, Deadline: t0.Add(1), Data: "1"}, {Caller: "a", Class: n, Deadline: t0.Add(2), Data: "2"}}, 0, "123"},
-		{"callers in turn whatever their deadlines", nil,
+		{"callers take turns whatever their deadlines", nil,
 			[]*Item{item("a", n, 1, 1), item("a", n, 1, 1), item("a", n, 1, 1), item("b", n, 9, 1)}, 0, "abaa"},
 		{"class before callers and deadlines", nil,
 			[]*Item{item("d", d, 1, 1), item("n", n, 2, 1), item("u", u, 9, 1)}, 0, "und"},
 		{"weights", map[string]float64{"a": 2},
 			[]*Item{item("a", n, 9, 1), item("a", n, 9, 1), item("a", n, 9, 1), item("a", n, 9, 1), item("b", n, 9, 1), item("b", n, 9, 1)}, 0, "aabaab"},
-		{"cost counts", nil,
+		{"turns count by cost", nil,
 			[]*Item{item("a", n, 9, 3), item("a", n, 9, 3), item("b", n, 9, 1), item("b", n, 9, 1), item("b", n, 9, 1), item("b", n, 9, 1)}, 0, "bbabba"},
-		{"a weight of nothing still gets its turn", map[string]float64{"a": 0},
+		{"a weight of zero still gets its turn", map[string]float64{"a": 0},
 			[]*Item{item("a", n, 9, 1), item("b", n, 9, 1)}, 0, "ba"},
 		{"expired items are not run", nil,
 			[]*Item{item("a", n, 1, 1), item("b", n, 5, 1)}, 2, "b"},
@@ -74,15 +74,15 @@
 	assert.Equal(t, q.Len(), 0)
 }
 
-func TestFullQueueEvictsFromTheLongestShare(t *testing.T) {
+func TestFullQueueEvictsFromTheMostLoadedCaller(t *testing.T) {
 	cases := []struct {
 		name   string
 		pushed *Item
-		want   string // whose item goes
+		want   string // whose item is evicted
 	}{
 		{"a light caller gets in", item("light", model.ClassNormal, 5, 1), "heavy"},
-		{"the heavy caller does not", item("heavy", model.ClassNormal, 50, 1), "heavy"},
-		{"less urgent work goes first", item("x", model.ClassDeferrable, 5, 1), "x"},
+		{"the most loaded caller does not", item("heavy", model.ClassNormal, 50, 1), "heavy"},
+		{"less urgent work is evicted first", item("x", model.ClassDeferrable, 5, 1), "x"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -94,18 +94,18 @@
 			evicted := q.Push(tc.pushed)
 			assert.Equal(t, evicted.Caller, tc.want)
 			assert.Equal(t, q.Len(), 4)
-			assert.Assert(t, !q.Remove(evicted), "it is out")
+			assert.Assert(t, !q.Remove(evicted), "it is no longer queued")
 		})
 	}
 }
 
 func TestRemoveAndExpire(t *testing.T) {
 	q := New(Config{})
-	gone, late, kept := item("a", model.ClassNormal, 5, 1), item("a", model.ClassUrgent, 1, 1), item("b", model.ClassNormal, 5, 1)
-	for _, it := range []*Item{gone, late, kept} {
+	removed, late, kept := item("a", model.ClassNormal, 5, 1), item("a", model.ClassUrgent, 1, 1), item("b", model.ClassNormal, 5, 1)
+	for _, it := range []*Item{removed, late, kept} {
 		q.Push(it)
 	}
-	assert.Assert(t, q.Remove(gone))
+	assert.Assert(t, q.Remove(removed))
 	assert.Equal(t, q.LenOf("a"), 1)
 	expired := q.TakeExpired(t0.Add(2))
 	assert.Equal(t, len(expired), 1)
@@ -113,7 +113,7 @@
 	assert.Assert(t, q.Pop(t0, true) == kept)
 }
 
-func TestAhead(t *testing.T) {
+func TestCostAhead(t *testing.T) {
 	q := New(Config{})
 	for range 10 {
 		q.Push(item("heavy", model.ClassNormal, 5, 1))
@@ -125,10 +125,10 @@
 		class  model.Class
 		want   float64
 	}{
-		{"a new caller waits for one of each other and all urgent", "light", model.ClassNormal, 3},
-		{"the heavy one for its own", "heavy", model.ClassNormal, 12},
-		{"an urgent one for urgent ones only", "light", model.ClassUrgent, 1},
-		{"a deferrable one for all", "light", model.ClassDeferrable, 12},
+		{"a new caller waits for one item of each other caller and all urgent ones", "light", model.ClassNormal, 3},
+		{"a caller with queued items waits for its own, too", "heavy", model.ClassNormal, 12},
+		{"an urgent request waits for urgent ones only", "light", model.ClassUrgent, 1},
+		{"a deferrable request waits for all", "light", model.ClassDeferrable, 12},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -137,8 +137,8 @@
 	}
 }
 
-// Callers make up names without end and send deferrable work that is taken out
-// again. Nothing may stay behind for it.
+// Callers with ever new names send deferrable work that is removed again. If the
+// queue kept anything for each of them, its memory would grow without bound.
 func TestMemoryIsBounded(t *testing.T) {
 	q := New(Config{Max: 8})
 	keep := item("k", model.ClassDeferrable, time.Hour, 1)
