--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -26,15 +26,15 @@
 	}{
 		{"a free slot", idle, time.Second, Admit, 0},
 		{"a free slot and less time than requests take", idle, 10 * ms, Admit, 0},
-		{"no target", Load{}, time.Second, NoTargets, noTargetRetry},
+		{"no live target", Load{}, time.Second, NoTargets, noTargetRetry},
 		{"no slot, time for a loan", Load{Live: 2}, 3 * time.Second, Admit, 0},
 		{"no slot, no time for a loan", Load{Live: 2}, time.Second, WouldBeLate, borrowTime},
-		{"waits in time", with(busy, func(l *Load) { l.CostAhead = 50 }), time.Second, Admit, 0},
+		{"the wait leaves enough time", with(busy, func(l *Load) { l.CostAhead = 50 }), time.Second, Admit, 0},
 		{"would be late", with(busy, func(l *Load) { l.CostAhead = 99 }), time.Second, WouldBeLate, 300 * ms},
-		{"a short timeout asks for half of it", with(busy, func(l *Load) { l.CostAhead = 4 }), 100 * ms, Admit, 0},
-		{"and no more", with(busy, func(l *Load) { l.CostAhead = 9 }), 100 * ms, WouldBeLate, 50 * ms},
+		{"the margin is half of a short timeout", with(busy, func(l *Load) { l.CostAhead = 4 }), 100 * ms, Admit, 0},
+		{"the wait leaves less than half of a short timeout", with(busy, func(l *Load) { l.CostAhead = 9 }), 100 * ms, WouldBeLate, 50 * ms},
 		{"nothing known of the service", Load{Live: 2, Slots: 10, InFlight: 10, CostAhead: 99}, time.Second, Admit, 0},
-		{"the limit binds though slots are free", with(idle, func(l *Load) { l.Limit, l.InFlight, l.CostAhead = 2, 2, 20 }), time.Second, WouldBeLate, 350 * ms},
+		{"the limit is reached though slots are free", with(idle, func(l *Load) { l.Limit, l.InFlight, l.CostAhead = 2, 2, 20 }), time.Second, WouldBeLate, 350 * ms},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -45,15 +45,15 @@
 	}
 }
 
-func TestHopeless(t *testing.T) {
+func TestCannotMeetDeadline(t *testing.T) {
 	r := Request{Arrived: t0, Deadline: t0.Add(time.Second)}
-	assert.Assert(t, !CannotMeetDeadline(r, 2*time.Second, t0), "nobody is hopeless at once")
+	assert.Assert(t, !CannotMeetDeadline(r, 2*time.Second, t0), "a request that has not waited may be sent")
 	assert.Assert(t, !CannotMeetDeadline(r, 300*ms, t0.Add(700*ms)))
 	assert.Assert(t, CannotMeetDeadline(r, 300*ms, t0.Add(701*ms)))
 	assert.Assert(t, CannotMeetDeadline(r, 2*time.Second, t0.Add(501*ms)))
 }
 
-func TestIdleKeepsAReserve(t *testing.T) {
+func TestDeferrableWorkLeavesAReserve(t *testing.T) {
 	cases := []struct {
 		free, slots int
 		want        bool
@@ -78,18 +78,18 @@
 	}
 	assert.Assert(t, h.Mean() > 70*ms && h.Mean() < 130*ms, "%v", h.Mean())
 	assert.Assert(t, h.HighQuantile() > 200*ms && h.HighQuantile() < 450*ms, "95%% of exponential times are within 300 ms, not %v", h.HighQuantile())
-	high := h.HighQuantile()
+	before := h.HighQuantile()
 	h.Observe(time.Hour)
-	assert.Assert(t, h.HighQuantile() < high*11/10, "one sample's size does not matter: %v", h.HighQuantile())
-	assert.Assert(t, h.Mean() < 200*ms, "one sample moves it little: %v", h.Mean())
+	assert.Assert(t, h.HighQuantile() < before*11/10, "the size of one sample does not matter: %v", h.HighQuantile())
+	assert.Assert(t, h.Mean() < 200*ms, "one sample changes the mean little: %v", h.Mean())
 	for range 200 {
 		h.Observe(time.Second)
 	}
-	assert.Assert(t, h.Mean() > 800*ms, "longer requests show: %v", h.Mean())
+	assert.Assert(t, h.Mean() > 800*ms, "the mean follows longer requests: %v", h.Mean())
 }
 
-// One caller takes half of the slot time among thousands of names that come
-// once. It is found, its cost is known, and memory stays bounded.
+// One caller takes half of the slot time while thousands of callers send a single
+// request each. It must be found and its cost estimated in bounded memory.
 func TestCostsFindHeavyCallers(t *testing.T) {
 	c := NewCosts()
 	for i := range 20000 {
