--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -1,34 +1,35 @@
-// Package quota decides which team may use how much: its guaranteed share at
-// any time, and idle capacity beyond it as long as that can be taken back.
+// Package quota decides how much each team may use: its guaranteed share at any
+// time, and idle capacity beyond it if the job that uses it can be preempted.
 //
 // Load pattern: one team submits thousands of jobs while others are idle, and
-// an idle team comes back. Without borrowing the fleet stands idle beside a
-// queue; with borrowing that can't be taken back the guarantee is void.
+// then an idle team becomes active again. Without borrowing, capacity is idle
+// while jobs wait; with borrowing that can't be preempted the guarantee is void.
 package quota
 
 import "github.com/pumicestage/pumicestage/policy/model"
 
-// Verdict is how a job would stand against its team's guarantee.
+// Verdict tells whether a job may run with respect to its team's guarantee.
 type Verdict int8
 
-// The standings.
+// The verdicts.
 const (
-	// Within: the team's use with the job stays inside its guarantee.
+	// Within: the team's use including the job is within its guarantee.
 	Within Verdict = iota
-	// Borrows: the job uses idle capacity and can be taken back.
+	// Borrows: the job uses idle capacity beyond the guarantee and can be preempted.
 	Borrows
-	// Waits: over the guarantee, and the job can't be taken back once it runs.
+	// Waits: the job exceeds the guarantee and can't be preempted once it runs.
 	Waits
 )
 
 // Tracker counts what each team uses. Where no team is declared there are no
-// quotas and all work stands within.
+// quotas and the verdict on every job is Within.
 type Tracker struct {
 	guaranteed map[model.TeamName]model.Resources
 	used       map[model.TeamName]model.Resources
 }
 
-// NewTracker returns a Book in which nothing is used.
+// NewTracker returns a Tracker in which nothing is used. teams are all that are
+// declared.
 func NewTracker(teams []model.Team) *Tracker {
 	b := &Tracker{used: make(map[model.TeamName]model.Resources)}
 	if len(teams) == 0 {
@@ -41,12 +42,12 @@
 	return b
 }
 
-// Reserve counts size as used by the team.
+// Reserve adds size to what the team uses.
 func (b *Tracker) Reserve(team model.TeamName, size model.Resources) {
 	b.used[team] = b.used[team].Add(size)
 }
 
-// Release takes a Take back.
+// Release subtracts size, which was reserved before, from what the team uses.
 func (b *Tracker) Release(team model.TeamName, size model.Resources) {
 	b.used[team] = b.used[team].Sub(size)
 }
@@ -54,19 +55,21 @@
 // Used returns what the team uses.
 func (b *Tracker) Used(team model.TeamName) model.Resources { return b.used[team] }
 
-// Guaranteed returns the team's guarantee; false where there are no quotas.
+// Guaranteed returns the team's guarantee and true, or false where there are no
+// quotas.
 func (b *Tracker) Guaranteed(team model.TeamName) (model.Resources, bool) {
 	return b.guaranteed[team], b.guaranteed != nil
 }
 
-// OverGuarantee reports whether the team uses more than its guarantee.
+// OverGuarantee reports whether the team uses more than its guarantee; it is false
+// where there are no quotas.
 func (b *Tracker) OverGuarantee(team model.TeamName) bool {
 	return b.guaranteed != nil && !b.used[team].Fits(b.guaranteed[team])
 }
 
-// Check returns how a job of the size would stand. Work that is not repeatable
-// is never stopped, so it never borrows: what it borrowed could not be taken
-// back when the owner of the share returns.
+// Check returns the verdict on a job of the size. A job that is not repeatable is
+// never stopped, so it never borrows: the borrowed capacity could not be returned
+// when its owner needs it.
 func (b *Tracker) Check(job *model.Job, size model.Resources) Verdict {
 	switch {
 	case b.guaranteed == nil || b.used[job.Team].Add(size).Fits(b.guaranteed[job.Team]):
@@ -77,33 +80,34 @@
 	return Waits
 }
 
-// NeverFits reports whether the job can't run however idle the fleet is, because
-// it may not borrow and is larger than the whole guarantee.
+// NeverFits reports whether the job can't run even if all capacity is idle, because
+// it may not borrow and is larger than the team's whole guarantee.
 func (b *Tracker) NeverFits(job *model.Job, size model.Resources) bool {
 	return b.guaranteed != nil && !Preemptible(job) && !size.Fits(b.guaranteed[job.Team])
 }
 
 // Preemptible reports whether a running job may be stopped to free its worker:
-// it keeps its progress or may run again, and is not a not-repeatable one.
+// whether it may run again.
 func Preemptible(job *model.Job) bool { return job.Repeatable }
 
-// UsageRatio returns the largest share of its guarantee that the team uses in any
-// dimension. A team without a guarantee is behind all others once it uses any.
+// UsageRatio returns the largest ratio of use to guarantee among the team's kinds
+// of resource. A team without a guarantee is ordered after all others as soon as
+// it uses anything.
 func (b *Tracker) UsageRatio(team model.TeamName) float64 {
-	used, share := b.used[team], b.guaranteed[team]
-	return max(ratio(used.MilliCPU, share.MilliCPU), ratio(used.MemoryMB, share.MemoryMB), ratio(used.Accelerators, share.Accelerators))
+	used, guaranteed := b.used[team], b.guaranteed[team]
+	return max(ratio(used.MilliCPU, guaranteed.MilliCPU), ratio(used.MemoryMB, guaranteed.MemoryMB), ratio(used.Accelerators, guaranteed.Accelerators))
 }
 
-// unowned is the ratio per unit used without any guarantee, larger than that
-// of any team with one.
-const unowned = 1e6
+// noGuaranteeRatio is the ratio per unit that is used without a guarantee. It is
+// larger than the ratio of any team with a guarantee.
+const noGuaranteeRatio = 1e6
 
-func ratio(used, share int64) float64 {
+func ratio(used, guaranteed int64) float64 {
 	switch {
 	case used <= 0:
 		return 0
-	case share <= 0:
-		return unowned * float64(used)
+	case guaranteed <= 0:
+		return noGuaranteeRatio * float64(used)
 	}
-	return float64(used) / float64(share)
+	return float64(used) / float64(guaranteed)
 }
--- a/policy/quota/quota_test.go
+++ b/policy/quota/quota_test.go
@@ -10,9 +10,9 @@
 
 func cpu(n int64) model.Resources { return model.Resources{MilliCPU: n, MemoryMB: n} }
 
-func TestStand(t *testing.T) {
+func TestCheck(t *testing.T) {
 	teams := []model.Team{{Name: "a", Guaranteed: cpu(10)}, {Name: "none"}}
-	again, once := &model.Job{Team: "a", Repeatable: true}, &model.Job{Team: "a"}
+	repeatable, notRepeatable := &model.Job{Team: "a", Repeatable: true}, &model.Job{Team: "a"}
 	for _, tc := range []struct {
 		name  string
 		teams []model.Team
@@ -22,13 +22,13 @@
 		want  Verdict
 		never bool
 	}{
-		{"within", teams, 5, once, 5, Within, false},
-		{"over and can be taken back", teams, 6, again, 5, Borrows, false},
-		{"over and can't", teams, 6, once, 5, Waits, false},
-		{"over for ever", teams, 0, once, 11, Waits, true},
-		{"larger than the guarantee but can be taken back", teams, 0, again, 11, Borrows, false},
+		{"within the guarantee", teams, 5, notRepeatable, 5, Within, false},
+		{"over and preemptible", teams, 6, repeatable, 5, Borrows, false},
+		{"over and not preemptible", teams, 6, notRepeatable, 5, Waits, false},
+		{"larger than the guarantee and not preemptible", teams, 0, notRepeatable, 11, Waits, true},
+		{"larger than the guarantee but preemptible", teams, 0, repeatable, 11, Borrows, false},
 		{"no guarantee", teams, 0, &model.Job{Team: "none"}, 1, Waits, true},
-		{"no quotas declared", nil, 100, once, 100, Within, false},
+		{"no quotas declared", nil, 100, notRepeatable, 100, Within, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := NewTracker(tc.teams)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestRatio(t *testing.T) {
+func TestUsageRatio(t *testing.T) {
 	b := NewTracker([]model.Team{{Name: "a", Guaranteed: cpu(10)}})
 	b.Reserve("a", model.Resources{MilliCPU: 5, MemoryMB: 20})
 	b.Reserve("none", cpu(1))
