--- a/policy/pacing/pacing_test.go
+++ b/policy/pacing/pacing_test.go
@@ -10,35 +10,36 @@
 	for _, c := range []struct {
 		name  string
 		now   int
-		worst float64
+		ratio float64
 		want  int
 	}{
-		{"nothing serves here", 40, 0, 55},
-		{"room to spare", 90, 0.5, 100},
+		{"no serving task", 40, 0, 55},
+		{"well below the target", 90, 0.5, 100},
 		{"near the target: no change", 40, 0.7, 40},
-		{"about to pass it", 80, 0.9, 40},
-		{"the last bit does nothing but harm", 8, 0.9, 0},
-		{"far over it", 100, 1.3, 0},
+		{"about to exceed the target", 80, 0.9, 40},
+		{"half of the pace is below the minimum", 8, 0.9, 0},
+		{"far over the target", 100, 1.3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, Next(c.now, Load{WorstTailRatio: c.worst}), c.want)
+			assert.Equal(t, Next(c.now, Load{WorstTailRatio: c.ratio}), c.want)
 		})
 	}
 }
 
-// A serving task's users wait while a fill task beside it takes what it can. The
-// tail rises with the pace; it must be back under its target within a few looks
-// and stay there, and the fill task must not be stopped for good.
-func TestAServingTaskIsBackUnderItsTargetAndTheFillTaskGoesOn(t *testing.T) {
-	pace, over, worked := 100, 0, 0
-	for look := range 60 {
-		tail := 0.4 + 1.2*float64(pace)/100
-		if tail > 1 && look > 3 {
+// A best-effort task that takes all it can makes the users of a serving task on the
+// same worker wait. The tail latency rises with the pace; it must be back under its
+// target within a few steps and stay there, and the best-effort task must not be
+// stopped for good.
+func TestAServingTaskIsBackUnderItsTargetAndTheBestEffortTaskGoesOn(t *testing.T) {
+	pace, over, paceSum := 100, 0, 0
+	for step := range 60 {
+		ratio := 0.4 + 1.2*float64(pace)/100
+		if ratio > 1 && step > 3 {
 			over++
 		}
-		pace = Next(pace, Load{WorstTailRatio: tail})
-		worked += pace
+		pace = Next(pace, Load{WorstTailRatio: ratio})
+		paceSum += pace
 	}
-	assert.Assert(t, over <= 6, "over target in %d of 60 looks", over)
-	assert.Assert(t, worked/60 >= 10, "mean pace %d", worked/60)
+	assert.Assert(t, over <= 6, "over target in %d of 60 steps", over)
+	assert.Assert(t, paceSum/60 >= 10, "mean pace %d", paceSum/60)
 }
