--- a/policy/cutoff/cutoff.go
+++ b/policy/cutoff/cutoff.go
@@ -1,16 +1,18 @@
-// Package cutoff decides when an entry VM is cut off from the rest, so that callers are
-// better served elsewhere.
+// Package cutoff decides whether an entry VM is cut off from the other availability
+// zones, so that callers are better served elsewhere.
 //
-// Load pattern: an availability zone is cut off while its callers still reach its entry
-// VMs. Nothing can be stored there, so every request of theirs is refused until the cut
-// heals, each after a timeout of its own, while the entry VMs of the other zones could
-// take them. An entry VM that says it is not ready is left out by the balancer; once no
-// entry VM of the zone is ready, the zone's callers get to the nearest others.
+// Load pattern: a network partition cuts an availability zone off while its callers
+// still reach its entry VMs. Nothing can be stored there, so each of their requests
+// is refused after a timeout of its own until the partition heals, while entry VMs
+// of other zones could take it. The load balancer leaves out an entry VM that
+// reports not to be ready; once no entry VM of the zone is ready, the zone's callers
+// are sent to the nearest others.
 //
-// An outage of the store alone looks the same from the store's side. Then no other entry
-// VM could take more, and sending callers round would cost them a connection each. What
-// tells the two apart are the entry VMs of other zones: they answer unless this one is cut
-// off from them too. One zone that is silent may itself be cut off; all of them are not.
+// An outage of the store alone looks the same from the store's side. Then no other
+// entry VM could take more requests, and sending callers elsewhere would cost each of
+// them a connection. The entry VMs of other zones tell the two cases apart: they
+// answer unless this one is cut off from them, too. If those of one zone are silent,
+// that zone may itself be cut off; it is unlikely that all zones are.
 package cutoff
 
 import (
@@ -18,41 +20,43 @@
 	"slices"
 )
 
-// perZone is how many entry VMs of each other zone are asked: one may be restarting.
+// perZone is how many entry VMs of each other zone are probed: one may be restarting.
 const perZone = 2
 
-// Peer is another entry VM.
+// Peer is another entry VM of the deployment.
 type Peer struct {
 	Name    string
 	Zone    string
 	Address string
 }
 
-// SelectPeers returns the peers to ask: some of each zone but the own.
+// SelectPeers returns the peers to probe: the first two by name of each zone other
+// than own, the zone of this entry VM.
 func SelectPeers(peers []Peer, own string) []Peer {
 	sorted := slices.SortedFunc(slices.Values(peers), func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
-	asked := make(map[string]int)
+	selected := make(map[string]int)
 	var out []Peer
 	for _, p := range sorted {
-		if p.Zone == own || asked[p.Zone] == perZone {
+		if p.Zone == own || selected[p.Zone] == perZone {
 			continue
 		}
-		asked[p.Zone]++
+		selected[p.Zone]++
 		out = append(out, p)
 	}
 	return out
 }
 
-// Probe is what one look around found.
+// Probe is the result of one probe of the store and of peers.
 type Probe struct {
 	Store    bool // the store answered
-	Asked    int  // entry VMs of other zones that were asked
-	Answered int  // of them, answered
+	Asked    int  // how many entry VMs of other zones were probed
+	Answered int  // how many of those answered
 }
 
-// CutOff reports whether the entry VM is cut off. One look is enough: the store and some
-// entry VMs of every other zone were silent, each for longer than slow ones take. Where
-// no entry VM of another zone is known nobody can tell, and callers stay.
+// CutOff reports whether the entry VM is cut off. One probe is enough: the store and
+// the probed entry VMs of every other zone were silent, each for longer than slow
+// ones take to answer. If no entry VM of another zone is known, CutOff is false: the
+// cases can't be told apart, and callers stay.
 func (p Probe) CutOff() bool {
 	return !p.Store && p.Asked > 0 && p.Answered == 0
 }
