--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -55,7 +55,7 @@
 func (c *Core) Level() float64 { return c.governor.Level() }
 
 // LimitStarts bounds the starts of the next plan; underWay have no answer yet.
-func (c *Core) LimitStarts(underWay int) { c.mayStart = c.governor.Starts(underWay) }
+func (c *Core) LimitStarts(underWay int) { c.mayStart = c.governor.StartsLeft(underWay) }
 
 // pollPause is the pause between two polls of a worker.
 func (c *Core) pollPause() time.Duration { return c.governor.Pause(polling.MinInterval(c.busy)) }
--- a/policy/overload/governor.go
+++ b/policy/overload/governor.go
@@ -62,9 +62,9 @@
 	return max(usual, min(maxPollInterval, time.Duration(float64(usual)*g.Level())))
 }
 
-// Starts returns how many more starts may be sent while underWay of them are unanswered. The
+// StartsLeft returns how many more starts may be sent while underWay of them are unanswered. The
 // others keep waiting in their planned order, which an unbounded queue of starts would not keep:
 // two thousand starts in one plan delayed everything else by a second.
-func (g *Governor) Starts(underWay int) int {
+func (g *Governor) StartsLeft(underWay int) int {
 	return max(0, max(minStarts, int(MaxStarts/g.Level()))-underWay)
 }
