--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -58,7 +58,7 @@
 func (c *Core) LimitStarts(underWay int) { c.mayStart = c.governor.StartsLeft(underWay) }
 
 // pollPause is the pause between two polls of a worker.
-func (c *Core) pollPause() time.Duration { return c.governor.Pause(polling.MinInterval(c.busy)) }
+func (c *Core) pollPause() time.Duration { return c.governor.PollPause(polling.MinInterval(c.busy)) }
 
 // Held reports whether the last plan kept starts back until others are answered.
 func (c *Core) Held() bool { return c.held }
--- a/policy/overload/governor.go
+++ b/policy/overload/governor.go
@@ -56,9 +56,9 @@
 // that nothing is shed.
 func (g *Governor) Level() float64 { return max(1, g.level) }
 
-// Pause returns the pause between two polls of a worker in place of the usual one. Ends of
+// PollPause returns the pause between two polls of a worker in place of the usual one. Ends of
 // tasks that accumulate meanwhile come with one answer.
-func (g *Governor) Pause(usual time.Duration) time.Duration {
+func (g *Governor) PollPause(usual time.Duration) time.Duration {
 	return max(usual, min(maxPollInterval, time.Duration(float64(usual)*g.Level())))
 }
 
