--- a/internal/jobfront/gate.go
+++ b/internal/jobfront/gate.go
@@ -57,7 +57,7 @@
 func (g *Gate) Admit(ctx context.Context, q engine.Queue, key string) (work.WorkspaceName, error) {
 	digest := DigestOf(key)
 	name, verdict := g.judge(q, digest)
-	if verdict == workspace.AskFirst || verdict == workspace.Unconfirmed {
+	if verdict == workspace.RefreshFirst || verdict == workspace.Unconfirmed {
 		if err := g.Configs.Confirm(ctx); err != nil {
 			g.Log.Info("configuration not confirmed", "age", g.Configs.Age().String(), "error", err.Error())
 		}
--- a/policy/workspace/keys.go
+++ b/policy/workspace/keys.go
@@ -25,9 +25,9 @@
 	NoKey
 	// UnknownKey: no workspace has the key, by a configuration that is certainly recent enough.
 	UnknownKey
-	// AskFirst: the key may be in a configuration that this entry VM has not seen. It has to read
+	// RefreshFirst: the key may be in a configuration that this entry VM has not seen. It has to read
 	// the newest one and decide again.
-	AskFirst
+	RefreshFirst
 	// Unconfirmed: the key may have been revoked by a configuration that this entry VM has not
 	// seen.
 	Unconfirmed
@@ -60,7 +60,7 @@
 	name, known := k[key]
 	switch {
 	case !known && c.Age > trustFor:
-		return "", AskFirst
+		return "", RefreshFirst
 	case !known:
 		return "", UnknownKey
 	case c.MaxAge > 0 && c.Age > c.MaxAge:
--- a/policy/workspace/keys_test.go
+++ b/policy/workspace/keys_test.go
@@ -28,7 +28,7 @@
 		{"no key", "", false, fresh, "", NoKey},
 		{"unknown key", "k4", false, fresh, "", UnknownKey},
 		{"unknown key on an open route", "k4", true, fresh, "", UnknownKey},
-		{"unknown key that may be new", "k4", false, old, "", AskFirst},
+		{"unknown key that may be new", "k4", false, old, "", RefreshFirst},
 		{"known key that may have been revoked", "k1", false, strict, "", Unconfirmed},
 		{"no key on an open route of a cut-off entry VM", "", true, strict, "", Admitted},
 	} {
