--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -150,7 +150,7 @@
 	a.ledger, a.rev = s.Ledger, rev
 	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Use, "of", workspace.Whole, "has", s.Has, "need", a.need, "waits", s.Ledger.Wants[c.cell] > 0)
 	a.granted = s.Use
-	_, a.explicit = s.Ledger.Has[c.cell]
+	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
 
 // ClaimFailed takes over that the change was not stored; doubt says that it may yet be.
@@ -174,7 +174,7 @@
 		}
 	}
 	a.ledger, a.rev = l, rev
-	if has, named := l.Has[c.cell]; named {
+	if has, named := l.Allocated[c.cell]; named {
 		a.lower(has, len(c.cells))
 	}
 }
@@ -201,5 +201,5 @@
 		a.lower(0, len(c.cells))
 		return
 	}
-	a.granted, a.explicit = a.ledger.Has[c.cell]
+	a.granted, a.explicit = a.ledger.Allocated[c.cell]
 }
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -157,7 +157,7 @@
 	if s.spec.Gang {
 		out.Never = workspace.Fitting(s.spec.Size, a.limit, a.limit, len(s.tasks)) < len(s.tasks)
 	}
-	for cell, has := range a.ledger.Has {
+	for cell, has := range a.ledger.Allocated {
 		if cell != c.cell {
 			if out.Others == nil {
 				out.Others = make(map[string]workspace.Parts)
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -83,7 +83,7 @@
 	r.store(claims)
 	assert.Equal(t, len(r.plan().Starts), 1, "what was left is there at once")
 	assert.Assert(t, r.account().ledger.Wants[service] > 0, "the other cell is to lend")
-	r.ledger(r.core, workspace.Ledger{Has: map[string]workspace.Parts{service: 5500, otherCell: 0}})
+	r.ledger(r.core, workspace.Ledger{Allocated: map[string]workspace.Parts{service: 5500, otherCell: 0}})
 	r.now += reviewEvery
 	r.store(r.core.Claims(r.now))
 	assert.Equal(t, len(r.plan().Starts), 5)
@@ -185,7 +185,7 @@
 	r.answer(o, OutcomeOK)
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
 	l := r.store(r.core.Claims(r.now))
-	assert.Assert(t, l.Has[service] >= 3000)
+	assert.Assert(t, l.Allocated[service] >= 3000)
 	for i := range o.Starts {
 		r.look("w1", Listing{Ended: []RunEnd{ended(int64(i+1), o.Starts[i], work.Done)}})
 	}
@@ -195,7 +195,7 @@
 		r.now += reviewEvery
 		l = r.store(r.core.Claims(r.now))
 	}
-	assert.Equal(t, l.Has[service], workspace.Parts(0))
+	assert.Equal(t, l.Allocated[service], workspace.Parts(0))
 }
 
 // A successor lends what its predecessor left, as another cell waits for it, and hears in that
@@ -211,7 +211,7 @@
 	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
 	l := r.store(r.core.Claims(r.now))
-	assert.Equal(t, l.Has[service], workspace.Parts(1000))
+	assert.Equal(t, l.Allocated[service], workspace.Parts(1000))
 }
 
 // The change by which a cell gives parts back is not answered. Carried out seconds later, it
@@ -221,7 +221,7 @@
 	r := newLimitRig(t, 10)
 	r.worker("w1")
 	before := workspace.Ledger{
-		Has: map[string]workspace.Parts{service: 4000}, Wants: map[string]workspace.Parts{otherCell: workspace.Whole},
+		Allocated: map[string]workspace.Parts{service: 4000}, Wants: map[string]workspace.Parts{otherCell: workspace.Whole},
 	}
 	r.ledger(r.core, before)
 	r.plan()
--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -79,18 +79,18 @@
 // changed it: all cells together never hold more than the whole limit. A cell's entry is changed
 // by the cell's own owner alone.
 type Ledger struct {
-	// Has holds the parts allocated to each cell. A cell without an entry has its even share.
-	Has map[string]Parts `json:"has,omitempty"`
+	// Allocated holds the parts allocated to each cell. A cell without an entry has its even share.
+	Allocated map[string]Parts `json:"has,omitempty"`
 	// Wants holds the need of the cells that were allocated less than that.
 	Wants map[string]Parts `json:"wants,omitempty"`
 }
 
 // Empty reports whether every cell has its even share and none needs more.
-func (l *Ledger) Empty() bool { return len(l.Has) == 0 && len(l.Wants) == 0 }
+func (l *Ledger) Empty() bool { return len(l.Allocated) == 0 && len(l.Wants) == 0 }
 
 // Of returns the parts allocated to the cell, which is one of so many.
 func (l *Ledger) Of(cell string, cells int) Parts {
-	if has, named := l.Has[cell]; named {
+	if has, named := l.Allocated[cell]; named {
 		return has
 	}
 	return EvenShare(cells)
@@ -100,11 +100,11 @@
 // declared keeps the parts in it.
 func (l *Ledger) unallocated(cells []string) Parts {
 	left := Whole
-	for _, has := range l.Has {
+	for _, has := range l.Allocated {
 		left -= has
 	}
 	for _, cell := range cells {
-		if _, named := l.Has[cell]; !named {
+		if _, named := l.Allocated[cell]; !named {
 			left -= EvenShare(len(cells))
 		}
 	}
@@ -144,9 +144,9 @@
 	}
 	use := min(ask, available)
 	allocated := max(use, min(c.InUse, has))
-	out := Ledger{Has: with(l.Has, c.Cell, allocated), Wants: without(l.Wants, c.Cell)}
+	out := Ledger{Allocated: with(l.Allocated, c.Cell, allocated), Wants: without(l.Wants, c.Cell)}
 	if allocated == EvenShare(len(c.Cells)) {
-		delete(out.Has, c.Cell)
+		delete(out.Allocated, c.Cell)
 	}
 	if use < c.Need {
 		out.Wants = with(l.Wants, c.Cell, c.Need)
@@ -201,7 +201,7 @@
 // others returns the other cells, declared or with an entry.
 func (l *Ledger) others(c Claim) []string {
 	out := slices.Clone(c.Cells)
-	for cell := range l.Has {
+	for cell := range l.Allocated {
 		if !slices.Contains(out, cell) {
 			out = append(out, cell)
 		}
--- a/policy/workspace/ledger_test.go
+++ b/policy/workspace/ledger_test.go
@@ -48,7 +48,7 @@
 // starts nothing above its fair share and gives parts back as its runs end.
 func TestACellThatCameLaterGetsAsMuchAsTheFirst(t *testing.T) {
 	two := []string{"a", "b"}
-	l := Ledger{Has: map[string]Parts{"a": Whole, "b": 0}}
+	l := Ledger{Allocated: map[string]Parts{"a": Whole, "b": 0}}
 	later := l.Settle(Claim{Cell: "b", Cells: two, Need: 3000})
 	assert.Equal(t, later.Use, Parts(0))
 
@@ -67,7 +67,7 @@
 // A service is removed and another declared while work of the first still runs. The parts of its
 // cell must not be allocated again before its owner gives them back.
 func TestACellThatIsNoLongerDeclaredKeepsWhatItHas(t *testing.T) {
-	l := Ledger{Has: map[string]Parts{"old": 6000}}
+	l := Ledger{Allocated: map[string]Parts{"old": 6000}}
 	s := l.Settle(Claim{Cell: "a", Cells: []string{"a", "b"}, Need: Whole})
 	assert.Assert(t, s.Use <= Whole-6000-EvenShare(2) || s.Use == EvenShare(2))
 }
