--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -67,7 +67,7 @@
 // claimDue says whether the account's share is to change, and completes the claim.
 func (c *Core) claimDue(a *account, claim *workspace.Claim, now time.Duration) bool {
 	has := a.ledger.Of(c.cell, len(c.cells))
-	waits, noted := a.short(len(c.cells)), a.ledger.Wants[c.cell] > 0
+	waits, noted := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
 	if waits && !noted {
 		return true
 	}
@@ -95,14 +95,14 @@
 	before := a.share(len(c.cells))
 	s := a.ledger.Settle(claim)
 	a.lower(s.Use, len(c.cells))
-	same := s.Has == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.Wants[c.cell] == a.ledger.Wants[c.cell]
+	same := s.Has == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
 	return s, !same || s.Use > before || a.inDoubt // what is stored makes the earlier change fail
 }
 
 // wantsShares reports whether a workspace's work waits for a share that was not asked for yet.
 func (c *Core) wantsShares() bool {
 	for _, a := range c.limits.accounts {
-		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.Wants[c.cell] == 0 {
+		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
 			return true
 		}
 	}
@@ -115,7 +115,7 @@
 func (c *Core) lookDue(now time.Duration) bool {
 	even, due := workspace.EvenShare(len(c.cells)), false
 	for _, a := range c.limits.accounts {
-		waits, above := a.ledger.Wants[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
+		waits, above := a.ledger.UnmetNeeds[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
 		if a.inFlight || !a.lookNow && !(waits && now >= a.looked+reviewEvery) && !(above && now >= a.looked+2*reviewEvery) {
 			continue
 		}
@@ -148,7 +148,7 @@
 	a := c.limits.of(s.workspace)
 	a.inFlight, a.inDoubt = false, false
 	a.ledger, a.rev = s.Ledger, rev
-	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Use, "of", workspace.Whole, "has", s.Has, "need", a.need, "waits", s.Ledger.Wants[c.cell] > 0)
+	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Use, "of", workspace.Whole, "has", s.Has, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
 	a.granted = s.Use
 	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -253,7 +253,7 @@
 // VMs would stand idle beside it.
 func (c *Core) atLimit(s *step) bool {
 	a := s.job.account
-	return a != nil && a.limited() && a.short(len(c.cells)) && a.ledger.Wants[c.cell] > 0
+	return a != nil && a.limited() && a.short(len(c.cells)) && a.ledger.UnmetNeeds[c.cell] > 0
 }
 
 // spend notes a start of the step in its workspace's account.
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -82,7 +82,7 @@
 	assert.Equal(t, len(claims), 1)
 	r.store(claims)
 	assert.Equal(t, len(r.plan().Starts), 1, "what was left is there at once")
-	assert.Assert(t, r.account().ledger.Wants[service] > 0, "the other cell is to lend")
+	assert.Assert(t, r.account().ledger.UnmetNeeds[service] > 0, "the other cell is to lend")
 	r.ledger(r.core, workspace.Ledger{Allocated: map[string]workspace.Parts{service: 5500, otherCell: 0}})
 	r.now += reviewEvery
 	r.store(r.core.Claims(r.now))
@@ -179,7 +179,7 @@
 func TestWhatRunsIsNotGivenBack(t *testing.T) {
 	r := newLimitRig(t, 10)
 	r.worker("w1")
-	r.ledger(r.core, workspace.Ledger{Wants: map[string]workspace.Parts{otherCell: workspace.Whole}})
+	r.ledger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
 	r.acceptRed("j1", short(3))
 	o := r.plan()
 	r.answer(o, OutcomeOK)
@@ -204,7 +204,7 @@
 	r := newLimitRig(t, 10)
 	r.core.Restore(&JobRecord{Job: &work.Job{ID: "j0", Queue: queue, Workspace: redName, Steps: []work.Step{short(1)}, Accepted: r.wall}}, nil, r.now, r.wall)
 	r.core.SetFleet(nil)
-	r.ledger(r.core, workspace.Ledger{Wants: map[string]workspace.Parts{otherCell: workspace.Whole}})
+	r.ledger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
 	r.plan()
 	r.account().need = 0
 	r.core.WorkerSeen(info("w1"))
@@ -221,7 +221,7 @@
 	r := newLimitRig(t, 10)
 	r.worker("w1")
 	before := workspace.Ledger{
-		Allocated: map[string]workspace.Parts{service: 4000}, Wants: map[string]workspace.Parts{otherCell: workspace.Whole},
+		Allocated: map[string]workspace.Parts{service: 4000}, UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole},
 	}
 	r.ledger(r.core, before)
 	r.plan()
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -134,7 +134,7 @@
 	}
 	var names []work.WorkspaceName
 	for i := range claims {
-		if len(claims[i].Ledger.Wants) > 0 {
+		if len(claims[i].Ledger.UnmetNeeds) > 0 {
 			names = append(names, claims[i].workspace)
 		}
 	}
--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -81,12 +81,12 @@
 type Ledger struct {
 	// Allocated holds the parts allocated to each cell. A cell without an entry has its even share.
 	Allocated map[string]Parts `json:"has,omitempty"`
-	// Wants holds the need of the cells that were allocated less than that.
-	Wants map[string]Parts `json:"wants,omitempty"`
+	// UnmetNeeds holds the need of the cells that were allocated less than that.
+	UnmetNeeds map[string]Parts `json:"wants,omitempty"`
 }
 
 // Empty reports whether every cell has its even share and none needs more.
-func (l *Ledger) Empty() bool { return len(l.Allocated) == 0 && len(l.Wants) == 0 }
+func (l *Ledger) Empty() bool { return len(l.Allocated) == 0 && len(l.UnmetNeeds) == 0 }
 
 // Of returns the parts allocated to the cell, which is one of so many.
 func (l *Ledger) Of(cell string, cells int) Parts {
@@ -144,12 +144,12 @@
 	}
 	use := min(ask, available)
 	allocated := max(use, min(c.InUse, has))
-	out := Ledger{Allocated: with(l.Allocated, c.Cell, allocated), Wants: without(l.Wants, c.Cell)}
+	out := Ledger{Allocated: with(l.Allocated, c.Cell, allocated), UnmetNeeds: without(l.UnmetNeeds, c.Cell)}
 	if allocated == EvenShare(len(c.Cells)) {
 		delete(out.Allocated, c.Cell)
 	}
 	if use < c.Need {
-		out.Wants = with(l.Wants, c.Cell, c.Need)
+		out.UnmetNeeds = with(l.UnmetNeeds, c.Cell, c.Need)
 	}
 	return Settlement{Ledger: out, Has: allocated, Use: use}
 }
@@ -171,7 +171,7 @@
 
 // othersWant reports whether another cell needs more than it has.
 func (l *Ledger) othersWant(c Claim) bool {
-	for other, wants := range l.Wants {
+	for other, wants := range l.UnmetNeeds {
 		if other != c.Cell && wants > l.Of(other, len(c.Cells)) {
 			return true
 		}
@@ -184,7 +184,7 @@
 func (l *Ledger) fairShare(c Claim) Parts {
 	needs := []Parts{c.Need}
 	for _, other := range l.others(c) {
-		needs = append(needs, max(l.Of(other, len(c.Cells)), l.Wants[other]))
+		needs = append(needs, max(l.Of(other, len(c.Cells)), l.UnmetNeeds[other]))
 	}
 	slices.SortFunc(needs, cmp.Compare[Parts])
 	left := Whole
