--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -54,7 +54,7 @@
 			out = append(out, shareClaim{workspace: name, rev: a.rev, Settlement: s})
 		}
 	}
-	slices.SortFunc(out, func(x, y shareClaim) int { return cmp.Compare(y.Has, x.Has) })
+	slices.SortFunc(out, func(x, y shareClaim) int { return cmp.Compare(y.Allocated, x.Allocated) })
 	if len(out) > claimsInTxn {
 		out = out[:claimsInTxn] // the others are due again at the next review
 	}
@@ -95,7 +95,7 @@
 	before := a.share(len(c.cells))
 	s := a.ledger.Settle(claim)
 	a.lower(s.Use, len(c.cells))
-	same := s.Has == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
+	same := s.Allocated == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
 	return s, !same || s.Use > before || a.inDoubt // what is stored makes the earlier change fail
 }
 
@@ -148,7 +148,7 @@
 	a := c.limits.of(s.workspace)
 	a.inFlight, a.inDoubt = false, false
 	a.ledger, a.rev = s.Ledger, rev
-	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Use, "of", workspace.Whole, "has", s.Has, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
+	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Use, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
 	a.granted = s.Use
 	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -123,8 +123,8 @@
 // Settlement is the outcome of a claim.
 type Settlement struct {
 	Ledger Ledger
-	// Has is what the ledger then allocates to the cell.
-	Has Parts
+	// Allocated is what the ledger then allocates to the cell.
+	Allocated Parts
 	// Use is the bound up to which the cell may start work. It is less than Has while the cell
 	// gives parts back: running work keeps its parts until it ends, and no new work takes them.
 	Use Parts
@@ -151,7 +151,7 @@
 	if use < c.Need {
 		out.UnmetNeeds = with(l.UnmetNeeds, c.Cell, c.Need)
 	}
-	return Settlement{Ledger: out, Has: allocated, Use: use}
+	return Settlement{Ledger: out, Allocated: allocated, Use: use}
 }
 
 // HasSurplus reports whether the cell has more than its even share and at least claimStep more
--- a/policy/workspace/ledger_test.go
+++ b/policy/workspace/ledger_test.go
@@ -55,10 +55,10 @@
 	all := Claim{Cell: "a", Cells: two, Need: Whole, InUse: 9000}
 	assert.Assert(t, later.Ledger.Contended(all))
 	first := later.Ledger.Settle(all)
-	assert.Equal(t, first.Has, Parts(9000), "running work keeps its parts")
+	assert.Equal(t, first.Allocated, Parts(9000), "running work keeps its parts")
 	assert.Equal(t, first.Use, Parts(7000), "the smaller need is met whole")
 	first = first.Ledger.Settle(Claim{Cell: "a", Cells: two, Need: Whole, InUse: 7000})
-	assert.Equal(t, first.Has, Parts(7000))
+	assert.Equal(t, first.Allocated, Parts(7000))
 	later = first.Ledger.Settle(Claim{Cell: "b", Cells: two, Need: 3000})
 	assert.Equal(t, later.Use, Parts(3000))
 	assert.Assert(t, !later.Ledger.Contended(all))
@@ -92,8 +92,8 @@
 			inUse := Parts(rapid.IntRange(0, int(l.Of(cell, len(cells)))).Draw(t, "in use"))
 			need := max(inUse, Parts(rapid.IntRange(0, int(Whole)).Draw(t, "need")))
 			s := l.Settle(Claim{Cell: cell, Cells: cells, Need: need, InUse: inUse})
-			assert.Assert(t, s.Has >= inUse && s.Use <= s.Has)
-			assert.Equal(t, s.Ledger.Of(cell, len(cells)), s.Has)
+			assert.Assert(t, s.Allocated >= inUse && s.Use <= s.Allocated)
+			assert.Equal(t, s.Ledger.Of(cell, len(cells)), s.Allocated)
 			l = s.Ledger
 			sum := Parts(0)
 			for _, c := range cells {
