--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -94,9 +94,9 @@
 func (c *Core) settle(a *account, claim workspace.Claim) (workspace.Settlement, bool) {
 	before := a.share(len(c.cells))
 	s := a.ledger.Settle(claim)
-	a.lower(s.Use, len(c.cells))
+	a.lower(s.Usable, len(c.cells))
 	same := s.Allocated == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
-	return s, !same || s.Use > before || a.inDoubt // what is stored makes the earlier change fail
+	return s, !same || s.Usable > before || a.inDoubt // what is stored makes the earlier change fail
 }
 
 // wantsShares reports whether a workspace's work waits for a share that was not asked for yet.
@@ -148,8 +148,8 @@
 	a := c.limits.of(s.workspace)
 	a.inFlight, a.inDoubt = false, false
 	a.ledger, a.rev = s.Ledger, rev
-	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Use, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
-	a.granted = s.Use
+	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Usable, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
+	a.granted = s.Usable
 	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
 
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -181,7 +181,7 @@
 	}
 	s := l.Settle(workspace.Claim{Cell: otherCell, Cells: []string{otherCell, service}, Need: need})
 	w.put(s.Ledger)
-	w.otherUse = s.Use
+	w.otherUse = s.Usable
 }
 
 // step is one event: of the limits, or of the world around them.
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -228,7 +228,7 @@
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
 	lend := r.core.Claims(r.now)
 	assert.Equal(t, len(lend), 1)
-	assert.Equal(t, lend[0].Use, workspace.Parts(0))
+	assert.Equal(t, lend[0].Usable, workspace.Parts(0))
 	r.core.ClaimFailed(lend[0], true)
 
 	r.acceptRed("j1", short(3))
--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -125,9 +125,9 @@
 	Ledger Ledger
 	// Allocated is what the ledger then allocates to the cell.
 	Allocated Parts
-	// Use is the bound up to which the cell may start work. It is less than Has while the cell
+	// Usable is the bound up to which the cell may start work. It is less than Has while the cell
 	// gives parts back: running work keeps its parts until it ends, and no new work takes them.
-	Use Parts
+	Usable Parts
 }
 
 // Settle returns the ledger as the claim changes it. While nobody else needs more, a cell gets
@@ -151,7 +151,7 @@
 	if use < c.Need {
 		out.UnmetNeeds = with(l.UnmetNeeds, c.Cell, c.Need)
 	}
-	return Settlement{Ledger: out, Allocated: allocated, Use: use}
+	return Settlement{Ledger: out, Allocated: allocated, Usable: use}
 }
 
 // HasSurplus reports whether the cell has more than its even share and at least claimStep more
--- a/policy/workspace/ledger_test.go
+++ b/policy/workspace/ledger_test.go
@@ -15,10 +15,10 @@
 // its shares were recorded. Its ledger is empty, and is empty again after a time of higher use.
 func TestAnEvenShareNeedsNoRecord(t *testing.T) {
 	s := new(Ledger).Settle(Claim{Cell: "a", Cells: cells, Need: 100})
-	assert.Equal(t, s.Use, EvenShare(len(cells)))
+	assert.Equal(t, s.Usable, EvenShare(len(cells)))
 	assert.Assert(t, s.Ledger.Empty())
 	s = new(Ledger).Settle(Claim{Cell: "a", Cells: cells, Need: 2500})
-	assert.Assert(t, s.Use >= 2500)
+	assert.Assert(t, s.Usable >= 2500)
 	reduced := Claim{Cell: "a", Cells: cells, Need: 100}
 	assert.Assert(t, s.Ledger.HasSurplus(reduced))
 	s = s.Ledger.Settle(reduced)
@@ -31,16 +31,16 @@
 func TestACellThatBurstsGetsWhatTheOthersLend(t *testing.T) {
 	burst := Claim{Cell: "a", Cells: cells, Need: Whole}
 	s := new(Ledger).Settle(burst)
-	assert.Equal(t, s.Use, EvenShare(len(cells))+Whole-evenParts)
+	assert.Equal(t, s.Usable, EvenShare(len(cells))+Whole-evenParts)
 	for _, idle := range []string{"b", "c", "d"} {
 		noNeed := Claim{Cell: idle, Cells: cells}
 		assert.Assert(t, s.Ledger.Contended(noNeed))
 		s = s.Ledger.Settle(noNeed)
-		assert.Equal(t, s.Use, Parts(0))
+		assert.Equal(t, s.Usable, Parts(0))
 	}
 	s = s.Ledger.Settle(burst)
-	assert.Equal(t, s.Use, Whole-EvenShare(len(cells)))
-	assert.Assert(t, s.Use > Whole/2)
+	assert.Equal(t, s.Usable, Whole-EvenShare(len(cells)))
+	assert.Assert(t, s.Usable > Whole/2)
 }
 
 // A cell whose work never runs out would keep the whole limit for hours while jobs of the same
@@ -50,17 +50,17 @@
 	two := []string{"a", "b"}
 	l := Ledger{Allocated: map[string]Parts{"a": Whole, "b": 0}}
 	later := l.Settle(Claim{Cell: "b", Cells: two, Need: 3000})
-	assert.Equal(t, later.Use, Parts(0))
+	assert.Equal(t, later.Usable, Parts(0))
 
 	all := Claim{Cell: "a", Cells: two, Need: Whole, InUse: 9000}
 	assert.Assert(t, later.Ledger.Contended(all))
 	first := later.Ledger.Settle(all)
 	assert.Equal(t, first.Allocated, Parts(9000), "running work keeps its parts")
-	assert.Equal(t, first.Use, Parts(7000), "the smaller need is met whole")
+	assert.Equal(t, first.Usable, Parts(7000), "the smaller need is met whole")
 	first = first.Ledger.Settle(Claim{Cell: "a", Cells: two, Need: Whole, InUse: 7000})
 	assert.Equal(t, first.Allocated, Parts(7000))
 	later = first.Ledger.Settle(Claim{Cell: "b", Cells: two, Need: 3000})
-	assert.Equal(t, later.Use, Parts(3000))
+	assert.Equal(t, later.Usable, Parts(3000))
 	assert.Assert(t, !later.Ledger.Contended(all))
 }
 
@@ -69,7 +69,7 @@
 func TestACellThatIsNoLongerDeclaredKeepsWhatItHas(t *testing.T) {
 	l := Ledger{Allocated: map[string]Parts{"old": 6000}}
 	s := l.Settle(Claim{Cell: "a", Cells: []string{"a", "b"}, Need: Whole})
-	assert.Assert(t, s.Use <= Whole-6000-EvenShare(2) || s.Use == EvenShare(2))
+	assert.Assert(t, s.Usable <= Whole-6000-EvenShare(2) || s.Usable == EvenShare(2))
 }
 
 func TestPartsOfALimit(t *testing.T) {
@@ -92,7 +92,7 @@
 			inUse := Parts(rapid.IntRange(0, int(l.Of(cell, len(cells)))).Draw(t, "in use"))
 			need := max(inUse, Parts(rapid.IntRange(0, int(Whole)).Draw(t, "need")))
 			s := l.Settle(Claim{Cell: cell, Cells: cells, Need: need, InUse: inUse})
-			assert.Assert(t, s.Allocated >= inUse && s.Use <= s.Allocated)
+			assert.Assert(t, s.Allocated >= inUse && s.Usable <= s.Allocated)
 			assert.Equal(t, s.Ledger.Of(cell, len(cells)), s.Allocated)
 			l = s.Ledger
 			sum := Parts(0)
