--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -125,8 +125,9 @@
 	Ledger Ledger
 	// Allocated is what the ledger then allocates to the cell.
 	Allocated Parts
-	// Usable is the bound up to which the cell may start work. It is less than Has while the cell
-	// gives parts back: running work keeps its parts until it ends, and no new work takes them.
+	// Usable is the bound up to which the cell may start work. It is less than Allocated while
+	// the cell gives parts back: running work keeps its parts until it ends, and no new work takes
+	// them.
 	Usable Parts
 }
 
@@ -137,21 +138,21 @@
 func (l *Ledger) Settle(c Claim) Settlement {
 	has := l.Of(c.Cell, len(c.Cells))
 	available := has + l.unallocated(c.Cells)
-	ask := max(EvenShare(len(c.Cells)), roundUp(c.Need+c.Need/surplusDivisor))
-	if l.othersWant(c) {
+	request := max(EvenShare(len(c.Cells)), roundUp(c.Need+c.Need/surplusDivisor))
+	if l.othersNeedMore(c) {
 		available = min(available, l.fairShare(c))
-		ask = c.Need
+		request = c.Need
 	}
-	use := min(ask, available)
-	allocated := max(use, min(c.InUse, has))
+	usable := min(request, available)
+	allocated := max(usable, min(c.InUse, has))
 	out := Ledger{Allocated: with(l.Allocated, c.Cell, allocated), UnmetNeeds: without(l.UnmetNeeds, c.Cell)}
 	if allocated == EvenShare(len(c.Cells)) {
 		delete(out.Allocated, c.Cell)
 	}
-	if use < c.Need {
+	if usable < c.Need {
 		out.UnmetNeeds = with(l.UnmetNeeds, c.Cell, c.Need)
 	}
-	return Settlement{Ledger: out, Allocated: allocated, Usable: use}
+	return Settlement{Ledger: out, Allocated: allocated, Usable: usable}
 }
 
 // HasSurplus reports whether the cell has more than its even share and at least claimStep more
@@ -164,15 +165,16 @@
 // Contended reports whether the cell has more than its fair share while another cell needs more
 // than it has.
 func (l *Ledger) Contended(c Claim) bool {
-	return l.othersWant(c) && l.Of(c.Cell, len(c.Cells)) > min(c.Need, l.fairShare(c))
+	return l.othersNeedMore(c) && l.Of(c.Cell, len(c.Cells)) > min(c.Need, l.fairShare(c))
 }
 
+// roundUp rounds up to a multiple of claimStep.
 func roundUp(p Parts) Parts { return (p + claimStep - 1) / claimStep * claimStep }
 
-// othersWant reports whether another cell needs more than it has.
-func (l *Ledger) othersWant(c Claim) bool {
-	for other, wants := range l.UnmetNeeds {
-		if other != c.Cell && wants > l.Of(other, len(c.Cells)) {
+// othersNeedMore reports whether another cell needs more than it has.
+func (l *Ledger) othersNeedMore(c Claim) bool {
+	for other, need := range l.UnmetNeeds {
+		if other != c.Cell && need > l.Of(other, len(c.Cells)) {
 			return true
 		}
 	}
@@ -209,12 +211,14 @@
 	return slices.DeleteFunc(out, func(cell string) bool { return cell == c.Cell })
 }
 
+// with returns a copy of m with the cell's parts set to p.
 func with(m map[string]Parts, cell string, p Parts) map[string]Parts {
 	out := without(m, cell)
 	out[cell] = p
 	return out
 }
 
+// without returns a copy of m without the cell.
 func without(m map[string]Parts, cell string) map[string]Parts {
 	out := make(map[string]Parts, len(m)+1)
 	for k, v := range m {
