--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -38,9 +38,9 @@
 	jobs     map[work.JobID]*job
 	open     []*job // not ended, oldest first
 	workers  map[work.WorkerID]*worker
-	sorted   []*worker                     // these by ID; nil: to be sorted anew
-	over     map[work.WorkerID][]work.Life // lives that have ended
-	stale    []staleJob                    // ended jobs, oldest first
+	sorted   []*worker                            // these by ID; nil: to be sorted anew
+	over     map[work.WorkerID][]work.Incarnation // lives that have ended
+	stale    []staleJob                           // ended jobs, oldest first
 	learned  durations
 	sizes    map[string]*meanSize
 	limits   *limits
@@ -87,7 +87,7 @@
 		cell: cell, token: token, bounds: bounds, log: log,
 		jobs:    make(map[work.JobID]*job),
 		workers: make(map[work.WorkerID]*worker),
-		over:    make(map[work.WorkerID][]work.Life),
+		over:    make(map[work.WorkerID][]work.Incarnation),
 		learned: make(durations),
 		sizes:   make(map[string]*meanSize),
 		kinds:   make(map[kindKey]*crashes.Kind),
--- a/internal/engine/lives.go
+++ b/internal/engine/lives.go
@@ -104,7 +104,7 @@
 }
 
 // isOver reports whether that life of the worker is known to have ended.
-func (c *Core) isOver(id work.WorkerID, life work.Life) bool {
+func (c *Core) isOver(id work.WorkerID, life work.Incarnation) bool {
 	return slices.Contains(c.over[id], life)
 }
 
@@ -159,7 +159,7 @@
 // that one. Starts that were meant for the life before, and are not known to have reached it,
 // may have reached the new one or do so yet: the platform tells lives apart by ID. Their runs
 // are stopped there before their tasks start anywhere.
-func (c *Core) startedAgain(old *worker, life work.Life, now time.Duration) *worker {
+func (c *Core) startedAgain(old *worker, life work.Incarnation, now time.Duration) *worker {
 	mayCome := make(map[work.TaskRef]int) // their runs
 	for ref, t := range old.tasks {
 		if !t.shown {
--- a/internal/engine/lives_test.go
+++ b/internal/engine/lives_test.go
@@ -12,12 +12,12 @@
 
 // Lives of one worker.
 const (
-	firstLife  = work.Life(1_784_160_000_000)
-	secondLife = work.Life(1_784_160_009_000)
-	thirdLife  = work.Life(1_784_160_018_000)
+	firstLife  = work.Incarnation(1_784_160_000_000)
+	secondLife = work.Incarnation(1_784_160_009_000)
+	thirdLife  = work.Incarnation(1_784_160_018_000)
 )
 
-func infoOf(id work.WorkerID, life work.Life) WorkerInfo {
+func infoOf(id work.WorkerID, life work.Incarnation) WorkerInfo {
 	i := info(id)
 	i.Life = life
 	return i
--- a/internal/engine/model_lives_test.go
+++ b/internal/engine/model_lives_test.go
@@ -39,7 +39,7 @@
 func (m *model) begins(id work.WorkerID) {
 	m.lives++
 	m.workers = append(m.workers, &modelWorker{
-		id: id, life: firstLife + work.Life(m.lives), slow: 0.98 + 0.02*m.rng.Float64(), born: m.now,
+		id: id, life: firstLife + work.Incarnation(m.lives), slow: 0.98 + 0.02*m.rng.Float64(), born: m.now,
 		running: make(map[work.TaskRef]int), highest: make(map[work.TaskRef]int), inDoubt: make(map[work.TaskRef]bool),
 	})
 }
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -25,7 +25,7 @@
 // are acknowledged.
 type modelWorker struct {
 	id       work.WorkerID
-	life     work.Life
+	life     work.Incarnation
 	slow     float64 // its clock's rate
 	born     time.Duration
 	token    int64
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -15,7 +15,7 @@
 // WorkerInfo is what a worker's registration says.
 type WorkerInfo struct {
 	ID       work.WorkerID
-	Life     work.Life
+	Life     work.Incarnation
 	Service  string
 	Address  string // host:port
 	Zone     string
@@ -56,7 +56,7 @@
 	Brief   bool          // Running was left out
 	Running []Run
 	Ended   []RunEnd
-	Life    work.Life // which answers
+	Life    work.Incarnation // which answers
 }
 
 // Hold extends the lease of all that runs on a worker and asks what does.
@@ -67,7 +67,7 @@
 	Wait         time.Duration // how long the answer may wait for an end
 	Brief        bool          // what runs need not be told
 
-	next work.Life // a later or earlier life was registered as the poll left; 0: none
+	next work.Incarnation // a later or earlier life was registered as the poll left; 0: none
 }
 
 // Start orders one run of a task.
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -20,9 +20,9 @@
 // what the last one ran.
 type WorkerID string
 
-// Life tells the lives of a worker that starts again under its ID apart: the moment of its
+// Incarnation tells the lives of a worker that starts again under its ID apart: the moment of its
 // start by its own clock, compared for equality alone. 0: not told.
-type Life int64
+type Incarnation int64
 
 // Resources are what a task asks for or a worker offers.
 type Resources struct {
