--- a/internal/engine/arrivals.go
+++ b/internal/engine/arrivals.go
@@ -25,7 +25,7 @@
 func (c *Core) arrived(j *job, now time.Duration) {
 	sum := 0.0
 	for i := range j.Steps {
-		if s := &j.Steps[i]; !s.Lasting {
+		if s := &j.Steps[i]; !s.LongRunning {
 			sum += stepWork(s)
 		}
 	}
@@ -57,7 +57,7 @@
 // lasting task wants its room for good; it counts as what one more VM is worth to the
 // decision.
 func (c *Core) waitsFor(s *step, now time.Duration) time.Duration {
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		return pools.DrainGoal
 	}
 	held := c.learned.estimate(s)
--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -174,7 +174,7 @@
 // steps' limits allow.
 func (c *Core) evict(w *worker) {
 	for _, t := range w.tasks {
-		if t.state == taskActive && !t.step.spec.Lasting {
+		if t.state == taskActive && !t.step.spec.LongRunning {
 			c.log.Info("run evicted", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "percent", t.percent)
 			t.step.set(t, taskStopping)
 		}
@@ -276,7 +276,7 @@
 
 // unplaced is how many VMs the step's waiting tasks need if none has room.
 func (s *step) unplaced(now time.Duration) int {
-	if !s.spec.Lasting || s.pending == 0 || !s.ready() {
+	if !s.spec.LongRunning || s.pending == 0 || !s.ready() {
 		return 0
 	}
 	waiting := 0
@@ -307,7 +307,7 @@
 }
 
 func (s *step) serialMoves() int {
-	if !s.spec.Lasting {
+	if !s.spec.LongRunning {
 		return 0
 	}
 	n := 0
@@ -343,7 +343,7 @@
 func (c *Core) stuckTasks(s *step, now time.Duration) int {
 	n := 0
 	for _, t := range s.tasks {
-		if !s.spec.Lasting || t.state != taskActive || t.where.cordon.Kind != Vacated {
+		if !s.spec.LongRunning || t.state != taskActive || t.where.cordon.Kind != Vacated {
 			continue
 		}
 		if n == 0 && c.hasPlace(t, now) {
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -324,7 +324,7 @@
 }
 
 func (d durations) learn(s *step, took time.Duration) {
-	if s.spec.Estimate <= 0 || s.spec.Lasting {
+	if s.spec.Estimate <= 0 || s.spec.LongRunning {
 		return
 	}
 	ratio := float64(took) / float64(s.spec.Estimate)
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -108,7 +108,7 @@
 
 func lasting(count int) work.Step {
 	s := short(count)
-	s.Lasting, s.AntiAffinity, s.MaxUnavailable = true, 1, 1
+	s.LongRunning, s.AntiAffinity, s.MaxUnavailable = true, 1, 1
 	return s
 }
 
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -104,7 +104,7 @@
 		}
 		serving = serving || t.step.spec.Serving()
 		filling = filling || t.step.spec.Fill
-		short = short || !t.step.spec.Lasting
+		short = short || !t.step.spec.LongRunning
 	}
 	switch {
 	case w.tries((*task).suspect):
@@ -251,7 +251,7 @@
 		delete(w.strays, r.Task)
 		c.attach(t, w, r.Run, taskActive, now)
 		t.stopsOver = now + c.bounds.StopGrace + expirySlack
-		if t.step.spec.Lasting && r.Percent >= fullPercent {
+		if t.step.spec.LongRunning && r.Percent >= fullPercent {
 			t.ranBefore = crashes.Cleared
 		}
 	}
@@ -333,7 +333,7 @@
 	if t.state == taskDone {
 		return
 	}
-	if t.step.spec.Lasting {
+	if t.step.spec.LongRunning {
 		if current {
 			c.ranOut(t, now)
 		}
@@ -408,7 +408,7 @@
 		return
 	}
 	c.touch(j)
-	if t.step.spec.Lasting {
+	if t.step.spec.LongRunning {
 		t.notBefore = now + min(mostPause, firstPause<<min(len(t.failed), 4))
 		return
 	}
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -180,11 +180,11 @@
 	for i, l := range cr.lost {
 		j := l.task.step.job
 		job := string(j.ID)
-		if l.task.step.spec.Lasting {
+		if l.task.step.spec.LongRunning {
 			job = l.task.ref.String() // it is judged for itself, as its job is never given up
 		}
 		lostRuns[i] = crashes.LostRun{
-			Job: job, Ran: l.ran, Most: l.most, Before: l.before, Unseen: l.unseen, Lasting: l.task.step.spec.Lasting,
+			Job: job, Ran: l.ran, Most: l.most, Before: l.before, Unseen: l.unseen, Lasting: l.task.step.spec.LongRunning,
 			Record: l.task.crashes, Prior: c.kindOf(j).Prior(now),
 		}
 	}
@@ -222,7 +222,7 @@
 	}
 	t.trial = 0
 	c.judgeRecord(t, now)
-	if t.step.spec.Lasting {
+	if t.step.spec.LongRunning {
 		t.notBefore = now + min(mostCrashPause, firstCrashPause<<min(len(t.crashes), 5))
 	}
 	j.evidence++
@@ -265,7 +265,7 @@
 // starts it.
 func (c *Core) giveUpPoison(t *task, now time.Duration) {
 	j := t.step.job
-	if j.final != "" || t.state == taskDone || t.step.spec.Lasting {
+	if j.final != "" || t.state == taskDone || t.step.spec.LongRunning {
 		return
 	}
 	if prior := c.kindOf(j).Prior(now); t.crashes.Poison(prior) {
@@ -318,7 +318,7 @@
 	if t.where == nil || len(t.crashes) == 0 {
 		return
 	}
-	run := crashes.LostRun{Ran: t.where.seenRunning(t), Lasting: t.step.spec.Lasting}
+	run := crashes.LostRun{Ran: t.where.seenRunning(t), Lasting: t.step.spec.LongRunning}
 	if run.Clear() {
 		t.crashes, t.crashedAt, t.suspected = nil, nil, false
 		c.touch(t.step.job)
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -231,7 +231,7 @@
 		return
 	}
 	c.explained = now
-	c.log.Info("work waits", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.Lasting, "steps", len(ws),
+	c.log.Info("work waits", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
 		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.Binding(workers, s))
 }
 
@@ -307,7 +307,7 @@
 func (c *Core) planStep(s *step, workers []*taskplan.Worker, now time.Duration) *taskplan.Step {
 	ps := &taskplan.Step{
 		Ref: s.ref(), Step: s.spec, OnWorker: make(map[work.WorkerID]int),
-		Hazardous: !s.spec.Lasting && c.kindOf(s.job).Hot(now),
+		Hazardous: !s.spec.LongRunning && c.kindOf(s.job).Hot(now),
 	}
 	for _, t := range s.tasks {
 		if c.isDue(t, now) && t.mayBeTried() {
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -151,7 +151,7 @@
 					sp.Done = append(sp.Done, i)
 					continue
 				}
-				if len(t.failed) > 0 && !s.spec.Lasting {
+				if len(t.failed) > 0 && !s.spec.LongRunning {
 					sp.Failed = put(sp.Failed, i, t.failed)
 				}
 				if len(t.crashes) > 0 {
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -45,7 +45,7 @@
 // noteOthers notes whether, of the steps that waited before this plan, other short work than
 // suspects still does.
 func (c *Core) noteOthers(ws []waiting, now time.Duration) {
-	if slices.ContainsFunc(ws, func(w waiting) bool { return !w.step.spec.Lasting && w.step.suspects() < w.step.pending }) {
+	if slices.ContainsFunc(ws, func(w waiting) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
 		c.othersWaited = now
 	}
 }
@@ -92,7 +92,7 @@
 	spacing := c.onsets.Spacing()
 	for _, t := range w.tasks {
 		begun := t.state == taskActive && now >= t.answered+spacing
-		if !begun && !t.step.spec.Lasting && c.kindOf(t.step.job).Hot(now) {
+		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hot(now) {
 			return t.ref.Job
 		}
 	}
--- a/internal/engine/vacate.go
+++ b/internal/engine/vacate.go
@@ -12,7 +12,7 @@
 			continue
 		}
 		for _, t := range w.tasks {
-			if t.state != taskActive || !t.step.spec.Lasting {
+			if t.state != taskActive || !t.step.spec.LongRunning {
 				continue
 			}
 			if w.info.Draining || c.mayStop(t, now) {
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -169,7 +169,7 @@
 func (l *load) count(s *step, n int64) {
 	held := s.reserved().Times(n)
 	l.reserved = l.reserved.Plus(held)
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		l.forLong = l.forLong.Plus(held)
 		l.lasting += int(n)
 	}
--- a/policy/taskplan/index_test.go
+++ b/policy/taskplan/index_test.go
@@ -52,7 +52,7 @@
 		for n := range rapid.IntRange(1, 4).Draw(t, "steps") {
 			spec := spec(rapid.Int64Range(500, 5000).Draw(t, "cpu"))
 			spec.DataRack = rapid.SampledFrom([]string{"", "r1", "r3"}).Draw(t, "data")
-			spec.Lasting = rapid.Bool().Draw(t, "lasts")
+			spec.LongRunning = rapid.Bool().Draw(t, "lasts")
 			spec.AntiAffinity = rapid.IntRange(0, 2).Draw(t, "apart")
 			if rapid.Bool().Draw(t, "asks") {
 				spec.Requires = "b"
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -350,7 +350,7 @@
 	if w.Limit >= 0 {
 		w.Limit -= n
 	}
-	if s.Step.Lasting {
+	if s.Step.LongRunning {
 		w.Lasting += n
 	}
 	if s.Step.Serving() {
@@ -367,7 +367,7 @@
 // shares reports whether the task may go beside the suspects on trial there: they are given up
 // together. A step that lasts is not, and each of its suspects is tried by itself.
 func (s *Step) shares(w *Worker, t Task) bool {
-	return w.trial == s && t.Suspect && !s.Step.Lasting
+	return w.trial == s && t.Suspect && !s.Step.LongRunning
 }
 
 // choose returns the worker with the lowest score, or nil.
@@ -468,10 +468,10 @@
 		score += scoreSought
 	}
 	score += scoreSlow * max(0, w.Slowness-1)
-	if s.Step.Lasting && w.Due {
+	if s.Step.LongRunning && w.Due {
 		score += scoreDue
 	}
-	if s.Step.Lasting && w.Lasting == 0 {
+	if s.Step.LongRunning && w.Lasting == 0 {
 		score += scoreMixed
 	}
 	free := float64(w.Free.MilliCPU) / float64(max(1, w.Total.MilliCPU))
--- a/policy/taskplan/taskplan_test.go
+++ b/policy/taskplan/taskplan_test.go
@@ -56,7 +56,7 @@
 	dueSoon := worker("a", 1000)
 	dueSoon.Due, dueSoon.Lasting = true, 3
 	lasting := spec(1000)
-	lasting.Lasting = true
+	lasting.LongRunning = true
 	sought := worker("a", 1000)
 	sought.Sought = true
 	ticketed := step("j", 2, spec(1000))
@@ -116,7 +116,7 @@
 // apart while there is another place.
 func TestFillAndServingTasksAreKeptApart(t *testing.T) {
 	serving := spec(1000)
-	serving.Lasting, serving.TargetTail = true, 1
+	serving.LongRunning, serving.TargetTail = true, 1
 	fill := spec(6000)
 	fill.Fill = true
 	a, b := worker("a", 8000), worker("b", 8000)
@@ -128,7 +128,7 @@
 // that can be maintained or moved without moving them.
 func TestLastingTasksShareVMs(t *testing.T) {
 	lasting := spec(1000)
-	lasting.Lasting = true
+	lasting.LongRunning = true
 	a, b := worker("a", 8000), worker("b", 6000)
 	a.Lasting = 2
 	assert.DeepEqual(t, on(Plan([]*Worker{a, b}, []*Step{step("s", 2, lasting)})), []string{"s>a", "s>a"})
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -83,7 +83,7 @@
 	Gang          bool `json:"gang,omitempty" msgpack:"g,omitempty"`           // tasks work only while all of them are present
 	RackSensitive bool `json:"rack_sensitive,omitempty" msgpack:"r,omitempty"` // slower when spread over racks
 	Duplicates    bool `json:"duplicates,omitempty" msgpack:"d,omitempty"`     // copies of a task may run side by side
-	Lasting       bool `json:"lasting,omitempty" msgpack:"l,omitempty"`        // runs until cancelled, restarted however it ends
+	LongRunning   bool `json:"lasting,omitempty" msgpack:"l,omitempty"`        // runs until cancelled, restarted however it ends
 	Fill          bool `json:"fill,omitempty" msgpack:"f,omitempty"`           // processor share is not reserved: runs on what others leave
 
 	Requires       string        `json:"requires,omitempty" msgpack:"q,omitempty"`        // label the worker must have
@@ -130,7 +130,7 @@
 // Lasting reports whether the job runs until it is cancelled.
 func (j *Job) Lasting() bool {
 	for i := range j.Steps {
-		if j.Steps[i].Lasting {
+		if j.Steps[i].LongRunning {
 			return true
 		}
 	}
