--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -262,7 +262,7 @@
 func (c *Core) short(now time.Duration) int {
 	need := 0
 	for _, j := range c.open {
-		if !j.Lasting() || now < j.accepted+shortAfter {
+		if !j.LongRunning() || now < j.accepted+shortAfter {
 			continue
 		}
 		for _, o := range j.live {
@@ -294,7 +294,7 @@
 func (c *Core) serialMoves() int {
 	most := 0
 	for _, j := range c.open {
-		if !j.Lasting() {
+		if !j.LongRunning() {
 			continue
 		}
 		for _, o := range j.live {
@@ -326,7 +326,7 @@
 func (c *Core) stuckVMs(now time.Duration) int {
 	need := 0
 	for _, j := range c.open {
-		if !j.Lasting() {
+		if !j.LongRunning() {
 			continue
 		}
 		for _, o := range j.live {
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -247,7 +247,7 @@
 
 // kindOf is what is known of jobs like this one.
 func (c *Core) kindOf(j *job) *crashes.Kind {
-	key := kindKey{queue: j.Queue, lasting: j.Lasting()}
+	key := kindKey{queue: j.Queue, lasting: j.LongRunning()}
 	k := c.kinds[key]
 	if k == nil {
 		k = &crashes.Kind{}
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -132,7 +132,7 @@
 func (c *Core) orderOf(j *job, o *occurrence, now time.Duration) joborder.Job {
 	out := joborder.Job{
 		Priority: j.queue.Priority,
-		Lasting:  j.Lasting(),
+		Lasting:  j.LongRunning(),
 		Begun:    j.begun,
 		Waited:   now - o.due,
 		Size:     j.size,
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -127,8 +127,8 @@
 // Timed reports whether the job runs by the clock.
 func (j *Job) Timed() bool { return j.Schedule.Times > 0 }
 
-// Lasting reports whether the job runs until it is cancelled.
-func (j *Job) Lasting() bool {
+// LongRunning reports whether the job runs until it is cancelled.
+func (j *Job) LongRunning() bool {
 	for i := range j.Steps {
 		if j.Steps[i].LongRunning {
 			return true
