--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -103,7 +103,7 @@
 			return pollSoon
 		}
 		serving = serving || t.step.spec.Serving()
-		filling = filling || t.step.spec.Fill
+		filling = filling || t.step.spec.BestEffort
 		short = short || !t.step.spec.LongRunning
 	}
 	switch {
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -46,7 +46,7 @@
 		if t.state != taskActive {
 			continue
 		}
-		if t.step.spec.Fill {
+		if t.step.spec.BestEffort {
 			filling = append(filling, t)
 		} else if t.step.spec.Serving() && t.atWork() {
 			tail := time.Duration(t.gauge) * time.Millisecond
--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -13,7 +13,7 @@
 			continue
 		}
 		for _, t := range w.tasks {
-			if t.state != taskActive || t.step.spec.LongRunning || t.step.spec.Gang || t.step.spec.Fill {
+			if t.state != taskActive || t.step.spec.LongRunning || t.step.spec.Gang || t.step.spec.BestEffort {
 				continue
 			}
 			if t.listedAt > t.answered {
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -176,7 +176,7 @@
 	if s.spec.Serving() {
 		l.serving += int(n)
 	}
-	if s.spec.Fill {
+	if s.spec.BestEffort {
 		l.filling += int(n)
 	}
 }
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -328,7 +328,7 @@
 // Reserved returns what a task of the step holds of a worker's capacity.
 func Reserved(s *work.Step) work.Resources {
 	r := s.Size
-	if s.Fill {
+	if s.BestEffort {
 		r.MilliCPU = 0
 	}
 	return r
@@ -356,7 +356,7 @@
 	if s.Step.Serving() {
 		w.Serving += n
 	}
-	if s.Step.Fill {
+	if s.Step.BestEffort {
 		w.Filling += n
 	}
 	if s.Hazardous {
@@ -449,7 +449,7 @@
 	if slices.Contains(t.Avoid, w.ID) {
 		score += scoreAvoid
 	}
-	if s.Step.Fill && w.Serving > 0 || s.Step.Serving() && w.Filling > 0 {
+	if s.Step.BestEffort && w.Serving > 0 || s.Step.Serving() && w.Filling > 0 {
 		score += scoreDisturbed
 	}
 	if s.Hazardous && w.Lasting > 0 {
@@ -475,7 +475,7 @@
 		score += scoreMixed
 	}
 	free := float64(w.Free.MilliCPU) / float64(max(1, w.Total.MilliCPU))
-	if s.Step.Fill {
+	if s.Step.BestEffort {
 		// A fill task lives on what others leave: the emptier the better.
 		return score - scoreFill*free
 	}
--- a/policy/taskplan/taskplan_test.go
+++ b/policy/taskplan/taskplan_test.go
@@ -118,7 +118,7 @@
 	serving := spec(1000)
 	serving.LongRunning, serving.TargetTail = true, 1
 	fill := spec(6000)
-	fill.Fill = true
+	fill.BestEffort = true
 	a, b := worker("a", 8000), worker("b", 8000)
 	placed := on(Plan([]*Worker{a, b}, []*Step{step("s", 1, serving), step("f", 2, fill)}))
 	assert.DeepEqual(t, placed, []string{"s>a", "f>b", "f>b"})
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -84,7 +84,7 @@
 	RackSensitive bool `json:"rack_sensitive,omitempty" msgpack:"r,omitempty"` // slower when spread over racks
 	Duplicates    bool `json:"duplicates,omitempty" msgpack:"d,omitempty"`     // copies of a task may run side by side
 	LongRunning   bool `json:"lasting,omitempty" msgpack:"l,omitempty"`        // runs until cancelled, restarted however it ends
-	Fill          bool `json:"fill,omitempty" msgpack:"f,omitempty"`           // processor share is not reserved: runs on what others leave
+	BestEffort    bool `json:"fill,omitempty" msgpack:"f,omitempty"`           // processor share is not reserved: runs on what others leave
 
 	Requires       string        `json:"requires,omitempty" msgpack:"q,omitempty"`        // label the worker must have
 	DataRack       string        `json:"data_rack,omitempty" msgpack:"w,omitempty"`       // rack of the data; slower elsewhere
