--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -247,7 +247,7 @@
 func (c *Core) mostCapacity() work.Resources {
 	most := c.largestVM
 	for _, w := range c.workers {
-		most = most.Most(w.info.Capacity)
+		most = most.Max(w.info.Capacity)
 	}
 	return most
 }
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -245,7 +245,7 @@
 	before := a.wanted
 	a.wanted = before.Plus(size)
 	if room := pool.Room(); !a.wanted.Fits(room) {
-		a.wanted, a.filled = before.Most(a.wanted.Least(room)), true
+		a.wanted, a.filled = before.Max(a.wanted.Least(room)), true
 	}
 }
 
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -88,7 +88,7 @@
 func (w *limitWorld) most() work.Resources {
 	most := w.limit()
 	for i := len(w.limits) - 2; i >= 0 && w.limits[i+1].at+mayBeInForce > w.m.now; i-- {
-		most = most.Most(w.limits[i].limit)
+		most = most.Max(w.limits[i].limit)
 	}
 	return most
 }
--- a/internal/engine/settled.go
+++ b/internal/engine/settled.go
@@ -41,7 +41,7 @@
 	c.limits.fleet = work.Resources{}
 	for _, vm := range vms {
 		c.limits.fleet = c.limits.fleet.Plus(vm.Size)
-		c.largestVM = c.largestVM.Most(vm.Size)
+		c.largestVM = c.largestVM.Max(vm.Size)
 		if vm.State == work.VMUp && vm.Worker != "" {
 			c.alive[vm.Worker] = vm.Pool
 		}
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -258,7 +258,7 @@
 func MostFree(workers []*Worker) work.Resources {
 	var most work.Resources
 	for _, w := range workers {
-		most = most.Most(w.Free)
+		most = most.Max(w.Free)
 	}
 	return most
 }
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -56,8 +56,8 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.GPU - o.GPU}
 }
 
-// Most returns the larger of the two in every dimension.
-func (r Resources) Most(o Resources) Resources {
+// Max returns the larger of the two in every dimension.
+func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.MilliCPU, o.MilliCPU), max(r.MemoryMB, o.MemoryMB), max(r.GPU, o.GPU)}
 }
 
