--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -187,7 +187,7 @@
 	}
 	if room, known := c.unheardRoom(); known {
 		for name, r := range out {
-			out[name] = r.Least(room)
+			out[name] = r.Min(room)
 		}
 	}
 	return out
@@ -245,7 +245,7 @@
 	before := a.wanted
 	a.wanted = before.Plus(size)
 	if room := pool.Room(); !a.wanted.Fits(room) {
-		a.wanted, a.filled = before.Max(a.wanted.Least(room)), true
+		a.wanted, a.filled = before.Max(a.wanted.Min(room)), true
 	}
 }
 
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -61,8 +61,8 @@
 	return Resources{max(r.MilliCPU, o.MilliCPU), max(r.MemoryMB, o.MemoryMB), max(r.GPU, o.GPU)}
 }
 
-// Least returns the smaller of the two in every dimension.
-func (r Resources) Least(o Resources) Resources {
+// Min returns the smaller of the two in every dimension.
+func (r Resources) Min(o Resources) Resources {
 	return Resources{min(r.MilliCPU, o.MilliCPU), min(r.MemoryMB, o.MemoryMB), min(r.GPU, o.GPU)}
 }
 
