--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -132,7 +132,7 @@
 		s := start(0, 1, 5, long)
 		s.Deadline = now + lease
 		assert.Equal(t, w.start(t, s), engine.OutcomeOK)
-		assert.Equal(t, w.ends(t, 1).Ended[0].How, work.Lapsed)
+		assert.Equal(t, w.ends(t, 1).Ended[0].How, work.LeaseExpired)
 	}},
 	{"a brief poll tells ends alone, and says so", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOK)
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -386,7 +386,7 @@
 			continue
 		}
 		for _, task := range w.tasks() {
-			m.end(w, task, work.Lapsed)
+			m.end(w, task, work.LeaseExpired)
 		}
 		w.lapsed = w.seq
 	}
