--- a/internal/engine/crashworld_test.go
+++ b/internal/engine/crashworld_test.go
@@ -228,7 +228,7 @@
 		l := w.lives[id]
 		for _, ref := range l.tasks() {
 			if ref.StepRef == step {
-				l.end(ref, work.Broken)
+				l.end(ref, work.GangBroken)
 			}
 		}
 	}
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -199,7 +199,7 @@
 	Faulted      End = "failed"  // through its own fault or the worker's
 	Stopped      End = "stopped" // by an order
 	LeaseExpired End = "lapsed"  // its lease ran out
-	Broken       End = "broken"  // another member of its gang ended
+	GangBroken   End = "broken"  // another member of its gang ended
 	Alone        End = "alone"   // the rest of its gang did not come in time
 )
 
