--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -195,12 +195,12 @@
 
 // The ways a run ends.
 const (
-	Done         End = "done"
-	Faulted      End = "failed"  // through its own fault or the worker's
-	Stopped      End = "stopped" // by an order
-	LeaseExpired End = "lapsed"  // its lease ran out
-	GangBroken   End = "broken"  // another member of its gang ended
-	Alone        End = "alone"   // the rest of its gang did not come in time
+	Done           End = "done"
+	Faulted        End = "failed"  // through its own fault or the worker's
+	Stopped        End = "stopped" // by an order
+	LeaseExpired   End = "lapsed"  // its lease ran out
+	GangBroken     End = "broken"  // another member of its gang ended
+	GangIncomplete End = "alone"   // the rest of its gang did not come in time
 )
 
 // VMState is where a VM stands in the platform's list.
