--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -169,14 +169,14 @@
 func (l *load) count(s *step, n int64) {
 	held := s.reserved().Times(n)
 	l.reserved = l.reserved.Plus(held)
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		l.forLong = l.forLong.Plus(held)
 		l.lasting += int(n)
 	}
 	if s.spec.Serving() {
 		l.serving += int(n)
 	}
-	if s.spec.Fill {
+	if s.spec.BestEffort {
 		l.filling += int(n)
 	}
 }
