--- a/policy/admission/costs.go
+++ b/policy/admission/costs.go
@@ -22,6 +22,7 @@
 	total   float64
 }
 
+// callerCost holds the slot time of one tracked caller.
 type callerCost struct {
 	used     float64 // upper bound of its slot time, in seconds
 	maxError float64 // how much of used may belong to other callers
@@ -32,10 +33,10 @@
 // NewCosts returns an empty Costs.
 func NewCosts() *Costs { return &Costs{callers: make(map[string]*callerCost, trackedCallers)} }
 
-// halvingInterval is the slot time, in seconds, after which all counts are halved:
-// otherwise the callers of last week would stay tracked for ever. 1,000 slot
-// seconds are about two minutes of one entry VM's share of a busy service.
-const halvingInterval = 1000.0
+// maxTotalUse is the total slot time, in seconds, above which all counts are
+// halved: otherwise the callers of last week would stay tracked for ever. 1,000
+// slot seconds are about two minutes of one entry VM's share of a busy service.
+const maxTotalUse = 1000.0
 
 // Observe adds the slot time of one request of the caller. typical is the
 // service's mean.
@@ -50,7 +51,7 @@
 	cc.used += seconds
 	cc.mean += max(meanGain*2, 1/float64(cc.n+1)) * (seconds - cc.mean)
 	c.total += seconds
-	if c.total > halvingInterval {
+	if c.total > maxTotalUse {
 		c.halve()
 	}
 }
--- a/policy/overload/governor.go
+++ b/policy/overload/governor.go
@@ -19,8 +19,8 @@
 	decreaseFactor = 0.8
 	// maxLevel leaves each worker two polls a second, and a few starts under way at a time.
 	maxLevel = 16.0
-	// maxPollInterval bounds the time between two polls of a worker. Together with the time
-	// that an answer may take, it extends a worker's lease of several seconds in time.
+	// maxPollInterval bounds the time between two polls of a worker. A worker's lease of several
+	// seconds is then still extended in time, even after the time that an answer may take.
 	maxPollInterval = 500 * time.Millisecond
 	// MaxStarts is how many starts may be unanswered at level 1. Each takes half a millisecond
 	// of processor time, which makes a queue of a tenth of a second; where answers come within
@@ -33,17 +33,17 @@
 // Governor sheds the load of an overloaded owner: it tells which part of the usual polls and
 // starts remains, by multiplicative decrease and increase. The zero value sheds nothing.
 type Governor struct {
-	level float64 // 1 or less: nothing is shed
-	at    time.Duration
+	level      float64 // 1 or less: nothing is shed
+	adjustedAt time.Duration
 }
 
 // Adjust follows the minimum scheduling delay. It may be called at any rate and changes the
 // level at most once in adjustInterval.
 func (g *Governor) Adjust(minDelay, now time.Duration) {
-	if now < g.at+adjustInterval {
+	if now < g.adjustedAt+adjustInterval {
 		return
 	}
-	g.at = now
+	g.adjustedAt = now
 	switch {
 	case minDelay > highDelay:
 		g.level = min(maxLevel, max(1, g.level)*increaseFactor)
--- a/policy/overload/handover.go
+++ b/policy/overload/handover.go
@@ -41,25 +41,25 @@
 // DueWhenIdle reports whether an owner with nothing to do is to hand its duty to a VM with more
 // capacity. Otherwise a small VM that was the first to start owns a large service until it fails
 // under the load. held is how long this VM has had the duty.
-func (r *Handover) DueWhenIdle(next func() Successor, held, now time.Duration) bool {
-	if held < idleCheckInterval || now < r.checkedAt+idleCheckInterval {
+func (h *Handover) DueWhenIdle(next func() Successor, held, now time.Duration) bool {
+	if held < idleCheckInterval || now < h.checkedAt+idleCheckInterval {
 		return false
 	}
-	r.checkedAt = now
+	h.checkedAt = now
 	return next() == LargerSuccessor
 }
 
 // Due reports whether an owner at this overload level is to hand its duty over. next is called
 // only if the answer depends on it; held is how long this VM has had the duty.
-func (r *Handover) Due(level float64, next func() Successor, held, now time.Duration) bool {
+func (h *Handover) Due(level float64, next func() Successor, held, now time.Duration) bool {
 	if level < overloadedLevel {
-		r.overloaded = false
+		h.overloaded = false
 		return false
 	}
-	if !r.overloaded {
-		r.overloaded, r.overloadedSince = true, now
+	if !h.overloaded {
+		h.overloaded, h.overloadedSince = true, now
 	}
-	if now < r.overloadedSince+overloadedFor {
+	if now < h.overloadedSince+overloadedFor {
 		return false
 	}
 	switch next() {
--- a/policy/overload/meter.go
+++ b/policy/overload/meter.go
@@ -20,7 +20,7 @@
 	// ProbeInterval is the time between two probes. A queue of a tenth of a second is seen by
 	// four of them.
 	ProbeInterval = 25 * time.Millisecond
-	// maxDelayWindow is how long a probe counts for timeouts: calls last a second.
+	// maxDelayWindow is how long a probe counts for timeouts: calls take up to a second.
 	maxDelayWindow = 1 * time.Second
 	// minDelayWindow is the time over which the minimum delay is taken. Pauses of the garbage
 	// collector are shorter, and so is what remains of a tenth of a second in which the VM has
@@ -40,7 +40,7 @@
 // It is not safe for concurrent use.
 type Meter struct {
 	probes  [probeCount]probe
-	next    int
+	next    int           // index in probes of the next one to record
 	begunAt time.Duration // when the pending probe was made; 0: none is pending
 }
 
--- a/policy/overload/overload_test.go
+++ b/policy/overload/overload_test.go
@@ -117,24 +117,24 @@
 		{"taken by a small VM while a larger one is free", overloadedLevel, LargerSuccessor, minHeldForLarger, long, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var r Handover
+			var h Handover
 			next := func() Successor { return c.next }
 			now := time.Minute
-			assert.Assert(t, !r.Due(c.level, next, c.held, now))
-			assert.Equal(t, r.Due(c.level, next, c.held, now+c.overloadTime), c.due)
+			assert.Assert(t, !h.Due(c.level, next, c.held, now))
+			assert.Equal(t, h.Due(c.level, next, c.held, now+c.overloadTime), c.due)
 		})
 	}
 }
 
 // Two periods of overload with a normal one between them don't add up to a long one.
 func TestANormalLevelRestartsTheOverloadPeriod(t *testing.T) {
-	var r Handover
+	var h Handover
 	next := func() Successor { return EqualSuccessor }
 	now := time.Minute
-	assert.Assert(t, !r.Due(overloadedLevel, next, time.Hour, now))
-	assert.Assert(t, !r.Due(1, next, time.Hour, now+overloadedFor/2))
-	assert.Assert(t, !r.Due(overloadedLevel, next, time.Hour, now+overloadedFor))
-	assert.Assert(t, r.Due(overloadedLevel, next, time.Hour, now+2*overloadedFor))
+	assert.Assert(t, !h.Due(overloadedLevel, next, time.Hour, now))
+	assert.Assert(t, !h.Due(1, next, time.Hour, now+overloadedFor/2))
+	assert.Assert(t, !h.Due(overloadedLevel, next, time.Hour, now+overloadedFor))
+	assert.Assert(t, h.Due(overloadedLevel, next, time.Hour, now+2*overloadedFor))
 }
 
 // A small VM that was the first to start would still own a service of a thousand workers when a
@@ -142,10 +142,10 @@
 func TestAnIdleOwnerHandsOverToALargerVM(t *testing.T) {
 	larger := func() Successor { return LargerSuccessor }
 	equal := func() Successor { return EqualSuccessor }
-	var r Handover
+	var h Handover
 	now := time.Minute
-	assert.Equal(t, r.DueWhenIdle(larger, idleCheckInterval-1, now), false, "just taken")
-	assert.Equal(t, r.DueWhenIdle(equal, time.Hour, now), false)
-	assert.Equal(t, r.DueWhenIdle(larger, time.Hour, now+idleCheckInterval-1), false, "checked a moment ago")
-	assert.Equal(t, r.DueWhenIdle(larger, time.Hour, now+idleCheckInterval), true)
+	assert.Equal(t, h.DueWhenIdle(larger, idleCheckInterval-1, now), false, "just taken")
+	assert.Equal(t, h.DueWhenIdle(equal, time.Hour, now), false)
+	assert.Equal(t, h.DueWhenIdle(larger, time.Hour, now+idleCheckInterval-1), false, "checked a moment ago")
+	assert.Equal(t, h.DueWhenIdle(larger, time.Hour, now+idleCheckInterval), true)
 }
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -102,6 +102,7 @@
 // larger than the ratio of any team with a guarantee.
 const noGuaranteeRatio = 1e6
 
+// ratio returns used relative to guaranteed; 0 where nothing is used.
 func ratio(used, guaranteed int64) float64 {
 	switch {
 	case used <= 0:
--- a/policy/workspace/tokenbucket.go
+++ b/policy/workspace/tokenbucket.go
@@ -21,19 +21,19 @@
 
 // Take counts a job that comes now and reports whether it is within the weight, in jobs a second.
 // With a weight of 0 or less every job is.
-func (a *TokenBucket) Take(weight int, now time.Duration) bool {
+func (b *TokenBucket) Take(weight int, now time.Duration) bool {
 	if weight <= 0 {
 		return true
 	}
 	capacity := max(1, float64(weight)*burstDuration.Seconds())
-	if !a.filled {
-		a.tokens, a.filled = capacity, true
+	if !b.filled {
+		b.tokens, b.filled = capacity, true
 	}
-	a.tokens = min(capacity, a.tokens+float64(weight)*max(0, now-a.updatedAt).Seconds())
-	a.updatedAt = max(a.updatedAt, now)
-	if a.tokens < 1 {
+	b.tokens = min(capacity, b.tokens+float64(weight)*max(0, now-b.updatedAt).Seconds())
+	b.updatedAt = max(b.updatedAt, now)
+	if b.tokens < 1 {
 		return false
 	}
-	a.tokens--
+	b.tokens--
 	return true
 }
--- a/policy/workspace/tokenbucket_test.go
+++ b/policy/workspace/tokenbucket_test.go
@@ -9,16 +9,16 @@
 
 // countWithin returns how many of the jobs are within the weight if the first comes at from and
 // each further one a pause later.
-func countWithin(a *TokenBucket, weight, jobs int, from, pause time.Duration) (n int) {
+func countWithin(b *TokenBucket, weight, jobs int, from, pause time.Duration) (n int) {
 	for i := range jobs {
-		if a.Take(weight, from+time.Duration(i)*pause) {
+		if b.Take(weight, from+time.Duration(i)*pause) {
 			n++
 		}
 	}
 	return n
 }
 
-func TestJobsBeyondTheWeightAreTold(t *testing.T) {
+func TestJobsBeyondTheWeightAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		weight, jobs     int
@@ -39,8 +39,8 @@
 }
 
 // A workspace that was idle for an hour may submit one second's jobs at once, not an hour's.
-func TestAnIdleWorkspaceSavesNothingUp(t *testing.T) {
-	var a TokenBucket
-	assert.Assert(t, a.Take(10, 0))
-	assert.Equal(t, countWithin(&a, 10, 100, time.Hour, 0), 10)
+func TestAnIdleWorkspaceAccumulatesOneSecondOfTokens(t *testing.T) {
+	var b TokenBucket
+	assert.Assert(t, b.Take(10, 0))
+	assert.Equal(t, countWithin(&b, 10, 100, time.Hour, 0), 10)
 }
