--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -215,7 +215,7 @@
 }
 
 func (o *operator) takeConfig(kv infra.KV) {
-	c, err := platform.ConfigOf(kv.Value)
+	c, err := platform.DecodeConfig(kv.Value)
 	if err != nil {
 		o.log.Error(err, "configuration is malformed; the last one stays in force", "revision", int64(kv.ModRevision))
 		return
