--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -198,7 +198,7 @@
 		o.takeConfig(kv)
 		return
 	}
-	w, is, err := platform.WaveOf(kv)
+	w, is, err := platform.DecodeWave(kv)
 	if err != nil {
 		o.log.Error(err, "wave is malformed", "key", kv.Key)
 		return
