--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -155,7 +155,7 @@
 // readLocked reads a registration; false where it names no worker. One that was readable
 // before names the worker that is known, which takes nothing new.
 func (r *registry) readLocked(kv infra.KV) (engine.WorkerInfo, bool) {
-	info, err := platform.WorkerOf(kv)
+	info, err := platform.DecodeWorker(kv)
 	last, known := r.workers[kv.Key]
 	if err == nil && known && last.Life != 0 && info.Life == 0 {
 		err = errNoLife
