--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -192,7 +192,7 @@
 		gate.Most = n.settings.RevokeWithin
 	}
 	ingress := &platform.Ingress{
-		Jobs: n.front, Authenticator: gate, Config: n.operator.current, Wall: n.clock.Wall, Log: n.log.WithName("callers"), Done: n.metrics.request,
+		Jobs: n.front, Authenticator: gate, Config: n.operator.current, Wall: n.clock.Wall, Log: n.log.WithName("callers"), Observe: n.metrics.request,
 	}
 	return &http.Server{Handler: ingress.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
