--- a/internal/jobs/displace.go
+++ b/internal/jobs/displace.go
@@ -9,7 +9,7 @@
 
 // displace stops the tasks that give way. Their jobs go back to waiting once
 // the platform says that the tasks have ended, and the room is planned anew.
-func (p *pass) displace(ctx context.Context, all []placement.Displacement) error {
+func (p *pass) displace(ctx context.Context, all []placement.Preemption) error {
 	errs := make([]error, len(all))
 	p.sideBySide(len(all), func(i int) {
 		r, ok := p.mirror.find(all[i].Task)
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -89,9 +89,9 @@
 	Size model.Resources
 }
 
-// Displacement stops a task to make room. The job it makes room for is placed
+// Preemption stops a task to make room. The job it makes room for is placed
 // by a later plan, once the worker has said that the room is there.
-type Displacement struct {
+type Preemption struct {
 	Task model.JobID
 	For  model.JobID
 	VM   model.VMID
@@ -127,6 +127,6 @@
 // Placements or in Refused.
 type Plan struct {
 	Placements    []Placement
-	Displacements []Displacement
+	Displacements []Preemption
 	Refused       []Refusal
 }
