--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -113,7 +113,7 @@
 // schedule plans and starts.
 func (p *pass) schedule(ctx context.Context) error {
 	plan := placement.Make(p.snapshot())
-	if err := p.displace(ctx, plan.Displacements); err != nil {
+	if err := p.displace(ctx, plan.Preemptions); err != nil {
 		return err
 	}
 	started := p.start(ctx, plan.Placements)
--- a/policy/placement/bench_test.go
+++ b/policy/placement/bench_test.go
@@ -145,7 +145,7 @@
 			s.Waiting = c.waiting
 			for b.Loop() {
 				plan := Make(s)
-				if len(plan.Displacements) == 0 {
+				if len(plan.Preemptions) == 0 {
 					b.Fatal("the urgent job displaced nothing")
 				}
 			}
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -126,7 +126,7 @@
 // Plan is what should be done about a snapshot. Each waiting job is in
 // Placements or in Refused.
 type Plan struct {
-	Placements    []Placement
-	Displacements []Preemption
-	Refused       []Refusal
+	Placements  []Placement
+	Preemptions []Preemption
+	Refused     []Refusal
 }
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -158,7 +158,7 @@
 			}
 			plan := Make(Snapshot{Workers: []Worker{w}, Waiting: []Request{tc.request}, Running: tc.running, Teams: tc.teams})
 			var got []model.JobID
-			for _, d := range plan.Displacements {
+			for _, d := range plan.Preemptions {
 				got = append(got, d.Task)
 			}
 			assert.DeepEqual(t, got, tc.want)
@@ -260,7 +260,7 @@
 		for _, r := range s.Running {
 			jobs[r.Job.ID] = r.Job
 		}
-		for _, d := range plan.Displacements {
+		for _, d := range plan.Preemptions {
 			assert.Assert(t, jobs[d.Task].Repeatable, "work that is not repeatable is never stopped")
 			assert.Assert(t, jobs[d.Task].Class != model.ClassUrgent)
 		}
