--- a/policy/placement/displace.go
+++ b/policy/placement/displace.go
@@ -165,7 +165,7 @@
 	i := slices.IndexFunc(p.tasks[t.VM], func(o Task) bool { return o.Job.ID == t.Job.ID })
 	p.tasks[t.VM] = slices.Delete(slices.Clone(p.tasks[t.VM]), i, i+1)
 	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{
-		Task: t.Job.ID, For: r.Job.ID, VM: t.VM, Keep: t.Job.Checkpoints,
+		Task: t.Job.ID, For: r.Job.ID, VM: t.VM, Checkpoint: t.Job.Checkpoints,
 	})
 }
 
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -92,10 +92,10 @@
 // Preemption stops a task to make room. The job it makes room for is placed
 // by a later plan, once the worker has said that the room is there.
 type Preemption struct {
-	Task model.JobID
-	For  model.JobID
-	VM   model.VMID
-	Keep bool // stop at a checkpoint
+	Task       model.JobID
+	For        model.JobID
+	VM         model.VMID
+	Checkpoint bool // stop at a checkpoint
 }
 
 // Constraint is what keeps a job from running.
