--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -129,7 +129,7 @@
 			s.Waiting = append(s.Waiting, placement.Request{Job: &r.Job, Size: p.sizeOf(r), Last: r.VM, Avoid: r.FailedOn})
 		case r.State.holds():
 			leaving := r.CancelBy != "" || r.State == Starting
-			s.Running = append(s.Running, placement.Task{Job: &r.Job, VM: r.VM, Size: r.Size, Since: r.Since, Leaving: leaving})
+			s.Running = append(s.Running, placement.Task{Job: &r.Job, VM: r.VM, Size: r.Size, Since: r.Since, Stopping: leaving})
 		}
 	}
 	return s
--- a/policy/placement/displace.go
+++ b/policy/placement/displace.go
@@ -91,7 +91,7 @@
 func (p *planner) victims(r *Request, w *Worker) ([]Task, float64) {
 	var may []Task
 	for _, t := range p.tasks[w.ID] {
-		if !t.Leaving && p.yields(r, &t) {
+		if !t.Stopping && p.yields(r, &t) {
 			may = append(may, t)
 		}
 	}
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -43,11 +43,11 @@
 
 // Task is a job that holds capacity of a worker.
 type Task struct {
-	Job     *model.Job
-	VM      model.VMID
-	Size    model.Resources
-	Since   time.Time
-	Leaving bool // it is being stopped already
+	Job      *model.Job
+	VM       model.VMID
+	Size     model.Resources
+	Since    time.Time
+	Stopping bool // it is being stopped already
 }
 
 // Weights steer the score. Each is compared with the others only.
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -146,7 +146,7 @@
 		{"urgent stops no normal work", urgent, []Task{running("n", "1", 1, 8000, asIs)}, nil, nil},
 		{"nothing stops what is not repeatable", urgent, []Task{running("d", "1", 0, 8000, final)}, nil, nil},
 		{"what keeps its progress goes first", urgent, []Task{running("a", "1", 0, 4000, func(j *model.Job) { j.Checkpoints = false }), running("b", "1", 0, 4000, asIs)}, nil, []model.JobID{"b"}},
-		{"what is stopping already is not counted twice", urgent, []Task{func() Task { r := running("d", "1", 0, 8000, asIs); r.Leaving = true; return r }()}, nil, nil},
+		{"what is stopping already is not counted twice", urgent, []Task{func() Task { r := running("d", "1", 0, 8000, asIs); r.Stopping = true; return r }()}, nil, nil},
 		{"a team gets its share back", ofB, []Task{running("x", "1", 1, 4000, asIs), running("y", "1", 1, 4000, asIs)}, teams, []model.JobID{"x"}},
 		{"but not from work inside its own share", ofB, []Task{running("x", "1", 1, 4000, asIs), running("y", "1", 1, 4000, final)}, teams, []model.JobID{"x"}},
 		{"a borrower stops nobody", with(ofB, func(r *Request) { r.Size.MilliCPU = 5000 }), []Task{running("x", "1", 1, 8000, asIs)}, teams, nil},
