--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -27,8 +27,8 @@
 	// Probe: the worker was quarantined and gets one repeatable job to show
 	// whether it works again.
 	Probe bool
-	// Soon: the worker is about to be maintained.
-	Soon bool
+	// MaintenanceSoon: the worker is about to be maintained.
+	MaintenanceSoon bool
 }
 
 func (w *Worker) free() model.Resources { return w.Capacity.Sub(w.Used) }
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -64,7 +64,7 @@
 		{name: "equals by ID", workers: even, request: job, want: "1"},
 		{name: "the fuller one, so that room is held together", request: job, want: "2",
 			workers: changed(1, func(w *Worker) { w.Used = model.Resources{MilliCPU: 4000, MemoryMB: 4000} })},
-		{name: "not one about to be maintained", workers: changed(0, func(w *Worker) { w.Soon = true }), request: job, want: "2"},
+		{name: "not one about to be maintained", workers: changed(0, func(w *Worker) { w.MaintenanceSoon = true }), request: job, want: "2"},
 		{name: "not a closed one", workers: changed(0, func(w *Worker) { w.Closed = "leaving" }), request: job, want: "2"},
 		{name: "not one it failed on", workers: even, request: with(job, func(r *Request) { r.Avoid = []model.VMID{"1"} }), want: "2"},
 		{name: "back to where it ran", workers: even, request: with(job, func(r *Request) { r.Last = "2" }), want: "2"},
--- a/policy/placement/score.go
+++ b/policy/placement/score.go
@@ -54,7 +54,7 @@
 
 func (p *planner) score(r *Request, w *Worker) float64 {
 	score := p.weights.Pack * fullness(w, r.Size)
-	if w.Soon {
+	if w.MaintenanceSoon {
 		score -= p.weights.Soon * soonPenalty(r.Job)
 	}
 	if w.Probe {
