--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -57,8 +57,8 @@
 	Pack float64
 	// Spread keeps tasks of a kind that asks for it in different racks and zones.
 	Spread float64
-	// Soon avoids workers about to be maintained.
-	Soon float64
+	// AvoidMaintenance avoids workers about to be maintained.
+	AvoidMaintenance float64
 	// Stay prefers the worker that a stopped job ran on.
 	Stay float64
 }
@@ -70,7 +70,7 @@
 	if d == (model.Weights{}) {
 		d = model.Weights{RollOutTime: 1, BufferCost: 1, Moves: 1}
 	}
-	return Weights{Pack: d.BufferCost, Spread: 2, Soon: d.RollOutTime, Stay: d.Moves}
+	return Weights{Pack: d.BufferCost, Spread: 2, AvoidMaintenance: d.RollOutTime, Stay: d.Moves}
 }
 
 // Snapshot is all that Plan looks at.
--- a/policy/placement/score.go
+++ b/policy/placement/score.go
@@ -55,7 +55,7 @@
 func (p *planner) score(r *Request, w *Worker) float64 {
 	score := p.weights.Pack * fullness(w, r.Size)
 	if w.MaintenanceSoon {
-		score -= p.weights.Soon * soonPenalty(r.Job)
+		score -= p.weights.AvoidMaintenance * soonPenalty(r.Job)
 	}
 	if w.Probe {
 		score += probeBonus
