--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -59,8 +59,8 @@
 	Spread float64
 	// AvoidMaintenance avoids workers about to be maintained.
 	AvoidMaintenance float64
-	// Stay prefers the worker that a stopped job ran on.
-	Stay float64
+	// SameWorker prefers the worker that a stopped job ran on.
+	SameWorker float64
 }
 
 // WeightsOf derives the weights from what a deployment values: buffer cost
@@ -70,7 +70,7 @@
 	if d == (model.Weights{}) {
 		d = model.Weights{RollOutTime: 1, BufferCost: 1, Moves: 1}
 	}
-	return Weights{Pack: d.BufferCost, Spread: 2, AvoidMaintenance: d.RollOutTime, Stay: d.Moves}
+	return Weights{Pack: d.BufferCost, Spread: 2, AvoidMaintenance: d.RollOutTime, SameWorker: d.Moves}
 }
 
 // Snapshot is all that Plan looks at.
--- a/policy/placement/score.go
+++ b/policy/placement/score.go
@@ -61,7 +61,7 @@
 		score += probeBonus
 	}
 	if w.ID == r.Last {
-		score += p.weights.Stay
+		score += p.weights.SameWorker
 	}
 	if r.Job.SpreadByRack {
 		score -= p.weights.Spread * p.spread.crowd(r.Job, w)
