--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -69,7 +69,7 @@
 			out.Detail += fmt.Sprintf("; %s: %s", out.Nearest, p.workers[i].Closed)
 		}
 	default:
-		out.Never, out.Binds = false, BindsRoom
+		out.Never, out.Binds = false, BindsFreeCapacity
 		p.nearestFree(r, &out)
 		out.Detail = fmt.Sprintf("waits for room on one of %d workers; %s comes closest", opened, out.Nearest)
 	}
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -111,7 +111,7 @@
 	BindsQuota        Constraint = "quota"
 	BindsFailures     Constraint = "failures"
 	BindsClosed       Constraint = "workers closed"
-	BindsRoom         Constraint = "room"
+	BindsFreeCapacity Constraint = "room"
 )
 
 // Refusal says why a job is not placed.
