--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -126,7 +126,7 @@
 	for _, r := range p.records {
 		switch {
 		case r.State == Waiting || r.State == Unplaceable:
-			s.Waiting = append(s.Waiting, placement.Request{Job: &r.Job, Size: p.sizeOf(r), Last: r.VM, Avoid: r.FailedOn})
+			s.Waiting = append(s.Waiting, placement.Request{Job: &r.Job, Size: p.sizeOf(r), LastVM: r.VM, Avoid: r.FailedOn})
 		case r.State.holds():
 			leaving := r.CancelBy != "" || r.State == Starting
 			s.Running = append(s.Running, placement.Task{Job: &r.Job, VM: r.VM, Size: r.Size, Since: r.Since, Stopping: leaving})
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -35,10 +35,10 @@
 
 // Request is a waiting job.
 type Request struct {
-	Job   *model.Job
-	Size  model.Resources // what the worker sets aside; from package sizing
-	Last  model.VMID      // where it ran before, if it did
-	Avoid []model.VMID    // workers it failed on
+	Job    *model.Job
+	Size   model.Resources // what the worker sets aside; from package sizing
+	LastVM model.VMID      // where it ran before, if it did
+	Avoid  []model.VMID    // workers it failed on
 }
 
 // Task is a job that holds capacity of a worker.
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -67,7 +67,7 @@
 		{name: "not one about to be maintained", workers: changed(0, func(w *Worker) { w.MaintenanceSoon = true }), request: job, want: "2"},
 		{name: "not a closed one", workers: changed(0, func(w *Worker) { w.Closed = "leaving" }), request: job, want: "2"},
 		{name: "not one it failed on", workers: even, request: with(job, func(r *Request) { r.Avoid = []model.VMID{"1"} }), want: "2"},
-		{name: "back to where it ran", workers: even, request: with(job, func(r *Request) { r.Last = "2" }), want: "2"},
+		{name: "back to where it ran", workers: even, request: with(job, func(r *Request) { r.LastVM = "2" }), want: "2"},
 		{name: "accelerators kept for those that need them", request: job, want: "2",
 			workers: changed(0, func(w *Worker) { w.Capacity.Accelerators = 4 })},
 		{name: "away from its kind's rack where declared", workers: even, want: "2",
--- a/policy/placement/score.go
+++ b/policy/placement/score.go
@@ -45,7 +45,7 @@
 			best, top = w, score
 		}
 	}
-	if i, ok := p.byID[r.Last]; ok && feasible(r, &p.workers[i]) {
+	if i, ok := p.byID[r.LastVM]; ok && feasible(r, &p.workers[i]) {
 		look(&p.workers[i])
 	}
 	p.index.each(r, r.Job.SpreadByRack, look)
@@ -60,7 +60,7 @@
 	if w.Probe {
 		score += probeBonus
 	}
-	if w.ID == r.Last {
+	if w.ID == r.LastVM {
 		score += p.weights.SameWorker
 	}
 	if r.Job.SpreadByRack {
