--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -7,28 +7,28 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// may reports whether the worker is one the job may ever run on, room aside.
-func may(r *Request, w *Worker) bool {
+// matchesConstraints reports whether the worker is one the job matchesConstraints ever run on, room aside.
+func matchesConstraints(r *Request, w *Worker) bool {
 	return (r.Job.Pool == "" || r.Job.Pool == w.Pool) && (r.Job.Zone == "" || r.Job.Zone == w.Zone)
 }
 
-// open reports whether the worker takes the job now, room aside.
-func open(r *Request, w *Worker) bool {
-	return w.Closed == "" && (!w.Probe || probes(r.Job)) && !slices.Contains(r.Avoid, w.ID)
+// accepts reports whether the worker takes the job now, room aside.
+func accepts(r *Request, w *Worker) bool {
+	return w.Closed == "" && (!w.Probe || canProbe(r.Job)) && !slices.Contains(r.Avoid, w.ID)
 }
 
-// probes reports whether a job may show if a quarantined worker works again: a
+// canProbe reports whether a job may show if a quarantined worker works again: a
 // failure must cost neither a run that can't be had twice nor an urgent start.
-func probes(j *model.Job) bool { return j.Repeatable && j.Class != model.ClassUrgent }
+func canProbe(j *model.Job) bool { return j.Repeatable && j.Class != model.ClassUrgent }
 
 func feasible(r *Request, w *Worker) bool {
-	return may(r, w) && open(r, w) && r.Size.Fits(w.free())
+	return matchesConstraints(r, w) && accepts(r, w) && r.Size.Fits(w.free())
 }
 
 // explain says what binds a job that no worker takes now: a constraint that
 // no worker of the fleet could ever meet, or what it waits for.
 func (p *planner) explain(r *Request) Refusal {
-	var inPool, inZone, large, fresh, opened int
+	var inPool, inZone, largeEnough, notAvoided, accepting int
 	for i := range p.workers {
 		w := &p.workers[i]
 		if r.Job.Pool != "" && w.Pool != r.Job.Pool {
@@ -42,13 +42,13 @@
 		if !r.Size.Fits(w.Capacity) {
 			continue
 		}
-		large++
+		largeEnough++
 		if slices.Contains(r.Avoid, w.ID) {
 			continue
 		}
-		fresh++
-		if open(r, w) {
-			opened++
+		notAvoided++
+		if accepts(r, w) {
+			accepting++
 		}
 	}
 	out := Refusal{Job: r.Job.ID, Never: true}
@@ -57,61 +57,61 @@
 		out.Binds, out.Detail = BindsPool, fmt.Sprintf("no worker is in pool %s", r.Job.Pool)
 	case inZone == 0:
 		out.Binds, out.Detail = BindsZone, fmt.Sprintf("no worker of pool %q is in zone %s", r.Job.Pool, r.Job.Zone)
-	case large == 0:
-		p.tooLarge(r, &out)
-	case fresh == 0:
+	case largeEnough == 0:
+		p.explainTooLarge(r, &out)
+	case notAvoided == 0:
 		out.Binds, out.Detail = BindsFailures, "it failed on every worker that is large enough"
-	case opened == 0:
+	case accepting == 0:
 		out.Never, out.Binds = false, BindsClosed
 		p.nearestFree(r, &out)
-		out.Detail = fmt.Sprintf("waits for one of %d workers to take tasks again", fresh)
+		out.Detail = fmt.Sprintf("waits for one of %d workers to take tasks again", notAvoided)
 		if i, ok := p.byID[out.Nearest]; ok {
 			out.Detail += fmt.Sprintf("; %s: %s", out.Nearest, p.workers[i].Closed)
 		}
 	default:
 		out.Never, out.Binds = false, BindsFreeCapacity
 		p.nearestFree(r, &out)
-		out.Detail = fmt.Sprintf("waits for room on one of %d workers; %s comes closest", opened, out.Nearest)
+		out.Detail = fmt.Sprintf("waits for room on one of %d workers; %s comes closest", accepting, out.Nearest)
 	}
 	return out
 }
 
-// tooLarge finds the worker that meets the largest part of the size.
-func (p *planner) tooLarge(r *Request, out *Refusal) {
+// explainTooLarge finds the worker that meets the largest part of the size.
+func (p *planner) explainTooLarge(r *Request, out *Refusal) {
 	var best *Worker
-	least := 0.0
+	minLack := 0.0
 	for i := range p.workers {
 		w := &p.workers[i]
-		if !may(r, w) {
+		if !matchesConstraints(r, w) {
 			continue
 		}
-		if lack, _ := lacking(r.Size, w.Capacity); best == nil || lack < least {
-			best, least = w, lack
+		if lack, _ := shortfall(r.Size, w.Capacity); best == nil || lack < minLack {
+			best, minLack = w, lack
 		}
 	}
-	_, out.Binds = lacking(r.Size, best.Capacity)
+	_, out.Binds = shortfall(r.Size, best.Capacity)
 	out.Nearest = best.ID
 	out.Detail = fmt.Sprintf("needs %s, the nearest worker %s has %s",
 		amount(r.Size, out.Binds), best.ID, amount(best.Capacity, out.Binds))
 }
 
 func (p *planner) nearestFree(r *Request, out *Refusal) {
-	least := -1.0
+	minLack := -1.0
 	for i := range p.workers {
 		w := &p.workers[i]
-		if !may(r, w) || !r.Size.Fits(w.Capacity) {
+		if !matchesConstraints(r, w) || !r.Size.Fits(w.Capacity) {
 			continue
 		}
-		if lack, _ := lacking(r.Size, w.free()); least < 0 || lack < least {
-			out.Nearest, least = w.ID, lack
+		if lack, _ := shortfall(r.Size, w.free()); minLack < 0 || lack < minLack {
+			out.Nearest, minLack = w.ID, lack
 		}
 	}
 }
 
 func (p *planner) overQuota(r *Request) Refusal {
-	share, _ := p.book.Guaranteed(r.Job.Team)
-	if p.book.Never(r.Job, r.Size) {
-		_, binds := lacking(r.Size, share)
+	share, _ := p.quotaBook.Guaranteed(r.Job.Team)
+	if p.quotaBook.Never(r.Job, r.Size) {
+		_, binds := shortfall(r.Size, share)
 		return Refusal{Job: r.Job.ID, Never: true, Binds: BindsQuota, Detail: fmt.Sprintf(
 			"needs %s, team %s is guaranteed %s, and work that is not repeatable can't borrow",
 			amount(r.Size, binds), r.Job.Team, amount(share, binds))}
@@ -120,21 +120,21 @@
 		"waits for team %s to use less of its guarantee; work that is not repeatable can't borrow", r.Job.Team)}
 }
 
-// lacking returns by how much, as a share of the size, have falls short in the
+// shortfall returns by how much, as a share of the size, have falls short in the
 // dimension that is shortest, and which that is. An accelerator that isn't
 // there can't be made up for and counts whole.
-func lacking(size, have model.Resources) (float64, Constraint) {
-	lack, binds := short(size.MilliCPU, have.MilliCPU), BindsCPU
-	if l := short(size.MemoryMB, have.MemoryMB); l > lack {
+func shortfall(size, have model.Resources) (float64, Constraint) {
+	lack, binds := shortfallRatio(size.MilliCPU, have.MilliCPU), BindsCPU
+	if l := shortfallRatio(size.MemoryMB, have.MemoryMB); l > lack {
 		lack, binds = l, BindsMemory
 	}
-	if l := short(size.Accelerators, have.Accelerators); l > lack {
+	if l := shortfallRatio(size.Accelerators, have.Accelerators); l > lack {
 		lack, binds = l, BindsAccelerators
 	}
 	return lack, binds
 }
 
-func short(need, have int64) float64 {
+func shortfallRatio(need, have int64) float64 {
 	if need <= have {
 		return 0
 	}
--- a/policy/placement/bench_test.go
+++ b/policy/placement/placement_bench_test.go
@@ -79,7 +79,7 @@
 	for i := range waiting {
 		for w := range workers {
 			if feasible(&waiting[i], &workers[w]) {
-				out = append(out, put(&workers[w], &waiting[i]))
+				out = append(out, assign(&workers[w], &waiting[i]))
 				break
 			}
 		}
@@ -92,10 +92,10 @@
 	workers = append([]Worker(nil), workers...)
 	var out []Placement
 	for i := range waiting {
-		for range candidates {
+		for range maxCandidates {
 			w := &workers[rng.IntN(len(workers))]
 			if feasible(&waiting[i], w) {
-				out = append(out, put(w, &waiting[i]))
+				out = append(out, assign(w, &waiting[i]))
 				break
 			}
 		}
@@ -103,7 +103,7 @@
 	return out
 }
 
-func put(w *Worker, r *Request) Placement {
+func assign(w *Worker, r *Request) Placement {
 	w.Used = w.Used.Add(r.Size)
 	return Placement{Job: r.Job.ID, VM: w.ID, Size: r.Size}
 }
@@ -187,7 +187,7 @@
 	for _, p := range placers {
 		b.Run(p.name, func(b *testing.B) {
 			for b.Loop() {
-				cpu, mem, large := playRounds(p.place, 360, 2000, 30)
+				cpu, mem, large := simulateRounds(p.place, 360, 2000, 30)
 				b.ReportMetric(100*cpu, "cpu%")
 				b.ReportMetric(100*mem, "mem%")
 				b.ReportMetric(100*large, "large%")
@@ -196,7 +196,7 @@
 	}
 }
 
-func playRounds(place placer, n, queueLen, rounds int) (cpu, mem, large float64) {
+func simulateRounds(place placer, n, queueLen, rounds int) (cpu, mem, large float64) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	workers := benchFleet(n)
 	var running []Placement
@@ -223,13 +223,13 @@
 				largePlaced++
 			}
 		}
-		var rest []Request
+		var remaining []Request
 		for _, r := range waiting {
 			if !placed[r.Job.ID] {
-				rest = append(rest, r)
+				remaining = append(remaining, r)
 			}
 		}
-		waiting = rest
+		waiting = remaining
 		if round >= rounds/3 {
 			var used, all model.Resources
 			for i := range workers {
@@ -239,16 +239,16 @@
 			mem += share(used.MemoryMB, all.MemoryMB)
 			samples++
 		}
-		var still []Placement
+		var stillRunning []Placement
 		for _, t := range running {
 			if rng.IntN(10) != 0 {
-				still = append(still, t)
+				stillRunning = append(stillRunning, t)
 				continue
 			}
 			w := &workers[indexOf(t.VM)]
 			w.Used = w.Used.Sub(t.Size)
 		}
-		running = still
+		running = stillRunning
 	}
 	return cpu / float64(samples), mem / float64(samples), float64(largePlaced) / float64(max(largeSeen, 1))
 }
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -33,7 +33,7 @@
 	return Request{Job: job, Size: job.Declared}
 }
 
-func with(r Request, change func(*Request)) Request {
+func withChange(r Request, change func(*Request)) Request {
 	change(&r)
 	return r
 }
@@ -44,12 +44,12 @@
 	return Task{Job: job, VM: model.VMID(vm), Size: model.Resources{MilliCPU: cpu, MemoryMB: 100}}
 }
 
-func asIs(*model.Job) {}
+func unchanged(*model.Job) {}
 
-func TestWhereAJobGoes(t *testing.T) {
-	even := []Worker{worker("1", 8000, 8000), worker("2", 8000, 8000)}
+func TestPlaceChoosesWorker(t *testing.T) {
+	equalWorkers := []Worker{worker("1", 8000, 8000), worker("2", 8000, 8000)}
 	changed := func(i int, change func(*Worker)) []Worker {
-		ws := append([]Worker(nil), even...)
+		ws := append([]Worker(nil), equalWorkers...)
 		change(&ws[i])
 		return ws
 	}
@@ -61,21 +61,21 @@
 		running []Task
 		want    model.VMID
 	}{
-		{name: "equals by ID", workers: even, request: job, want: "1"},
+		{name: "equals by ID", workers: equalWorkers, request: job, want: "1"},
 		{name: "the fuller one, so that room is held together", request: job, want: "2",
 			workers: changed(1, func(w *Worker) { w.Used = model.Resources{MilliCPU: 4000, MemoryMB: 4000} })},
 		{name: "not one about to be maintained", workers: changed(0, func(w *Worker) { w.MaintenanceSoon = true }), request: job, want: "2"},
 		{name: "not a closed one", workers: changed(0, func(w *Worker) { w.Closed = "leaving" }), request: job, want: "2"},
-		{name: "not one it failed on", workers: even, request: with(job, func(r *Request) { r.Avoid = []model.VMID{"1"} }), want: "2"},
-		{name: "back to where it ran", workers: even, request: with(job, func(r *Request) { r.LastVM = "2" }), want: "2"},
+		{name: "not one it failed on", workers: equalWorkers, request: withChange(job, func(r *Request) { r.Avoid = []model.VMID{"1"} }), want: "2"},
+		{name: "back to where it ran", workers: equalWorkers, request: withChange(job, func(r *Request) { r.LastVM = "2" }), want: "2"},
 		{name: "accelerators kept for those that need them", request: job, want: "2",
 			workers: changed(0, func(w *Worker) { w.Capacity.Accelerators = 4 })},
-		{name: "away from its kind's rack where declared", workers: even, want: "2",
-			request: with(job, func(r *Request) { r.Job = &model.Job{ID: "j", Team: "a", Kind: "k", SpreadByRack: true} }),
+		{name: "away from its kind's rack where declared", workers: equalWorkers, want: "2",
+			request: withChange(job, func(r *Request) { r.Job = &model.Job{ID: "j", Team: "a", Kind: "k", SpreadByRack: true} }),
 			running: []Task{running("o", "1", model.ClassNormal, 100, func(j *model.Job) { j.SpreadByRack = true })}},
 		{name: "a probe takes what may run again", workers: changed(1, func(w *Worker) { w.Probe = true }), request: job, want: "2"},
 		{name: "a probe takes nothing else", workers: changed(1, func(w *Worker) { w.Probe = true }), want: "1",
-			request: with(job, func(r *Request) { r.Job = &model.Job{ID: "j", Team: "a"} })},
+			request: withChange(job, func(r *Request) { r.Job = &model.Job{ID: "j", Team: "a"} })},
 		{name: "a probe takes nothing urgent", workers: changed(1, func(w *Worker) { w.Probe = true }), want: "1",
 			request: request("j", model.ClassUrgent, 1000, 1000)},
 	} {
@@ -87,13 +87,13 @@
 	}
 }
 
-func TestWhyAJobIsNotPlaced(t *testing.T) {
+func TestRefusalReason(t *testing.T) {
 	full := worker("1", 8000, 8000)
 	full.Used = full.Capacity
 	closed := worker("2", 8000, 8000)
 	closed.Closed = "down"
 	teams := []model.Team{{Name: "a", Guaranteed: model.Resources{MilliCPU: 2000, MemoryMB: 8000}}}
-	final := func(r *Request) { j := *r.Job; j.Repeatable = false; r.Job = &j }
+	nonRepeatable := func(r *Request) { j := *r.Job; j.Repeatable = false; r.Job = &j }
 	for _, tc := range []struct {
 		name    string
 		workers []Worker
@@ -110,12 +110,12 @@
 			request: request("j", 1, 5000, 9000), never: true, binds: BindsMemory, nearest: "1"},
 		{name: "no room now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), binds: BindsFreeCapacity, nearest: "1"},
 		{name: "closed now", workers: []Worker{closed}, request: request("j", 1, 1000, 1000), binds: BindsClosed, nearest: "2"},
-		{name: "failed everywhere", workers: []Worker{full}, request: with(request("j", 1, 1000, 1000), func(r *Request) { r.Avoid = []model.VMID{"1"} }),
+		{name: "failed everywhere", workers: []Worker{full}, request: withChange(request("j", 1, 1000, 1000), func(r *Request) { r.Avoid = []model.VMID{"1"} }),
 			never: true, binds: BindsFailures},
 		{name: "over the guarantee and can't be taken back", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
-			request: with(request("j", 1, 2000, 100), final), running: []Task{running("o", "1", 1, 1000, asIs)}, binds: BindsQuota},
+			request: withChange(request("j", 1, 2000, 100), nonRepeatable), running: []Task{running("o", "1", 1, 1000, unchanged)}, binds: BindsQuota},
 		{name: "larger than the guarantee and can't be taken back", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
-			request: with(request("j", 1, 3000, 100), final), never: true, binds: BindsQuota},
+			request: withChange(request("j", 1, 3000, 100), nonRepeatable), never: true, binds: BindsQuota},
 		{name: "no worker at all", request: request("j", 1, 1, 1), never: true, binds: BindsPool},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -130,11 +130,11 @@
 	}
 }
 
-func TestWhatGivesWay(t *testing.T) {
+func TestPreemptionVictims(t *testing.T) {
 	teams := []model.Team{{Name: "a", Guaranteed: model.Resources{MilliCPU: 4000, MemoryMB: 9000}}, {Name: "b", Guaranteed: model.Resources{MilliCPU: 4000, MemoryMB: 9000}}}
 	urgent := request("u", model.ClassUrgent, 4000, 100)
-	ofB := with(request("j", model.ClassNormal, 4000, 100), func(r *Request) { r.Job.Team = "b" })
-	final := func(j *model.Job) { j.Repeatable = false }
+	teamBRequest := withChange(request("j", model.ClassNormal, 4000, 100), func(r *Request) { r.Job.Team = "b" })
+	nonRepeatable := func(j *model.Job) { j.Repeatable = false }
 	for _, tc := range []struct {
 		name    string
 		request Request
@@ -142,14 +142,14 @@
 		teams   []model.Team
 		want    []model.JobID
 	}{
-		{"urgent stops deferrable", urgent, []Task{running("d", "1", 0, 8000, asIs)}, nil, []model.JobID{"d"}},
-		{"urgent stops no normal work", urgent, []Task{running("n", "1", 1, 8000, asIs)}, nil, nil},
-		{"nothing stops what is not repeatable", urgent, []Task{running("d", "1", 0, 8000, final)}, nil, nil},
-		{"what keeps its progress goes first", urgent, []Task{running("a", "1", 0, 4000, func(j *model.Job) { j.Checkpoints = false }), running("b", "1", 0, 4000, asIs)}, nil, []model.JobID{"b"}},
-		{"what is stopping already is not counted twice", urgent, []Task{func() Task { r := running("d", "1", 0, 8000, asIs); r.Stopping = true; return r }()}, nil, nil},
-		{"a team gets its share back", ofB, []Task{running("x", "1", 1, 4000, asIs), running("y", "1", 1, 4000, asIs)}, teams, []model.JobID{"x"}},
-		{"but not from work inside its own share", ofB, []Task{running("x", "1", 1, 4000, asIs), running("y", "1", 1, 4000, final)}, teams, []model.JobID{"x"}},
-		{"a borrower stops nobody", with(ofB, func(r *Request) { r.Size.MilliCPU = 5000 }), []Task{running("x", "1", 1, 8000, asIs)}, teams, nil},
+		{"urgent stops deferrable", urgent, []Task{running("d", "1", 0, 8000, unchanged)}, nil, []model.JobID{"d"}},
+		{"urgent stops no normal work", urgent, []Task{running("n", "1", 1, 8000, unchanged)}, nil, nil},
+		{"nothing stops what is not repeatable", urgent, []Task{running("d", "1", 0, 8000, nonRepeatable)}, nil, nil},
+		{"what keeps its progress goes first", urgent, []Task{running("a", "1", 0, 4000, func(j *model.Job) { j.Checkpoints = false }), running("b", "1", 0, 4000, unchanged)}, nil, []model.JobID{"b"}},
+		{"what is stopping already is not counted twice", urgent, []Task{func() Task { r := running("d", "1", 0, 8000, unchanged); r.Stopping = true; return r }()}, nil, nil},
+		{"a team gets its share back", teamBRequest, []Task{running("x", "1", 1, 4000, unchanged), running("y", "1", 1, 4000, unchanged)}, teams, []model.JobID{"x"}},
+		{"but not from work inside its own share", teamBRequest, []Task{running("x", "1", 1, 4000, unchanged), running("y", "1", 1, 4000, nonRepeatable)}, teams, []model.JobID{"x"}},
+		{"a borrower stops nobody", withChange(teamBRequest, func(r *Request) { r.Size.MilliCPU = 5000 }), []Task{running("x", "1", 1, 8000, unchanged)}, teams, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := worker("1", 8000, 8000)
@@ -168,8 +168,8 @@
 }
 
 func TestUrgentBeforeOldDeferrable(t *testing.T) {
-	old := with(request("old", model.ClassDeferrable, 8000, 100), func(r *Request) { r.Job.SubmittedAt = time.Unix(1, 0) })
-	fresh := with(request("new", model.ClassUrgent, 8000, 100), func(r *Request) { r.Job.SubmittedAt = time.Unix(9, 0) })
+	old := withChange(request("old", model.ClassDeferrable, 8000, 100), func(r *Request) { r.Job.SubmittedAt = time.Unix(1, 0) })
+	fresh := withChange(request("new", model.ClassUrgent, 8000, 100), func(r *Request) { r.Job.SubmittedAt = time.Unix(9, 0) })
 	plan := Make(Snapshot{Workers: []Worker{worker("1", 8000, 8000)}, Waiting: []Request{old, fresh}})
 	assert.Equal(t, plan.Placements[0].Job, model.JobID("new"))
 }
@@ -181,7 +181,7 @@
 		Workers: []Worker{worker("1", 2000, 2000), worker("2", 1000, 1000)},
 		Teams:   []model.Team{{Name: "a", Guaranteed: model.Resources{MilliCPU: 1000, MemoryMB: 1000}}, {Name: "b", Guaranteed: model.Resources{MilliCPU: 4000, MemoryMB: 4000}}},
 		Running: []Task{running("r", "2", 1, 1000, func(j *model.Job) { j.Team = "b" })},
-		Waiting: []Request{request("borrower", 1, 2000, 100), with(request("owner", 1, 2000, 100), func(r *Request) { r.Job.Team = "b" })},
+		Waiting: []Request{request("borrower", 1, 2000, 100), withChange(request("owner", 1, 2000, 100), func(r *Request) { r.Job.Team = "b" })},
 	}
 	s.Workers[1].Used = model.Resources{MilliCPU: 1000, MemoryMB: 100}
 	plan := Make(s)
@@ -189,7 +189,7 @@
 	assert.Equal(t, plan.Placements[0].Job, model.JobID("owner"))
 }
 
-func TestFloodOfOneTeamLeavesTheOthersTheirTurn(t *testing.T) {
+func TestFloodOfOneTeamDoesNotStarveOthers(t *testing.T) {
 	s := Snapshot{Teams: []model.Team{{Name: "a", Guaranteed: model.Resources{MilliCPU: 1, MemoryMB: 1}}, {Name: "b", Guaranteed: model.Resources{MilliCPU: 1, MemoryMB: 1}}}}
 	for i := range 10 {
 		s.Workers = append(s.Workers, worker(fmt.Sprint(i), 1000, 1000))
@@ -198,7 +198,7 @@
 		s.Waiting = append(s.Waiting, request(fmt.Sprintf("a%03d", i), 1, 1000, 1000))
 	}
 	for i := range 10 {
-		s.Waiting = append(s.Waiting, with(request(fmt.Sprintf("b%d", i), 1, 1000, 1000), func(r *Request) { r.Job.Team = "b"; r.Job.SubmittedAt = time.Unix(9, 0) }))
+		s.Waiting = append(s.Waiting, withChange(request(fmt.Sprintf("b%d", i), 1, 1000, 1000), func(r *Request) { r.Job.Team = "b"; r.Job.SubmittedAt = time.Unix(9, 0) }))
 	}
 	byTeam := make(map[byte]int)
 	for _, p := range Make(s).Placements {
@@ -207,11 +207,11 @@
 	assert.DeepEqual(t, byTeam, map[byte]int{'a': 5, 'b': 5})
 }
 
-// drawn is a random snapshot, not consistent with anything but itself.
-func drawn(t *rapid.T) Snapshot {
+// randomSnapshot is a random snapshot, not consistent with anything but itself.
+func randomSnapshot(t *rapid.T) Snapshot {
 	var s Snapshot
 	for i := range rapid.IntRange(0, 3).Draw(t, "teams") {
-		s.Teams = append(s.Teams, model.Team{Name: model.TeamName(fmt.Sprint(i)), Guaranteed: drawnSize(t, 12)})
+		s.Teams = append(s.Teams, model.Team{Name: model.TeamName(fmt.Sprint(i)), Guaranteed: randomSize(t, 12)})
 	}
 	for i := range rapid.IntRange(0, 8).Draw(t, "workers") {
 		w := worker(fmt.Sprint(i), 8, 8)
@@ -229,7 +229,7 @@
 			Kind: "k", Class: model.Class(rapid.IntRange(0, 2).Draw(t, "class")), Repeatable: rapid.Bool().Draw(t, "repeatable"),
 			Checkpoints: rapid.Bool().Draw(t, "checkpoints"), SpreadByRack: rapid.Bool().Draw(t, "spread"),
 		}
-		size := drawnSize(t, 5)
+		size := randomSize(t, 5)
 		if len(s.Workers) > 0 && rapid.Bool().Draw(t, "running") {
 			w := &s.Workers[rapid.IntRange(0, len(s.Workers)-1).Draw(t, "vm")]
 			if size.Fits(w.free()) {
@@ -244,13 +244,13 @@
 	return s
 }
 
-func drawnSize(t *rapid.T, most int64) model.Resources {
-	return model.Resources{MilliCPU: rapid.Int64Range(1, most).Draw(t, "cpu"), MemoryMB: rapid.Int64Range(1, most).Draw(t, "mem"), Accelerators: rapid.Int64Range(0, 1).Draw(t, "acc")}
+func randomSize(t *rapid.T, maxUnits int64) model.Resources {
+	return model.Resources{MilliCPU: rapid.Int64Range(1, maxUnits).Draw(t, "cpu"), MemoryMB: rapid.Int64Range(1, maxUnits).Draw(t, "mem"), Accelerators: rapid.Int64Range(0, 1).Draw(t, "acc")}
 }
 
-func TestPlansKeepTheirPromises(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawn(t)
+		s := randomSnapshot(t)
 		plan := Make(s)
 		assert.DeepEqual(t, plan, Make(s))
 		checkCapacity(t, s, plan)
@@ -292,21 +292,21 @@
 	for _, team := range s.Teams {
 		share[team.Name] = team.Guaranteed
 	}
-	firm, fresh := make(map[model.TeamName]model.Resources), make(map[model.TeamName]bool)
+	nonRepeatable, newlyPlaced := make(map[model.TeamName]model.Resources), make(map[model.TeamName]bool)
 	for _, r := range s.Running {
 		if !r.Job.Repeatable {
-			firm[r.Job.Team] = firm[r.Job.Team].Add(r.Size)
+			nonRepeatable[r.Job.Team] = nonRepeatable[r.Job.Team].Add(r.Size)
 		}
 	}
 	for _, w := range s.Waiting {
 		for _, p := range plan.Placements {
 			if p.Job == w.Job.ID && !w.Job.Repeatable {
-				firm[w.Job.Team] = firm[w.Job.Team].Add(p.Size)
-				fresh[w.Job.Team] = true
+				nonRepeatable[w.Job.Team] = nonRepeatable[w.Job.Team].Add(p.Size)
+				newlyPlaced[w.Job.Team] = true
 			}
 		}
 	}
-	for team := range fresh {
-		assert.Assert(t, firm[team].Fits(share[team]), "team %s borrowed what can't be taken back", team)
+	for team := range newlyPlaced {
+		assert.Assert(t, nonRepeatable[team].Fits(share[team]), "team %s borrowed what can't be taken back", team)
 	}
 }
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -13,7 +13,7 @@
 // the capacity would be stopped for it in the next plan, and so on for ever.
 func Make(s Snapshot) Plan {
 	p := newPlanner(&s)
-	for _, rank := range []rank{urgentRank, withinRank, borrowRank} {
+	for _, rank := range []rank{urgentRank, guaranteedRank, borrowingRank} {
 		p.place(rank)
 	}
 	return p.plan
@@ -24,27 +24,27 @@
 
 const (
 	urgentRank rank = iota
-	withinRank
-	borrowRank
+	guaranteedRank
+	borrowingRank
 )
 
 type planner struct {
-	workers []Worker
-	byID    map[model.VMID]int
-	index   *index
-	tasks   map[model.VMID][]Task
-	book    *quota.Book
-	weights Weights
-	spread  spread
-	queues  []*queue
-	teams   map[model.TeamName]*queue
-	full    map[shape]Refusal // shapes that found no room in this plan
-	firm    map[shape]bool    // shapes that no task gives way to in this plan
-	// declared are the teams; one that is not declared but runs tasks, as
+	workers     []Worker
+	byID        map[model.VMID]int
+	index       *index
+	tasks       map[model.VMID][]Task
+	quotaBook   *quota.Book
+	weights     Weights
+	spread      spread
+	queues      []*queue
+	teams       map[model.TeamName]*queue
+	unplaceable map[shape]Refusal // shapes that found no room in this plan
+	noVictims   map[shape]bool    // shapes that no task gives way to in this plan
+	// quotaTeams are the teams; one that is not quotaTeams but runs tasks, as
 	// after a change of the declaration, borrows all it uses.
-	declared []model.Team
-	stops    int
-	plan     Plan
+	quotaTeams  []model.Team
+	preemptions int
+	plan        Plan
 }
 
 // queue is one team's waiting jobs, most urgent and oldest first.
@@ -57,12 +57,12 @@
 // shape is all of a request that feasibility looks at. Where one of a thousand
 // equal jobs finds no room the other 999 need not look.
 type shape struct {
-	size  model.Resources
-	pool  model.PoolName
-	zone  model.ZoneName
-	redo  bool // repeatable, so fit for probes and for borrowing
-	class model.Class
-	team  model.TeamName
+	size       model.Resources
+	pool       model.PoolName
+	zone       model.ZoneName
+	repeatable bool // repeatable, so fit for probes and for borrowing
+	class      model.Class
+	team       model.TeamName
 }
 
 func shapeOf(r *Request) shape {
@@ -71,22 +71,22 @@
 
 func newPlanner(s *Snapshot) *planner {
 	p := &planner{
-		workers:  slices.Clone(s.Workers),
-		byID:     make(map[model.VMID]int, len(s.Workers)),
-		tasks:    make(map[model.VMID][]Task),
-		book:     quota.NewBook(s.Teams),
-		weights:  s.Weights,
-		spread:   make(spread),
-		full:     make(map[shape]Refusal),
-		firm:     make(map[shape]bool),
-		declared: declaredAnd(s),
+		workers:     slices.Clone(s.Workers),
+		byID:        make(map[model.VMID]int, len(s.Workers)),
+		tasks:       make(map[model.VMID][]Task),
+		quotaBook:   quota.NewBook(s.Teams),
+		weights:     s.Weights,
+		spread:      make(spread),
+		unplaceable: make(map[shape]Refusal),
+		noVictims:   make(map[shape]bool),
+		quotaTeams:  collectQuotaTeams(s),
 	}
 	slices.SortFunc(p.workers, func(a, b Worker) int { return cmp.Compare(a.ID, b.ID) })
 	for i := range p.workers {
 		p.byID[p.workers[i].ID] = i
 	}
 	for _, t := range s.Running {
-		p.book.Take(t.Job.Team, t.Size)
+		p.quotaBook.Take(t.Job.Team, t.Size)
 		p.tasks[t.VM] = append(p.tasks[t.VM], t)
 		if i, ok := p.byID[t.VM]; ok {
 			p.spread.add(t.Job, &p.workers[i])
@@ -97,12 +97,12 @@
 	p.teams = make(map[model.TeamName]*queue, len(p.queues))
 	for _, q := range p.queues {
 		p.teams[q.team] = q
-		q.share = p.book.Ratio(q.team)
+		q.share = p.quotaBook.Ratio(q.team)
 	}
 	return p
 }
 
-func declaredAnd(s *Snapshot) []model.Team {
+func collectQuotaTeams(s *Snapshot) []model.Team {
 	if len(s.Teams) == 0 {
 		return nil
 	}
@@ -134,13 +134,13 @@
 	}
 	slices.SortFunc(queues, func(a, b *queue) int { return cmp.Compare(a.team, b.team) })
 	for _, q := range queues {
-		slices.SortFunc(q.waiting, before)
+		slices.SortFunc(q.waiting, compareRequests)
 	}
 	return queues
 }
 
-// before orders by class, then age, then ID.
-func before(a, b Request) int {
+// compareRequests orders by class, then age, then ID.
+func compareRequests(a, b Request) int {
 	return cmp.Or(
 		cmp.Compare(b.Job.Class, a.Job.Class),
 		a.Job.SubmittedAt.Compare(b.Job.SubmittedAt),
@@ -152,86 +152,86 @@
 // of its guarantee in use first, so that one team's flood does not take all
 // idle capacity from the others.
 func (p *planner) place(k rank) {
-	heads := make([]int, len(p.queues))
-	rest := make([][]Request, len(p.queues))
+	nextIndex := make([]int, len(p.queues))
+	unplaced := make([][]Request, len(p.queues))
 	for {
-		next := p.nextTeam(k, heads)
+		next := p.nextTeam(k, nextIndex)
 		if next < 0 {
 			break
 		}
 		q := p.queues[next]
-		r := q.waiting[heads[next]]
-		heads[next]++
-		if !p.try(k, &r) {
-			rest[next] = append(rest[next], r)
+		r := q.waiting[nextIndex[next]]
+		nextIndex[next]++
+		if !p.tryPlace(k, &r) {
+			unplaced[next] = append(unplaced[next], r)
 		}
 	}
 	for i, q := range p.queues {
-		q.waiting = append(rest[i], q.waiting[heads[i]:]...)
+		q.waiting = append(unplaced[i], q.waiting[nextIndex[i]:]...)
 	}
 }
 
-func (p *planner) nextTeam(k rank, heads []int) int {
-	best, least := -1, 0.0
+func (p *planner) nextTeam(k rank, nextIndex []int) int {
+	best, minShare := -1, 0.0
 	for i, q := range p.queues {
-		if heads[i] >= len(q.waiting) {
+		if nextIndex[i] >= len(q.waiting) {
 			continue
 		}
-		if k == urgentRank && q.waiting[heads[i]].Job.Class != model.ClassUrgent {
+		if k == urgentRank && q.waiting[nextIndex[i]].Job.Class != model.ClassUrgent {
 			continue
 		}
-		if best < 0 || q.share < least {
-			best, least = i, q.share
+		if best < 0 || q.share < minShare {
+			best, minShare = i, q.share
 		}
 	}
 	return best
 }
 
-// try places the request or refuses it, and returns false where a later rank
+// tryPlace places the request or refuses it, and returns false where a later rank
 // is to look at it again.
-func (p *planner) try(k rank, r *Request) bool {
-	stand := p.book.Stand(r.Job, r.Size)
-	if stand == quota.Waits {
+func (p *planner) tryPlace(k rank, r *Request) bool {
+	standing := p.quotaBook.Stand(r.Job, r.Size)
+	if standing == quota.Waits {
 		p.refuse(p.overQuota(r))
 		return true
 	}
-	if stand == quota.Borrows && k == withinRank {
+	if standing == quota.Borrows && k == guaranteedRank {
 		return false
 	}
 	s := shapeOf(r)
-	if known, ok := p.full[s]; ok && len(r.Avoid) == 0 {
+	if known, ok := p.unplaceable[s]; ok && len(r.Avoid) == 0 {
 		known.Job = r.Job.ID
 		p.refuse(known)
 		return true
 	}
 	if w := p.best(r); w != nil {
-		p.put(r, w)
+		p.assign(r, w)
 		return true
 	}
 	refusal := p.explain(r)
-	stopped := !refusal.Never && p.displace(k, r)
-	if !stopped && len(r.Avoid) == 0 {
-		p.full[s] = refusal
+	preempted := !refusal.Never && p.preempt(k, r)
+	if !preempted && len(r.Avoid) == 0 {
+		p.unplaceable[s] = refusal
 	}
 	p.refuse(refusal)
 	return true
 }
 
-func (p *planner) put(r *Request, w *Worker) {
-	p.index.use(w, r.Size)
+func (p *planner) assign(r *Request, w *Worker) {
+	p.index.allocate(w, r.Size)
 	if w.Probe {
 		w.Closed = "being probed"
 	}
-	p.take(r.Job.Team, r.Size)
+	p.addUsage(r.Job.Team, r.Size)
 	p.spread.add(r.Job, w)
 	p.plan.Placements = append(p.plan.Placements, Placement{Job: r.Job.ID, VM: w.ID, Size: r.Size})
 }
 
-// take books a size for a team, or with a negative size gives it back.
-func (p *planner) take(team model.TeamName, size model.Resources) {
-	p.book.Take(team, size)
+// addUsage books a size for a team, or with a negative size gives it back.
+func (p *planner) addUsage(team model.TeamName, size model.Resources) {
+	p.quotaBook.Take(team, size)
 	if q := p.teams[team]; q != nil {
-		q.share = p.book.Ratio(team)
+		q.share = p.quotaBook.Ratio(team)
 	}
 }
 
--- /dev/null
+++ b/policy/placement/preempt.go
@@ -0,0 +1,181 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/pumicestage/pumicestage/policy/model"
+	"github.com/pumicestage/pumicestage/policy/quota"
+)
+
+const (
+	// maxPreemptions bounds the tasks stopped by one plan, so that a burst of a
+	// thousand urgent jobs doesn't stop the fleet before the first is placed.
+	maxPreemptions = 64
+	// maxReclaimPreemptions bounds those stopped to give teams back their share, which
+	// may take some passes.
+	maxReclaimPreemptions = 16
+	// maxVictimsPerJob bounds the tasks stopped for one job.
+	maxVictimsPerJob = 8
+)
+
+// preempt chooses tasks to stop for a job that finds no room and has a claim
+// to some: urgent work on what deferrable work uses, work within its team's
+// guarantee on what others have borrowed. Work that is not repeatable is never
+// stopped, urgent work neither.
+func (p *planner) preempt(k rank, r *Request) bool {
+	borrows := p.quotaBook.Stand(r.Job, r.Size) == quota.Borrows
+	if p.preemptions >= maxPreemptions || k != urgentRank && p.preemptions >= maxReclaimPreemptions || k != urgentRank && (borrows || !p.anyTeamOverGuarantee()) {
+		return false
+	}
+	key := victimKey(r)
+	if p.noVictims[key] {
+		return false
+	}
+	chosen := p.cheapestVictims(r)
+	if chosen == nil || p.preemptions+len(chosen) > maxPreemptions {
+		p.noVictims[key] = chosen == nil
+		return false
+	}
+	var freed model.Resources
+	for _, t := range chosen {
+		p.recordPreemption(r, t)
+		freed = freed.Add(t.Size)
+	}
+	p.reserve(r, chosen[0].VM, freed)
+	return true
+}
+
+// victimKey is all of a request that the choice of victims looks at. The team
+// only matters to urgent work: other work that may displace is within its
+// guarantee, so its own team has borrowed nothing.
+func victimKey(r *Request) shape {
+	key := shapeOf(r)
+	if r.Job.Class != model.ClassUrgent {
+		key.team, key.class = "", model.ClassNormal
+	}
+	return key
+}
+
+func (p *planner) anyTeamOverGuarantee() bool {
+	for _, t := range p.quotaTeams {
+		if p.quotaBook.Over(t.Name) {
+			return true
+		}
+	}
+	return false
+}
+
+// cheapestVictims returns the tasks of one worker that make room at the least price.
+func (p *planner) cheapestVictims(r *Request) []Task {
+	var chosen []Task
+	cost := 0.0
+	for i := range p.workers {
+		w := &p.workers[i]
+		if !matchesConstraints(r, w) || !accepts(r, w) || w.Probe || !r.Size.Fits(w.Capacity) {
+			continue
+		}
+		victims, c := p.victims(r, w)
+		if victims != nil && (chosen == nil || c < cost) {
+			chosen, cost = victims, c
+		}
+		if chosen != nil && cost <= minPreemptionCost {
+			break
+		}
+	}
+	return chosen
+}
+
+// victims returns the cheapest tasks of the worker that together make room,
+// and what stopping them costs; nil if they can't.
+func (p *planner) victims(r *Request, w *Worker) ([]Task, float64) {
+	var eligible []Task
+	for _, t := range p.tasks[w.ID] {
+		if !t.Stopping && p.canPreempt(r, &t) {
+			eligible = append(eligible, t)
+		}
+	}
+	slices.SortFunc(eligible, func(a, b Task) int {
+		return cmp.Or(cmp.Compare(preemptionCost(&a), preemptionCost(&b)), b.Since.Compare(a.Since), cmp.Compare(a.Job.ID, b.Job.ID))
+	})
+	free, cost := w.free(), 0.0
+	chosenByTeam := make(map[model.TeamName]model.Resources)
+	var chosen []Task
+	for _, t := range eligible {
+		if r.Size.Fits(free) || len(chosen) == maxVictimsPerJob {
+			break
+		}
+		if !p.canPreemptAfter(r, &t, chosenByTeam[t.Job.Team]) {
+			continue
+		}
+		chosenByTeam[t.Job.Team] = chosenByTeam[t.Job.Team].Add(t.Size)
+		free = free.Add(t.Size)
+		cost += preemptionCost(&t)
+		chosen = append(chosen, t)
+	}
+	if !r.Size.Fits(free) || len(chosen) == 0 {
+		return nil, 0
+	}
+	return chosen, cost
+}
+
+// canPreempt reports whether the task may be stopped for the job.
+func (p *planner) canPreempt(r *Request, t *Task) bool {
+	if !quota.TakesBack(t.Job) || t.Job.Class == model.ClassUrgent {
+		return false
+	}
+	if r.Job.Class == model.ClassUrgent && t.Job.Class == model.ClassDeferrable {
+		return true
+	}
+	return t.Job.Team != r.Job.Team && p.quotaBook.Over(t.Job.Team)
+}
+
+// canPreemptAfter asks again after others of the same team were chosen: what its
+// team then has left within the guarantee is not taken from it.
+func (p *planner) canPreemptAfter(r *Request, t *Task, chosen model.Resources) bool {
+	p.quotaBook.Give(t.Job.Team, chosen)
+	defer p.quotaBook.Take(t.Job.Team, chosen)
+	return p.canPreempt(r, t)
+}
+
+// preemptionCost is what stopping a task loses: little where it keeps its progress.
+func preemptionCost(t *Task) float64 {
+	c := minPreemptionCost
+	if !t.Job.Checkpoints {
+		c *= noCheckpointFactor
+	}
+	if t.Job.Class == model.ClassNormal {
+		c *= 2
+	}
+	return c
+}
+
+const (
+	// minPreemptionCost is that of one deferrable task that keeps its progress.
+	// Nothing is cheaper, so the search for victims ends with it.
+	minPreemptionCost = 1.0
+	// noCheckpointFactor is how many tasks are better stopped at a checkpoint than one
+	// without.
+	noCheckpointFactor = 10
+)
+
+func (p *planner) recordPreemption(r *Request, t Task) {
+	p.preemptions++
+	p.addUsage(t.Job.Team, model.Resources{}.Sub(t.Size))
+	i := slices.IndexFunc(p.tasks[t.VM], func(o Task) bool { return o.Job.ID == t.Job.ID })
+	p.tasks[t.VM] = slices.Delete(slices.Clone(p.tasks[t.VM]), i, i+1)
+	p.plan.Preemptions = append(p.plan.Preemptions, Preemption{
+		Task: t.Job.ID, For: r.Job.ID, VM: t.VM, Checkpoint: t.Job.Checkpoints,
+	})
+}
+
+// reserve keeps the room that the job needs beside what its victims use from
+// the jobs that come later in this plan. What the victims use is given to
+// nobody: they still run, and the worker has yet to say that it is free.
+func (p *planner) reserve(r *Request, vm model.VMID, freed model.Resources) {
+	need := r.Size.Sub(freed)
+	p.index.allocate(&p.workers[p.byID[vm]], model.Resources{
+		MilliCPU: max(need.MilliCPU, 0), MemoryMB: max(need.MemoryMB, 0), Accelerators: max(need.Accelerators, 0),
+	})
+	p.addUsage(r.Job.Team, r.Size)
+}
--- a/policy/placement/score.go
+++ b/policy/placement/score.go
@@ -21,9 +21,9 @@
 	s[spreadKey{j.Team, j.Kind, "", w.Zone}]++
 }
 
-// crowd grows with what stands in the worker's rack and, less, in its zone.
+// spreadPenalty grows with what stands in the worker's rack and, less, in its zone.
 // A rack is lost sooner than a zone.
-func (s spread) crowd(j *model.Job, w *Worker) float64 {
+func (s spread) spreadPenalty(j *model.Job, w *Worker) float64 {
 	rack := float64(s[spreadKey{j.Team, j.Kind, w.Rack, w.Zone}])
 	zone := float64(s[spreadKey{j.Team, j.Kind, "", w.Zone}])
 	return rack + zone/rackWeight
@@ -38,24 +38,24 @@
 // the fullest ones that fit, which is where packing wants them.
 func (p *planner) best(r *Request) *Worker {
 	var best *Worker
-	top := 0.0
-	look := func(w *Worker) {
+	topScore := 0.0
+	consider := func(w *Worker) {
 		score := p.score(r, w)
-		if best == nil || score > top || score == top && w.ID < best.ID {
-			best, top = w, score
+		if best == nil || score > topScore || score == topScore && w.ID < best.ID {
+			best, topScore = w, score
 		}
 	}
 	if i, ok := p.byID[r.LastVM]; ok && feasible(r, &p.workers[i]) {
-		look(&p.workers[i])
+		consider(&p.workers[i])
 	}
-	p.index.each(r, r.Job.SpreadByRack, look)
+	p.index.eachFeasible(r, r.Job.SpreadByRack, consider)
 	return best
 }
 
 func (p *planner) score(r *Request, w *Worker) float64 {
 	score := p.weights.Pack * fullness(w, r.Size)
 	if w.MaintenanceSoon {
-		score -= p.weights.AvoidMaintenance * soonPenalty(r.Job)
+		score -= p.weights.AvoidMaintenance * maintenancePenalty(r.Job)
 	}
 	if w.Probe {
 		score += probeBonus
@@ -64,7 +64,7 @@
 		score += p.weights.SameWorker
 	}
 	if r.Job.SpreadByRack {
-		score -= p.weights.Spread * p.spread.crowd(r.Job, w)
+		score -= p.weights.Spread * p.spread.spreadPenalty(r.Job, w)
 	}
 	return score
 }
@@ -73,9 +73,9 @@
 // packing alone would never show whether it works again.
 const probeBonus = 2
 
-// soonPenalty is higher for work that can't be moved when the worker's turn
+// maintenancePenalty is higher for work that can't be moved when the worker's turn
 // comes: a wave would have to wait for it.
-func soonPenalty(j *model.Job) float64 {
+func maintenancePenalty(j *model.Job) float64 {
 	if j.Checkpoints && j.Repeatable {
 		return 1
 	}
@@ -88,12 +88,12 @@
 func fullness(w *Worker, size model.Resources) float64 {
 	cpu := share(w.Used.MilliCPU+size.MilliCPU, w.Capacity.MilliCPU)
 	mem := share(w.Used.MemoryMB+size.MemoryMB, w.Capacity.MemoryMB)
-	uneven := max(cpu, mem) - min(cpu, mem)
+	imbalance := max(cpu, mem) - min(cpu, mem)
 	full := (cpu + mem) / 2
 	if size.Accelerators == 0 && w.Capacity.Accelerators > w.Used.Accelerators {
 		full -= 1 // accelerators are kept for the jobs that need them
 	}
-	return full - uneven/2
+	return full - imbalance/2
 }
 
 func share(used, of int64) float64 {
