--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -87,7 +87,7 @@
 	out := pools.VM{ID: vm.ID, Cores: vm.Size.Cores(), Labels: vm.Labels}
 	if o := f.orderOf(vm.ID); o != nil {
 		if p := byName[o.pool]; p != nil {
-			p.Coming = append(p.Coming, out)
+			p.Incoming = append(p.Incoming, out)
 		}
 		return
 	}
@@ -98,7 +98,7 @@
 	w := f.worker(vm)
 	switch {
 	case vm.State == work.VMMoving || vm.State == work.VMUp && !p.Parked && (w == nil || !w.Heard):
-		p.Coming = append(p.Coming, out)
+		p.Incoming = append(p.Incoming, out)
 	case vm.State != work.VMUp:
 	case p.Parked:
 		out.Empty = !f.reserved(vm.ID)
@@ -129,7 +129,7 @@
 	out := make([]summary, 0, len(state))
 	for _, p := range state {
 		s := summary{
-			Pool: p.Name, VMs: len(p.VMs), Incoming: len(p.Coming), Used: int(p.Used),
+			Pool: p.Name, VMs: len(p.VMs), Incoming: len(p.Incoming), Used: int(p.Used),
 			Backlog: int(p.Backlog), Leftover: int(p.Leftover), Arriving: int(p.Arriving), Short: p.Short,
 		}
 		for _, b := range p.Bound {
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -38,7 +38,7 @@
 	Name     string
 	Parked   bool          // its VMs are off
 	VMs      []VM          // up and open to new tasks
-	Coming   []VM          // on their way
+	Incoming []VM          // on their way
 	Used     float64       // cores in use
 	Backlog  float64       // core-seconds that wait for room and are still of use
 	Leftover float64       // core-seconds that wait for room, too late to be of use
@@ -88,7 +88,7 @@
 
 // cores is what the pool has, or is about to have, with the label.
 func (p *Pool) cores(label string) (sum float64) {
-	for _, vms := range [][]VM{p.VMs, p.Coming} {
+	for _, vms := range [][]VM{p.VMs, p.Incoming} {
 		for i := range vms {
 			if vms[i].has(label) {
 				sum += vms[i].Cores
@@ -187,7 +187,7 @@
 	var out []Move
 	for i := range pools {
 		p := &pools[i]
-		need := p.Spare - len(p.Coming)
+		need := p.Spare - len(p.Incoming)
 		for _, vm := range p.VMs {
 			if vm.Empty {
 				need--
@@ -209,7 +209,7 @@
 func equalSplit(pools []Pool) float64 {
 	vms, active := 0, 0
 	for _, p := range pools {
-		vms += len(p.VMs) + len(p.Coming)
+		vms += len(p.VMs) + len(p.Incoming)
 		if !p.Parked {
 			active++
 		}
@@ -281,7 +281,7 @@
 // lack is what the pool lacks in all, whatever the labels.
 func (p *Pool) lack() float64 {
 	coming, largest := 0.0, 0.0
-	for _, vm := range p.Coming {
+	for _, vm := range p.Incoming {
 		coming += vm.Cores
 	}
 	for _, vm := range p.VMs {
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -50,7 +50,7 @@
 // as many again, and they would arrive after the burst.
 func TestVMsOnTheirWayAreNotOrderedAgain(t *testing.T) {
 	moves := Decide([]Pool{
-		{Name: "busy", VMs: vms("b", 8, 0, 0), Used: 128, Backlog: 100, Coming: vms("c", 7, 0, 0)},
+		{Name: "busy", VMs: vms("b", 8, 0, 0), Used: 128, Backlog: 100, Incoming: vms("c", 7, 0, 0)},
 		{Name: "off", Parked: true, VMs: vms("p", 8, 8, 0)},
 	})
 	assert.Equal(t, len(moves), 0)
@@ -185,7 +185,7 @@
 					p.VMs[v].Since = 0
 				}
 			}
-			p.Coming = nil
+			p.Incoming = nil
 		}
 		kept := under[:0]
 		for _, a := range under {
@@ -196,7 +196,7 @@
 				if now >= a.at {
 					pools[i].VMs = append(pools[i].VMs, a.vm)
 				} else {
-					pools[i].Coming = append(pools[i].Coming, a.vm)
+					pools[i].Incoming = append(pools[i].Incoming, a.vm)
 				}
 			}
 			if now < a.at {
@@ -245,7 +245,7 @@
 			for i := range pools {
 				pools[i].VMs = slices.DeleteFunc(pools[i].VMs, func(vm VM) bool { return vm.ID == m.VM })
 			}
-			pools[2].Coming = append(pools[2].Coming, VM{ID: m.VM, Cores: 16})
+			pools[2].Incoming = append(pools[2].Incoming, VM{ID: m.VM, Cores: 16})
 		}
 	}
 	assert.Equal(t, len(pools[0].VMs), 5)
