--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -77,7 +77,7 @@
 func boundOf(loads map[string]engine.BoundLoad) map[string]pools.Bound {
 	out := make(map[string]pools.Bound, len(loads))
 	for label, l := range loads {
-		out[label] = pools.Bound{Used: l.Used, Backlog: l.Backlog, Leftover: l.Leftover}
+		out[label] = pools.Bound{Used: l.Used, Backlog: l.Backlog, LateBacklog: l.Leftover}
 	}
 	return out
 }
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -53,9 +53,9 @@
 
 // Bound is load that asks for a label.
 type Bound struct {
-	Used     float64 // cores in use
-	Backlog  float64 // core-seconds that wait for room and are still of use
-	Leftover float64 // core-seconds that wait for room, too late to be of use
+	Used        float64 // cores in use
+	Backlog     float64 // core-seconds that wait for room and are still of use
+	LateBacklog float64 // core-seconds that wait for room, too late to be of use
 }
 
 func (v *VM) has(label string) bool { return label == "" || slices.Contains(v.Labels, label) }
@@ -174,7 +174,7 @@
 		p.Backlog += p.Leftover
 		bound := make(map[string]Bound, len(p.Bound))
 		for label, b := range p.Bound {
-			b.Backlog += b.Leftover
+			b.Backlog += b.LateBacklog
 			bound[label] = b
 		}
 		p.Bound = bound
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -301,7 +301,7 @@
 // What is too late to be of use is worked off all the same once nothing else waits.
 func TestLeftoversDrawVMsWhileNothingElseWaits(t *testing.T) {
 	pools := []Pool{
-		{Name: "burst", VMs: vms("b", 4, 0, 0), Used: 64, Leftover: 50, Bound: map[string]Bound{"gpu": {Leftover: 20}}},
+		{Name: "burst", VMs: vms("b", 4, 0, 0), Used: 64, Leftover: 50, Bound: map[string]Bound{"gpu": {LateBacklog: 20}}},
 		{Name: "idle", VMs: vms("i", 8, 8, time.Second)},
 	}
 	moves := Decide(pools)
