--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -35,16 +35,16 @@
 
 // Pool is one pool.
 type Pool struct {
-	Name     string
-	Parked   bool          // its VMs are off
-	VMs      []VM          // up and open to new tasks
-	Incoming []VM          // on their way
-	Used     float64       // cores in use
-	Backlog  float64       // core-seconds that wait for room and are still of use
-	Leftover float64       // core-seconds that wait for room, too late to be of use
-	Arriving float64       // core-seconds a second that came of late
-	Short    int           // VMs that are lacked whatever is free on the others
-	Quiet    time.Duration // since it last had a backlog
+	Name        string
+	Parked      bool          // its VMs are off
+	VMs         []VM          // up and open to new tasks
+	Incoming    []VM          // on their way
+	Used        float64       // cores in use
+	Backlog     float64       // core-seconds that wait for room and are still of use
+	Leftover    float64       // core-seconds that wait for room, too late to be of use
+	ArrivalRate float64       // core-seconds a second that came of late
+	Short       int           // VMs that are lacked whatever is free on the others
+	Quiet       time.Duration // since it last had a backlog
 	// Spare is how many empty VMs it could use while no other pool lacks any.
 	Spare int
 	// Bound is the part of the load that only VMs with the label can take.
@@ -289,7 +289,7 @@
 	}
 	// What will arrive must be borne, and the backlog worked off beside it. Cores in
 	// use tell no more than what there is.
-	lack := max(p.Used, arrivalShare*p.Arriving) + p.Backlog/DrainGoal.Seconds() - p.cores("")
+	lack := max(p.Used, arrivalShare*p.ArrivalRate) + p.Backlog/DrainGoal.Seconds() - p.cores("")
 	return max(lack, float64(p.Short)*largest-coming)
 }
 
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -257,7 +257,7 @@
 // any backlog has grown.
 func TestABurstThatBeginsDrawsForWhatItWillBe(t *testing.T) {
 	moves := Decide([]Pool{
-		{Name: "busy", VMs: vms("b", 4, 0, 0), Used: 64, Arriving: 100, Backlog: 1},
+		{Name: "busy", VMs: vms("b", 4, 0, 0), Used: 64, ArrivalRate: 100, Backlog: 1},
 		{Name: "over", VMs: vms("o", 30, 30, time.Second)},
 	})
 	assert.Equal(t, len(moves), 15, "300 cores and a little, less the 64 there are")
