--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -49,7 +49,7 @@
 		}
 		p := &pools.Pool{Name: name, Parked: s.Standby}
 		if c := f.cells[name]; c != nil {
-			p.Used, p.Backlog, p.ArrivalRate, p.Short, p.Spare = c.Used, c.Backlog, c.Arriving, c.Short, c.Spare
+			p.Used, p.Backlog, p.ArrivalRate, p.MissingVMs, p.Spare = c.Used, c.Backlog, c.Arriving, c.Short, c.Spare
 			p.Leftover, p.Bound = c.Leftover, boundOf(c.Bound)
 		}
 		if p.Backlog > 0 || p.Leftover > 0 {
@@ -130,7 +130,7 @@
 	for _, p := range state {
 		s := summary{
 			Pool: p.Name, VMs: len(p.VMs), Incoming: len(p.Incoming), Used: int(p.Used),
-			Backlog: int(p.Backlog), Leftover: int(p.Leftover), Arriving: int(p.ArrivalRate), Short: p.Short,
+			Backlog: int(p.Backlog), Leftover: int(p.Leftover), Arriving: int(p.ArrivalRate), Short: p.MissingVMs,
 		}
 		for _, b := range p.Bound {
 			s.Labels += int(b.Backlog)
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -43,7 +43,7 @@
 	Backlog     float64       // core-seconds that wait for room and are still of use
 	Leftover    float64       // core-seconds that wait for room, too late to be of use
 	ArrivalRate float64       // core-seconds a second that came of late
-	Short       int           // VMs that are lacked whatever is free on the others
+	MissingVMs  int           // VMs that are lacked whatever is free on the others
 	Quiet       time.Duration // since it last had a backlog
 	// Spare is how many empty VMs it could use while no other pool lacks any.
 	Spare int
@@ -164,7 +164,7 @@
 }
 
 // waitsInTime reports whether the pool lacks something for work that is still of use.
-func (p *Pool) waitsInTime() bool { return !p.Parked && (p.Backlog > 0 || p.Short > 0) }
+func (p *Pool) waitsInTime() bool { return !p.Parked && (p.Backlog > 0 || p.MissingVMs > 0) }
 
 // withLeftovers returns the pools with all that waits as their backlog.
 func withLeftovers(pools []Pool) []Pool {
@@ -228,7 +228,7 @@
 	}
 	var out []Move
 	for _, p := range pools {
-		if p.Parked || p.Backlog > 0 || p.Short > 0 || p.Spare > 0 {
+		if p.Parked || p.Backlog > 0 || p.MissingVMs > 0 || p.Spare > 0 {
 			continue
 		}
 		spare := len(p.VMs) - stay
@@ -255,7 +255,7 @@
 	var out []want
 	for i := range pools {
 		p := &pools[i]
-		if p.Parked || p.Backlog <= 0 && p.Short == 0 {
+		if p.Parked || p.Backlog <= 0 && p.MissingVMs == 0 {
 			continue
 		}
 		lack := p.lack()
@@ -267,7 +267,7 @@
 			out = append(out, want{name: p.Name, label: label, cores: cores})
 			lack -= cores
 		}
-		if lack > 0 && (p.free() > 0 || p.Short > 0) {
+		if lack > 0 && (p.free() > 0 || p.MissingVMs > 0) {
 			out = append(out, want{name: p.Name, cores: lack})
 		}
 	}
@@ -290,7 +290,7 @@
 	// What will arrive must be borne, and the backlog worked off beside it. Cores in
 	// use tell no more than what there is.
 	lack := max(p.Used, arrivalShare*p.ArrivalRate) + p.Backlog/DrainGoal.Seconds() - p.cores("")
-	return max(lack, float64(p.Short)*largest-coming)
+	return max(lack, float64(p.MissingVMs)*largest-coming)
 }
 
 // exists reports whether any VM has the label: a lack that nothing can end must
@@ -339,7 +339,7 @@
 	var out []donor
 	for i := range pools {
 		p := &pools[i]
-		if p.free() > 0 || p.Short > 0 {
+		if p.free() > 0 || p.MissingVMs > 0 {
 			continue
 		}
 		spare := len(p.VMs) - keep
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -39,7 +39,7 @@
 // step already. Cores are free, so no backlog shows; the pool is short of VMs.
 func TestAPoolShortOfVMsDrawsThemWithCoresFree(t *testing.T) {
 	moves := Decide([]Pool{
-		{Name: "short", VMs: vms("s", 4, 4, time.Minute), Used: 8, Short: 1},
+		{Name: "short", VMs: vms("s", 4, 4, time.Minute), Used: 8, MissingVMs: 1},
 		{Name: "off", Parked: true, VMs: vms("p", 3, 3, 0)},
 	})
 	assert.Equal(t, len(moves), 1)
