--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -55,7 +55,7 @@
 		if p.Backlog > 0 || p.Leftover > 0 {
 			f.lastBusy[name] = now
 		}
-		p.Quiet = now - f.lastBusy[name]
+		p.SinceBacklog = now - f.lastBusy[name]
 		byName[name] = p
 	}
 	ids := make([]string, 0, len(f.vms))
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -35,16 +35,16 @@
 
 // Pool is one pool.
 type Pool struct {
-	Name        string
-	Parked      bool          // its VMs are off
-	VMs         []VM          // up and open to new tasks
-	Incoming    []VM          // on their way
-	Used        float64       // cores in use
-	Backlog     float64       // core-seconds that wait for room and are still of use
-	Leftover    float64       // core-seconds that wait for room, too late to be of use
-	ArrivalRate float64       // core-seconds a second that came of late
-	MissingVMs  int           // VMs that are lacked whatever is free on the others
-	Quiet       time.Duration // since it last had a backlog
+	Name         string
+	Parked       bool          // its VMs are off
+	VMs          []VM          // up and open to new tasks
+	Incoming     []VM          // on their way
+	Used         float64       // cores in use
+	Backlog      float64       // core-seconds that wait for room and are still of use
+	Leftover     float64       // core-seconds that wait for room, too late to be of use
+	ArrivalRate  float64       // core-seconds a second that came of late
+	MissingVMs   int           // VMs that are lacked whatever is free on the others
+	SinceBacklog time.Duration // since it last had a backlog
 	// Spare is how many empty VMs it could use while no other pool lacks any.
 	Spare int
 	// Bound is the part of the load that only VMs with the label can take.
@@ -343,7 +343,7 @@
 			continue
 		}
 		spare := len(p.VMs) - keep
-		quiet := p.Quiet
+		quiet := p.SinceBacklog
 		if p.Parked {
 			spare, quiet = math.MaxInt, -1
 		}
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -23,8 +23,8 @@
 func TestABacklogDrawsWhatIsMissedLeast(t *testing.T) {
 	moves := Decide([]Pool{
 		{Name: "busy", VMs: vms("b", 8, 0, 0), Used: 128, Backlog: 100},
-		{Name: "soon", VMs: vms("s", 8, 8, time.Minute), Quiet: 12 * time.Second},
-		{Name: "over", VMs: vms("o", 12, 12, time.Second), Quiet: time.Second},
+		{Name: "soon", VMs: vms("s", 8, 8, time.Minute), SinceBacklog: 12 * time.Second},
+		{Name: "over", VMs: vms("o", 12, 12, time.Second), SinceBacklog: time.Second},
 		{Name: "off", Parked: true, VMs: vms("p", 1, 1, 0)},
 	})
 	assert.Equal(t, len(moves), 7, "100 core-seconds within the goal are 112 cores")
@@ -174,9 +174,9 @@
 				done += worked
 			}
 			p.Used = worked / tick.Seconds()
-			p.Quiet += tick
+			p.SinceBacklog += tick
 			if p.Backlog > 0 {
-				p.Quiet = 0
+				p.SinceBacklog = 0
 			}
 			for v := range p.VMs {
 				p.VMs[v].Empty = p.Backlog == 0 && worked == 0
@@ -267,7 +267,7 @@
 // none although they stand idle.
 func TestSpareVMsAreLentWhileNobodyLacksAny(t *testing.T) {
 	tries := Pool{Name: "tries", VMs: vms("t", 6, 1, time.Minute), Spare: 3}
-	idle := Pool{Name: "idle", VMs: vms("i", 8, 8, time.Second), Quiet: time.Second}
+	idle := Pool{Name: "idle", VMs: vms("i", 8, 8, time.Second), SinceBacklog: time.Second}
 	moves := Decide([]Pool{tries, idle})
 	assert.Equal(t, len(moves), 2)
 	for _, m := range moves {
