--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -45,8 +45,8 @@
 	ArrivalRate  float64       // core-seconds a second that came of late
 	MissingVMs   int           // VMs that are lacked whatever is free on the others
 	SinceBacklog time.Duration // since it last had a backlog
-	// Spare is how many empty VMs it could use while no other pool lacks any.
-	Spare int
+	// SpareDemand is how many empty VMs it could use while no other pool lacks any.
+	SpareDemand int
 	// Bound is the part of the load that only VMs with the label can take.
 	Bound map[string]Bound
 }
@@ -187,7 +187,7 @@
 	var out []Move
 	for i := range pools {
 		p := &pools[i]
-		need := p.Spare - len(p.Incoming)
+		need := p.SpareDemand - len(p.Incoming)
 		for _, vm := range p.VMs {
 			if vm.Empty {
 				need--
@@ -228,7 +228,7 @@
 	}
 	var out []Move
 	for _, p := range pools {
-		if p.Parked || p.Backlog > 0 || p.MissingVMs > 0 || p.Spare > 0 {
+		if p.Parked || p.Backlog > 0 || p.MissingVMs > 0 || p.SpareDemand > 0 {
 			continue
 		}
 		spare := len(p.VMs) - stay
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -266,7 +266,7 @@
 // A pool that could use VMs for what it tries apart takes them from others that have a backlog, or
 // none although they stand idle.
 func TestSpareVMsAreLentWhileNobodyLacksAny(t *testing.T) {
-	tries := Pool{Name: "tries", VMs: vms("t", 6, 1, time.Minute), Spare: 3}
+	tries := Pool{Name: "tries", VMs: vms("t", 6, 1, time.Minute), SpareDemand: 3}
 	idle := Pool{Name: "idle", VMs: vms("i", 8, 8, time.Second), SinceBacklog: time.Second}
 	moves := Decide([]Pool{tries, idle})
 	assert.Equal(t, len(moves), 2)
