--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -74,10 +74,10 @@
 	return out
 }
 
-func boundOf(loads map[string]engine.BoundLoad) map[string]pools.Bound {
-	out := make(map[string]pools.Bound, len(loads))
+func boundOf(loads map[string]engine.BoundLoad) map[string]pools.LabelDemand {
+	out := make(map[string]pools.LabelDemand, len(loads))
 	for label, l := range loads {
-		out[label] = pools.Bound{Used: l.Used, Backlog: l.Backlog, LateBacklog: l.Leftover}
+		out[label] = pools.LabelDemand{Used: l.Used, Backlog: l.Backlog, LateBacklog: l.Leftover}
 	}
 	return out
 }
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -48,11 +48,11 @@
 	// SpareDemand is how many empty VMs it could use while no other pool lacks any.
 	SpareDemand int
 	// Bound is the part of the load that only VMs with the label can take.
-	Bound map[string]Bound
+	Bound map[string]LabelDemand
 }
 
-// Bound is load that asks for a label.
-type Bound struct {
+// LabelDemand is load that asks for a label.
+type LabelDemand struct {
 	Used        float64 // cores in use
 	Backlog     float64 // core-seconds that wait for room and are still of use
 	LateBacklog float64 // core-seconds that wait for room, too late to be of use
@@ -172,7 +172,7 @@
 	for i := range out {
 		p := &out[i]
 		p.Backlog += p.Leftover
-		bound := make(map[string]Bound, len(p.Bound))
+		bound := make(map[string]LabelDemand, len(p.Bound))
 		for label, b := range p.Bound {
 			b.Backlog += b.LateBacklog
 			bound[label] = b
