--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -47,8 +47,8 @@
 	SinceBacklog time.Duration // since it last had a backlog
 	// SpareDemand is how many empty VMs it could use while no other pool lacks any.
 	SpareDemand int
-	// Bound is the part of the load that only VMs with the label can take.
-	Bound map[string]LabelDemand
+	// ByLabel is the part of the load that only VMs with the label can take.
+	ByLabel map[string]LabelDemand
 }
 
 // LabelDemand is load that asks for a label.
@@ -67,7 +67,7 @@
 // free is the backlog that any VM can take.
 func (p *Pool) free() float64 {
 	out := p.Backlog
-	for _, b := range p.Bound {
+	for _, b := range p.ByLabel {
 		out -= b.Backlog
 	}
 	if out < nothing {
@@ -78,7 +78,7 @@
 
 // waitsFor reports whether work of the pool waits for a label of the VM.
 func (p *Pool) waitsFor(vm *VM) bool {
-	for label, b := range p.Bound {
+	for label, b := range p.ByLabel {
 		if b.Backlog > 0 && vm.has(label) {
 			return true
 		}
@@ -172,12 +172,12 @@
 	for i := range out {
 		p := &out[i]
 		p.Backlog += p.Leftover
-		bound := make(map[string]LabelDemand, len(p.Bound))
-		for label, b := range p.Bound {
+		bound := make(map[string]LabelDemand, len(p.ByLabel))
+		for label, b := range p.ByLabel {
 			b.Backlog += b.LateBacklog
 			bound[label] = b
 		}
-		p.Bound = bound
+		p.ByLabel = bound
 	}
 	return out
 }
@@ -259,7 +259,7 @@
 			continue
 		}
 		lack := p.lack()
-		for label, b := range p.Bound {
+		for label, b := range p.ByLabel {
 			cores := b.Used + b.Backlog/DrainGoal.Seconds() - p.cores(label)
 			if b.Backlog <= 0 || cores <= 0 || !exists(pools, label) {
 				continue
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -102,7 +102,7 @@
 // where any VM will do.
 func TestABacklogForALabelDrawsVMsWithItAndKeepsNoOthers(t *testing.T) {
 	moves := Decide([]Pool{
-		{Name: "bound", VMs: vms("x", 30, 30, time.Minute), Backlog: 40, Bound: map[string]LabelDemand{"big": {Backlog: 40}}},
+		{Name: "bound", VMs: vms("x", 30, 30, time.Minute), Backlog: 40, ByLabel: map[string]LabelDemand{"big": {Backlog: 40}}},
 		{Name: "busy", VMs: vms("b", 4, 0, 0), Used: 64, Backlog: 80},
 		{Name: "off", Parked: true, VMs: labelled(vms("p", 4, 4, 0), "big")},
 	})
@@ -117,7 +117,7 @@
 // but for the last digit, and that digit kept thirty idle VMs in the pool.
 func TestABacklogForLabelsAloneIsNoneForOthers(t *testing.T) {
 	bound := map[string]LabelDemand{"x": {Backlog: 0.1}, "y": {Backlog: 0.2}, "z": {Backlog: 0.3}}
-	p := Pool{Name: "bound", Backlog: 0.3 + 0.2 + 0.1 + 1e-16, Bound: bound}
+	p := Pool{Name: "bound", Backlog: 0.3 + 0.2 + 0.1 + 1e-16, ByLabel: bound}
 	for range 20 { // maps are walked in any order
 		assert.Equal(t, p.free(), 0.0)
 	}
@@ -127,7 +127,7 @@
 // nor keep idle ones from being parked.
 func TestALackThatNothingCanEndMovesNothing(t *testing.T) {
 	pools := []Pool{
-		{Name: "bound", VMs: vms("x", 4, 4, time.Second), Backlog: 40, Bound: map[string]LabelDemand{"none": {Backlog: 40}}},
+		{Name: "bound", VMs: vms("x", 4, 4, time.Second), Backlog: 40, ByLabel: map[string]LabelDemand{"none": {Backlog: 40}}},
 		{Name: "quiet", VMs: vms("q", 12, 12, time.Minute)},
 		{Name: "off", Parked: true},
 	}
@@ -301,7 +301,7 @@
 // What is too late to be of use is worked off all the same once nothing else waits.
 func TestLeftoversDrawVMsWhileNothingElseWaits(t *testing.T) {
 	pools := []Pool{
-		{Name: "burst", VMs: vms("b", 4, 0, 0), Used: 64, Leftover: 50, Bound: map[string]LabelDemand{"gpu": {LateBacklog: 20}}},
+		{Name: "burst", VMs: vms("b", 4, 0, 0), Used: 64, Leftover: 50, ByLabel: map[string]LabelDemand{"gpu": {LateBacklog: 20}}},
 		{Name: "idle", VMs: vms("i", 8, 8, time.Second)},
 	}
 	moves := Decide(pools)
