--- a/internal/engine/arrivals.go
+++ b/internal/engine/arrivals.go
@@ -58,7 +58,7 @@
 // decision.
 func (c *Core) waitsFor(s *step, now time.Duration) time.Duration {
 	if s.spec.Lasting {
-		return pools.DrainGoal
+		return pools.DrainTime
 	}
 	held := c.learned.estimate(s)
 	for _, t := range s.tasks {
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -104,10 +104,10 @@
 }
 
 const (
-	// DrainGoal is how fast a backlog should be worked off. The shortest jobs
+	// DrainTime is how fast a backlog should be worked off. The shortest jobs
 	// are late two seconds after their acceptance, of which a move takes most.
 	// Between 0.4 s and this no difference was found.
-	DrainGoal = 900 * time.Millisecond
+	DrainTime = 900 * time.Millisecond
 	// arrivalShare is how many times what arrives a pool draws VMs for. A burst swells
 	// for two seconds, and a VM that is ordered now arrives in the last of them: drawn for
 	// the rate of now, VMs came as the burst was over half. A VM too many costs a move.
@@ -260,7 +260,7 @@
 		}
 		lack := p.lack()
 		for label, b := range p.ByLabel {
-			cores := b.Used + b.Backlog/DrainGoal.Seconds() - p.cores(label)
+			cores := b.Used + b.Backlog/DrainTime.Seconds() - p.cores(label)
 			if b.Backlog <= 0 || cores <= 0 || !exists(pools, label) {
 				continue
 			}
@@ -289,7 +289,7 @@
 	}
 	// What will arrive must be borne, and the backlog worked off beside it. Cores in
 	// use tell no more than what there is.
-	lack := max(p.Used, arrivalShare*p.ArrivalRate) + p.Backlog/DrainGoal.Seconds() - p.cores("")
+	lack := max(p.Used, arrivalShare*p.ArrivalRate) + p.Backlog/DrainTime.Seconds() - p.cores("")
 	return max(lack, float64(p.MissingVMs)*largest-coming)
 }
 
