--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -30,7 +30,7 @@
 // learned is what was learned of kinds of jobs and of workers, kept in one key
 // of the store for whoever takes the work over.
 type learned struct {
-	Sizes *sizing.Book
+	Sizes *sizing.UsageHistory
 	Blame *blame.Book
 
 	loaded   bool
--- a/policy/sizing/sizing.go
+++ b/policy/sizing/sizing.go
@@ -49,20 +49,20 @@
 	Turn  uint64 // when the kind was last heard of, in reports
 }
 
-// Book remembers the kinds. Its fields are exported to be stored.
-type Book struct {
+// UsageHistory remembers the kinds. Its fields are exported to be stored.
+type UsageHistory struct {
 	Kinds map[string]*Kind
 	Turn  uint64
 }
 
 // NewBook returns a Book that knows nothing.
-func NewBook() *Book { return &Book{Kinds: make(map[string]*Kind)} }
+func NewBook() *UsageHistory { return &UsageHistory{Kinds: make(map[string]*Kind)} }
 
 // Report notes what a job was seen to use of what it was given. It needs a
 // margin above its use, but no more than it was given and got by with: a job
 // that fills whatever it gets would else get more each time, until it fits on
 // no worker.
-func (b *Book) Report(kind string, job model.JobID, used, given model.Resources) {
+func (b *UsageHistory) Report(kind string, job model.JobID, used, given model.Resources) {
 	b.note(kind, job, model.Resources{
 		MilliCPU: need(used.MilliCPU, given.MilliCPU, cpuMargin),
 		MemoryMB: need(used.MemoryMB, given.MemoryMB, memoryMargin),
@@ -77,7 +77,7 @@
 	return with
 }
 
-func (b *Book) note(kind string, job model.JobID, need model.Resources) {
+func (b *UsageHistory) note(kind string, job model.JobID, need model.Resources) {
 	b.Turn++
 	k := b.Kinds[kind]
 	if k == nil {
@@ -101,11 +101,11 @@
 // Exceeded notes that a job used more memory than it was given, which no usage
 // report shows where its worker ends it at once. That it would have done with
 // twice as much is the least that this says.
-func (b *Book) Exceeded(kind string, job model.JobID, given model.Resources) {
+func (b *UsageHistory) Exceeded(kind string, job model.JobID, given model.Resources) {
 	b.note(kind, job, model.Resources{MemoryMB: 2 * given.MemoryMB})
 }
 
-func (b *Book) makeRoom() {
+func (b *UsageHistory) makeRoom() {
 	if len(b.Kinds) < maxKinds {
 		return
 	}
@@ -121,7 +121,7 @@
 // Size returns what to set aside for the job, with memory for one that had too
 // little before of at least so many MB. Accelerators are never learned: they
 // are whole devices that a job either asks for or not.
-func (b *Book) Size(job *model.Job, leastMB int64) model.Resources {
+func (b *UsageHistory) Size(job *model.Job, leastMB int64) model.Resources {
 	size := job.Declared
 	if k := b.Kinds[job.Kind]; k != nil {
 		size.MilliCPU = k.estimate(cpuOf, median, size.MilliCPU, minCPU)
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -17,7 +17,7 @@
 var ample = model.Resources{MilliCPU: 1 << 40, MemoryMB: 1 << 40}
 
 // learned is a book of jobs that used so much processor and memory each.
-func learned(used ...int64) *Book {
+func learned(used ...int64) *UsageHistory {
 	b := NewBook()
 	for i, u := range used {
 		b.Report("k", model.JobID(fmt.Sprint(i)), model.Resources{MilliCPU: u, MemoryMB: u}, ample)
@@ -30,7 +30,7 @@
 	once.Repeatable = false
 	for _, tc := range []struct {
 		name     string
-		book     *Book
+		book     *UsageHistory
 		job      *model.Job
 		least    int64
 		cpu, mem int64
