--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -44,7 +44,7 @@
 
 func newLearned() *learned {
 	return &learned{
-		Sizes: sizing.NewBook(), Blame: blame.NewBook(),
+		Sizes: sizing.NewUsageHistory(), Blame: blame.NewBook(),
 		judged: make(map[model.AttemptID]blame.Outcome), reported: make(map[model.AttemptID]time.Time),
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	if err := json.Unmarshal(kv.Value, l); err != nil {
 		j.log.Error(err, "what was learned can't be read and is learned anew")
-		l.Sizes, l.Blame = sizing.NewBook(), blame.NewBook()
+		l.Sizes, l.Blame = sizing.NewUsageHistory(), blame.NewBook()
 	}
 	return nil
 }
--- a/policy/sizing/sizing.go
+++ b/policy/sizing/sizing.go
@@ -55,8 +55,8 @@
 	Turn  uint64
 }
 
-// NewBook returns a Book that knows nothing.
-func NewBook() *UsageHistory { return &UsageHistory{Kinds: make(map[string]*Kind)} }
+// NewUsageHistory returns a Book that knows nothing.
+func NewUsageHistory() *UsageHistory { return &UsageHistory{Kinds: make(map[string]*Kind)} }
 
 // Report notes what a job was seen to use of what it was given. It needs a
 // margin above its use, but no more than it was given and got by with: a job
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -18,7 +18,7 @@
 
 // learned is a book of jobs that used so much processor and memory each.
 func learned(used ...int64) *UsageHistory {
-	b := NewBook()
+	b := NewUsageHistory()
 	for i, u := range used {
 		b.Report("k", model.JobID(fmt.Sprint(i)), model.Resources{MilliCPU: u, MemoryMB: u}, ample)
 	}
@@ -35,7 +35,7 @@
 		least    int64
 		cpu, mem int64
 	}{
-		{"nothing known: as declared", NewBook(), job(1000), 0, 1000, 1000},
+		{"nothing known: as declared", NewUsageHistory(), job(1000), 0, 1000, 1000},
 		{"too few jobs: as declared", learned(300, 300, 300), job(1000), 0, 1000, 1000},
 		{"declared too large", learned(300, 300, 300, 300), job(1200), 0, 309, 360},
 		{"declared too small", learned(4000, 4000, 4000, 4000), job(1000), 0, 4120, 4800},
@@ -54,7 +54,7 @@
 }
 
 func TestLaggingReportsOfOneJobCountOnce(t *testing.T) {
-	b := NewBook()
+	b := NewUsageHistory()
 	for range 100 {
 		b.Report("k", "j1", model.Resources{MilliCPU: 50000, MemoryMB: 50000}, ample)
 	}
@@ -66,7 +66,7 @@
 	// uses all the memory it is given, and a margin on top of each estimate
 	// makes the next larger, until no worker has as much. What a job got by
 	// with is therefore enough.
-	b := NewBook()
+	b := NewUsageHistory()
 	for i := range 100 {
 		given := b.Size(job(1000), 0)
 		b.Report("k", model.JobID(fmt.Sprint(i)), given, given)
@@ -85,7 +85,7 @@
 func TestMemoryThatNoReportShows(t *testing.T) {
 	// A worker's guard ends each job before its first usage report. What it
 	// was given then says that the next needs twice as much.
-	b := NewBook()
+	b := NewUsageHistory()
 	for i := range enough {
 		b.Exceeded("k", model.JobID(fmt.Sprint(i)), model.Resources{MilliCPU: 1000, MemoryMB: 1000})
 	}
@@ -93,7 +93,7 @@
 }
 
 func TestKindsAreBounded(t *testing.T) {
-	b := NewBook()
+	b := NewUsageHistory()
 	for i := range maxKinds + 10 {
 		b.Report(fmt.Sprint(i), "j", model.Resources{MilliCPU: 1}, ample)
 	}
