--- a/policy/sizing/sizing.go
+++ b/policy/sizing/sizing.go
@@ -43,20 +43,20 @@
 	Need model.Resources
 }
 
-// Kind is what is remembered of a kind of job.
-type Kind struct {
+// KindUsage is what is remembered of a kind of job.
+type KindUsage struct {
 	Peaks []Peak // of the newest jobs, oldest first
 	Turn  uint64 // when the kind was last heard of, in reports
 }
 
 // UsageHistory remembers the kinds. Its fields are exported to be stored.
 type UsageHistory struct {
-	Kinds map[string]*Kind
+	Kinds map[string]*KindUsage
 	Turn  uint64
 }
 
 // NewUsageHistory returns a Book that knows nothing.
-func NewUsageHistory() *UsageHistory { return &UsageHistory{Kinds: make(map[string]*Kind)} }
+func NewUsageHistory() *UsageHistory { return &UsageHistory{Kinds: make(map[string]*KindUsage)} }
 
 // Report notes what a job was seen to use of what it was given. It needs a
 // margin above its use, but no more than it was given and got by with: a job
@@ -82,7 +82,7 @@
 	k := b.Kinds[kind]
 	if k == nil {
 		b.makeRoom()
-		k = &Kind{}
+		k = &KindUsage{}
 		b.Kinds[kind] = k
 	}
 	k.Turn = b.Turn
@@ -137,7 +137,7 @@
 
 // estimate picks one of the peaks, or returns what was declared where too few
 // jobs were seen.
-func (k *Kind) estimate(of func(model.Resources) int64, pick func([]int64) int64, declared, least int64) int64 {
+func (k *KindUsage) estimate(of func(model.Resources) int64, pick func([]int64) int64, declared, least int64) int64 {
 	var seen []int64
 	for _, p := range k.Peaks {
 		if of(p.Need) > 0 {
