--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -145,7 +145,7 @@
 	case !r.Repeatable:
 		return func(r *Record) { r.enter(Failed, p.now, why+"; not repeatable, so it is not tried again") }
 	case why == infra.ReasonMemoryGuard && r.Grow < maxGrow:
-		p.learned.Sizes.Exceeded(r.Kind, r.ID, r.Size)
+		p.learned.Sizes.ReportExceeded(r.Kind, r.ID, r.Size)
 		return func(r *Record) {
 			r.Grow++
 			r.LeastMB = 2 * r.Size.MemoryMB
--- a/policy/sizing/sizing.go
+++ b/policy/sizing/sizing.go
@@ -98,10 +98,10 @@
 	}
 }
 
-// Exceeded notes that a job used more memory than it was given, which no usage
+// ReportExceeded notes that a job used more memory than it was given, which no usage
 // report shows where its worker ends it at once. That it would have done with
 // twice as much is the least that this says.
-func (b *UsageHistory) Exceeded(kind string, job model.JobID, given model.Resources) {
+func (b *UsageHistory) ReportExceeded(kind string, job model.JobID, given model.Resources) {
 	b.note(kind, job, model.Resources{MemoryMB: 2 * given.MemoryMB})
 }
 
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -87,7 +87,7 @@
 	// was given then says that the next needs twice as much.
 	b := NewUsageHistory()
 	for i := range enough {
-		b.Exceeded("k", model.JobID(fmt.Sprint(i)), model.Resources{MilliCPU: 1000, MemoryMB: 1000})
+		b.ReportExceeded("k", model.JobID(fmt.Sprint(i)), model.Resources{MilliCPU: 1000, MemoryMB: 1000})
 	}
 	assert.Equal(t, b.Size(job(1000), 0), model.Resources{MilliCPU: 1000, MemoryMB: 2000, Accelerators: 1})
 }
