--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -36,13 +36,13 @@
 
 // The tiers, most urgent first.
 const (
-	TierLasting Tier = iota // serves users of its own now
-	TierOnTime              // can still meet its objective
-	TierLate                // cannot, but is still of some use
-	TierUseless             // runs only on what nobody else wants
+	TierLongRunning Tier = iota // serves users of its own now
+	TierOnTime                  // can still meet its objective
+	TierLate                    // cannot, but is still of some use
+	TierUseless                 // runs only on what nobody else wants
 )
 
-var tierNames = [...]string{TierLasting: "lasting", TierOnTime: "in time", TierLate: "late", TierUseless: "too late to be of use"}
+var tierNames = [...]string{TierLongRunning: "lasting", TierOnTime: "in time", TierLate: "late", TierUseless: "too late to be of use"}
 
 // String returns the tier as operators read it.
 func (t Tier) String() string { return tierNames[t] }
@@ -90,7 +90,7 @@
 
 func tier(j Job) Tier {
 	if j.Lasting {
-		return TierLasting
+		return TierLongRunning
 	}
 	finish := j.Waited + j.Chain
 	switch {
