--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -226,7 +226,7 @@
 
 func (r *CellReport) addWaiting(s *step, tier joborder.Tier, coreSeconds float64) {
 	useful, leftover := coreSeconds, 0.0
-	if tier == joborder.TierUseless {
+	if tier == joborder.TierExpired {
 		useful, leftover = 0, coreSeconds
 	}
 	r.Backlog += useful
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -39,10 +39,10 @@
 	TierLongRunning Tier = iota // serves users of its own now
 	TierOnTime                  // can still meet its objective
 	TierLate                    // cannot, but is still of some use
-	TierUseless                 // runs only on what nobody else wants
+	TierExpired                 // runs only on what nobody else wants
 )
 
-var tierNames = [...]string{TierLongRunning: "lasting", TierOnTime: "in time", TierLate: "late", TierUseless: "too late to be of use"}
+var tierNames = [...]string{TierLongRunning: "lasting", TierOnTime: "in time", TierLate: "late", TierExpired: "too late to be of use"}
 
 // String returns the tier as operators read it.
 func (t Tier) String() string { return tierNames[t] }
@@ -99,7 +99,7 @@
 	case float64(finish) <= uselessAfter*float64(j.Objective):
 		return TierLate
 	}
-	return TierUseless
+	return TierExpired
 }
 
 func cost(j Job) float64 {
