--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -131,13 +131,13 @@
 // orderOf describes a job to the order.
 func (c *Core) orderOf(j *job, o *occurrence, now time.Duration) joborder.Job {
 	out := joborder.Job{
-		Priority: j.queue.Priority,
-		Lasting:  j.Lasting(),
-		Begun:    j.begun,
-		Waited:   now - o.due,
-		Size:     j.size,
-		MeanSize: c.size(j.Queue).mean(),
-		Beyond:   j.beyond,
+		Priority:    j.queue.Priority,
+		LongRunning: j.Lasting(),
+		Begun:       j.begun,
+		Waited:      now - o.due,
+		Size:        j.size,
+		MeanSize:    c.size(j.Queue).mean(),
+		Beyond:      j.beyond,
 	}
 	chains := make([]time.Duration, len(o.steps))
 	whole := make([]time.Duration, len(o.steps))
--- a/policy/joborder/joborder_test.go
+++ b/policy/joborder/joborder_test.go
@@ -15,7 +15,7 @@
 		name        string
 		first, next Job
 	}{
-		{"what serves users now goes before what is computed", Job{Lasting: true}, small},
+		{"what serves users now goes before what is computed", Job{LongRunning: true}, small},
 		{"what can be in time goes before what cannot", small, Job{Objective: time.Second, Chain: 2 * time.Second, Work: 1, Size: 10, MeanSize: 10}},
 		{"what is late goes before what is of no use any more", Job{Waited: 2 * time.Second, Objective: time.Second, Work: 10, Size: 10, MeanSize: 10}, Job{Waited: 9 * time.Second, Objective: time.Second, Work: 1, Size: 10, MeanSize: 10}},
 		{"priority 0 goes before 1", small, Job{Priority: 1, Objective: 2 * time.Second, Chain: time.Second, Work: 1, Size: 10, MeanSize: 10}},
