--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -133,7 +133,7 @@
 	out := joborder.Job{
 		Priority:    j.queue.Priority,
 		LongRunning: j.Lasting(),
-		Begun:       j.begun,
+		Started:     j.begun,
 		Waited:      now - o.due,
 		Size:        j.size,
 		MeanSize:    c.size(j.Queue).mean(),
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -51,7 +51,7 @@
 type Job struct {
 	Priority    int // of its queue, 0 first
 	LongRunning bool
-	Begun       bool
+	Started     bool
 	Waited      time.Duration // since its acceptance (or due time)
 	Objective   time.Duration // from its acceptance
 	Chain       time.Duration // longest chain of work still to do
@@ -104,7 +104,7 @@
 
 func cost(j Job) float64 {
 	work := j.Work
-	if j.Begun {
+	if j.Started {
 		work *= begunShare
 	}
 	return work / value(j)
--- a/policy/joborder/joborder_test.go
+++ b/policy/joborder/joborder_test.go
@@ -20,7 +20,7 @@
 		{"what is late goes before what is of no use any more", Job{Waited: 2 * time.Second, Objective: time.Second, Work: 10, Size: 10, MeanSize: 10}, Job{Waited: 9 * time.Second, Objective: time.Second, Work: 1, Size: 10, MeanSize: 10}},
 		{"priority 0 goes before 1", small, Job{Priority: 1, Objective: 2 * time.Second, Chain: time.Second, Work: 1, Size: 10, MeanSize: 10}},
 		{"little left goes before much", Job{Objective: 2 * time.Second, Work: 2, Size: 10, MeanSize: 10}, small},
-		{"a begun job goes before one as large", Job{Begun: true, Objective: 2 * time.Second, Chain: time.Second, Work: 10, Size: 10, MeanSize: 10}, small},
+		{"a begun job goes before one as large", Job{Started: true, Objective: 2 * time.Second, Chain: time.Second, Work: 10, Size: 10, MeanSize: 10}, small},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Assert(t, Of(c.first).Before(Of(c.next)))
