--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -106,7 +106,7 @@
 	workers := c.snapshots(now)
 	for _, o := range j.live {
 		described := c.orderOf(j, o, now)
-		e.Objective, e.Left = described.Objective, described.Chain
+		e.Objective, e.Left = described.Objective, described.CriticalPath
 		e.Tier = joborder.Of(described).Tier.String()
 		for _, s := range o.steps {
 			e.Steps = append(e.Steps, c.explainStep(s, workers, now))
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -156,7 +156,7 @@
 		}
 		chains[i] += before
 		whole[i] += beforeWhole
-		out.Chain = max(out.Chain, chains[i])
+		out.CriticalPath = max(out.CriticalPath, chains[i])
 		out.Objective = max(out.Objective, whole[i])
 	}
 	out.Objective = time.Duration(float64(out.Objective)*max(1, j.queue.Stretch)) + j.queue.Slack
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -49,16 +49,16 @@
 
 // Job is what the order looks at.
 type Job struct {
-	Priority    int // of its queue, 0 first
-	LongRunning bool
-	Started     bool
-	Waited      time.Duration // since its acceptance (or due time)
-	Objective   time.Duration // from its acceptance
-	Chain       time.Duration // longest chain of work still to do
-	Work        float64       // core-seconds still to do
-	Size        float64       // core-seconds in all
-	MeanSize    float64       // of the jobs of its queue; 0 if unknown
-	Beyond      bool          // its workspace had handed in more than its weight when it came
+	Priority     int // of its queue, 0 first
+	LongRunning  bool
+	Started      bool
+	Waited       time.Duration // since its acceptance (or due time)
+	Objective    time.Duration // from its acceptance
+	CriticalPath time.Duration // longest chain of work still to do
+	Work         float64       // core-seconds still to do
+	Size         float64       // core-seconds in all
+	MeanSize     float64       // of the jobs of its queue; 0 if unknown
+	Beyond       bool          // its workspace had handed in more than its weight when it came
 }
 
 // Rank is a place in the order; lower goes first.
@@ -92,7 +92,7 @@
 	if j.LongRunning {
 		return TierLongRunning
 	}
-	finish := j.Waited + j.Chain
+	finish := j.Waited + j.CriticalPath
 	switch {
 	case finish <= j.Objective:
 		return TierOnTime
--- a/policy/joborder/joborder_test.go
+++ b/policy/joborder/joborder_test.go
@@ -10,17 +10,17 @@
 )
 
 func TestOrderByCase(t *testing.T) {
-	small := Job{Objective: 2 * time.Second, Chain: time.Second, Work: 10, Size: 10, MeanSize: 10}
+	small := Job{Objective: 2 * time.Second, CriticalPath: time.Second, Work: 10, Size: 10, MeanSize: 10}
 	for _, c := range []struct {
 		name        string
 		first, next Job
 	}{
 		{"what serves users now goes before what is computed", Job{LongRunning: true}, small},
-		{"what can be in time goes before what cannot", small, Job{Objective: time.Second, Chain: 2 * time.Second, Work: 1, Size: 10, MeanSize: 10}},
+		{"what can be in time goes before what cannot", small, Job{Objective: time.Second, CriticalPath: 2 * time.Second, Work: 1, Size: 10, MeanSize: 10}},
 		{"what is late goes before what is of no use any more", Job{Waited: 2 * time.Second, Objective: time.Second, Work: 10, Size: 10, MeanSize: 10}, Job{Waited: 9 * time.Second, Objective: time.Second, Work: 1, Size: 10, MeanSize: 10}},
-		{"priority 0 goes before 1", small, Job{Priority: 1, Objective: 2 * time.Second, Chain: time.Second, Work: 1, Size: 10, MeanSize: 10}},
+		{"priority 0 goes before 1", small, Job{Priority: 1, Objective: 2 * time.Second, CriticalPath: time.Second, Work: 1, Size: 10, MeanSize: 10}},
 		{"little left goes before much", Job{Objective: 2 * time.Second, Work: 2, Size: 10, MeanSize: 10}, small},
-		{"a begun job goes before one as large", Job{Started: true, Objective: 2 * time.Second, Chain: time.Second, Work: 10, Size: 10, MeanSize: 10}, small},
+		{"a begun job goes before one as large", Job{Started: true, Objective: 2 * time.Second, CriticalPath: time.Second, Work: 10, Size: 10, MeanSize: 10}, small},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Assert(t, Of(c.first).Before(Of(c.next)))
@@ -89,7 +89,7 @@
 	}
 	mean := sum / float64(len(jobs))
 	rank := func(j queued) Rank {
-		return Of(Job{Objective: time.Duration(1.6*float64(j.chain)) + 600*time.Millisecond, Chain: j.chain, Work: j.size, Size: j.size, MeanSize: mean})
+		return Of(Job{Objective: time.Duration(1.6*float64(j.chain)) + 600*time.Millisecond, CriticalPath: j.chain, Work: j.size, Size: j.size, MeanSize: mean})
 	}
 	ordered, large := useful(jobs, mean, func(a, b queued) bool { return rank(a).Before(rank(b)) })
 	arrival, _ := useful(jobs, mean, func(a, b queued) bool { return false })
