--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -137,7 +137,7 @@
 		Waited:      now - o.due,
 		Size:        j.size,
 		MeanSize:    c.size(j.Queue).mean(),
-		Beyond:      j.beyond,
+		OverShare:   j.beyond,
 	}
 	chains := make([]time.Duration, len(o.steps))
 	whole := make([]time.Duration, len(o.steps))
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -58,7 +58,7 @@
 	Work         float64       // core-seconds still to do
 	Size         float64       // core-seconds in all
 	MeanSize     float64       // of the jobs of its queue; 0 if unknown
-	Beyond       bool          // its workspace had handed in more than its weight when it came
+	OverShare    bool          // its workspace had handed in more than its weight when it came
 }
 
 // Rank is a place in the order; lower goes first.
@@ -85,7 +85,7 @@
 
 // Of returns the job's place.
 func Of(j Job) Rank {
-	return Rank{Tier: tier(j), Beyond: j.Beyond, Priority: j.Priority, Cost: cost(j)}
+	return Rank{Tier: tier(j), Beyond: j.OverShare, Priority: j.Priority, Cost: cost(j)}
 }
 
 func tier(j Job) Tier {
