--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -63,10 +63,10 @@
 
 // Rank is a place in the order; lower goes first.
 type Rank struct {
-	Tier     Tier
-	Beyond   bool // its workspace's weight
-	Priority int
-	Cost     float64 // core-seconds for one unit of value
+	Tier      Tier
+	OverShare bool // its workspace's weight
+	Priority  int
+	Cost      float64 // core-seconds for one unit of value
 }
 
 // Before reports whether r goes before o.
@@ -74,8 +74,8 @@
 	if r.Tier != o.Tier {
 		return r.Tier < o.Tier
 	}
-	if r.Beyond != o.Beyond {
-		return o.Beyond
+	if r.OverShare != o.OverShare {
+		return o.OverShare
 	}
 	if r.Priority != o.Priority {
 		return r.Priority < o.Priority
@@ -85,7 +85,7 @@
 
 // Of returns the job's place.
 func Of(j Job) Rank {
-	return Rank{Tier: tier(j), Beyond: j.OverShare, Priority: j.Priority, Cost: cost(j)}
+	return Rank{Tier: tier(j), OverShare: j.OverShare, Priority: j.Priority, Cost: cost(j)}
 }
 
 func tier(j Job) Tier {
