--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -107,7 +107,7 @@
 	for _, o := range j.live {
 		described := c.orderOf(j, o, now)
 		e.Objective, e.Left = described.Objective, described.CriticalPath
-		e.Tier = joborder.Of(described).Tier.String()
+		e.Tier = joborder.RankOf(described).Tier.String()
 		for _, s := range o.steps {
 			e.Steps = append(e.Steps, c.explainStep(s, workers, now))
 		}
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -117,7 +117,7 @@
 					c.sought[s.spec.Requires] = now
 				}
 				if rank == nil {
-					r := joborder.Of(c.orderOf(j, o, now))
+					r := joborder.RankOf(c.orderOf(j, o, now))
 					rank = &r
 					o.tier = r.Tier
 				}
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -83,8 +83,8 @@
 	return r.Cost < o.Cost
 }
 
-// Of returns the job's place.
-func Of(j Job) Rank {
+// RankOf returns the job's place.
+func RankOf(j Job) Rank {
 	return Rank{Tier: tier(j), OverShare: j.OverShare, Priority: j.Priority, Cost: cost(j)}
 }
 
--- a/policy/joborder/joborder_test.go
+++ b/policy/joborder/joborder_test.go
@@ -23,8 +23,8 @@
 		{"a begun job goes before one as large", Job{Started: true, Objective: 2 * time.Second, CriticalPath: time.Second, Work: 10, Size: 10, MeanSize: 10}, small},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Assert(t, Of(c.first).Before(Of(c.next)))
-			assert.Assert(t, !Of(c.next).Before(Of(c.first)))
+			assert.Assert(t, RankOf(c.first).Before(RankOf(c.next)))
+			assert.Assert(t, !RankOf(c.next).Before(RankOf(c.first)))
 		})
 	}
 }
@@ -89,7 +89,7 @@
 	}
 	mean := sum / float64(len(jobs))
 	rank := func(j queued) Rank {
-		return Of(Job{Objective: time.Duration(1.6*float64(j.chain)) + 600*time.Millisecond, CriticalPath: j.chain, Work: j.size, Size: j.size, MeanSize: mean})
+		return RankOf(Job{Objective: time.Duration(1.6*float64(j.chain)) + 600*time.Millisecond, CriticalPath: j.chain, Work: j.size, Size: j.size, MeanSize: mean})
 	}
 	ordered, large := useful(jobs, mean, func(a, b queued) bool { return rank(a).Before(rank(b)) })
 	arrival, _ := useful(jobs, mean, func(a, b queued) bool { return false })
