--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -22,11 +22,11 @@
 
 // Candidate is a VM of the wave that is still due.
 type Candidate struct {
-	VM      work.VM
-	Parked  bool // in a pool whose VMs are off
-	Tasks   int  // on it, by our books
-	Lasting int  // of them
-	Backlog bool // tasks wait for room in its pool
+	VM          work.VM
+	Parked      bool // in a pool whose VMs are off
+	Tasks       int  // on it, by our books
+	LongRunning int  // of them
+	Backlog     bool // tasks wait for room in its pool
 	// Serial is how long the lasting tasks on VMs of waves in its pool take to move,
 	// one after the other.
 	Serial   time.Duration
@@ -78,7 +78,7 @@
 		case c.Tasks == 0 && (c.Parked || c.Cordoned || pressed || !c.Backlog):
 			d.Maintain = append(d.Maintain, c.VM.ID)
 			room--
-		case c.Cordoned || pressed || !c.Backlog || c.Lasting > 0 && float64(c.Serial) > pressure*float64(in.Left):
+		case c.Cordoned || pressed || !c.Backlog || c.LongRunning > 0 && float64(c.Serial) > pressure*float64(in.Left):
 			d.Empty = append(d.Empty, c.VM.ID)
 			if c.Emptying >= evictAfter {
 				d.Evict = append(d.Evict, c.VM.ID)
@@ -100,7 +100,7 @@
 func compare(a, b Candidate) int {
 	return cmp.Or(
 		cmp.Compare(rank(a), rank(b)),
-		cmp.Compare(a.Lasting, b.Lasting),
+		cmp.Compare(a.LongRunning, b.LongRunning),
 		cmp.Compare(a.Tasks, b.Tasks),
 		cmp.Compare(a.VM.ID, b.VM.ID),
 	)
--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -41,7 +41,7 @@
 // pass: the VM would be missed in it.
 func TestVMsWithLastingTasksAreEmptiedFromTheStartWhereTheyTakeLong(t *testing.T) {
 	lasting := due("lasting", 3)
-	lasting.Backlog, lasting.Lasting, lasting.Serial = true, 2, 30*time.Second
+	lasting.Backlog, lasting.LongRunning, lasting.Serial = true, 2, 30*time.Second
 	short := due("short", 3)
 	short.Backlog, short.Serial = true, lasting.Serial
 	d := Decide(input(27*time.Second, short, lasting, due("empty", 0)))
