--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -27,10 +27,10 @@
 	Tasks       int  // on it, by our books
 	LongRunning int  // of them
 	Backlog     bool // tasks wait for room in its pool
-	// Serial is how long the lasting tasks on VMs of waves in its pool take to move,
+	// SerialMoveTime is how long the lasting tasks on VMs of waves in its pool take to move,
 	// one after the other.
-	Serial   time.Duration
-	Cordoned bool // chosen before: it is being emptied
+	SerialMoveTime time.Duration
+	Cordoned       bool // chosen before: it is being emptied
 	// Emptying is for how long it has been closed to new tasks.
 	Emptying time.Duration
 }
@@ -78,7 +78,7 @@
 		case c.Tasks == 0 && (c.Parked || c.Cordoned || pressed || !c.Backlog):
 			d.Maintain = append(d.Maintain, c.VM.ID)
 			room--
-		case c.Cordoned || pressed || !c.Backlog || c.LongRunning > 0 && float64(c.Serial) > pressure*float64(in.Left):
+		case c.Cordoned || pressed || !c.Backlog || c.LongRunning > 0 && float64(c.SerialMoveTime) > pressure*float64(in.Left):
 			d.Empty = append(d.Empty, c.VM.ID)
 			if c.Emptying >= evictAfter {
 				d.Evict = append(d.Evict, c.VM.ID)
--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -41,13 +41,13 @@
 // pass: the VM would be missed in it.
 func TestVMsWithLastingTasksAreEmptiedFromTheStartWhereTheyTakeLong(t *testing.T) {
 	lasting := due("lasting", 3)
-	lasting.Backlog, lasting.LongRunning, lasting.Serial = true, 2, 30*time.Second
+	lasting.Backlog, lasting.LongRunning, lasting.SerialMoveTime = true, 2, 30*time.Second
 	short := due("short", 3)
-	short.Backlog, short.Serial = true, lasting.Serial
+	short.Backlog, short.SerialMoveTime = true, lasting.SerialMoveTime
 	d := Decide(input(27*time.Second, short, lasting, due("empty", 0)))
 	assert.DeepEqual(t, d.Maintain, []string{"empty"})
 	assert.DeepEqual(t, d.Empty, []string{"lasting"})
-	lasting.Serial = 7500 * time.Millisecond
+	lasting.SerialMoveTime = 7500 * time.Millisecond
 	assert.Equal(t, len(Decide(input(27*time.Second, lasting)).Empty), 0)
 	assert.DeepEqual(t, Decide(input(14*time.Second, lasting)).Empty, []string{"lasting"})
 }
