--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -109,7 +109,7 @@
 	since, closed := r.emptying[vm.ID]
 	c := upkeep.Candidate{VM: vm, Parked: f.parked(vm.Pool), Cordoned: closed}
 	if closed {
-		c.Emptying = f.Clock.Now() - since
+		c.CordonedFor = f.Clock.Now() - since
 	}
 	if view := f.cells[vm.Pool]; view != nil {
 		c.Backlog = view.Backlog > 0
--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -31,8 +31,8 @@
 	// one after the other.
 	SerialMoveTime time.Duration
 	Cordoned       bool // chosen before: it is being emptied
-	// Emptying is for how long it has been closed to new tasks.
-	Emptying time.Duration
+	// CordonedFor is for how long it has been closed to new tasks.
+	CordonedFor time.Duration
 }
 
 // Input is what a decision looks at.
@@ -80,7 +80,7 @@
 			room--
 		case c.Cordoned || pressed || !c.Backlog || c.LongRunning > 0 && float64(c.SerialMoveTime) > pressure*float64(in.Left):
 			d.Empty = append(d.Empty, c.VM.ID)
-			if c.Emptying >= evictAfter {
+			if c.CordonedFor >= evictAfter {
 				d.Evict = append(d.Evict, c.VM.ID)
 			}
 			room--
--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -65,9 +65,9 @@
 // What runs on one VM stands still: the wave waits for it for ever.
 func TestAVMThatDoesNotEmptyIsEvicted(t *testing.T) {
 	stuck := due("stuck", 1)
-	stuck.Cordoned, stuck.Emptying = true, evictAfter-time.Millisecond
+	stuck.Cordoned, stuck.CordonedFor = true, evictAfter-time.Millisecond
 	assert.Equal(t, len(Decide(input(time.Hour, stuck)).Evict), 0)
-	stuck.Emptying = evictAfter
+	stuck.CordonedFor = evictAfter
 	assert.DeepEqual(t, Decide(input(time.Hour, stuck)).Evict, []string{"stuck"})
 }
 
