--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -84,7 +84,7 @@
 
 func (f *Fleet) input(w OrderedWave, r *waveRun) upkeep.Input {
 	in := upkeep.Input{
-		Left:       w.Seen + w.Duration - f.Clock.Now(),
+		TimeLeft:   w.Seen + w.Duration - f.Clock.Now(),
 		Each:       emptyTime + maintenanceTime,
 		MaxAtATime: w.MaxAtATime,
 	}
--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -37,7 +37,7 @@
 
 // Input is what a decision looks at.
 type Input struct {
-	Left       time.Duration // until the wave is late
+	TimeLeft   time.Duration // until the wave is late
 	Each       time.Duration // what one VM takes, emptying and detection included
 	MaxAtATime int
 	Away       int // VMs of the wave that are, or may be, down for it
@@ -78,7 +78,7 @@
 		case c.Tasks == 0 && (c.Parked || c.Cordoned || pressed || !c.Backlog):
 			d.Maintain = append(d.Maintain, c.VM.ID)
 			room--
-		case c.Cordoned || pressed || !c.Backlog || c.LongRunning > 0 && float64(c.SerialMoveTime) > pressure*float64(in.Left):
+		case c.Cordoned || pressed || !c.Backlog || c.LongRunning > 0 && float64(c.SerialMoveTime) > pressure*float64(in.TimeLeft):
 			d.Empty = append(d.Empty, c.VM.ID)
 			if c.CordonedFor >= evictAfter {
 				d.Evict = append(d.Evict, c.VM.ID)
@@ -93,7 +93,7 @@
 func Pressed(in Input) bool {
 	batches := (len(in.Due) + max(1, in.MaxAtATime) - 1) / max(1, in.MaxAtATime)
 	need := time.Duration(batches) * in.Each
-	return float64(need) > pressure*float64(in.Left)
+	return float64(need) > pressure*float64(in.TimeLeft)
 }
 
 // compare puts first what costs least.
