--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -85,7 +85,7 @@
 func (f *Fleet) input(w OrderedWave, r *waveRun) upkeep.Input {
 	in := upkeep.Input{
 		TimeLeft:   w.Seen + w.Duration - f.Clock.Now(),
-		Each:       emptyTime + maintenanceTime,
+		TimePerVM:  emptyTime + maintenanceTime,
 		MaxAtATime: w.MaxAtATime,
 	}
 	for _, id := range w.VMs {
--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -38,7 +38,7 @@
 // Input is what a decision looks at.
 type Input struct {
 	TimeLeft   time.Duration // until the wave is late
-	Each       time.Duration // what one VM takes, emptying and detection included
+	TimePerVM  time.Duration // what one VM takes, emptying and detection included
 	MaxAtATime int
 	Away       int // VMs of the wave that are, or may be, down for it
 	Due        []Candidate
@@ -92,7 +92,7 @@
 // Pressed reports whether the wave must go on whatever the load.
 func Pressed(in Input) bool {
 	batches := (len(in.Due) + max(1, in.MaxAtATime) - 1) / max(1, in.MaxAtATime)
-	need := time.Duration(batches) * in.Each
+	need := time.Duration(batches) * in.TimePerVM
 	return float64(need) > pressure*float64(in.TimeLeft)
 }
 
--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -15,7 +15,7 @@
 }
 
 func input(left time.Duration, cs ...Candidate) Input {
-	return Input{TimeLeft: left, Each: 5 * time.Second, MaxAtATime: 2, Due: cs}
+	return Input{TimeLeft: left, TimePerVM: 5 * time.Second, MaxAtATime: 2, Due: cs}
 }
 
 func TestParkedAndEmptyVMsGoFirst(t *testing.T) {
@@ -83,7 +83,7 @@
 	now := time.Duration(0)
 	for ; len(vms) > 0 && now < 2*total; now += 100 * time.Millisecond {
 		busy := now%(4*time.Second) > time.Second
-		in := Input{TimeLeft: total - now, Each: each, MaxAtATime: 4}
+		in := Input{TimeLeft: total - now, TimePerVM: each, MaxAtATime: 4}
 		for id, at := range back {
 			if now < at {
 				in.Away++
