--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -56,7 +56,7 @@
 		return nil
 	}
 	in := f.input(w, r)
-	if len(in.Due) == 0 && in.Away == 0 {
+	if len(in.Due) == 0 && in.Unavailable == 0 {
 		r.Completed = true
 		clear(r.emptying)
 		f.Log.Info("wave completed", "wave", w.Name, "took", (f.Clock.Now() - w.Seen).String())
@@ -93,7 +93,7 @@
 		o := f.orderOf(id)
 		switch {
 		case o != nil && o.wave == w.Name, exists && vm.State == work.VMMaintenance:
-			in.Away++
+			in.Unavailable++
 		case !exists || r.Done[id]:
 		default:
 			in.Due = append(in.Due, f.candidate(r, vm, o != nil))
--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -37,11 +37,11 @@
 
 // Input is what a decision looks at.
 type Input struct {
-	TimeLeft   time.Duration // until the wave is late
-	TimePerVM  time.Duration // what one VM takes, emptying and detection included
-	MaxAtATime int
-	Away       int // VMs of the wave that are, or may be, down for it
-	Due        []Candidate
+	TimeLeft    time.Duration // until the wave is late
+	TimePerVM   time.Duration // what one VM takes, emptying and detection included
+	MaxAtATime  int
+	Unavailable int // VMs of the wave that are, or may be, down for it
+	Due         []Candidate
 }
 
 // Decision says what to do now.
@@ -64,7 +64,7 @@
 // Decide chooses.
 func Decide(in Input) Decision {
 	var d Decision
-	room := max(1, in.MaxAtATime) - in.Away
+	room := max(1, in.MaxAtATime) - in.Unavailable
 	due := slices.Clone(in.Due)
 	slices.SortStableFunc(due, compare)
 	pressed := Pressed(in)
--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -56,9 +56,9 @@
 // answer may yet be carried out.
 func TestNoMoreThanTheLimitAreAway(t *testing.T) {
 	in := input(time.Hour, due("a", 0), due("b", 0))
-	in.Away = 1
+	in.Unavailable = 1
 	assert.Equal(t, len(Decide(in).Maintain), 1)
-	in.Away = 2
+	in.Unavailable = 2
 	assert.Equal(t, len(Decide(in).Maintain), 0)
 }
 
@@ -86,7 +86,7 @@
 		in := Input{TimeLeft: total - now, TimePerVM: each, MaxAtATime: 4}
 		for id, at := range back {
 			if now < at {
-				in.Away++
+				in.Unavailable++
 			} else {
 				delete(back, id)
 			}
