--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -129,7 +129,7 @@
 // with all that nobody keeps closed.
 func (f *Fleet) empty(r *waveRun, d upkeep.Decision) []cellOrder {
 	for id := range r.emptying {
-		if !slices.Contains(d.Empty, id) && !slices.Contains(d.Maintain, id) {
+		if !slices.Contains(d.Drain, id) && !slices.Contains(d.Maintain, id) {
 			delete(r.emptying, id)
 		}
 	}
@@ -138,7 +138,7 @@
 		vm := f.vms[id]
 		out = append(out, cellOrder{cell: vm.Pool, order: engine.CellOrder{Kind: kind, Worker: vm.Worker}})
 	}
-	for _, id := range d.Empty {
+	for _, id := range d.Drain {
 		if _, closed := r.emptying[id]; !closed {
 			r.emptying[id] = f.Clock.Now()
 		}
--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -47,7 +47,7 @@
 // Decision says what to do now.
 type Decision struct {
 	Maintain []string // VMs to be taken now
-	Empty    []string // VMs to be cordoned and emptied
+	Drain    []string // VMs to be cordoned and emptied
 	Evict    []string // of these, VMs whose tasks are to be stopped
 }
 
@@ -79,7 +79,7 @@
 			d.Maintain = append(d.Maintain, c.VM.ID)
 			room--
 		case c.Cordoned || pressed || !c.Backlog || c.LongRunning > 0 && float64(c.SerialMoveTime) > pressure*float64(in.TimeLeft):
-			d.Empty = append(d.Empty, c.VM.ID)
+			d.Drain = append(d.Drain, c.VM.ID)
 			if c.CordonedFor >= evictAfter {
 				d.Evict = append(d.Evict, c.VM.ID)
 			}
--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -23,7 +23,7 @@
 	parked.Parked = true
 	d := Decide(input(time.Hour, due("used", 4), due("empty", 0), parked))
 	assert.DeepEqual(t, d.Maintain, []string{"parked", "empty"})
-	assert.Equal(t, len(d.Empty), 0)
+	assert.Equal(t, len(d.Drain), 0)
 }
 
 // A pool in the middle of a burst keeps its VMs while there is time, and gives
@@ -31,8 +31,8 @@
 func TestABurstHoldsAWaveUpOnlyWhileThereIsTime(t *testing.T) {
 	busy := due("busy", 4)
 	busy.Backlog = true
-	assert.Equal(t, len(Decide(input(time.Hour, busy)).Empty), 0)
-	assert.DeepEqual(t, Decide(input(6*time.Second, busy)).Empty, []string{"busy"})
+	assert.Equal(t, len(Decide(input(time.Hour, busy)).Drain), 0)
+	assert.DeepEqual(t, Decide(input(6*time.Second, busy)).Drain, []string{"busy"})
 }
 
 // A wave is late: a step bears one of its lasting tasks away at a time, a dozen are
@@ -46,10 +46,10 @@
 	short.Backlog, short.SerialMoveTime = true, lasting.SerialMoveTime
 	d := Decide(input(27*time.Second, short, lasting, due("empty", 0)))
 	assert.DeepEqual(t, d.Maintain, []string{"empty"})
-	assert.DeepEqual(t, d.Empty, []string{"lasting"})
+	assert.DeepEqual(t, d.Drain, []string{"lasting"})
 	lasting.SerialMoveTime = 7500 * time.Millisecond
-	assert.Equal(t, len(Decide(input(27*time.Second, lasting)).Empty), 0)
-	assert.DeepEqual(t, Decide(input(14*time.Second, lasting)).Empty, []string{"lasting"})
+	assert.Equal(t, len(Decide(input(27*time.Second, lasting)).Drain), 0)
+	assert.DeepEqual(t, Decide(input(14*time.Second, lasting)).Drain, []string{"lasting"})
 }
 
 // VMs that are away, or may be, count against the limit: an order without an
@@ -96,7 +96,7 @@
 		}
 		in.Due = vms
 		d := Decide(in)
-		for _, id := range d.Empty {
+		for _, id := range d.Drain {
 			for i := range vms {
 				if vms[i].VM.ID == id {
 					vms[i].Cordoned, vms[i].Tasks = true, max(0, vms[i].Tasks-1)
