--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -67,7 +67,7 @@
 	room := max(1, in.MaxAtATime) - in.Unavailable
 	due := slices.Clone(in.Due)
 	slices.SortStableFunc(due, compare)
-	pressed := Pressed(in)
+	pressed := BehindSchedule(in)
 	for _, c := range due {
 		if room <= 0 {
 			break
@@ -89,8 +89,8 @@
 	return d
 }
 
-// Pressed reports whether the wave must go on whatever the load.
-func Pressed(in Input) bool {
+// BehindSchedule reports whether the wave must go on whatever the load.
+func BehindSchedule(in Input) bool {
 	batches := (len(in.Due) + max(1, in.MaxAtATime) - 1) / max(1, in.MaxAtATime)
 	need := time.Duration(batches) * in.TimePerVM
 	return float64(need) > pressure*float64(in.TimeLeft)
