--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -106,7 +106,7 @@
 	case w.Cordon.Closes() || w.Draining:
 		// It takes nothing new: no capacity.
 	default:
-		out.Empty, out.Since = w.Tasks == 0, w.EmptyFor
+		out.Empty, out.EmptyFor = w.Tasks == 0, w.EmptyFor
 		p.VMs = append(p.VMs, out)
 	}
 }
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -26,11 +26,11 @@
 
 // VM is one VM as the decision sees it.
 type VM struct {
-	ID     string
-	Cores  float64
-	Labels []string
-	Empty  bool          // nothing runs on it, and it may leave
-	Since  time.Duration // how long it has been empty
+	ID       string
+	Cores    float64
+	Labels   []string
+	Empty    bool          // nothing runs on it, and it may leave
+	EmptyFor time.Duration // how long it has been empty
 }
 
 // Pool is one pool.
@@ -233,7 +233,7 @@
 		}
 		spare := len(p.VMs) - stay
 		for _, vm := range p.VMs {
-			if spare > 0 && vm.Empty && vm.Since >= parkAfter {
+			if spare > 0 && vm.Empty && vm.EmptyFor >= parkAfter {
 				out = append(out, Move{VM: vm.ID, From: p.Name, To: pools[i].Name})
 				spare--
 			}
@@ -351,7 +351,7 @@
 			if spare <= 0 {
 				break
 			}
-			if vm.Empty && !p.waitsFor(&vm) && (p.Parked || vm.Since >= emptyFor) {
+			if vm.Empty && !p.waitsFor(&vm) && (p.Parked || vm.EmptyFor >= emptyFor) {
 				out = append(out, donor{vm: vm, from: p.Name, quiet: quiet})
 				spare--
 			}
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -12,7 +12,7 @@
 func vms(prefix string, n, empty int, since time.Duration) []VM {
 	var out []VM
 	for i := range n {
-		out = append(out, VM{ID: fmt.Sprintf("%s%d", prefix, i), Cores: 16, Empty: i < empty, Since: since})
+		out = append(out, VM{ID: fmt.Sprintf("%s%d", prefix, i), Cores: 16, Empty: i < empty, EmptyFor: since})
 	}
 	return out
 }
@@ -180,9 +180,9 @@
 			}
 			for v := range p.VMs {
 				p.VMs[v].Empty = p.Backlog == 0 && worked == 0
-				p.VMs[v].Since += tick
+				p.VMs[v].EmptyFor += tick
 				if !p.VMs[v].Empty {
-					p.VMs[v].Since = 0
+					p.VMs[v].EmptyFor = 0
 				}
 			}
 			p.Incoming = nil
@@ -210,7 +210,7 @@
 				for v := range pools[i].VMs {
 					if pools[i].VMs[v].ID == m.VM {
 						vm := pools[i].VMs[v]
-						vm.Since = 0
+						vm.EmptyFor = 0
 						pools[i].VMs = append(pools[i].VMs[:v:v], pools[i].VMs[v+1:]...)
 						under = append(under, arrival{at: now + moveTime, vm: vm, to: m.To})
 						break
