--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -50,9 +50,9 @@
 		p := &pools.Pool{Name: name, Parked: s.Standby}
 		if c := f.cells[name]; c != nil {
 			p.Used, p.Backlog, p.ArrivalRate, p.MissingVMs, p.SpareDemand = c.Used, c.Backlog, c.Arriving, c.Short, c.Spare
-			p.Leftover, p.ByLabel = c.Leftover, boundOf(c.Bound)
+			p.LateBacklog, p.ByLabel = c.Leftover, boundOf(c.Bound)
 		}
-		if p.Backlog > 0 || p.Leftover > 0 {
+		if p.Backlog > 0 || p.LateBacklog > 0 {
 			f.lastBusy[name] = now
 		}
 		p.SinceBacklog = now - f.lastBusy[name]
@@ -130,7 +130,7 @@
 	for _, p := range state {
 		s := summary{
 			Pool: p.Name, VMs: len(p.VMs), Incoming: len(p.Incoming), Used: int(p.Used),
-			Backlog: int(p.Backlog), Leftover: int(p.Leftover), Arriving: int(p.ArrivalRate), Short: p.MissingVMs,
+			Backlog: int(p.Backlog), Leftover: int(p.LateBacklog), Arriving: int(p.ArrivalRate), Short: p.MissingVMs,
 		}
 		for _, b := range p.ByLabel {
 			s.Labels += int(b.Backlog)
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -41,7 +41,7 @@
 	Incoming     []VM          // on their way
 	Used         float64       // cores in use
 	Backlog      float64       // core-seconds that wait for room and are still of use
-	Leftover     float64       // core-seconds that wait for room, too late to be of use
+	LateBacklog  float64       // core-seconds that wait for room, too late to be of use
 	ArrivalRate  float64       // core-seconds a second that came of late
 	MissingVMs   int           // VMs that are lacked whatever is free on the others
 	SinceBacklog time.Duration // since it last had a backlog
@@ -171,7 +171,7 @@
 	out := slices.Clone(pools)
 	for i := range out {
 		p := &out[i]
-		p.Backlog += p.Leftover
+		p.Backlog += p.LateBacklog
 		bound := make(map[string]LabelDemand, len(p.ByLabel))
 		for label, b := range p.ByLabel {
 			b.Backlog += b.LateBacklog
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -286,7 +286,7 @@
 // been in time waited as long.
 func TestLeftoversOfABurstKeepNoVMsFromWorkThatIsStillOfUse(t *testing.T) {
 	pools := []Pool{
-		{Name: "burst", VMs: vms("b", 16, 6, time.Second), Used: 160, Leftover: 3000},
+		{Name: "burst", VMs: vms("b", 16, 6, time.Second), Used: 160, LateBacklog: 3000},
 		{Name: "steady", VMs: vms("s", 4, 0, 0), Used: 64, Backlog: 50},
 	}
 	moves := Decide(pools)
@@ -301,7 +301,7 @@
 // What is too late to be of use is worked off all the same once nothing else waits.
 func TestLeftoversDrawVMsWhileNothingElseWaits(t *testing.T) {
 	pools := []Pool{
-		{Name: "burst", VMs: vms("b", 4, 0, 0), Used: 64, Leftover: 50, ByLabel: map[string]LabelDemand{"gpu": {LateBacklog: 20}}},
+		{Name: "burst", VMs: vms("b", 4, 0, 0), Used: 64, LateBacklog: 50, ByLabel: map[string]LabelDemand{"gpu": {LateBacklog: 20}}},
 		{Name: "idle", VMs: vms("i", 8, 8, time.Second)},
 	}
 	moves := Decide(pools)
