--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -7,26 +7,29 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// matchesConstraints reports whether the worker is one the job matchesConstraints ever run on, room aside.
+// matchesConstraints reports whether the worker is in the pool and zone that the
+// job asks for. It doesn't consider capacity.
 func matchesConstraints(r *Request, w *Worker) bool {
 	return (r.Job.Pool == "" || r.Job.Pool == w.Pool) && (r.Job.Zone == "" || r.Job.Zone == w.Zone)
 }
 
-// accepts reports whether the worker takes the job now, room aside.
+// accepts reports whether the worker takes new tasks such as this job now. It
+// doesn't consider capacity.
 func accepts(r *Request, w *Worker) bool {
 	return w.Closed == "" && (!w.Probe || canProbe(r.Job)) && !slices.Contains(r.Avoid, w.ID)
 }
 
-// canProbe reports whether a job may show if a quarantined worker works again: a
-// failure must cost neither a run that can't be had twice nor an urgent start.
+// canProbe reports whether the job may be used to test a quarantined worker. The
+// test may fail, so the job must be repeatable and not urgent.
 func canProbe(j *model.Job) bool { return j.Repeatable && j.Class != model.ClassUrgent }
 
 func feasible(r *Request, w *Worker) bool {
 	return matchesConstraints(r, w) && accepts(r, w) && r.Size.Fits(w.free())
 }
 
-// explain says what binds a job that no worker takes now: a constraint that
-// no worker of the fleet could ever meet, or what it waits for.
+// explain returns the refusal of a job that no worker takes now. It names either
+// a constraint that no worker of the fleet can ever meet, or what the job waits
+// for.
 func (p *planner) explain(r *Request) Refusal {
 	var inPool, inZone, largeEnough, notAvoided, accepting int
 	for i := range p.workers {
@@ -76,7 +79,8 @@
 	return out
 }
 
-// explainTooLarge finds the worker that meets the largest part of the size.
+// explainTooLarge completes the refusal of a job that exceeds the capacity of
+// every worker: it names the worker with the smallest shortfall.
 func (p *planner) explainTooLarge(r *Request, out *Refusal) {
 	var best *Worker
 	minLack := 0.0
@@ -120,9 +124,8 @@
 		"waits for team %s to use less of its guarantee; work that is not repeatable can't borrow", r.Job.Team)}
 }
 
-// shortfall returns by how much, as a share of the size, have falls short in the
-// dimension that is shortest, and which that is. An accelerator that isn't
-// there can't be made up for and counts whole.
+// shortfall returns the largest relative shortfall over all dimensions, as a
+// fraction of size (0 to 1), and the dimension that has it.
 func shortfall(size, have model.Resources) (float64, Constraint) {
 	lack, binds := shortfallRatio(size.MilliCPU, have.MilliCPU), BindsCPU
 	if l := shortfallRatio(size.MemoryMB, have.MemoryMB); l > lack {
--- a/policy/placement/index.go
+++ b/policy/placement/index.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// bucketCPU is the width of a bucket of free processors: a whole one.
+	// bucketCPU is the width of a bucket in thousandths of a processor: one
+	// processor.
 	bucketCPU = 1000
-	// maxBuckets bounds the buckets; larger workers share the last.
+	// maxBuckets bounds the number of buckets; workers with more free
+	// processors share the last one.
 	maxBuckets = 257
-	// maxCandidates is how many feasible workers are scored for one job. They
-	// come from the fullest up, so the best for packing is among the first;
-	// the others are there for memory, maintenance and accelerators.
+	// maxCandidates bounds the feasible workers scored for one job. Workers are
+	// visited from the fullest on, so the best one for packing is among the
+	// first; the others give a choice by memory, maintenance and accelerators.
 	maxCandidates = 48
 )
 
-// index keeps the workers by free processors, so that a job doesn't look at
-// the thousands that are full.
+// index groups the workers by free processors, so that the search for a worker
+// skips the thousands that are full.
 type index struct {
 	workers   []Worker
-	probes    []int32             // workers on probe, which are looked at first
+	probes    []int32             // positions in workers of those to be probed, visited first
 	buckets   [maxBuckets][]int32 // positions in workers, in no particular order
-	bucketPos []int32             // place of a worker in its bucket
+	bucketPos []int32             // index within its bucket, by position in workers
 }
 
 func newIndex(workers []Worker) *index {
@@ -56,7 +58,7 @@
 	ix.buckets[b] = ix.buckets[b][:last]
 }
 
-// allocate takes size of the worker.
+// allocate adds size to the worker's used capacity and updates its bucket.
 func (ix *index) allocate(w *Worker, size model.Resources) {
 	i, _ := slices.BinarySearchFunc(ix.workers, w.ID, func(a Worker, id model.VMID) int {
 		if a.ID < id {
@@ -71,8 +73,9 @@
 	ix.insert(int32(i))
 }
 
-// eachFeasible calls look for feasible workers, from the fullest bucket up: all of
-// them, or a bounded number.
+// eachFeasible calls visit for feasible workers: those to be probed first, then
+// from the fullest bucket on. Unless all is set, it stops after maxCandidates
+// workers that come from the buckets.
 func (ix *index) eachFeasible(r *Request, all bool, visit func(*Worker)) {
 	for _, i := range ix.probes {
 		if w := &ix.workers[i]; feasible(r, w) {
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement decides which waiting job goes to which worker. Plan is a
+// Package placement decides which waiting job runs on which worker. Make is a
 // pure function of a snapshot: the same snapshot gives the same plan.
 //
 // Load pattern: thousands of jobs wait for a fleet that is nearly full, while
-// urgent ones arrive. First fit scatters small jobs over all workers, so that
-// no worker has room for a large one while a third of the fleet is idle; it
-// also lets a deferrable flood stand before urgent work.
+// urgent jobs arrive. First fit fragments the free capacity by scattering small
+// jobs over all workers: no worker can take a large job while a third of the
+// fleet is idle. It also lets a burst of deferrable jobs delay urgent ones.
 package placement
 
 import (
@@ -20,14 +20,15 @@
 	Rack     model.RackName
 	Pool     model.PoolName
 	Capacity model.Resources
-	Used     model.Resources // set aside for tasks that run or are being started
-	// Closed says why the worker takes no new task now; empty if it does. A
-	// closed worker still counts when it is asked whether a job can ever run.
+	Used     model.Resources // reserved by tasks that run or are being started
+	// Closed is the reason why the worker accepts no new task now; empty if it
+	// accepts tasks. A closed worker still counts as one that could run a job
+	// later, so it doesn't make a refusal final.
 	Closed string
-	// Probe: the worker was quarantined and gets one repeatable job to show
+	// Probe marks a quarantined worker that gets one repeatable job, to find out
 	// whether it works again.
 	Probe bool
-	// MaintenanceSoon: the worker is about to be maintained.
+	// MaintenanceSoon marks a worker that is about to be taken for maintenance.
 	MaintenanceSoon bool
 }
 
@@ -36,36 +37,39 @@
 // Request is a waiting job.
 type Request struct {
 	Job    *model.Job
-	Size   model.Resources // what the worker sets aside; from package sizing
-	LastVM model.VMID      // where it ran before, if it did
-	Avoid  []model.VMID    // workers it failed on
+	Size   model.Resources // capacity to reserve, as estimated by package sizing
+	LastVM model.VMID      // where it last ran; empty if it never ran
+	Avoid  []model.VMID    // workers that it failed on
 }
 
-// Task is a job that holds capacity of a worker.
+// Task is a job that has capacity of a worker reserved.
 type Task struct {
 	Job      *model.Job
 	VM       model.VMID
 	Size     model.Resources
 	Since    time.Time
-	Stopping bool // it is being stopped already
+	Stopping bool // already being stopped
 }
 
-// Weights steer the score. Each is compared with the others only.
+// Weights are the weights of the terms of a worker's score. Only their ratios
+// matter.
 type Weights struct {
-	// Pack prefers workers with little left, so that spare capacity is held
-	// together and a large job still finds a worker.
+	// Pack prefers workers with little free capacity, which limits fragmentation
+	// so that a large job still finds a worker.
 	Pack float64
-	// Spread keeps tasks of a kind that asks for it in different racks and zones.
+	// Spread keeps tasks of a kind that asks for it apart, in different racks
+	// and zones.
 	Spread float64
-	// AvoidMaintenance avoids workers about to be maintained.
+	// AvoidMaintenance avoids workers with MaintenanceSoon.
 	AvoidMaintenance float64
-	// SameWorker prefers the worker that a stopped job ran on.
+	// SameWorker prefers the worker that a stopped job last ran on.
 	SameWorker float64
 }
 
-// WeightsOf derives the weights from what a deployment values: buffer cost
-// asks for packing, roll-out time for workers free of tasks when their turn
-// comes, moves for staying. A deployment that declares nothing gets 1 each.
+// WeightsOf derives the score weights from the priorities that a deployment
+// declares: BufferCost weighs packing, RollOutTime weighs keeping tasks off
+// workers about to be maintained, Moves weighs restarting a job where it ran.
+// A deployment that declares none gets 1 for each.
 func WeightsOf(d model.Weights) Weights {
 	if d == (model.Weights{}) {
 		d = model.Weights{RollOutTime: 1, BufferCost: 1, Moves: 1}
@@ -73,7 +77,7 @@
 	return Weights{Pack: d.BufferCost, Spread: 2, AvoidMaintenance: d.RollOutTime, SameWorker: d.Moves}
 }
 
-// Snapshot is all that Plan looks at.
+// Snapshot is the input of Make.
 type Snapshot struct {
 	Workers []Worker
 	Waiting []Request
@@ -82,15 +86,15 @@
 	Weights Weights
 }
 
-// Placement puts a job on a worker.
+// Placement assigns a job to a worker.
 type Placement struct {
 	Job  model.JobID
 	VM   model.VMID
 	Size model.Resources
 }
 
-// Preemption stops a task to make room. The job it makes room for is placed
-// by a later plan, once the worker has said that the room is there.
+// Preemption stops a task to free capacity for another job. That job is placed
+// by a later plan, once the worker has reported the capacity as free.
 type Preemption struct {
 	Task       model.JobID
 	For        model.JobID
@@ -98,7 +102,7 @@
 	Checkpoint bool // stop at a checkpoint
 }
 
-// Constraint is what keeps a job from running.
+// Constraint names the constraint that keeps a job from being placed.
 type Constraint string
 
 // The constraints.
@@ -117,14 +121,14 @@
 // Refusal says why a job is not placed.
 type Refusal struct {
 	Job     model.JobID
-	Never   bool // no worker of the fleet could ever run it
+	Never   bool // no worker of the fleet can ever run it as things are declared
 	Binds   Constraint
-	Nearest model.VMID // the worker that comes closest; empty if none
-	Detail  string     // a sentence a person reads
+	Nearest model.VMID // the worker that misses the least; empty if there is none
+	Detail  string     // explanation for operators
 }
 
-// Plan is what should be done about a snapshot. Each waiting job is in
-// Placements or in Refused.
+// Plan is the result of Make. Each waiting job is either in Placements or in
+// Refused; a job for which tasks are preempted is in Refused.
 type Plan struct {
 	Placements  []Placement
 	Preemptions []Preemption
--- a/policy/placement/placement_bench_test.go
+++ b/policy/placement/placement_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// The fleet to come: 3,600 workers of the size of today, four to a rack, six
-// zones; a tenth have accelerators.
+// The benchmark fleet has 3,600 workers, four to a rack, in six zones; a tenth
+// of them have accelerators.
 const (
 	benchWorkers = 3600
 	benchJobs    = 20000
@@ -31,9 +31,9 @@
 	return out
 }
 
-// benchQueue has many small jobs, some of half a worker and a few of nearly a
-// whole one, heavy in processors or in memory: work that fits only where room
-// was held together.
+// benchQueue returns many small jobs, some that take half a worker and a few that
+// take nearly a whole one, heavy in processors or in memory. The large ones fit
+// only if free capacity is not fragmented.
 func benchQueue(rng *rand.Rand, n int) []Request {
 	shapes := []struct {
 		share int
@@ -66,7 +66,7 @@
 	return out
 }
 
-// placer puts one batch of requests on workers; a baseline or Make.
+// placer assigns a batch of requests to workers: Make or a baseline.
 type placer func(workers []Worker, waiting []Request, rng *rand.Rand) []Placement
 
 func byPlan(workers []Worker, waiting []Request, _ *rand.Rand) []Placement {
@@ -87,7 +87,7 @@
 	return out
 }
 
-// randomFit tries as many random workers as Make scores.
+// randomFit tries as many random workers for a job as Make scores.
 func randomFit(workers []Worker, waiting []Request, rng *rand.Rand) []Placement {
 	workers = append([]Worker(nil), workers...)
 	var out []Placement
@@ -113,7 +113,7 @@
 	place placer
 }{{"plan", byPlan}, {"first-fit", firstFit}, {"random", randomFit}}
 
-// BenchmarkFullPass is one pass over 20,000 waiting jobs on an empty fleet.
+// BenchmarkFullPass measures one pass over 20,000 waiting jobs on an empty fleet.
 func BenchmarkFullPass(b *testing.B) {
 	for _, p := range placers {
 		b.Run(p.name, func(b *testing.B) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// BenchmarkUrgent is one urgent job on a full fleet with 20,000 jobs waiting,
-// together with all of them and by itself.
+// BenchmarkUrgent measures a pass that places one urgent job on a full fleet,
+// with that job alone and with 20,000 other jobs waiting.
 func BenchmarkUrgent(b *testing.B) {
 	s := fullFleet(benchWorkers)
 	for t := range 82 {
@@ -146,15 +146,15 @@
 			for b.Loop() {
 				plan := Make(s)
 				if len(plan.Preemptions) == 0 {
-					b.Fatal("the urgent job displaced nothing")
+					b.Fatal("the urgent job preempted nothing")
 				}
 			}
 		})
 	}
 }
 
-// fullFleet is a fleet after a first pass over 20,000 jobs, and another 20,000
-// that wait.
+// fullFleet returns a fleet after a first pass over 20,000 jobs, with another
+// 20,000 waiting.
 func fullFleet(workers int) Snapshot {
 	rng := rand.New(rand.NewPCG(3, 4))
 	queue := benchQueue(rng, benchJobs)
@@ -180,9 +180,9 @@
 	return n
 }
 
-// BenchmarkCapacity plays rounds in which a tenth of the tasks end and as many
-// new jobs arrive as to keep work waiting, and reports the share of processors
-// and memory in use and the share of large jobs that got a worker.
+// BenchmarkCapacity simulates rounds in which a tenth of the tasks end and new
+// jobs refill the queue. It reports the percentages of processors and memory in
+// use and of the large jobs that were placed.
 func BenchmarkCapacity(b *testing.B) {
 	for _, p := range placers {
 		b.Run(p.name, func(b *testing.B) {
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -14,8 +14,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// TestMain fixes the seed of drawn snapshots, so that a run gives the same
-// verdict every time; -rapid.seed on the command line overrides it.
+// TestMain fixes the seed of the random snapshots, so that every run gives the
+// same result. The flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
@@ -61,22 +61,22 @@
 		running []Task
 		want    model.VMID
 	}{
-		{name: "equals by ID", workers: equalWorkers, request: job, want: "1"},
-		{name: "the fuller one, so that room is held together", request: job, want: "2",
+		{name: "lowest ID among equals", workers: equalWorkers, request: job, want: "1"},
+		{name: "the fuller worker, against fragmentation", request: job, want: "2",
 			workers: changed(1, func(w *Worker) { w.Used = model.Resources{MilliCPU: 4000, MemoryMB: 4000} })},
-		{name: "not one about to be maintained", workers: changed(0, func(w *Worker) { w.MaintenanceSoon = true }), request: job, want: "2"},
-		{name: "not a closed one", workers: changed(0, func(w *Worker) { w.Closed = "leaving" }), request: job, want: "2"},
-		{name: "not one it failed on", workers: equalWorkers, request: withChange(job, func(r *Request) { r.Avoid = []model.VMID{"1"} }), want: "2"},
-		{name: "back to where it ran", workers: equalWorkers, request: withChange(job, func(r *Request) { r.LastVM = "2" }), want: "2"},
-		{name: "accelerators kept for those that need them", request: job, want: "2",
+		{name: "not a worker about to be maintained", workers: changed(0, func(w *Worker) { w.MaintenanceSoon = true }), request: job, want: "2"},
+		{name: "not a closed worker", workers: changed(0, func(w *Worker) { w.Closed = "leaving" }), request: job, want: "2"},
+		{name: "not a worker that the job failed on", workers: equalWorkers, request: withChange(job, func(r *Request) { r.Avoid = []model.VMID{"1"} }), want: "2"},
+		{name: "the worker that it last ran on", workers: equalWorkers, request: withChange(job, func(r *Request) { r.LastVM = "2" }), want: "2"},
+		{name: "accelerators are kept for jobs that need them", request: job, want: "2",
 			workers: changed(0, func(w *Worker) { w.Capacity.Accelerators = 4 })},
-		{name: "away from its kind's rack where declared", workers: equalWorkers, want: "2",
+		{name: "another rack than tasks of the same kind, if declared", workers: equalWorkers, want: "2",
 			request: withChange(job, func(r *Request) { r.Job = &model.Job{ID: "j", Team: "a", Kind: "k", SpreadByRack: true} }),
 			running: []Task{running("o", "1", model.ClassNormal, 100, func(j *model.Job) { j.SpreadByRack = true })}},
-		{name: "a probe takes what may run again", workers: changed(1, func(w *Worker) { w.Probe = true }), request: job, want: "2"},
-		{name: "a probe takes nothing else", workers: changed(1, func(w *Worker) { w.Probe = true }), want: "1",
+		{name: "a probed worker takes a repeatable job", workers: changed(1, func(w *Worker) { w.Probe = true }), request: job, want: "2"},
+		{name: "a probed worker takes no job that is not repeatable", workers: changed(1, func(w *Worker) { w.Probe = true }), want: "1",
 			request: withChange(job, func(r *Request) { r.Job = &model.Job{ID: "j", Team: "a"} })},
-		{name: "a probe takes nothing urgent", workers: changed(1, func(w *Worker) { w.Probe = true }), want: "1",
+		{name: "a probed worker takes no urgent job", workers: changed(1, func(w *Worker) { w.Probe = true }), want: "1",
 			request: request("j", model.ClassUrgent, 1000, 1000)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -108,13 +108,13 @@
 			request: request("j", 1, 8000, 100), never: true, binds: BindsCPU, nearest: "2"},
 		{name: "the scarcest dimension is named", workers: []Worker{worker("1", 4000, 1000)},
 			request: request("j", 1, 5000, 9000), never: true, binds: BindsMemory, nearest: "1"},
-		{name: "no room now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), binds: BindsFreeCapacity, nearest: "1"},
+		{name: "no free capacity now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), binds: BindsFreeCapacity, nearest: "1"},
 		{name: "closed now", workers: []Worker{closed}, request: request("j", 1, 1000, 1000), binds: BindsClosed, nearest: "2"},
 		{name: "failed everywhere", workers: []Worker{full}, request: withChange(request("j", 1, 1000, 1000), func(r *Request) { r.Avoid = []model.VMID{"1"} }),
 			never: true, binds: BindsFailures},
-		{name: "over the guarantee and can't be taken back", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
+		{name: "over the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
 			request: withChange(request("j", 1, 2000, 100), nonRepeatable), running: []Task{running("o", "1", 1, 1000, unchanged)}, binds: BindsQuota},
-		{name: "larger than the guarantee and can't be taken back", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
+		{name: "larger than the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
 			request: withChange(request("j", 1, 3000, 100), nonRepeatable), never: true, binds: BindsQuota},
 		{name: "no worker at all", request: request("j", 1, 1, 1), never: true, binds: BindsPool},
 	} {
@@ -145,11 +145,11 @@
 		{"urgent stops deferrable", urgent, []Task{running("d", "1", 0, 8000, unchanged)}, nil, []model.JobID{"d"}},
 		{"urgent stops no normal work", urgent, []Task{running("n", "1", 1, 8000, unchanged)}, nil, nil},
 		{"nothing stops what is not repeatable", urgent, []Task{running("d", "1", 0, 8000, nonRepeatable)}, nil, nil},
-		{"what keeps its progress goes first", urgent, []Task{running("a", "1", 0, 4000, func(j *model.Job) { j.Checkpoints = false }), running("b", "1", 0, 4000, unchanged)}, nil, []model.JobID{"b"}},
-		{"what is stopping already is not counted twice", urgent, []Task{func() Task { r := running("d", "1", 0, 8000, unchanged); r.Stopping = true; return r }()}, nil, nil},
-		{"a team gets its share back", teamBRequest, []Task{running("x", "1", 1, 4000, unchanged), running("y", "1", 1, 4000, unchanged)}, teams, []model.JobID{"x"}},
-		{"but not from work inside its own share", teamBRequest, []Task{running("x", "1", 1, 4000, unchanged), running("y", "1", 1, 4000, nonRepeatable)}, teams, []model.JobID{"x"}},
-		{"a borrower stops nobody", withChange(teamBRequest, func(r *Request) { r.Size.MilliCPU = 5000 }), []Task{running("x", "1", 1, 8000, unchanged)}, teams, nil},
+		{"a task with checkpoints is stopped first", urgent, []Task{running("a", "1", 0, 4000, func(j *model.Job) { j.Checkpoints = false }), running("b", "1", 0, 4000, unchanged)}, nil, []model.JobID{"b"}},
+		{"a task that is already stopping is not stopped again", urgent, []Task{func() Task { r := running("d", "1", 0, 8000, unchanged); r.Stopping = true; return r }()}, nil, nil},
+		{"a team gets its guaranteed share back", teamBRequest, []Task{running("x", "1", 1, 4000, unchanged), running("y", "1", 1, 4000, unchanged)}, teams, []model.JobID{"x"}},
+		{"but not from tasks within the other team's guarantee", teamBRequest, []Task{running("x", "1", 1, 4000, unchanged), running("y", "1", 1, 4000, nonRepeatable)}, teams, []model.JobID{"x"}},
+		{"a borrower preempts nothing", withChange(teamBRequest, func(r *Request) { r.Size.MilliCPU = 5000 }), []Task{running("x", "1", 1, 8000, unchanged)}, teams, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			w := worker("1", 8000, 8000)
@@ -162,7 +162,7 @@
 				got = append(got, d.Task)
 			}
 			assert.DeepEqual(t, got, tc.want)
-			assert.Equal(t, len(plan.Placements), 0, "room is given once the worker says it is there")
+			assert.Equal(t, len(plan.Placements), 0, "a job is placed only once the worker reports the capacity as free")
 		})
 	}
 }
@@ -175,8 +175,9 @@
 }
 
 func TestOwnerBeforeBorrower(t *testing.T) {
-	// Team a uses nothing but its job is larger than its guarantee; team b uses
-	// half of its own. The one worker goes to b: a would be stopped for it.
+	// Team a uses nothing, but its job is larger than its guarantee. Team b uses
+	// part of its guarantee. The free worker must go to b: a job of a would be
+	// preempted for it by the next plan.
 	s := Snapshot{
 		Workers: []Worker{worker("1", 2000, 2000), worker("2", 1000, 1000)},
 		Teams:   []model.Team{{Name: "a", Guaranteed: model.Resources{MilliCPU: 1000, MemoryMB: 1000}}, {Name: "b", Guaranteed: model.Resources{MilliCPU: 4000, MemoryMB: 4000}}},
@@ -207,7 +208,7 @@
 	assert.DeepEqual(t, byTeam, map[byte]int{'a': 5, 'b': 5})
 }
 
-// randomSnapshot is a random snapshot, not consistent with anything but itself.
+// randomSnapshot returns a random snapshot that is only consistent in itself.
 func randomSnapshot(t *rapid.T) Snapshot {
 	var s Snapshot
 	for i := range rapid.IntRange(0, 3).Draw(t, "teams") {
@@ -255,7 +256,7 @@
 		assert.DeepEqual(t, plan, Make(s))
 		checkCapacity(t, s, plan)
 		checkTeams(t, s, plan)
-		assert.Equal(t, len(plan.Placements)+len(plan.Refused), len(s.Waiting), "each job is placed or told why not")
+		assert.Equal(t, len(plan.Placements)+len(plan.Refused), len(s.Waiting), "each job is placed or refused")
 		jobs := make(map[model.JobID]*model.Job)
 		for _, r := range s.Running {
 			jobs[r.Job.ID] = r.Job
@@ -267,8 +268,8 @@
 	})
 }
 
-// checkCapacity counts what is running and what was placed, with nothing taken
-// off for displaced tasks: those still run.
+// checkCapacity checks that running and placed tasks fit on their workers.
+// Preempted tasks count, as they still run.
 func checkCapacity(t *rapid.T, s Snapshot, plan Plan) {
 	used := make(map[model.VMID]model.Resources)
 	for _, r := range s.Running {
@@ -282,8 +283,8 @@
 	}
 }
 
-// checkTeams makes sure that what a team newly uses beyond its guarantee can
-// be taken back.
+// checkTeams checks that a plan lets a team exceed its guarantee only by jobs
+// that can be preempted.
 func checkTeams(t *rapid.T, s Snapshot, plan Plan) {
 	if len(s.Teams) == 0 {
 		return
@@ -307,6 +308,6 @@
 		}
 	}
 	for team := range newlyPlaced {
-		assert.Assert(t, nonRepeatable[team].Fits(share[team]), "team %s borrowed what can't be taken back", team)
+		assert.Assert(t, nonRepeatable[team].Fits(share[team]), "team %s borrowed capacity for jobs that can't be preempted", team)
 	}
 }
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -8,9 +8,10 @@
 	"github.com/pumicestage/pumicestage/policy/quota"
 )
 
-// Make plans a snapshot. Urgent work comes first, then what stands within its
-// team's guarantee, then what borrows: a borrower placed before the owner of
-// the capacity would be stopped for it in the next plan, and so on for ever.
+// Make computes a plan for a snapshot. Urgent jobs are placed first, then jobs
+// within their team's guarantee, then jobs that borrow. A borrower placed before
+// a job with a guarantee to the capacity would be preempted by the next plan,
+// placed again, and so on without end.
 func Make(s Snapshot) Plan {
 	p := newPlanner(&s)
 	for _, rank := range []rank{urgentRank, guaranteedRank, borrowingRank} {
@@ -19,7 +20,8 @@
 	return p.plan
 }
 
-// rank is the order in which waiting jobs are looked at.
+// rank is the group of waiting jobs that a pass of the planner considers, in the
+// order of the passes.
 type rank int8
 
 const (
@@ -38,29 +40,31 @@
 	spread      spread
 	queues      []*queue
 	teams       map[model.TeamName]*queue
-	unplaceable map[shape]Refusal // shapes that found no room in this plan
-	noVictims   map[shape]bool    // shapes that no task gives way to in this plan
-	// quotaTeams are the teams; one that is not quotaTeams but runs tasks, as
-	// after a change of the declaration, borrows all it uses.
+	unplaceable map[shape]Refusal // shapes that fit on no worker in this plan
+	noVictims   map[shape]bool    // shapes for which there is no task to preempt in this plan
+	// quotaTeams holds the declared teams and those that run tasks without being
+	// declared, as after a change of the declaration. The latter have no
+	// guarantee, so they borrow all that they use. Nil if no team is declared.
 	quotaTeams  []model.Team
 	preemptions int
 	plan        Plan
 }
 
-// queue is one team's waiting jobs, most urgent and oldest first.
+// queue holds the waiting jobs of one team, most urgent first and oldest first
+// within a class.
 type queue struct {
 	team    model.TeamName
 	waiting []Request
-	share   float64 // of its guarantee in use
+	share   float64 // fraction of the guarantee in use
 }
 
-// shape is all of a request that feasibility looks at. Where one of a thousand
-// equal jobs finds no room the other 999 need not look.
+// shape holds the attributes of a request that feasibility depends on. If one of
+// a thousand equal jobs fits nowhere, the search is skipped for the other 999.
 type shape struct {
 	size       model.Resources
 	pool       model.PoolName
 	zone       model.ZoneName
-	repeatable bool // repeatable, so fit for probes and for borrowing
+	repeatable bool // may probe a worker, and may borrow
 	class      model.Class
 	team       model.TeamName
 }
@@ -139,7 +143,8 @@
 	return queues
 }
 
-// compareRequests orders by class, then age, then ID.
+// compareRequests orders by class, most urgent first, then by age, oldest first,
+// then by ID.
 func compareRequests(a, b Request) int {
 	return cmp.Or(
 		cmp.Compare(b.Job.Class, a.Job.Class),
@@ -148,9 +153,9 @@
 	)
 }
 
-// place looks at each waiting job of a rank, the team with the smallest share
-// of its guarantee in use first, so that one team's flood does not take all
-// idle capacity from the others.
+// place tries to place the waiting jobs of a rank. The team with the smallest
+// fraction of its guarantee in use goes first, so that a team that submits many
+// jobs at once doesn't take all idle capacity.
 func (p *planner) place(k rank) {
 	nextIndex := make([]int, len(p.queues))
 	unplaced := make([][]Request, len(p.queues))
@@ -187,8 +192,8 @@
 	return best
 }
 
-// tryPlace places the request or refuses it, and returns false where a later rank
-// is to look at it again.
+// tryPlace places or refuses the request. It returns false if the request is
+// neither placed nor refused and is left to a later rank.
 func (p *planner) tryPlace(k rank, r *Request) bool {
 	standing := p.quotaBook.Stand(r.Job, r.Size)
 	if standing == quota.Waits {
@@ -227,7 +232,7 @@
 	p.plan.Placements = append(p.plan.Placements, Placement{Job: r.Job.ID, VM: w.ID, Size: r.Size})
 }
 
-// addUsage books a size for a team, or with a negative size gives it back.
+// addUsage adds size, which may be negative, to the team's usage.
 func (p *planner) addUsage(team model.TeamName, size model.Resources) {
 	p.quotaBook.Take(team, size)
 	if q := p.teams[team]; q != nil {
--- a/policy/placement/preempt.go
+++ b/policy/placement/preempt.go
@@ -10,19 +10,21 @@
 
 const (
 	// maxPreemptions bounds the tasks stopped by one plan, so that a burst of a
-	// thousand urgent jobs doesn't stop the fleet before the first is placed.
+	// thousand urgent jobs doesn't stop the whole fleet before the first of
+	// them is placed.
 	maxPreemptions = 64
-	// maxReclaimPreemptions bounds those stopped to give teams back their share, which
-	// may take some passes.
+	// maxReclaimPreemptions bounds the tasks stopped to return borrowed
+	// capacity to teams within their guarantee. That is less urgent and may
+	// take several passes.
 	maxReclaimPreemptions = 16
 	// maxVictimsPerJob bounds the tasks stopped for one job.
 	maxVictimsPerJob = 8
 )
 
-// preempt chooses tasks to stop for a job that finds no room and has a claim
-// to some: urgent work on what deferrable work uses, work within its team's
-// guarantee on what others have borrowed. Work that is not repeatable is never
-// stopped, urgent work neither.
+// preempt selects tasks to stop for a job that fits on no worker, and reports
+// whether it did. Urgent jobs may preempt deferrable ones; jobs within their
+// team's guarantee may preempt what other teams have borrowed. Urgent jobs and
+// jobs that are not repeatable are never preempted.
 func (p *planner) preempt(k rank, r *Request) bool {
 	borrows := p.quotaBook.Stand(r.Job, r.Size) == quota.Borrows
 	if p.preemptions >= maxPreemptions || k != urgentRank && p.preemptions >= maxReclaimPreemptions || k != urgentRank && (borrows || !p.anyTeamOverGuarantee()) {
@@ -46,9 +48,9 @@
 	return true
 }
 
-// victimKey is all of a request that the choice of victims looks at. The team
-// only matters to urgent work: other work that may displace is within its
-// guarantee, so its own team has borrowed nothing.
+// victimKey returns the attributes of a request that the choice of victims
+// depends on. The team only matters for urgent jobs: any other job that may
+// preempt is within its guarantee, so its own team has borrowed nothing.
 func victimKey(r *Request) shape {
 	key := shapeOf(r)
 	if r.Job.Class != model.ClassUrgent {
@@ -66,7 +68,8 @@
 	return false
 }
 
-// cheapestVictims returns the tasks of one worker that make room at the least price.
+// cheapestVictims returns the tasks of one worker that free enough capacity for
+// the request at the lowest preemption cost; nil if no worker has such tasks.
 func (p *planner) cheapestVictims(r *Request) []Task {
 	var chosen []Task
 	cost := 0.0
@@ -86,8 +89,8 @@
 	return chosen
 }
 
-// victims returns the cheapest tasks of the worker that together make room,
-// and what stopping them costs; nil if they can't.
+// victims returns the cheapest tasks of the worker that together free enough
+// capacity, and the total cost of stopping them; nil if there are none.
 func (p *planner) victims(r *Request, w *Worker) ([]Task, float64) {
 	var eligible []Task
 	for _, t := range p.tasks[w.ID] {
@@ -119,7 +122,7 @@
 	return chosen, cost
 }
 
-// canPreempt reports whether the task may be stopped for the job.
+// canPreempt reports whether the task may be stopped for the request.
 func (p *planner) canPreempt(r *Request, t *Task) bool {
 	if !quota.TakesBack(t.Job) || t.Job.Class == model.ClassUrgent {
 		return false
@@ -130,15 +133,17 @@
 	return t.Job.Team != r.Job.Team && p.quotaBook.Over(t.Job.Team)
 }
 
-// canPreemptAfter asks again after others of the same team were chosen: what its
-// team then has left within the guarantee is not taken from it.
+// canPreemptAfter is canPreempt with the usage of the victims already chosen
+// from the task's team subtracted, so that a team isn't cut below its guarantee.
+// chosen is the sum of their sizes.
 func (p *planner) canPreemptAfter(r *Request, t *Task, chosen model.Resources) bool {
 	p.quotaBook.Give(t.Job.Team, chosen)
 	defer p.quotaBook.Take(t.Job.Team, chosen)
 	return p.canPreempt(r, t)
 }
 
-// preemptionCost is what stopping a task loses: little where it keeps its progress.
+// preemptionCost is the relative cost of stopping a task: low if a checkpoint
+// keeps its progress.
 func preemptionCost(t *Task) float64 {
 	c := minPreemptionCost
 	if !t.Job.Checkpoints {
@@ -151,11 +156,11 @@
 }
 
 const (
-	// minPreemptionCost is that of one deferrable task that keeps its progress.
-	// Nothing is cheaper, so the search for victims ends with it.
+	// minPreemptionCost is the cost of one deferrable task with checkpoints.
+	// Nothing is cheaper, so the search for victims stops when it is reached.
 	minPreemptionCost = 1.0
-	// noCheckpointFactor is how many tasks are better stopped at a checkpoint than one
-	// without.
+	// noCheckpointFactor is how many times more a task without checkpoints costs
+	// than one with: stopping it loses all of its work.
 	noCheckpointFactor = 10
 )
 
@@ -169,9 +174,10 @@
 	})
 }
 
-// reserve keeps the room that the job needs beside what its victims use from
-// the jobs that come later in this plan. What the victims use is given to
-// nobody: they still run, and the worker has yet to say that it is free.
+// reserve withholds from later jobs of this plan the free capacity that the job
+// needs in addition to what its victims will free. The victims' own capacity
+// needs no reservation: they still run, and nothing is placed on it until the
+// worker has reported it as free.
 func (p *planner) reserve(r *Request, vm model.VMID, freed model.Resources) {
 	need := r.Size.Sub(freed)
 	p.index.allocate(&p.workers[p.byID[vm]], model.Resources{
--- a/policy/placement/score.go
+++ b/policy/placement/score.go
@@ -2,7 +2,8 @@
 
 import "github.com/pumicestage/pumicestage/policy/model"
 
-// spreadKey names tasks that should not stand together.
+// spreadKey identifies a group of tasks to be kept apart. An empty rack stands
+// for the whole zone.
 type spreadKey struct {
 	team model.TeamName
 	kind string
@@ -21,21 +22,23 @@
 	s[spreadKey{j.Team, j.Kind, "", w.Zone}]++
 }
 
-// spreadPenalty grows with what stands in the worker's rack and, less, in its zone.
-// A rack is lost sooner than a zone.
+// spreadPenalty grows with the tasks of the same team and kind in the worker's
+// rack and, less, with those in its zone, as a rack is more likely to fail than
+// a zone.
 func (s spread) spreadPenalty(j *model.Job, w *Worker) float64 {
 	rack := float64(s[spreadKey{j.Team, j.Kind, w.Rack, w.Zone}])
 	zone := float64(s[spreadKey{j.Team, j.Kind, "", w.Zone}])
 	return rack + zone/rackWeight
 }
 
-// rackWeight is how many tasks in the zone weigh as one in the rack: racks of
-// four workers, so a task in the rack is met by a quarter of its peers.
+// rackWeight is how many tasks in the zone weigh as much as one in the rack. It
+// equals the number of workers of a rack, which is four.
 const rackWeight = 4
 
-// best returns the feasible worker with the highest score; of equals that with
-// the lowest ID. Jobs that ask to be spread look at every worker, others at
-// the fullest ones that fit, which is where packing wants them.
+// best returns the feasible worker with the highest score, and among equals the
+// one with the lowest ID; nil if no worker is feasible. All feasible workers are
+// scored for a job that asks to be spread. For others it is a bounded number of
+// the fullest that fit, where packing puts them.
 func (p *planner) best(r *Request) *Worker {
 	var best *Worker
 	topScore := 0.0
@@ -69,12 +72,12 @@
 	return score
 }
 
-// probeBonus is more than packing weighs: a worker in quarantine is empty, so
-// packing alone would never show whether it works again.
+// probeBonus exceeds the default weight of packing. A quarantined worker is
+// empty, so packing alone would never choose it and it would never be tested.
 const probeBonus = 2
 
-// maintenancePenalty is higher for work that can't be moved when the worker's turn
-// comes: a wave would have to wait for it.
+// maintenancePenalty is higher for a job that can't be moved when its worker is
+// due for maintenance, as the wave would have to wait for the job.
 func maintenancePenalty(j *model.Job) float64 {
 	if j.Checkpoints && j.Repeatable {
 		return 1
@@ -82,16 +85,16 @@
 	return 2
 }
 
-// fullness is how full the worker would be, 0 to 1, by its scarcer of
-// processors and memory, and lower where the two would be used unevenly: what
-// is left of one without the other is of no use to anybody.
+// fullness rates how full the worker would be with a task of the size added: the
+// mean of the used fractions of processors and memory, less half of their
+// difference, as free capacity in one is of no use without the other.
 func fullness(w *Worker, size model.Resources) float64 {
 	cpu := share(w.Used.MilliCPU+size.MilliCPU, w.Capacity.MilliCPU)
 	mem := share(w.Used.MemoryMB+size.MemoryMB, w.Capacity.MemoryMB)
 	imbalance := max(cpu, mem) - min(cpu, mem)
 	full := (cpu + mem) / 2
 	if size.Accelerators == 0 && w.Capacity.Accelerators > w.Used.Accelerators {
-		full -= 1 // accelerators are kept for the jobs that need them
+		full -= 1 // keep accelerators for the jobs that need them
 	}
 	return full - imbalance/2
 }
