--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -1,20 +1,21 @@
-// Package pools decides which VMs change their pool.
+// Package pools decides which VMs move from one pool to another.
 //
-// Load pattern: demand goes round the queues. Each in its turn asks several
-// times its mean for some seconds, more than its pool holds, and next to nothing
-// in between; the VMs of the other pools stand idle meanwhile. With fixed pools
-// most of a burst is late. Idle VMs therefore follow the backlog. A move takes
-// the VM away for a second or two and has a price, so a VM moves only for a
-// backlog that outlasts that, and idle VMs come from where the next burst is
-// furthest: as bursts take turns, that is where the last one has just ended.
+// Load pattern: bursts alternate between the queues. For some seconds a queue
+// has several times its mean load, more than its pool can serve, and next to
+// nothing in between, while the VMs of the other pools are idle. With fixed pools
+// most jobs of a burst are late, so idle VMs are moved to where the backlog is. A
+// move has a cost and makes the VM unavailable for a second or two, so a VM moves
+// only for a backlog that outlasts the move. VMs are taken first from the pool
+// whose burst ended last: as bursts alternate, its next burst is the furthest away.
 //
-// What is left of a burst that was more than the fleet bears is of no use to its callers any
-// more, and takes seconds to be worked off. It draws VMs only while nothing waits that is still
-// of use, and keeps none from where something does.
+// The late backlog of a burst that exceeded the fleet's capacity is worth nothing
+// to its callers any more, but takes seconds to work off. VMs are moved for it only
+// while no useful work waits anywhere, and it keeps no VMs from pools that have
+// useful work waiting.
 //
-// Work that asks for a label waits although its pool has VMs enough, of another
-// kind: for it the pool draws VMs with the label, and gives the others away. A pool
-// that kept them for a backlog they can't take would let all other pools starve.
+// Work that asks for a label may wait although its pool has enough VMs without
+// that label. The pool then requests VMs with the label and gives the others away.
+// If it kept them for a backlog that they can't serve, all other pools would starve.
 package pools
 
 import (
@@ -24,73 +25,76 @@
 	"time"
 )
 
-// VM is one VM as the decision sees it.
+// VM describes a VM of a pool.
 type VM struct {
 	ID       string
 	Cores    float64
 	Labels   []string
-	Empty    bool          // nothing runs on it, and it may leave
+	Empty    bool          // no task runs on it, and it may be moved
 	EmptyFor time.Duration // how long it has been empty
 }
 
-// Pool is one pool.
+// Pool describes a pool, its VMs and its load.
 type Pool struct {
 	Name         string
-	Parked       bool          // its VMs are off
-	VMs          []VM          // up and open to new tasks
-	Incoming     []VM          // on their way
+	Parked       bool          // it holds the VMs that are switched off
+	VMs          []VM          // up and accepting tasks
+	Incoming     []VM          // ordered to the pool and not yet there
 	Used         float64       // cores in use
-	Backlog      float64       // core-seconds that wait for room and are still of use
-	LateBacklog  float64       // core-seconds that wait for room, too late to be of use
-	ArrivalRate  float64       // core-seconds a second that came of late
-	MissingVMs   int           // VMs that are lacked whatever is free on the others
-	SinceBacklog time.Duration // since it last had a backlog
-	// SpareDemand is how many empty VMs it could use while no other pool lacks any.
+	Backlog      float64       // waiting work that is still of use, in core-seconds
+	LateBacklog  float64       // waiting work that is too late to be of use, in core-seconds
+	ArrivalRate  float64       // recent arrivals, in core-seconds per second
+	MissingVMs   int           // VMs needed in addition, however much is free on the others
+	SinceBacklog time.Duration // time since it last had a backlog
+	// SpareDemand is how many empty VMs it could use while no pool is short of
+	// VMs.
 	SpareDemand int
-	// ByLabel is the part of the load that only VMs with the label can take.
+	// ByLabel is the part of the load that only VMs with the label can serve,
+	// by label.
 	ByLabel map[string]LabelDemand
 }
 
-// LabelDemand is load that asks for a label.
+// LabelDemand is load that only VMs with a certain label can serve.
 type LabelDemand struct {
 	Used        float64 // cores in use
-	Backlog     float64 // core-seconds that wait for room and are still of use
-	LateBacklog float64 // core-seconds that wait for room, too late to be of use
+	Backlog     float64 // waiting work that is still of use, in core-seconds
+	LateBacklog float64 // waiting work that is too late to be of use, in core-seconds
 }
 
-func (v *VM) has(label string) bool { return label == "" || slices.Contains(v.Labels, label) }
+func (v *VM) hasLabel(label string) bool { return label == "" || slices.Contains(v.Labels, label) }
 
-// nothing is what a backlog in core-seconds is taken to be none below: sums of the
-// same parts in another order differ in their last digits.
-const nothing = 1e-6
+// backlogEpsilon is the backlog, in core-seconds, below which it counts as zero:
+// floating-point sums of the same parts in another order differ in the last digits.
+const backlogEpsilon = 1e-6
 
-// free is the backlog that any VM can take.
-func (p *Pool) free() float64 {
+// unlabelledBacklog returns the backlog that any VM can serve, in core-seconds.
+func (p *Pool) unlabelledBacklog() float64 {
 	out := p.Backlog
 	for _, b := range p.ByLabel {
 		out -= b.Backlog
 	}
-	if out < nothing {
+	if out < backlogEpsilon {
 		return 0
 	}
 	return out
 }
 
-// waitsFor reports whether work of the pool waits for a label of the VM.
-func (p *Pool) waitsFor(vm *VM) bool {
+// hasBacklogFor reports whether work of the pool waits for a label that the VM has.
+func (p *Pool) hasBacklogFor(vm *VM) bool {
 	for label, b := range p.ByLabel {
-		if b.Backlog > 0 && vm.has(label) {
+		if b.Backlog > 0 && vm.hasLabel(label) {
 			return true
 		}
 	}
 	return false
 }
 
-// cores is what the pool has, or is about to have, with the label.
+// cores returns the cores of the pool's VMs with the label, incoming ones included;
+// of all its VMs if label is empty.
 func (p *Pool) cores(label string) (sum float64) {
 	for _, vms := range [][]VM{p.VMs, p.Incoming} {
 		for i := range vms {
-			if vms[i].has(label) {
+			if vms[i].hasLabel(label) {
 				sum += vms[i].Cores
 			}
 		}
@@ -98,55 +102,56 @@
 	return sum
 }
 
-// Move is one VM to change its pool.
+// Move is an order to move a VM from one pool to another.
 type Move struct {
 	VM, From, To string
 }
 
 const (
-	// DrainTime is how fast a backlog should be worked off. The shortest jobs
-	// are late two seconds after their acceptance, of which a move takes most.
-	// Between 0.4 s and this no difference was found.
+	// DrainTime is the time in which a backlog should be worked off. The shortest
+	// jobs are late two seconds after their acceptance, of which a move takes
+	// most. A shorter time, down to 0.4 s, makes no difference.
 	DrainTime = 900 * time.Millisecond
-	// arrivalShare is how many times what arrives a pool draws VMs for. A burst swells
-	// for two seconds, and a VM that is ordered now arrives in the last of them: drawn for
-	// the rate of now, VMs came as the burst was over half. A VM too many costs a move.
-	// With 1.5 a hundredth more is served than with 1, with 2 half a hundredth beyond
-	// that, with 3 two hundredths, with 4.5 no more.
-	arrivalShare = 3.0
-	// keepShare is how many VMs stay in a pool without load, for what comes
-	// first and for lasting tasks that need another place, as a share of an
-	// equal split of all VMs over the pools. A third serves a hundredth less on
-	// days with faults, a sixth half a hundredth less.
+	// arrivalFactor is the multiple of the arrival rate for which a pool requests
+	// VMs. A burst grows for two seconds, and a VM ordered now arrives in the last
+	// of them: VMs requested for the current rate arrive when half of the burst is
+	// over, whereas a VM too many costs only a move. 1.5 serves 1% more than 1, 2
+	// serves 0.5% more than 1.5, 3 serves 2% more, and 4.5 adds nothing.
+	arrivalFactor = 3.0
+	// keepShare is the number of VMs that stay in a pool without load, as a
+	// fraction of an equal split of all VMs over the pools. They serve the first
+	// jobs of a burst and long-running tasks that need another VM. With faults, a
+	// third serves 1% less and a sixth 0.5% less.
 	keepShare = 1.0 / 4
-	// parkAfter is how long a VM stays empty before it is parked. A parked VM saves
-	// its cost, pays for two moves, and is missing for a move's time as the next
-	// burst begins. Where bursts follow each other within ten seconds, parking after
-	// 2.3 s doubled the moves and saved a twentieth of the VMs' time, for no gain;
-	// after 8 s it cost three hundredths of what is served. So only what stays
-	// empty for several times the pauses between bursts is parked.
+	// parkAfter is how long a VM must have been empty before it is parked. Parking
+	// saves the cost of the VM, but costs two moves, and the VM is missing for the
+	// duration of a move when the next burst begins. With less than ten seconds
+	// between bursts, parking after 2.3 s doubles the moves and saves 5% of the VM
+	// time for no gain; after 8 s it serves 3% less. So a VM is parked only after
+	// several times the pause between bursts.
 	parkAfter = 30 * time.Second
-	// stayShare is how many VMs of a quiet pool are not parked, likewise: the
-	// first second and a half of its next burst runs on them alone. A half did
-	// better than a third and a sixth, and as well as two thirds for less.
-	stayShare = 1.0 / 2
-	// emptyFor is how long a VM must have been empty: a step's tasks end
-	// moments before the next step's start.
-	emptyFor = 150 * time.Millisecond
+	// unparkedShare is the number of VMs of a pool without load that are not
+	// parked, as a fraction of an equal split likewise: its next burst runs on
+	// them alone for the first second and a half. A third and a sixth serve less;
+	// two thirds serve as much at a higher cost.
+	unparkedShare = 1.0 / 2
+	// minEmptyTime is how long a VM must have been empty before it may be moved:
+	// the tasks of a step end moments before those of the next step start.
+	minEmptyTime = 150 * time.Millisecond
 )
 
-// Decide returns the moves to order now.
+// Decide returns the moves to order now, most needed first.
 func Decide(pools []Pool) []Move {
 	var moves []Move
-	split := equalSplit(pools)
-	if !slices.ContainsFunc(pools, func(p Pool) bool { return p.waitsInTime() }) {
-		pools = withLeftovers(pools)
+	evenShare := equalSplit(pools)
+	if !slices.ContainsFunc(pools, func(p Pool) bool { return p.hasUsefulDemand() }) {
+		pools = withLateBacklog(pools)
 	}
-	wanting := wants(pools)
-	donors := donorsOf(pools, shareOf(split, keepShare))
-	for _, w := range wanting {
+	missing := shortages(pools)
+	donors := findDonors(pools, ceilShare(evenShare, keepShare))
+	for _, w := range missing {
 		for w.cores > 0 {
-			i := donorFor(w, wanting, donors)
+			i := chooseDonor(w, missing, donors)
 			if i < 0 {
 				break
 			}
@@ -156,56 +161,58 @@
 			w.cores -= d.vm.Cores
 		}
 	}
-	if len(wanting) > 0 {
+	if len(missing) > 0 {
 		return moves
 	}
 	moves = append(moves, lend(pools, donors)...)
-	return append(moves, park(pools, shareOf(split, stayShare))...)
+	return append(moves, park(pools, ceilShare(evenShare, unparkedShare))...)
 }
 
-// waitsInTime reports whether the pool lacks something for work that is still of use.
-func (p *Pool) waitsInTime() bool { return !p.Parked && (p.Backlog > 0 || p.MissingVMs > 0) }
+// hasUsefulDemand reports whether the pool has waiting work that is still of use, or
+// needs further VMs.
+func (p *Pool) hasUsefulDemand() bool { return !p.Parked && (p.Backlog > 0 || p.MissingVMs > 0) }
 
-// withLeftovers returns the pools with all that waits as their backlog.
-func withLeftovers(pools []Pool) []Pool {
+// withLateBacklog returns a copy of the pools whose backlog includes the late
+// backlog.
+func withLateBacklog(pools []Pool) []Pool {
 	out := slices.Clone(pools)
 	for i := range out {
 		p := &out[i]
 		p.Backlog += p.LateBacklog
-		bound := make(map[string]LabelDemand, len(p.ByLabel))
+		byLabel := make(map[string]LabelDemand, len(p.ByLabel))
 		for label, b := range p.ByLabel {
 			b.Backlog += b.LateBacklog
-			bound[label] = b
+			byLabel[label] = b
 		}
-		p.ByLabel = bound
+		p.ByLabel = byLabel
 	}
 	return out
 }
 
-// lend returns the moves of VMs that nobody lacks to pools that could use some.
+// lend returns the moves of VMs that no pool is short of to pools with spare demand.
 func lend(pools []Pool, donors []donor) []Move {
 	var out []Move
 	for i := range pools {
 		p := &pools[i]
-		need := p.SpareDemand - len(p.Incoming)
+		demand := p.SpareDemand - len(p.Incoming)
 		for _, vm := range p.VMs {
 			if vm.Empty {
-				need--
+				demand--
 			}
 		}
 		for _, d := range donors {
-			if need > 0 && d.from != p.Name && !slices.ContainsFunc(out, func(m Move) bool { return m.VM == d.vm.ID }) {
+			if demand > 0 && d.from != p.Name && !slices.ContainsFunc(out, func(m Move) bool { return m.VM == d.vm.ID }) {
 				out = append(out, Move{VM: d.vm.ID, From: d.from, To: p.Name})
-				need--
+				demand--
 			}
 		}
 	}
 	return out
 }
 
-// equalSplit is how many VMs each pool had if all were split evenly. Those on their way
-// count: without them each round of moves makes the split smaller, so that the next moves
-// more, until next to nothing is left in any pool.
+// equalSplit returns how many VMs each pool would have if all were split evenly.
+// Incoming VMs count: without them each round of moves would make the split smaller
+// and so allow more moves in the next, until hardly a VM is left in any pool.
 func equalSplit(pools []Pool) float64 {
 	vms, active := 0, 0
 	for _, p := range pools {
@@ -217,11 +224,11 @@
 	return float64(vms) / float64(max(1, active))
 }
 
-func shareOf(split, share float64) int { return int(math.Ceil(split * share)) }
+func ceilShare(evenShare, share float64) int { return int(math.Ceil(evenShare * share)) }
 
-// park returns the moves of VMs that have been empty for long to the pool whose
-// VMs are off.
-func park(pools []Pool, stay int) []Move {
+// park returns the moves to the parked pool of VMs that have been empty for at
+// least parkAfter. Each pool keeps at least keep VMs.
+func park(pools []Pool, keep int) []Move {
 	i := slices.IndexFunc(pools, func(p Pool) bool { return p.Parked })
 	if i < 0 {
 		return nil
@@ -231,71 +238,73 @@
 		if p.Parked || p.Backlog > 0 || p.MissingVMs > 0 || p.SpareDemand > 0 {
 			continue
 		}
-		spare := len(p.VMs) - stay
+		surplus := len(p.VMs) - keep
 		for _, vm := range p.VMs {
-			if spare > 0 && vm.Empty && vm.EmptyFor >= parkAfter {
+			if surplus > 0 && vm.Empty && vm.EmptyFor >= parkAfter {
 				out = append(out, Move{VM: vm.ID, From: p.Name, To: pools[i].Name})
-				spare--
+				surplus--
 			}
 		}
 	}
 	return out
 }
 
-// want is what a pool lacks.
-type want struct {
+// shortage is an amount of cores that a pool lacks.
+type shortage struct {
 	name  string
-	label string // of the VMs; empty: any
+	label string // that the VMs need; empty: any VM will do
 	cores float64
 }
 
-// wants returns what pools lack: VMs with a label first, as others can't stand in
-// for them, then the largest lack.
-func wants(pools []Pool) []want {
-	var out []want
+// shortages returns what the pools lack: shortages of VMs with a label first, as no
+// other VM can replace those, then by size, largest first.
+func shortages(pools []Pool) []shortage {
+	var out []shortage
 	for i := range pools {
 		p := &pools[i]
 		if p.Parked || p.Backlog <= 0 && p.MissingVMs == 0 {
 			continue
 		}
-		lack := p.lack()
+		missing := p.missingCores()
 		for label, b := range p.ByLabel {
 			cores := b.Used + b.Backlog/DrainTime.Seconds() - p.cores(label)
-			if b.Backlog <= 0 || cores <= 0 || !exists(pools, label) {
+			if b.Backlog <= 0 || cores <= 0 || !labelExists(pools, label) {
 				continue
 			}
-			out = append(out, want{name: p.Name, label: label, cores: cores})
-			lack -= cores
+			out = append(out, shortage{name: p.Name, label: label, cores: cores})
+			missing -= cores
 		}
-		if lack > 0 && (p.free() > 0 || p.MissingVMs > 0) {
-			out = append(out, want{name: p.Name, cores: lack})
+		if missing > 0 && (p.unlabelledBacklog() > 0 || p.MissingVMs > 0) {
+			out = append(out, shortage{name: p.Name, cores: missing})
 		}
 	}
-	slices.SortFunc(out, func(a, b want) int {
+	slices.SortFunc(out, func(a, b shortage) int {
 		return cmp.Or(-cmp.Compare(min(len(a.label), 1), min(len(b.label), 1)), cmp.Compare(b.cores, a.cores),
 			cmp.Compare(a.name, b.name), cmp.Compare(a.label, b.label))
 	})
 	return out
 }
 
-// lack is what the pool lacks in all, whatever the labels.
-func (p *Pool) lack() float64 {
-	coming, largest := 0.0, 0.0
+// missingCores returns how many cores the pool lacks in all, whatever their labels.
+// It is not positive if the pool lacks none.
+func (p *Pool) missingCores() float64 {
+	incomingCores, largest := 0.0, 0.0
 	for _, vm := range p.Incoming {
-		coming += vm.Cores
+		incomingCores += vm.Cores
 	}
 	for _, vm := range p.VMs {
 		largest = max(largest, vm.Cores)
 	}
-	// What will arrive must be borne, and the backlog worked off beside it. Cores in
-	// use tell no more than what there is.
-	lack := max(p.Used, arrivalShare*p.ArrivalRate) + p.Backlog/DrainTime.Seconds() - p.cores("")
-	return max(lack, float64(p.MissingVMs)*largest-coming)
+	// The pool must serve what will arrive and work off its backlog as well. Cores
+	// in use don't suffice as the measure of the load, as they can't exceed the
+	// cores that the pool has.
+	missing := max(p.Used, arrivalFactor*p.ArrivalRate) + p.Backlog/DrainTime.Seconds() - p.cores("")
+	return max(missing, float64(p.MissingVMs)*largest-incomingCores)
 }
 
-// exists reports whether any VM has the label: a lack that nothing can end must
-// not keep idle VMs from being parked.
-func exists(pools []Pool, label string) bool {
+// labelExists reports whether any VM has the label. A shortage that no VM can end
+// must not keep idle VMs from being parked.
+func labelExists(pools []Pool, label string) bool {
 	for i := range pools {
 		if pools[i].cores(label) > 0 {
 			return true
@@ -304,59 +313,60 @@
 	return false
 }
 
-// donorFor returns the VM that is missed least among those that serve the want: at
-// best one without a label that another lacks. -1: there is none.
-func donorFor(w want, all []want, donors []donor) int {
-	second := -1
+// chooseDonor returns the index of the first donor that can serve the shortage, for
+// an unlabelled shortage preferably one without a label that some pool lacks. It
+// returns -1 if no donor can serve it.
+func chooseDonor(w shortage, all []shortage, donors []donor) int {
+	fallback := -1
 	for i := range donors {
-		if !donors[i].vm.has(w.label) {
+		if !donors[i].vm.hasLabel(w.label) {
 			continue
 		}
-		if w.label != "" || !anyLacks(all, &donors[i].vm) {
+		if w.label != "" || !anyNeedsLabelOf(all, &donors[i].vm) {
 			return i
 		}
-		if second < 0 {
-			second = i
+		if fallback < 0 {
+			fallback = i
 		}
 	}
-	return second
+	return fallback
 }
 
-func anyLacks(all []want, vm *VM) bool {
-	return slices.ContainsFunc(all, func(w want) bool { return w.label != "" && vm.has(w.label) })
+func anyNeedsLabelOf(all []shortage, vm *VM) bool {
+	return slices.ContainsFunc(all, func(w shortage) bool { return w.label != "" && vm.hasLabel(w.label) })
 }
 
 type donor struct {
-	vm    VM
-	from  string
-	quiet time.Duration
+	vm           VM
+	from         string
+	sinceBacklog time.Duration
 }
 
-// donorsOf returns the VMs that may leave, those that are missed least first:
-// parked ones, then those of pools whose burst ended last. So many of each pool
-// are kept.
-func donorsOf(pools []Pool, keep int) []donor {
+// findDonors returns the VMs that may be moved away, least needed first: parked
+// VMs, then those of the pools that had a backlog last. Each pool that isn't parked
+// keeps at least keep VMs.
+func findDonors(pools []Pool, keep int) []donor {
 	var out []donor
 	for i := range pools {
 		p := &pools[i]
-		if p.free() > 0 || p.MissingVMs > 0 {
+		if p.unlabelledBacklog() > 0 || p.MissingVMs > 0 {
 			continue
 		}
-		spare := len(p.VMs) - keep
-		quiet := p.SinceBacklog
+		surplus := len(p.VMs) - keep
+		sinceBacklog := p.SinceBacklog
 		if p.Parked {
-			spare, quiet = math.MaxInt, -1
+			surplus, sinceBacklog = math.MaxInt, -1
 		}
 		for _, vm := range p.VMs {
-			if spare <= 0 {
+			if surplus <= 0 {
 				break
 			}
-			if vm.Empty && !p.waitsFor(&vm) && (p.Parked || vm.EmptyFor >= emptyFor) {
-				out = append(out, donor{vm: vm, from: p.Name, quiet: quiet})
-				spare--
+			if vm.Empty && !p.hasBacklogFor(&vm) && (p.Parked || vm.EmptyFor >= minEmptyTime) {
+				out = append(out, donor{vm: vm, from: p.Name, sinceBacklog: sinceBacklog})
+				surplus--
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b donor) int { return cmp.Compare(a.quiet, b.quiet) })
+	slices.SortStableFunc(out, func(a, b donor) int { return cmp.Compare(a.sinceBacklog, b.sinceBacklog) })
 	return out
 }
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -17,17 +17,17 @@
 	return out
 }
 
-// Callers of one queue wait while the VMs of the others stand idle. The burst
-// draws parked VMs first, then those of the pool whose burst has just ended, as
-// its next is furthest away, and leaves every pool what its first tasks need.
-func TestABacklogDrawsWhatIsMissedLeast(t *testing.T) {
+// Callers of one queue must not wait while VMs of other pools are idle. A burst
+// takes parked VMs first, then VMs of the pool whose burst has just ended, as its
+// next burst is the furthest away. Every pool keeps VMs for its first tasks.
+func TestBacklogTakesLeastNeededVMs(t *testing.T) {
 	moves := Decide([]Pool{
 		{Name: "busy", VMs: vms("b", 8, 0, 0), Used: 128, Backlog: 100},
 		{Name: "soon", VMs: vms("s", 8, 8, time.Minute), SinceBacklog: 12 * time.Second},
 		{Name: "over", VMs: vms("o", 12, 12, time.Second), SinceBacklog: time.Second},
 		{Name: "off", Parked: true, VMs: vms("p", 1, 1, 0)},
 	})
-	assert.Equal(t, len(moves), 7, "100 core-seconds within the goal are 112 cores")
+	assert.Equal(t, len(moves), 7, "100 core-seconds within DrainTime are 112 cores")
 	assert.Equal(t, moves[0].From, "off")
 	for _, m := range moves[1:] {
 		assert.Equal(t, m.From, "over")
@@ -35,9 +35,10 @@
 	}
 }
 
-// A wave is late: a lasting task can't leave its VM, as every other has one of its
-// step already. Cores are free, so no backlog shows; the pool is short of VMs.
-func TestAPoolShortOfVMsDrawsThemWithCoresFree(t *testing.T) {
+// Guards against a late wave: a long-running task can't leave its VM if every other
+// VM of the pool runs a task of the same step already. Cores are free, so there is
+// no backlog, but the pool needs another VM.
+func TestMissingVMsAreRequestedDespiteFreeCores(t *testing.T) {
 	moves := Decide([]Pool{
 		{Name: "short", VMs: vms("s", 4, 4, time.Minute), Used: 8, MissingVMs: 1},
 		{Name: "off", Parked: true, VMs: vms("p", 3, 3, 0)},
@@ -46,9 +47,9 @@
 	assert.Equal(t, moves[0].To, "short")
 }
 
-// VMs on their way count: without that each look at the same backlog would order
-// as many again, and they would arrive after the burst.
-func TestVMsOnTheirWayAreNotOrderedAgain(t *testing.T) {
+// Incoming VMs count. Otherwise each decision on the same backlog would request as
+// many again, which would arrive after the burst.
+func TestIncomingVMsAreNotRequestedAgain(t *testing.T) {
 	moves := Decide([]Pool{
 		{Name: "busy", VMs: vms("b", 8, 0, 0), Used: 128, Backlog: 100, Incoming: vms("c", 7, 0, 0)},
 		{Name: "off", Parked: true, VMs: vms("p", 8, 8, 0)},
@@ -56,8 +57,8 @@
 	assert.Equal(t, len(moves), 0)
 }
 
-// A pool that works off its own backlog gives nothing away, and no VM leaves that
-// became empty a moment ago: the next step of a job is about to start on it.
+// A pool with a backlog gives no VM away, and a VM that became empty a moment ago
+// stays, as the next step of a job is about to start on it.
 func TestVMsInUseOrJustEmptyStay(t *testing.T) {
 	moves := Decide([]Pool{
 		{Name: "a", VMs: vms("a", 8, 0, 0), Used: 128, Backlog: 500},
@@ -67,28 +68,28 @@
 	assert.Equal(t, len(moves), 0)
 }
 
-// A quiet pool keeps what its next burst begins with; the rest is parked once it
-// has been empty for several times the pauses between bursts.
+// A pool without load keeps the VMs on which its next burst starts. The others are
+// parked once they have been empty for parkAfter.
 func TestLongEmptyVMsAreParked(t *testing.T) {
-	const stay = 5 // half of an equal split of twenty VMs over two pools
+	const keep = 5 // half of an equal split of twenty VMs over two pools
 	pools := []Pool{
 		{Name: "quiet", VMs: vms("q", 10, 10, parkAfter)},
 		{Name: "fresh", VMs: vms("f", 10, 10, parkAfter-time.Millisecond)},
 		{Name: "off", Parked: true},
 	}
 	moves := Decide(pools)
-	assert.Equal(t, len(moves), 10-stay)
+	assert.Equal(t, len(moves), 10-keep)
 	for _, m := range moves {
 		assert.Equal(t, m.From, "quiet")
 		assert.Equal(t, m.To, "off")
 	}
 	pools[1].Backlog, pools[1].Used = 1000, 1000
 	for _, m := range Decide(pools) {
-		assert.Equal(t, m.To, "fresh", "while work waits nothing is parked")
+		assert.Equal(t, m.To, "fresh", "no VM is parked while work waits")
 	}
 }
 
-// labelled gives every VM the label.
+// labelled sets the label on all of vms and returns them.
 func labelled(vms []VM, label string) []VM {
 	for i := range vms {
 		vms[i].Labels = []string{label}
@@ -96,11 +97,10 @@
 	return vms
 }
 
-// Callers wait for work that asks for a label while their pool has thirty idle VMs
-// without it, and the other pools have none left to begin with: the pool counted
-// as busy and gave nothing away. It draws VMs with the label, and the others go
-// where any VM will do.
-func TestABacklogForALabelDrawsVMsWithItAndKeepsNoOthers(t *testing.T) {
+// Guards against a pool that holds thirty idle VMs which can't serve its backlog,
+// as they lack the label that it asks for, while other pools run out of VMs. The
+// pool takes VMs with the label, and its others go to where any VM will do.
+func TestLabelledBacklogTakesLabelledVMsAndKeepsNoOthers(t *testing.T) {
 	moves := Decide([]Pool{
 		{Name: "bound", VMs: vms("x", 30, 30, time.Minute), Backlog: 40, ByLabel: map[string]LabelDemand{"big": {Backlog: 40}}},
 		{Name: "busy", VMs: vms("b", 4, 0, 0), Used: 64, Backlog: 80},
@@ -113,19 +113,20 @@
 	assert.DeepEqual(t, to, map[string]int{"off to bound": 3, "bound to busy": 6})
 }
 
-// The same with work for several labels: the parts of the backlog add up to all of it
-// but for the last digit, and that digit kept thirty idle VMs in the pool.
-func TestABacklogForLabelsAloneIsNoneForOthers(t *testing.T) {
+// With several labels, the parts of the backlog add up to the whole except for a
+// rounding error. That error must not count as a backlog, which would keep idle VMs
+// in the pool.
+func TestLabelledBacklogLeavesNoRoundingError(t *testing.T) {
 	bound := map[string]LabelDemand{"x": {Backlog: 0.1}, "y": {Backlog: 0.2}, "z": {Backlog: 0.3}}
 	p := Pool{Name: "bound", Backlog: 0.3 + 0.2 + 0.1 + 1e-16, ByLabel: bound}
-	for range 20 { // maps are walked in any order
-		assert.Equal(t, p.free(), 0.0)
+	for range 20 { // the iteration order of maps varies
+		assert.Equal(t, p.unlabelledBacklog(), 0.0)
 	}
 }
 
-// Work for a label that no VM has waits for ever. It must neither draw VMs for ever
-// nor keep idle ones from being parked.
-func TestALackThatNothingCanEndMovesNothing(t *testing.T) {
+// Work for a label that no VM has waits without end. It must neither take VMs nor
+// keep idle ones from being parked.
+func TestMissingLabelMovesNothing(t *testing.T) {
 	pools := []Pool{
 		{Name: "bound", VMs: vms("x", 4, 4, time.Second), Backlog: 40, ByLabel: map[string]LabelDemand{"none": {Backlog: 40}}},
 		{Name: "quiet", VMs: vms("q", 12, 12, time.Minute)},
@@ -138,16 +139,17 @@
 	assert.Assert(t, len(Decide(pools)) > 0)
 }
 
-// turn is one queue's burst: its core-seconds arrive evenly over it.
+// The bursts of simulate: the work of a burst arrives evenly over its length.
 const (
-	turnLength = 4 * time.Second
-	turnWork   = 4 * 300.0 // core-seconds, for a pool of 128 cores
-	tick       = 100 * time.Millisecond
-	moveTime   = 1500 * time.Millisecond
+	burstLength = 4 * time.Second
+	burstWork   = 4 * 300.0 // core-seconds, for a pool of 128 cores
+	tick        = 100 * time.Millisecond
+	moveTime    = 1500 * time.Millisecond
 )
 
-// simulate plays bursts that go round four pools and returns the core-seconds
-// done within the turns and the moves made.
+// simulate runs bursts that alternate between four pools. It returns the
+// core-seconds done during the burst of the pool they belong to, and the number of
+// moves.
 func simulate(decide func([]Pool) []Move) (done float64, moves int) {
 	type arrival struct {
 		at time.Duration
@@ -158,10 +160,10 @@
 	for i := range pools {
 		pools[i].VMs = vms(pools[i].Name+"-", 8, 8, 0)
 	}
-	var under []arrival
-	for now := time.Duration(0); now < 8*turnLength; now += tick {
-		active := int(now/turnLength) % 4
-		pools[active].Backlog += turnWork * tick.Seconds() / turnLength.Seconds()
+	var inTransit []arrival
+	for now := time.Duration(0); now < 8*burstLength; now += tick {
+		active := int(now/burstLength) % 4
+		pools[active].Backlog += burstWork * tick.Seconds() / burstLength.Seconds()
 		for i := range pools {
 			p := &pools[i]
 			capacity := float64(16*len(p.VMs)) * tick.Seconds()
@@ -187,8 +189,8 @@
 			}
 			p.Incoming = nil
 		}
-		kept := under[:0]
-		for _, a := range under {
+		remaining := inTransit[:0]
+		for _, a := range inTransit {
 			for i := range pools {
 				if pools[i].Name != a.to {
 					continue
@@ -200,10 +202,10 @@
 				}
 			}
 			if now < a.at {
-				kept = append(kept, a)
+				remaining = append(remaining, a)
 			}
 		}
-		under = kept
+		inTransit = remaining
 		for _, m := range decide(pools) {
 			moves++
 			for i := range pools {
@@ -212,7 +214,7 @@
 						vm := pools[i].VMs[v]
 						vm.EmptyFor = 0
 						pools[i].VMs = append(pools[i].VMs[:v:v], pools[i].VMs[v+1:]...)
-						under = append(under, arrival{at: now + moveTime, vm: vm, to: m.To})
+						inTransit = append(inTransit, arrival{at: now + moveTime, vm: vm, to: m.To})
 						break
 					}
 				}
@@ -222,19 +224,19 @@
 	return done, moves
 }
 
-// Bursts of more than twice a pool's size go round: useful work within the turns
-// against pools that keep their VMs.
-func TestBurstsThatGoRoundAreServedByTheWholeFleet(t *testing.T) {
+// With alternating bursts of more than twice the capacity of a pool, moving VMs must
+// get more work done within the bursts than fixed pools do.
+func TestAlternatingBurstsAreServedByTheWholeFleet(t *testing.T) {
 	fixed, _ := simulate(func([]Pool) []Move { return nil })
 	moved, moves := simulate(Decide)
-	t.Logf("core-seconds within the turns: fixed pools %.0f, moved %.0f (%d moves)", fixed, moved, moves)
+	t.Logf("core-seconds within the bursts: fixed pools %.0f, moved %.0f (%d moves)", fixed, moved, moves)
 	assert.Assert(t, moved > 1.25*fixed, "%.0f against %.0f", moved, fixed)
-	assert.Assert(t, moves < 8*40, "more than one move of each VM a turn")
+	assert.Assert(t, moves < 8*40, "more than one move per VM and burst")
 }
 
-// Thirty-six VMs of forty-one stand parked as a burst begins, three are left in each pool:
-// VMs on their way to be parked did not count, so each round kept fewer than the last.
-func TestVMsOnTheirWayDoNotMakeTheSplitSmaller(t *testing.T) {
+// Guards against parking nearly all VMs (36 of 41) before a burst begins: if VMs on
+// their way to the parked pool don't count, each round keeps fewer than the last.
+func TestIncomingVMsCountInTheEqualSplit(t *testing.T) {
 	pools := []Pool{
 		{Name: "a", VMs: vms("a", 10, 10, parkAfter)},
 		{Name: "b", VMs: vms("b", 10, 10, parkAfter)},
@@ -252,20 +254,20 @@
 	assert.Equal(t, len(pools[1].VMs), 5)
 }
 
-// Callers of a burst wait for VMs that come as it is nearly over: they were drawn for the
-// rate at which it began. It is drawn for as what it will be, from a rate alone and before
-// any backlog has grown.
-func TestABurstThatBeginsDrawsForWhatItWillBe(t *testing.T) {
+// Guards against VMs that arrive when a burst is nearly over, as they were requested
+// for the rate at which it began. VMs are requested for a multiple of the arrival
+// rate, before a backlog has grown.
+func TestRisingArrivalRateRequestsVMsAhead(t *testing.T) {
 	moves := Decide([]Pool{
 		{Name: "busy", VMs: vms("b", 4, 0, 0), Used: 64, ArrivalRate: 100, Backlog: 1},
 		{Name: "over", VMs: vms("o", 30, 30, time.Second)},
 	})
-	assert.Equal(t, len(moves), 15, "300 cores and a little, less the 64 there are")
+	assert.Equal(t, len(moves), 15, "a little over 300 cores, less the 64 of the pool")
 }
 
-// A pool that could use VMs for what it tries apart takes them from others that have a backlog, or
-// none although they stand idle.
-func TestSpareVMsAreLentWhileNobodyLacksAny(t *testing.T) {
+// A pool with spare demand gets idle VMs, but takes none from pools that have a
+// backlog.
+func TestIdleVMsAreLentWhileNoPoolLacksAny(t *testing.T) {
 	tries := Pool{Name: "tries", VMs: vms("t", 6, 1, time.Minute), SpareDemand: 3}
 	idle := Pool{Name: "idle", VMs: vms("i", 8, 8, time.Second), SinceBacklog: time.Second}
 	moves := Decide([]Pool{tries, idle})
@@ -278,19 +280,19 @@
 	for _, m := range Decide([]Pool{tries, idle, busy}) {
 		assert.Equal(t, m.To, "busy")
 	}
-	assert.Equal(t, len(Decide([]Pool{tries, {Name: "kept", VMs: vms("k", 3, 3, time.Second)}})), 1, "what a pool keeps is not lent")
+	assert.Equal(t, len(Decide([]Pool{tries, {Name: "kept", VMs: vms("k", 3, 3, time.Second)}})), 1, "the VMs that a pool keeps are not lent")
 }
 
-// A burst was more than the fleet bears. What is left of it, too late for its callers, kept the
-// VMs that it had drawn until all was worked off, and jobs of other queues that could still have
-// been in time waited as long.
-func TestLeftoversOfABurstKeepNoVMsFromWorkThatIsStillOfUse(t *testing.T) {
+// Guards against a late backlog, left by a burst beyond the fleet's capacity, that
+// keeps its VMs until it is worked off, while jobs of other queues that could still
+// be in time wait.
+func TestLateBacklogKeepsNoVMsFromUsefulWork(t *testing.T) {
 	pools := []Pool{
 		{Name: "burst", VMs: vms("b", 16, 6, time.Second), Used: 160, LateBacklog: 3000},
 		{Name: "steady", VMs: vms("s", 4, 0, 0), Used: 64, Backlog: 50},
 	}
 	moves := Decide(pools)
-	assert.Equal(t, len(moves), 4, "50 core-seconds within the goal are 56 cores")
+	assert.Equal(t, len(moves), 4, "50 core-seconds within DrainTime are 56 cores")
 	for _, m := range moves {
 		assert.Equal(t, m.To, "steady")
 	}
@@ -298,8 +300,8 @@
 	assert.Equal(t, len(Decide(pools)), 0)
 }
 
-// What is too late to be of use is worked off all the same once nothing else waits.
-func TestLeftoversDrawVMsWhileNothingElseWaits(t *testing.T) {
+// Work that is too late to be of use is still worked off once nothing else waits.
+func TestLateBacklogTakesVMsWhileNothingElseWaits(t *testing.T) {
 	pools := []Pool{
 		{Name: "burst", VMs: vms("b", 4, 0, 0), Used: 64, LateBacklog: 50, ByLabel: map[string]LabelDemand{"gpu": {LateBacklog: 20}}},
 		{Name: "idle", VMs: vms("i", 8, 8, time.Second)},
