--- a/policy/sizing/overrun.go
+++ b/policy/sizing/overrun.go
@@ -2,10 +2,10 @@
 
 import "github.com/pumicestage/pumicestage/policy/model"
 
-// Action is what to do with a task that uses more memory than it was given.
+// Action is what to do about a task that uses more memory than it was given.
 type Action string
 
-// The actions, from the mildest.
+// The actions, mildest first.
 const (
 	Leave      Action = "leave"
 	Throttle   Action = "throttle"
@@ -13,23 +13,25 @@
 	Stop       Action = "stop"
 )
 
-// slack is how far over its size, in percent, a task may be before anything is
-// done: a report is one moment and the next may be below again.
-const slack = 10
+// tolerancePercent is how far, in percent, a task's memory use may exceed its size
+// without any action: a report is a single sample, and the next may be lower again.
+const tolerancePercent = 10
 
-// Overrun decides about a task that was seen to use more memory than its size.
-// short says that its worker has too little memory left for all on it, so that
-// something has to give way before the worker ends a task of its own choice.
+// Overrun returns the action for a task with the given size that was seen to use
+// used. lowMemory says that its worker is running out of memory, so that the use
+// of some task has to be cut before the worker kills a task of its own choice. No
+// action is taken otherwise.
 //
-// The class decides who gives way first: deferrable work is stopped, normal
-// work only at a checkpoint, urgent work is slowed. Work that is not
-// repeatable is slowed at most, whatever its class.
-func Overrun(job *model.Job, size, used model.Resources, short bool) Action {
-	if used.MemoryMB <= size.MemoryMB+size.MemoryMB*slack/100 {
+// The action depends on the class: a task that has checkpoints is stopped at one
+// unless it is urgent; a deferrable task without checkpoints is stopped, a normal
+// one throttled; an urgent task is throttled. A task that is not repeatable is
+// throttled at most, whatever its class.
+func Overrun(job *model.Job, size, used model.Resources, lowMemory bool) Action {
+	if used.MemoryMB <= size.MemoryMB+size.MemoryMB*tolerancePercent/100 {
 		return Leave
 	}
 	switch {
-	case !short:
+	case !lowMemory:
 		return Leave
 	case !job.Repeatable || job.Class == model.ClassUrgent:
 		return Throttle
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -13,11 +13,12 @@
 	return &model.Job{Kind: "k", Repeatable: true, Declared: model.Resources{MilliCPU: declared, MemoryMB: declared, Accelerators: 1}}
 }
 
-// ample is given to tasks that use what they need.
+// ample is the size given to tasks that are not limited by it.
 var ample = model.Resources{MilliCPU: 1 << 40, MemoryMB: 1 << 40}
 
-// learned is a book of jobs that used so much processor and memory each.
-func learned(used ...int64) *UsageHistory {
+// historyOf returns the history of one job for each value of used, which is its use
+// of both processors and memory.
+func historyOf(used ...int64) *UsageHistory {
 	b := NewUsageHistory()
 	for i, u := range used {
 		b.Report("k", model.JobID(fmt.Sprint(i)), model.Resources{MilliCPU: u, MemoryMB: u}, ample)
@@ -26,28 +27,28 @@
 }
 
 func TestSize(t *testing.T) {
-	once := job(1000)
-	once.Repeatable = false
+	nonRepeatable := job(1000)
+	nonRepeatable.Repeatable = false
 	for _, tc := range []struct {
 		name     string
-		book     *UsageHistory
+		history  *UsageHistory
 		job      *model.Job
-		least    int64
+		minMB    int64
 		cpu, mem int64
 	}{
-		{"nothing known: as declared", NewUsageHistory(), job(1000), 0, 1000, 1000},
-		{"too few jobs: as declared", learned(300, 300, 300), job(1000), 0, 1000, 1000},
-		{"declared too large", learned(300, 300, 300, 300), job(1200), 0, 309, 360},
-		{"declared too small", learned(4000, 4000, 4000, 4000), job(1000), 0, 4120, 4800},
-		{"one wild report moves nothing", learned(300, 300, 300, 300, 90000), job(1000), 0, 309, 360},
-		{"nor does one that stands still", learned(300, 300, 300, 300, 1), job(1000), 0, 309, 360},
-		{"memory follows the largest, processors the middle", learned(100, 100, 100, 500, 500), job(1000), 0, 103, 600},
-		{"never below a tenth of the declaration", learned(5, 5, 5, 5), job(10000), 0, 1000, 1000},
-		{"one run gets the safer of the two", learned(300, 300, 300, 300), once, 0, 1000, 1000},
-		{"what it had too little of is the least", learned(300, 300, 300, 300), job(1000), 2000, 309, 2000},
+		{"no report: as declared", NewUsageHistory(), job(1000), 0, 1000, 1000},
+		{"too few jobs: as declared", historyOf(300, 300, 300), job(1000), 0, 1000, 1000},
+		{"declared too large", historyOf(300, 300, 300, 300), job(1200), 0, 309, 360},
+		{"declared too small", historyOf(4000, 4000, 4000, 4000), job(1000), 0, 4120, 4800},
+		{"a high outlier changes nothing", historyOf(300, 300, 300, 300, 90000), job(1000), 0, 309, 360},
+		{"nor does a stalled job", historyOf(300, 300, 300, 300, 1), job(1000), 0, 309, 360},
+		{"memory follows the second largest, processors the median", historyOf(100, 100, 100, 500, 500), job(1000), 0, 103, 600},
+		{"never below a tenth of the declaration", historyOf(5, 5, 5, 5), job(10000), 0, 1000, 1000},
+		{"a job that is not repeatable gets the larger of the two", historyOf(300, 300, 300, 300), nonRepeatable, 0, 1000, 1000},
+		{"at least the memory minimum of a job that ran out of it", historyOf(300, 300, 300, 300), job(1000), 2000, 309, 2000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := tc.book.Size(tc.job, tc.least)
+			got := tc.history.Size(tc.job, tc.minMB)
 			assert.Equal(t, got, model.Resources{MilliCPU: tc.cpu, MemoryMB: tc.mem, Accelerators: 1})
 		})
 	}
@@ -61,11 +62,11 @@
 	assert.Equal(t, b.Size(job(1000), 0).MemoryMB, int64(1000))
 }
 
-func TestJobsThatFillWhatTheyGet(t *testing.T) {
-	// The operator sees jobs become unplaceable one after the other. A kind
-	// uses all the memory it is given, and a margin on top of each estimate
-	// makes the next larger, until no worker has as much. What a job got by
-	// with is therefore enough.
+func TestEstimateOfJobsThatUseAllTheyGetDoesNotGrow(t *testing.T) {
+	// Guards against jobs that become unplaceable one after the other: if a kind
+	// uses all the memory that it is given, a margin on each estimate makes the
+	// next larger, until it exceeds every worker. So what a job was given and did
+	// not exceed counts as enough.
 	b := NewUsageHistory()
 	for i := range 100 {
 		given := b.Size(job(1000), 0)
@@ -74,19 +75,19 @@
 	assert.Equal(t, b.Size(job(1000), 0), job(1000).Declared)
 }
 
-func TestAKindThatChangesIsFollowed(t *testing.T) {
-	b := learned(300, 300, 300, 300, 300, 300)
-	for i := range window {
+func TestEstimateFollowsChangedUsage(t *testing.T) {
+	b := historyOf(300, 300, 300, 300, 300, 300)
+	for i := range maxPeaks {
 		b.Report("k", model.JobID(fmt.Sprint("new", i)), model.Resources{MilliCPU: 600, MemoryMB: 600}, ample)
 	}
 	assert.Equal(t, b.Size(job(1000), 0).MemoryMB, int64(720))
 }
 
-func TestMemoryThatNoReportShows(t *testing.T) {
-	// A worker's guard ends each job before its first usage report. What it
-	// was given then says that the next needs twice as much.
+func TestOutOfMemoryBeforeTheFirstUsageReport(t *testing.T) {
+	// A worker's memory limit kills each job before its first usage report. The
+	// next job must then get twice as much.
 	b := NewUsageHistory()
-	for i := range enough {
+	for i := range minJobs {
 		b.ReportExceeded("k", model.JobID(fmt.Sprint(i)), model.Resources{MilliCPU: 1000, MemoryMB: 1000})
 	}
 	assert.Equal(t, b.Size(job(1000), 0), model.Resources{MilliCPU: 1000, MemoryMB: 2000, Accelerators: 1})
@@ -109,21 +110,21 @@
 		repeatable  bool
 		checkpoints bool
 		used        int64
-		short       bool
+		lowMemory   bool
 		want        Action
 	}{
-		{"within", model.ClassNormal, true, true, 1000, true, Leave},
-		{"within the slack", model.ClassNormal, true, true, 1100, true, Leave},
-		{"over, but the worker has enough", model.ClassDeferrable, true, false, 2000, false, Leave},
-		{"urgent is slowed", model.ClassUrgent, true, true, 2000, true, Throttle},
+		{"within its size", model.ClassNormal, true, true, 1000, true, Leave},
+		{"within the tolerance", model.ClassNormal, true, true, 1100, true, Leave},
+		{"over its size, but the worker has enough memory", model.ClassDeferrable, true, false, 2000, false, Leave},
+		{"urgent is throttled", model.ClassUrgent, true, true, 2000, true, Throttle},
 		{"normal stops at a checkpoint", model.ClassNormal, true, true, 2000, true, Checkpoint},
-		{"normal without one is slowed", model.ClassNormal, true, false, 2000, true, Throttle},
+		{"normal without one is throttled", model.ClassNormal, true, false, 2000, true, Throttle},
 		{"deferrable without one is stopped", model.ClassDeferrable, true, false, 2000, true, Stop},
 		{"not repeatable is never stopped", model.ClassDeferrable, false, true, 2000, true, Throttle},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			job := &model.Job{Class: tc.class, Repeatable: tc.repeatable, Checkpoints: tc.checkpoints}
-			assert.Equal(t, Overrun(job, size, model.Resources{MemoryMB: tc.used}, tc.short), tc.want)
+			assert.Equal(t, Overrun(job, size, model.Resources{MemoryMB: tc.used}, tc.lowMemory), tc.want)
 		})
 	}
 }
