--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -1,72 +1,74 @@
-// Package joborder decides which job's tasks go first when a pool cannot run
-// everything at once.
+// Package joborder decides which job's tasks run first when a pool can't run all
+// of them at once.
 //
 // Load pattern: demand comes in bursts of several times a pool's capacity, with
-// quiet stretches between. A job is worth most until its objective and a small
-// part of that for a while after. First come, first served lets every job of a
-// burst wait behind the ones before it until nearly all are late: each finishes,
-// none in time. Ordering by what still pays keeps most of them in time and lets
-// the rest be late.
+// little load in between. A job has its full value until its objective, and a
+// small part of that for a while after. With first come, first served, every job
+// of a burst waits for those before it until nearly all are late: each finishes,
+// hardly one in time. Ordering by cost per unit of value that can still be earned
+// keeps most jobs in time and lets the rest be late.
 package joborder
 
 import "time"
 
-// Weights of the order.
+// Parameters of the order.
 const (
-	// baseValue and workValue: what a job is worth grows with its size, but a
-	// small job is worth more a core-second. The deployments value a job at 0.3
-	// plus 0.7 of its size over the mean size of its queue, up to four times.
+	// baseValue, workValue and maxValue define the value of a job as the
+	// deployments do: 0.3 plus 0.7 times its size over the mean size of its
+	// queue, at most 4. The value grows with the size, but a small job is worth
+	// more per core-second.
 	baseValue = 0.3
 	workValue = 0.7
 	maxValue  = 4.0
 
-	// begunShare scales what a begun job still costs: work done on it is lost
-	// to its caller while it waits, so a started job is finished first unless
-	// another is clearly cheaper. In trials over the calm days 0.7 did as well
-	// as 0.5 and better than 1.
-	begunShare = 0.7
+	// startedFactor scales the remaining cost of a started job. The work done on
+	// it is of no use to its caller while it waits, so it is finished first
+	// unless another is clearly cheaper. 0.7 does as well as 0.5 and better
+	// than 1 without faults.
+	startedFactor = 0.7
 
-	// uselessAfter is how many objectives after its acceptance a job's result
-	// is no longer of use: the deployments call a job late up to three.
-	uselessAfter = 3.0
+	// expiredAfter is the time after a job's acceptance, as a multiple of its
+	// objective, after which its result is of no use. Until then the deployments
+	// count the job as late.
+	expiredAfter = 3.0
 )
 
-// Tier says how urgent a job is, before any comparison of cost.
+// Tier is the urgency of a job. It takes precedence over any comparison of cost.
 type Tier int8
 
 // The tiers, most urgent first.
 const (
-	TierLongRunning Tier = iota // serves users of its own now
+	TierLongRunning Tier = iota // serves users of its own as long as it runs
 	TierOnTime                  // can still meet its objective
-	TierLate                    // cannot, but is still of some use
-	TierExpired                 // runs only on what nobody else wants
+	TierLate                    // can't meet it, but is still of some use
+	TierExpired                 // too late to be of use; gets only capacity that no other tier needs
 )
 
 var tierNames = [...]string{TierLongRunning: "lasting", TierOnTime: "in time", TierLate: "late", TierExpired: "too late to be of use"}
 
-// String returns the tier as operators read it.
+// String returns the name of the tier for operators.
 func (t Tier) String() string { return tierNames[t] }
 
-// Job is what the order looks at.
+// Job holds the attributes of a job that determine its rank.
 type Job struct {
-	Priority     int // of its queue, 0 first
+	Priority     int // of its queue; 0 goes first
 	LongRunning  bool
 	Started      bool
-	Waited       time.Duration // since its acceptance (or due time)
-	Objective    time.Duration // from its acceptance
-	CriticalPath time.Duration // longest chain of work still to do
+	Waited       time.Duration // time to finish in, from its acceptance or due time
+	Objective    time.Duration // time to finish in, from its acceptance
+	CriticalPath time.Duration // longest chain of dependent work still to do
 	Work         float64       // core-seconds still to do
 	Size         float64       // core-seconds in all
-	MeanSize     float64       // of the jobs of its queue; 0 if unknown
-	OverShare    bool          // its workspace had handed in more than its weight when it came
+	MeanSize     float64       // core-seconds, of the jobs of its queue; 0 if unknown
+	OverShare    bool          // its workspace exceeded its weighted share when the job was submitted
 }
 
-// Rank is a place in the order; lower goes first.
+// Rank is the position of a job in the order; the lower rank goes first.
 type Rank struct {
 	Tier      Tier
-	OverShare bool // its workspace's weight
+	OverShare bool // see Job.OverShare; goes after the jobs of its tier that aren't
 	Priority  int
-	Cost      float64 // core-seconds for one unit of value
+	Cost      float64 // core-seconds per unit of value
 }
 
 // Before reports whether r goes before o.
@@ -83,7 +85,7 @@
 	return r.Cost < o.Cost
 }
 
-// RankOf returns the job's place.
+// RankOf returns the rank of the job.
 func RankOf(j Job) Rank {
 	return Rank{Tier: tier(j), OverShare: j.OverShare, Priority: j.Priority, Cost: cost(j)}
 }
@@ -96,7 +98,7 @@
 	switch {
 	case finish <= j.Objective:
 		return TierOnTime
-	case float64(finish) <= uselessAfter*float64(j.Objective):
+	case float64(finish) <= expiredAfter*float64(j.Objective):
 		return TierLate
 	}
 	return TierExpired
@@ -105,7 +107,7 @@
 func cost(j Job) float64 {
 	work := j.Work
 	if j.Started {
-		work *= begunShare
+		work *= startedFactor
 	}
 	return work / value(j)
 }
--- a/policy/joborder/joborder_test.go
+++ b/policy/joborder/joborder_test.go
@@ -15,12 +15,12 @@
 		name        string
 		first, next Job
 	}{
-		{"what serves users now goes before what is computed", Job{LongRunning: true}, small},
-		{"what can be in time goes before what cannot", small, Job{Objective: time.Second, CriticalPath: 2 * time.Second, Work: 1, Size: 10, MeanSize: 10}},
-		{"what is late goes before what is of no use any more", Job{Waited: 2 * time.Second, Objective: time.Second, Work: 10, Size: 10, MeanSize: 10}, Job{Waited: 9 * time.Second, Objective: time.Second, Work: 1, Size: 10, MeanSize: 10}},
+		{"a long-running job goes before any other", Job{LongRunning: true}, small},
+		{"a job that can be in time goes before one that can't", small, Job{Objective: time.Second, CriticalPath: 2 * time.Second, Work: 1, Size: 10, MeanSize: 10}},
+		{"a late job goes before one that is too late to be of use", Job{Waited: 2 * time.Second, Objective: time.Second, Work: 10, Size: 10, MeanSize: 10}, Job{Waited: 9 * time.Second, Objective: time.Second, Work: 1, Size: 10, MeanSize: 10}},
 		{"priority 0 goes before 1", small, Job{Priority: 1, Objective: 2 * time.Second, CriticalPath: time.Second, Work: 1, Size: 10, MeanSize: 10}},
-		{"little left goes before much", Job{Objective: 2 * time.Second, Work: 2, Size: 10, MeanSize: 10}, small},
-		{"a begun job goes before one as large", Job{Started: true, Objective: 2 * time.Second, CriticalPath: time.Second, Work: 10, Size: 10, MeanSize: 10}, small},
+		{"less remaining work goes before more", Job{Objective: 2 * time.Second, Work: 2, Size: 10, MeanSize: 10}, small},
+		{"a started job goes before one of equal size", Job{Started: true, Objective: 2 * time.Second, CriticalPath: time.Second, Work: 10, Size: 10, MeanSize: 10}, small},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Assert(t, RankOf(c.first).Before(RankOf(c.next)))
@@ -29,8 +29,8 @@
 	}
 }
 
-// burst is one turn: jobs that come at once, several times what the pool can do
-// in time.
+// queued is a job of a burst. All of a burst arrive at once and need several times
+// what the pool can do in time.
 type queued struct {
 	size  float64 // core-seconds
 	chain time.Duration
@@ -38,9 +38,10 @@
 
 const poolCores = 100.0
 
-// useful works the jobs off one after the other and returns the value of those
-// in time and the share of the largest tenth that was.
-func useful(jobs []queued, mean float64, before func(a, b queued) bool) (value, large float64) {
+// valueInTime runs the jobs one after the other in the given order. It returns the
+// total value of those that finish in time, and the fraction of the largest tenth
+// that does.
+func valueInTime(jobs []queued, mean float64, before func(a, b queued) bool) (value, largeInTime float64) {
 	jobs = slices.Clone(jobs)
 	slices.SortStableFunc(jobs, func(a, b queued) int {
 		if before(a, b) {
@@ -56,29 +57,30 @@
 		sizes[i] = j.size
 	}
 	slices.Sort(sizes)
-	border := sizes[len(sizes)*9/10]
-	busy, largeDone, largeAll := 0.0, 0, 0
+	largeThreshold := sizes[len(sizes)*9/10]
+	workDone, largeDone, largeAll := 0.0, 0, 0
 	for _, j := range jobs {
-		busy += j.size
-		done := time.Duration(busy/poolCores*float64(time.Second)) + j.chain
+		workDone += j.size
+		done := time.Duration(workDone/poolCores*float64(time.Second)) + j.chain
 		inTime := float64(done) <= 1.6*float64(j.chain)+float64(600*time.Millisecond)
-		if j.size >= border {
+		if j.size >= largeThreshold {
 			largeAll++
 		}
 		if !inTime {
 			continue
 		}
 		value += min(maxValue, baseValue+workValue*j.size/mean)
-		if j.size >= border {
+		if j.size >= largeThreshold {
 			largeDone++
 		}
 	}
 	return value, float64(largeDone) / float64(largeAll)
 }
 
-// A burst of three times what the pool can do in time: value served in time
-// against first come first served and against chance.
-func TestABurstServesMoreValueThanFirstComeFirstServed(t *testing.T) {
+// In a burst of three times what the pool can do in time, the order must earn
+// clearly more value in time than first come, first served, where nearly every job
+// is late.
+func TestOrderServesMoreValueThanFirstComeFirstServed(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	var jobs []queued
 	sum := 0.0
@@ -91,8 +93,8 @@
 	rank := func(j queued) Rank {
 		return RankOf(Job{Objective: time.Duration(1.6*float64(j.chain)) + 600*time.Millisecond, CriticalPath: j.chain, Work: j.size, Size: j.size, MeanSize: mean})
 	}
-	ordered, large := useful(jobs, mean, func(a, b queued) bool { return rank(a).Before(rank(b)) })
-	arrival, _ := useful(jobs, mean, func(a, b queued) bool { return false })
-	t.Logf("value in time: by order %.1f, first come first served %.1f; largest tenth in time %.2f", ordered, arrival, large)
+	ordered, large := valueInTime(jobs, mean, func(a, b queued) bool { return rank(a).Before(rank(b)) })
+	arrival, _ := valueInTime(jobs, mean, func(a, b queued) bool { return false })
+	t.Logf("value in time: by order %.1f, first come, first served %.1f; largest tenth in time %.2f", ordered, arrival, large)
 	assert.Assert(t, ordered > 1.2*arrival, "%.1f against %.1f", ordered, arrival)
 }
