--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -149,11 +149,11 @@
 	if !o.guarded {
 		return 0
 	}
-	return o.meter.Behind(o.now)
+	return o.meter.MaxDelay(o.now)
 }
 
 func (o *owner) probe() {
-	o.after(overload.Every, 0, func() {
+	o.after(overload.ProbeInterval, 0, func() {
 		o.meter.Begin(o.now)
 		o.line = append(o.line, chore{do: func() {
 			o.meter.End(o.now)
@@ -179,7 +179,7 @@
 
 func (o *owner) plan() {
 	if o.guarded {
-		o.core.Strain(o.meter.Standing(o.now), o.now)
+		o.core.Strain(o.meter.MinDelay(o.now), o.now)
 		o.core.LimitStarts(o.starts)
 	}
 	orders := o.core.Plan(o.now, o.wall)
@@ -195,7 +195,7 @@
 }
 
 func (o *owner) start(s StartOrder) {
-	by := o.now + orderTimeout + overload.Patience(o.behind())
+	by := o.now + orderTimeout + overload.ExtraTimeout(o.behind())
 	takes := loadTaskTime * time.Duration(2+(len(o.core.jobs)+s.Start.Task.Index)%3) / 3
 	o.world(loadTrip, func() {
 		o.running[s.Worker.ID][s.Start.Task] = fakeRun{run: s.Start.Run, end: o.now + takes}
@@ -246,7 +246,7 @@
 		return
 	}
 	o.line = append(o.line, chore{cost: costPoll, do: func() {
-		p := &fakePoll{hold: h, sent: o.now, by: o.now + h.Wait + pollTimeout + overload.Patience(o.behind())}
+		p := &fakePoll{hold: h, sent: o.now, by: o.now + h.Wait + pollTimeout + overload.ExtraTimeout(o.behind())}
 		o.polls[id] = p
 		o.world(h.Wait, func() { o.answer(id, p) })
 		if len(o.ended[id]) > 0 && o.ended[id][len(o.ended[id])-1].Seq > h.AckedThrough {
@@ -280,7 +280,7 @@
 	switch {
 	case o.now <= p.by:
 		o.core.HoldAnswered(id, p.hold, l, p.sent, o.now)
-	case overload.OwnDoing(o.behind()):
+	case overload.AnswerMayBeUnread(o.behind()):
 		o.core.HoldUnread()
 	default:
 		o.core.HoldFailed(id, OutcomeUnknown, o.now)
--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -30,18 +30,18 @@
 func (p *pressure) Behind() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.meter.Behind(p.clock.Now())
+	return p.meter.MaxDelay(p.clock.Now())
 }
 
 // Standing implements engine.Pressure.
 func (p *pressure) Standing() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.meter.Standing(p.clock.Now())
+	return p.meter.MinDelay(p.clock.Now())
 }
 
 func (p *pressure) run(ctx context.Context) {
-	for sleep.For(ctx, overload.Every) {
+	for sleep.For(ctx, overload.ProbeInterval) {
 		p.probe()
 	}
 }
--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -113,8 +113,8 @@
 }
 
 func (p *planner) overQuota(r *Request) Refusal {
-	share, _ := p.quotaBook.Guaranteed(r.Job.Team)
-	if p.quotaBook.Never(r.Job, r.Size) {
+	share, _ := p.quotaTracker.Guaranteed(r.Job.Team)
+	if p.quotaTracker.NeverFits(r.Job, r.Size) {
 		_, binds := shortfall(r.Size, share)
 		return Refusal{Job: r.Job.ID, Never: true, Binds: BindsQuota, Detail: fmt.Sprintf(
 			"needs %s, team %s is guaranteed %s, and work that is not repeatable can't borrow",
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -31,17 +31,17 @@
 )
 
 type planner struct {
-	workers     []Worker
-	byID        map[model.VMID]int
-	index       *index
-	tasks       map[model.VMID][]Task
-	quotaBook   *quota.Book
-	weights     Weights
-	spread      spread
-	queues      []*queue
-	teams       map[model.TeamName]*queue
-	unplaceable map[shape]Refusal // shapes that fit on no worker in this plan
-	noVictims   map[shape]bool    // shapes for which there is no task to preempt in this plan
+	workers      []Worker
+	byID         map[model.VMID]int
+	index        *index
+	tasks        map[model.VMID][]Task
+	quotaTracker *quota.Tracker
+	weights      Weights
+	spread       spread
+	queues       []*queue
+	teams        map[model.TeamName]*queue
+	unplaceable  map[shape]Refusal // shapes that fit on no worker in this plan
+	noVictims    map[shape]bool    // shapes for which there is no task to preempt in this plan
 	// quotaTeams holds the declared teams and those that run tasks without being
 	// declared, as after a change of the declaration. The latter have no
 	// guarantee, so they borrow all that they use. Nil if no team is declared.
@@ -75,22 +75,22 @@
 
 func newPlanner(s *Snapshot) *planner {
 	p := &planner{
-		workers:     slices.Clone(s.Workers),
-		byID:        make(map[model.VMID]int, len(s.Workers)),
-		tasks:       make(map[model.VMID][]Task),
-		quotaBook:   quota.NewBook(s.Teams),
-		weights:     s.Weights,
-		spread:      make(spread),
-		unplaceable: make(map[shape]Refusal),
-		noVictims:   make(map[shape]bool),
-		quotaTeams:  collectQuotaTeams(s),
+		workers:      slices.Clone(s.Workers),
+		byID:         make(map[model.VMID]int, len(s.Workers)),
+		tasks:        make(map[model.VMID][]Task),
+		quotaTracker: quota.NewTracker(s.Teams),
+		weights:      s.Weights,
+		spread:       make(spread),
+		unplaceable:  make(map[shape]Refusal),
+		noVictims:    make(map[shape]bool),
+		quotaTeams:   collectQuotaTeams(s),
 	}
 	slices.SortFunc(p.workers, func(a, b Worker) int { return cmp.Compare(a.ID, b.ID) })
 	for i := range p.workers {
 		p.byID[p.workers[i].ID] = i
 	}
 	for _, t := range s.Running {
-		p.quotaBook.Take(t.Job.Team, t.Size)
+		p.quotaTracker.Reserve(t.Job.Team, t.Size)
 		p.tasks[t.VM] = append(p.tasks[t.VM], t)
 		if i, ok := p.byID[t.VM]; ok {
 			p.spread.add(t.Job, &p.workers[i])
@@ -101,7 +101,7 @@
 	p.teams = make(map[model.TeamName]*queue, len(p.queues))
 	for _, q := range p.queues {
 		p.teams[q.team] = q
-		q.share = p.quotaBook.Ratio(q.team)
+		q.share = p.quotaTracker.UsageRatio(q.team)
 	}
 	return p
 }
@@ -195,12 +195,12 @@
 // tryPlace places or refuses the request. It returns false if the request is
 // neither placed nor refused and is left to a later rank.
 func (p *planner) tryPlace(k rank, r *Request) bool {
-	standing := p.quotaBook.Stand(r.Job, r.Size)
-	if standing == quota.Waits {
+	verdict := p.quotaTracker.Check(r.Job, r.Size)
+	if verdict == quota.Waits {
 		p.refuse(p.overQuota(r))
 		return true
 	}
-	if standing == quota.Borrows && k == guaranteedRank {
+	if verdict == quota.Borrows && k == guaranteedRank {
 		return false
 	}
 	s := shapeOf(r)
@@ -234,9 +234,9 @@
 
 // addUsage adds size, which may be negative, to the team's usage.
 func (p *planner) addUsage(team model.TeamName, size model.Resources) {
-	p.quotaBook.Take(team, size)
+	p.quotaTracker.Reserve(team, size)
 	if q := p.teams[team]; q != nil {
-		q.share = p.quotaBook.Ratio(team)
+		q.share = p.quotaTracker.UsageRatio(team)
 	}
 }
 
--- a/policy/placement/preempt.go
+++ b/policy/placement/preempt.go
@@ -26,7 +26,7 @@
 // team's guarantee may preempt what other teams have borrowed. Urgent jobs and
 // jobs that are not repeatable are never preempted.
 func (p *planner) preempt(k rank, r *Request) bool {
-	borrows := p.quotaBook.Stand(r.Job, r.Size) == quota.Borrows
+	borrows := p.quotaTracker.Check(r.Job, r.Size) == quota.Borrows
 	if p.preemptions >= maxPreemptions || k != urgentRank && p.preemptions >= maxReclaimPreemptions || k != urgentRank && (borrows || !p.anyTeamOverGuarantee()) {
 		return false
 	}
@@ -61,7 +61,7 @@
 
 func (p *planner) anyTeamOverGuarantee() bool {
 	for _, t := range p.quotaTeams {
-		if p.quotaBook.Over(t.Name) {
+		if p.quotaTracker.OverGuarantee(t.Name) {
 			return true
 		}
 	}
@@ -124,21 +124,21 @@
 
 // canPreempt reports whether the task may be stopped for the request.
 func (p *planner) canPreempt(r *Request, t *Task) bool {
-	if !quota.TakesBack(t.Job) || t.Job.Class == model.ClassUrgent {
+	if !quota.Preemptible(t.Job) || t.Job.Class == model.ClassUrgent {
 		return false
 	}
 	if r.Job.Class == model.ClassUrgent && t.Job.Class == model.ClassDeferrable {
 		return true
 	}
-	return t.Job.Team != r.Job.Team && p.quotaBook.Over(t.Job.Team)
+	return t.Job.Team != r.Job.Team && p.quotaTracker.OverGuarantee(t.Job.Team)
 }
 
 // canPreemptAfter is canPreempt with the usage of the victims already chosen
 // from the task's team subtracted, so that a team isn't cut below its guarantee.
 // chosen is the sum of their sizes.
 func (p *planner) canPreemptAfter(r *Request, t *Task, chosen model.Resources) bool {
-	p.quotaBook.Give(t.Job.Team, chosen)
-	defer p.quotaBook.Take(t.Job.Team, chosen)
+	p.quotaTracker.Release(t.Job.Team, chosen)
+	defer p.quotaTracker.Reserve(t.Job.Team, chosen)
 	return p.canPreempt(r, t)
 }
 
