--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -112,7 +112,7 @@
 
 // schedule plans and starts.
 func (p *pass) schedule(ctx context.Context) error {
-	plan := placement.Make(p.snapshot())
+	plan := placement.MakePlan(p.snapshot())
 	if err := p.displace(ctx, plan.Preemptions); err != nil {
 		return err
 	}
--- a/policy/placement/placement_bench_test.go
+++ b/policy/placement/placement_bench_test.go
@@ -70,7 +70,7 @@
 type placer func(workers []Worker, waiting []Request, rng *rand.Rand) []Placement
 
 func byPlan(workers []Worker, waiting []Request, _ *rand.Rand) []Placement {
-	return Make(Snapshot{Workers: workers, Waiting: waiting, Weights: WeightsOf(model.Weights{})}).Placements
+	return MakePlan(Snapshot{Workers: workers, Waiting: waiting, Weights: WeightsOf(model.Weights{})}).Placements
 }
 
 func firstFit(workers []Worker, waiting []Request, _ *rand.Rand) []Placement {
@@ -144,7 +144,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			s.Waiting = c.waiting
 			for b.Loop() {
-				plan := Make(s)
+				plan := MakePlan(s)
 				if len(plan.Preemptions) == 0 {
 					b.Fatal("the urgent job preempted nothing")
 				}
@@ -163,7 +163,7 @@
 		byID[r.Job.ID] = r.Job
 	}
 	s := Snapshot{Workers: benchFleet(workers), Waiting: queue, Weights: WeightsOf(model.Weights{})}
-	for _, p := range Make(s).Placements {
+	for _, p := range MakePlan(s).Placements {
 		i := int(indexOf(p.VM))
 		s.Workers[i].Used = s.Workers[i].Used.Add(p.Size)
 		s.Running = append(s.Running, Task{Job: byID[p.Job], VM: p.VM, Size: p.Size})
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -80,7 +80,7 @@
 			request: request("j", model.ClassUrgent, 1000, 1000)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			plan := Make(Snapshot{Workers: tc.workers, Waiting: []Request{tc.request}, Running: tc.running, Weights: WeightsOf(model.Weights{})})
+			plan := MakePlan(Snapshot{Workers: tc.workers, Waiting: []Request{tc.request}, Running: tc.running, Weights: WeightsOf(model.Weights{})})
 			assert.Equal(t, len(plan.Placements), 1)
 			assert.Equal(t, plan.Placements[0].VM, tc.want)
 		})
@@ -119,7 +119,7 @@
 		{name: "no worker at all", request: request("j", 1, 1, 1), never: true, binds: BindsPool},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			plan := Make(Snapshot{Workers: tc.workers, Waiting: []Request{tc.request}, Running: tc.running, Teams: tc.teams})
+			plan := MakePlan(Snapshot{Workers: tc.workers, Waiting: []Request{tc.request}, Running: tc.running, Teams: tc.teams})
 			assert.Equal(t, len(plan.Refused), 1, "%+v", plan)
 			got := plan.Refused[0]
 			assert.Equal(t, got.Never, tc.never, got.Detail)
@@ -156,7 +156,7 @@
 			for _, r := range tc.running {
 				w.Used = w.Used.Add(r.Size)
 			}
-			plan := Make(Snapshot{Workers: []Worker{w}, Waiting: []Request{tc.request}, Running: tc.running, Teams: tc.teams})
+			plan := MakePlan(Snapshot{Workers: []Worker{w}, Waiting: []Request{tc.request}, Running: tc.running, Teams: tc.teams})
 			var got []model.JobID
 			for _, d := range plan.Preemptions {
 				got = append(got, d.Task)
@@ -170,7 +170,7 @@
 func TestUrgentBeforeOldDeferrable(t *testing.T) {
 	old := withChange(request("old", model.ClassDeferrable, 8000, 100), func(r *Request) { r.Job.SubmittedAt = time.Unix(1, 0) })
 	fresh := withChange(request("new", model.ClassUrgent, 8000, 100), func(r *Request) { r.Job.SubmittedAt = time.Unix(9, 0) })
-	plan := Make(Snapshot{Workers: []Worker{worker("1", 8000, 8000)}, Waiting: []Request{old, fresh}})
+	plan := MakePlan(Snapshot{Workers: []Worker{worker("1", 8000, 8000)}, Waiting: []Request{old, fresh}})
 	assert.Equal(t, plan.Placements[0].Job, model.JobID("new"))
 }
 
@@ -185,7 +185,7 @@
 		Waiting: []Request{request("borrower", 1, 2000, 100), withChange(request("owner", 1, 2000, 100), func(r *Request) { r.Job.Team = "b" })},
 	}
 	s.Workers[1].Used = model.Resources{MilliCPU: 1000, MemoryMB: 100}
-	plan := Make(s)
+	plan := MakePlan(s)
 	assert.Equal(t, len(plan.Placements), 1)
 	assert.Equal(t, plan.Placements[0].Job, model.JobID("owner"))
 }
@@ -202,7 +202,7 @@
 		s.Waiting = append(s.Waiting, withChange(request(fmt.Sprintf("b%d", i), 1, 1000, 1000), func(r *Request) { r.Job.Team = "b"; r.Job.SubmittedAt = time.Unix(9, 0) }))
 	}
 	byTeam := make(map[byte]int)
-	for _, p := range Make(s).Placements {
+	for _, p := range MakePlan(s).Placements {
 		byTeam[p.Job[0]]++
 	}
 	assert.DeepEqual(t, byTeam, map[byte]int{'a': 5, 'b': 5})
@@ -252,8 +252,8 @@
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := randomSnapshot(t)
-		plan := Make(s)
-		assert.DeepEqual(t, plan, Make(s))
+		plan := MakePlan(s)
+		assert.DeepEqual(t, plan, MakePlan(s))
 		checkCapacity(t, s, plan)
 		checkTeams(t, s, plan)
 		assert.Equal(t, len(plan.Placements)+len(plan.Refused), len(s.Waiting), "each job is placed or refused")
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -8,11 +8,11 @@
 	"github.com/pumicestage/pumicestage/policy/quota"
 )
 
-// Make computes a plan for a snapshot. Urgent jobs are placed first, then jobs
+// MakePlan computes a plan for a snapshot. Urgent jobs are placed first, then jobs
 // within their team's guarantee, then jobs that borrow. A borrower placed before
 // a job with a guarantee to the capacity would be preempted by the next plan,
 // placed again, and so on without end.
-func Make(s Snapshot) Plan {
+func MakePlan(s Snapshot) Plan {
 	p := newPlanner(&s)
 	for _, rank := range []rank{urgentRank, guaranteedRank, borrowingRank} {
 		p.place(rank)
