--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -142,7 +142,7 @@
 	var changes []transition
 	for _, f := range refused {
 		want := Waiting
-		if f.Never {
+		if f.Permanent {
 			want = Unplaceable
 		}
 		reason := string(f.Binds) + ": " + f.Detail
--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -54,7 +54,7 @@
 			accepting++
 		}
 	}
-	out := Refusal{Job: r.Job.ID, Never: true}
+	out := Refusal{Job: r.Job.ID, Permanent: true}
 	switch {
 	case inPool == 0:
 		out.Binds, out.Detail = BindsPool, fmt.Sprintf("no worker is in pool %s", r.Job.Pool)
@@ -65,14 +65,14 @@
 	case notAvoided == 0:
 		out.Binds, out.Detail = BindsFailures, "it failed on every worker that is large enough"
 	case accepting == 0:
-		out.Never, out.Binds = false, BindsClosed
+		out.Permanent, out.Binds = false, BindsClosed
 		p.nearestFree(r, &out)
 		out.Detail = fmt.Sprintf("waits for one of %d workers to take tasks again", notAvoided)
 		if i, ok := p.byID[out.Nearest]; ok {
 			out.Detail += fmt.Sprintf("; %s: %s", out.Nearest, p.workers[i].Closed)
 		}
 	default:
-		out.Never, out.Binds = false, BindsFreeCapacity
+		out.Permanent, out.Binds = false, BindsFreeCapacity
 		p.nearestFree(r, &out)
 		out.Detail = fmt.Sprintf("waits for room on one of %d workers; %s comes closest", accepting, out.Nearest)
 	}
@@ -116,7 +116,7 @@
 	share, _ := p.quotaTracker.Guaranteed(r.Job.Team)
 	if p.quotaTracker.NeverFits(r.Job, r.Size) {
 		_, binds := shortfall(r.Size, share)
-		return Refusal{Job: r.Job.ID, Never: true, Binds: BindsQuota, Detail: fmt.Sprintf(
+		return Refusal{Job: r.Job.ID, Permanent: true, Binds: BindsQuota, Detail: fmt.Sprintf(
 			"needs %s, team %s is guaranteed %s, and work that is not repeatable can't borrow",
 			amount(r.Size, binds), r.Job.Team, amount(share, binds))}
 	}
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -122,7 +122,7 @@
 			plan := MakePlan(Snapshot{Workers: tc.workers, Waiting: []Request{tc.request}, Running: tc.running, Teams: tc.teams})
 			assert.Equal(t, len(plan.Refused), 1, "%+v", plan)
 			got := plan.Refused[0]
-			assert.Equal(t, got.Never, tc.never, got.Detail)
+			assert.Equal(t, got.Permanent, tc.never, got.Detail)
 			assert.Equal(t, got.Binds, tc.binds, got.Detail)
 			assert.Equal(t, got.Nearest, tc.nearest, got.Detail)
 			assert.Assert(t, got.Detail != "" && (got.Binds != BindsClosed || strings.Contains(got.Detail, "2: down")), got.Detail)
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -214,7 +214,7 @@
 		return true
 	}
 	refusal := p.explain(r)
-	preempted := !refusal.Never && p.preempt(k, r)
+	preempted := !refusal.Permanent && p.preempt(k, r)
 	if !preempted && len(r.Avoid) == 0 {
 		p.unplaceable[s] = refusal
 	}
