--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -145,7 +145,7 @@
 		if f.Permanent {
 			want = Unplaceable
 		}
-		reason := string(f.Binds) + ": " + f.Detail
+		reason := string(f.Constraint) + ": " + f.Detail
 		if r, ok := p.mirror.find(f.Job); !ok || r.State == want && sameKind(r.Reason, reason) {
 			continue
 		}
--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -57,22 +57,22 @@
 	out := Refusal{Job: r.Job.ID, Permanent: true}
 	switch {
 	case inPool == 0:
-		out.Binds, out.Detail = BindsPool, fmt.Sprintf("no worker is in pool %s", r.Job.Pool)
+		out.Constraint, out.Detail = BindsPool, fmt.Sprintf("no worker is in pool %s", r.Job.Pool)
 	case inZone == 0:
-		out.Binds, out.Detail = BindsZone, fmt.Sprintf("no worker of pool %q is in zone %s", r.Job.Pool, r.Job.Zone)
+		out.Constraint, out.Detail = BindsZone, fmt.Sprintf("no worker of pool %q is in zone %s", r.Job.Pool, r.Job.Zone)
 	case largeEnough == 0:
 		p.explainTooLarge(r, &out)
 	case notAvoided == 0:
-		out.Binds, out.Detail = BindsFailures, "it failed on every worker that is large enough"
+		out.Constraint, out.Detail = BindsFailures, "it failed on every worker that is large enough"
 	case accepting == 0:
-		out.Permanent, out.Binds = false, BindsClosed
+		out.Permanent, out.Constraint = false, BindsClosed
 		p.nearestFree(r, &out)
 		out.Detail = fmt.Sprintf("waits for one of %d workers to take tasks again", notAvoided)
 		if i, ok := p.byID[out.Nearest]; ok {
 			out.Detail += fmt.Sprintf("; %s: %s", out.Nearest, p.workers[i].Closed)
 		}
 	default:
-		out.Permanent, out.Binds = false, BindsFreeCapacity
+		out.Permanent, out.Constraint = false, BindsFreeCapacity
 		p.nearestFree(r, &out)
 		out.Detail = fmt.Sprintf("waits for room on one of %d workers; %s comes closest", accepting, out.Nearest)
 	}
@@ -93,10 +93,10 @@
 			best, minLack = w, lack
 		}
 	}
-	_, out.Binds = shortfall(r.Size, best.Capacity)
+	_, out.Constraint = shortfall(r.Size, best.Capacity)
 	out.Nearest = best.ID
 	out.Detail = fmt.Sprintf("needs %s, the nearest worker %s has %s",
-		amount(r.Size, out.Binds), best.ID, amount(best.Capacity, out.Binds))
+		amount(r.Size, out.Constraint), best.ID, amount(best.Capacity, out.Constraint))
 }
 
 func (p *planner) nearestFree(r *Request, out *Refusal) {
@@ -116,11 +116,11 @@
 	share, _ := p.quotaTracker.Guaranteed(r.Job.Team)
 	if p.quotaTracker.NeverFits(r.Job, r.Size) {
 		_, binds := shortfall(r.Size, share)
-		return Refusal{Job: r.Job.ID, Permanent: true, Binds: BindsQuota, Detail: fmt.Sprintf(
+		return Refusal{Job: r.Job.ID, Permanent: true, Constraint: BindsQuota, Detail: fmt.Sprintf(
 			"needs %s, team %s is guaranteed %s, and work that is not repeatable can't borrow",
 			amount(r.Size, binds), r.Job.Team, amount(share, binds))}
 	}
-	return Refusal{Job: r.Job.ID, Binds: BindsQuota, Detail: fmt.Sprintf(
+	return Refusal{Job: r.Job.ID, Constraint: BindsQuota, Detail: fmt.Sprintf(
 		"waits for team %s to use less of its guarantee; work that is not repeatable can't borrow", r.Job.Team)}
 }
 
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -120,11 +120,11 @@
 
 // Refusal says why a job is not placed.
 type Refusal struct {
-	Job       model.JobID
-	Permanent bool // no worker of the fleet can ever run it as things are declared
-	Binds     Constraint
-	Nearest   model.VMID // the worker that misses the least; empty if there is none
-	Detail    string     // explanation for operators
+	Job        model.JobID
+	Permanent  bool // no worker of the fleet can ever run it as things are declared
+	Constraint Constraint
+	Nearest    model.VMID // the worker that misses the least; empty if there is none
+	Detail     string     // explanation for operators
 }
 
 // Plan is the result of Make. Each waiting job is either in Placements or in
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -123,9 +123,9 @@
 			assert.Equal(t, len(plan.Refused), 1, "%+v", plan)
 			got := plan.Refused[0]
 			assert.Equal(t, got.Permanent, tc.never, got.Detail)
-			assert.Equal(t, got.Binds, tc.binds, got.Detail)
+			assert.Equal(t, got.Constraint, tc.binds, got.Detail)
 			assert.Equal(t, got.Nearest, tc.nearest, got.Detail)
-			assert.Assert(t, got.Detail != "" && (got.Binds != BindsClosed || strings.Contains(got.Detail, "2: down")), got.Detail)
+			assert.Assert(t, got.Detail != "" && (got.Constraint != BindsClosed || strings.Contains(got.Detail, "2: down")), got.Detail)
 		})
 	}
 }
