--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -57,7 +57,7 @@
 	out := Refusal{Job: r.Job.ID, Permanent: true}
 	switch {
 	case inPool == 0:
-		out.Constraint, out.Detail = BindsPool, fmt.Sprintf("no worker is in pool %s", r.Job.Pool)
+		out.Constraint, out.Detail = ConstraintPool, fmt.Sprintf("no worker is in pool %s", r.Job.Pool)
 	case inZone == 0:
 		out.Constraint, out.Detail = BindsZone, fmt.Sprintf("no worker of pool %q is in zone %s", r.Job.Pool, r.Job.Zone)
 	case largeEnough == 0:
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -107,7 +107,7 @@
 
 // The constraints.
 const (
-	BindsPool         Constraint = "pool"
+	ConstraintPool    Constraint = "pool"
 	BindsZone         Constraint = "zone"
 	BindsCPU          Constraint = "processors"
 	BindsMemory       Constraint = "memory"
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -116,7 +116,7 @@
 			request: withChange(request("j", 1, 2000, 100), nonRepeatable), running: []Task{running("o", "1", 1, 1000, unchanged)}, binds: BindsQuota},
 		{name: "larger than the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
 			request: withChange(request("j", 1, 3000, 100), nonRepeatable), never: true, binds: BindsQuota},
-		{name: "no worker at all", request: request("j", 1, 1, 1), never: true, binds: BindsPool},
+		{name: "no worker at all", request: request("j", 1, 1, 1), never: true, binds: ConstraintPool},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			plan := MakePlan(Snapshot{Workers: tc.workers, Waiting: []Request{tc.request}, Running: tc.running, Teams: tc.teams})
