--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -59,7 +59,7 @@
 	case inPool == 0:
 		out.Constraint, out.Detail = ConstraintPool, fmt.Sprintf("no worker is in pool %s", r.Job.Pool)
 	case inZone == 0:
-		out.Constraint, out.Detail = BindsZone, fmt.Sprintf("no worker of pool %q is in zone %s", r.Job.Pool, r.Job.Zone)
+		out.Constraint, out.Detail = ConstraintZone, fmt.Sprintf("no worker of pool %q is in zone %s", r.Job.Pool, r.Job.Zone)
 	case largeEnough == 0:
 		p.explainTooLarge(r, &out)
 	case notAvoided == 0:
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -108,7 +108,7 @@
 // The constraints.
 const (
 	ConstraintPool    Constraint = "pool"
-	BindsZone         Constraint = "zone"
+	ConstraintZone    Constraint = "zone"
 	BindsCPU          Constraint = "processors"
 	BindsMemory       Constraint = "memory"
 	BindsAccelerators Constraint = "accelerators"
