--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -127,7 +127,7 @@
 // shortfall returns the largest relative shortfall over all dimensions, as a
 // fraction of size (0 to 1), and the dimension that has it.
 func shortfall(size, have model.Resources) (float64, Constraint) {
-	lack, binds := shortfallRatio(size.MilliCPU, have.MilliCPU), BindsCPU
+	lack, binds := shortfallRatio(size.MilliCPU, have.MilliCPU), ConstraintCPU
 	if l := shortfallRatio(size.MemoryMB, have.MemoryMB); l > lack {
 		lack, binds = l, BindsMemory
 	}
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -109,7 +109,7 @@
 const (
 	ConstraintPool    Constraint = "pool"
 	ConstraintZone    Constraint = "zone"
-	BindsCPU          Constraint = "processors"
+	ConstraintCPU     Constraint = "processors"
 	BindsMemory       Constraint = "memory"
 	BindsAccelerators Constraint = "accelerators"
 	BindsQuota        Constraint = "quota"
