--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -129,7 +129,7 @@
 func shortfall(size, have model.Resources) (float64, Constraint) {
 	lack, binds := shortfallRatio(size.MilliCPU, have.MilliCPU), ConstraintCPU
 	if l := shortfallRatio(size.MemoryMB, have.MemoryMB); l > lack {
-		lack, binds = l, BindsMemory
+		lack, binds = l, ConstraintMemory
 	}
 	if l := shortfallRatio(size.Accelerators, have.Accelerators); l > lack {
 		lack, binds = l, BindsAccelerators
@@ -146,7 +146,7 @@
 
 func amount(r model.Resources, c Constraint) string {
 	switch c {
-	case BindsMemory:
+	case ConstraintMemory:
 		return fmt.Sprintf("%d MB of memory", r.MemoryMB)
 	case BindsAccelerators:
 		return fmt.Sprintf("%d accelerators", r.Accelerators)
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -110,7 +110,7 @@
 	ConstraintPool    Constraint = "pool"
 	ConstraintZone    Constraint = "zone"
 	ConstraintCPU     Constraint = "processors"
-	BindsMemory       Constraint = "memory"
+	ConstraintMemory  Constraint = "memory"
 	BindsAccelerators Constraint = "accelerators"
 	BindsQuota        Constraint = "quota"
 	BindsFailures     Constraint = "failures"
