--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -132,7 +132,7 @@
 		lack, binds = l, ConstraintMemory
 	}
 	if l := shortfallRatio(size.Accelerators, have.Accelerators); l > lack {
-		lack, binds = l, BindsAccelerators
+		lack, binds = l, ConstraintAccelerators
 	}
 	return lack, binds
 }
@@ -148,7 +148,7 @@
 	switch c {
 	case ConstraintMemory:
 		return fmt.Sprintf("%d MB of memory", r.MemoryMB)
-	case BindsAccelerators:
+	case ConstraintAccelerators:
 		return fmt.Sprintf("%d accelerators", r.Accelerators)
 	}
 	return fmt.Sprintf("%g processors", float64(r.MilliCPU)/1000)
