--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -116,11 +116,11 @@
 	share, _ := p.quotaTracker.Guaranteed(r.Job.Team)
 	if p.quotaTracker.NeverFits(r.Job, r.Size) {
 		_, binds := shortfall(r.Size, share)
-		return Refusal{Job: r.Job.ID, Permanent: true, Constraint: BindsQuota, Detail: fmt.Sprintf(
+		return Refusal{Job: r.Job.ID, Permanent: true, Constraint: ConstraintQuota, Detail: fmt.Sprintf(
 			"needs %s, team %s is guaranteed %s, and work that is not repeatable can't borrow",
 			amount(r.Size, binds), r.Job.Team, amount(share, binds))}
 	}
-	return Refusal{Job: r.Job.ID, Constraint: BindsQuota, Detail: fmt.Sprintf(
+	return Refusal{Job: r.Job.ID, Constraint: ConstraintQuota, Detail: fmt.Sprintf(
 		"waits for team %s to use less of its guarantee; work that is not repeatable can't borrow", r.Job.Team)}
 }
 
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -112,7 +112,7 @@
 	ConstraintCPU          Constraint = "processors"
 	ConstraintMemory       Constraint = "memory"
 	ConstraintAccelerators Constraint = "accelerators"
-	BindsQuota             Constraint = "quota"
+	ConstraintQuota        Constraint = "quota"
 	BindsFailures          Constraint = "failures"
 	BindsClosed            Constraint = "workers closed"
 	BindsFreeCapacity      Constraint = "room"
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -113,9 +113,9 @@
 		{name: "failed everywhere", workers: []Worker{full}, request: withChange(request("j", 1, 1000, 1000), func(r *Request) { r.Avoid = []model.VMID{"1"} }),
 			never: true, binds: BindsFailures},
 		{name: "over the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
-			request: withChange(request("j", 1, 2000, 100), nonRepeatable), running: []Task{running("o", "1", 1, 1000, unchanged)}, binds: BindsQuota},
+			request: withChange(request("j", 1, 2000, 100), nonRepeatable), running: []Task{running("o", "1", 1, 1000, unchanged)}, binds: ConstraintQuota},
 		{name: "larger than the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
-			request: withChange(request("j", 1, 3000, 100), nonRepeatable), never: true, binds: BindsQuota},
+			request: withChange(request("j", 1, 3000, 100), nonRepeatable), never: true, binds: ConstraintQuota},
 		{name: "no worker at all", request: request("j", 1, 1, 1), never: true, binds: ConstraintPool},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
