--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -63,7 +63,7 @@
 	case largeEnough == 0:
 		p.explainTooLarge(r, &out)
 	case notAvoided == 0:
-		out.Constraint, out.Detail = BindsFailures, "it failed on every worker that is large enough"
+		out.Constraint, out.Detail = ConstraintFailures, "it failed on every worker that is large enough"
 	case accepting == 0:
 		out.Permanent, out.Constraint = false, BindsClosed
 		p.nearestFree(r, &out)
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -113,7 +113,7 @@
 	ConstraintMemory       Constraint = "memory"
 	ConstraintAccelerators Constraint = "accelerators"
 	ConstraintQuota        Constraint = "quota"
-	BindsFailures          Constraint = "failures"
+	ConstraintFailures     Constraint = "failures"
 	BindsClosed            Constraint = "workers closed"
 	BindsFreeCapacity      Constraint = "room"
 )
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -111,7 +111,7 @@
 		{name: "no free capacity now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), binds: BindsFreeCapacity, nearest: "1"},
 		{name: "closed now", workers: []Worker{closed}, request: request("j", 1, 1000, 1000), binds: BindsClosed, nearest: "2"},
 		{name: "failed everywhere", workers: []Worker{full}, request: withChange(request("j", 1, 1000, 1000), func(r *Request) { r.Avoid = []model.VMID{"1"} }),
-			never: true, binds: BindsFailures},
+			never: true, binds: ConstraintFailures},
 		{name: "over the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
 			request: withChange(request("j", 1, 2000, 100), nonRepeatable), running: []Task{running("o", "1", 1, 1000, unchanged)}, binds: ConstraintQuota},
 		{name: "larger than the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
