--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -65,7 +65,7 @@
 	case notAvoided == 0:
 		out.Constraint, out.Detail = ConstraintFailures, "it failed on every worker that is large enough"
 	case accepting == 0:
-		out.Permanent, out.Constraint = false, BindsClosed
+		out.Permanent, out.Constraint = false, ConstraintWorkersClosed
 		p.nearestFree(r, &out)
 		out.Detail = fmt.Sprintf("waits for one of %d workers to take tasks again", notAvoided)
 		if i, ok := p.byID[out.Nearest]; ok {
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -107,15 +107,15 @@
 
 // The constraints.
 const (
-	ConstraintPool         Constraint = "pool"
-	ConstraintZone         Constraint = "zone"
-	ConstraintCPU          Constraint = "processors"
-	ConstraintMemory       Constraint = "memory"
-	ConstraintAccelerators Constraint = "accelerators"
-	ConstraintQuota        Constraint = "quota"
-	ConstraintFailures     Constraint = "failures"
-	BindsClosed            Constraint = "workers closed"
-	BindsFreeCapacity      Constraint = "room"
+	ConstraintPool          Constraint = "pool"
+	ConstraintZone          Constraint = "zone"
+	ConstraintCPU           Constraint = "processors"
+	ConstraintMemory        Constraint = "memory"
+	ConstraintAccelerators  Constraint = "accelerators"
+	ConstraintQuota         Constraint = "quota"
+	ConstraintFailures      Constraint = "failures"
+	ConstraintWorkersClosed Constraint = "workers closed"
+	BindsFreeCapacity       Constraint = "room"
 )
 
 // Refusal says why a job is not placed.
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -109,7 +109,7 @@
 		{name: "the scarcest dimension is named", workers: []Worker{worker("1", 4000, 1000)},
 			request: request("j", 1, 5000, 9000), never: true, binds: ConstraintMemory, nearest: "1"},
 		{name: "no free capacity now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), binds: BindsFreeCapacity, nearest: "1"},
-		{name: "closed now", workers: []Worker{closed}, request: request("j", 1, 1000, 1000), binds: BindsClosed, nearest: "2"},
+		{name: "closed now", workers: []Worker{closed}, request: request("j", 1, 1000, 1000), binds: ConstraintWorkersClosed, nearest: "2"},
 		{name: "failed everywhere", workers: []Worker{full}, request: withChange(request("j", 1, 1000, 1000), func(r *Request) { r.Avoid = []model.VMID{"1"} }),
 			never: true, binds: ConstraintFailures},
 		{name: "over the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
@@ -125,7 +125,7 @@
 			assert.Equal(t, got.Permanent, tc.never, got.Detail)
 			assert.Equal(t, got.Constraint, tc.binds, got.Detail)
 			assert.Equal(t, got.Nearest, tc.nearest, got.Detail)
-			assert.Assert(t, got.Detail != "" && (got.Constraint != BindsClosed || strings.Contains(got.Detail, "2: down")), got.Detail)
+			assert.Assert(t, got.Detail != "" && (got.Constraint != ConstraintWorkersClosed || strings.Contains(got.Detail, "2: down")), got.Detail)
 		})
 	}
 }
