--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -72,7 +72,7 @@
 			out.Detail += fmt.Sprintf("; %s: %s", out.Nearest, p.workers[i].Closed)
 		}
 	default:
-		out.Permanent, out.Constraint = false, BindsFreeCapacity
+		out.Permanent, out.Constraint = false, ConstraintFreeCapacity
 		p.nearestFree(r, &out)
 		out.Detail = fmt.Sprintf("waits for room on one of %d workers; %s comes closest", accepting, out.Nearest)
 	}
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -115,7 +115,7 @@
 	ConstraintQuota         Constraint = "quota"
 	ConstraintFailures      Constraint = "failures"
 	ConstraintWorkersClosed Constraint = "workers closed"
-	BindsFreeCapacity       Constraint = "room"
+	ConstraintFreeCapacity  Constraint = "room"
 )
 
 // Refusal says why a job is not placed.
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -108,7 +108,7 @@
 			request: request("j", 1, 8000, 100), never: true, binds: ConstraintCPU, nearest: "2"},
 		{name: "the scarcest dimension is named", workers: []Worker{worker("1", 4000, 1000)},
 			request: request("j", 1, 5000, 9000), never: true, binds: ConstraintMemory, nearest: "1"},
-		{name: "no free capacity now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), binds: BindsFreeCapacity, nearest: "1"},
+		{name: "no free capacity now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), binds: ConstraintFreeCapacity, nearest: "1"},
 		{name: "closed now", workers: []Worker{closed}, request: request("j", 1, 1000, 1000), binds: ConstraintWorkersClosed, nearest: "2"},
 		{name: "failed everywhere", workers: []Worker{full}, request: withChange(request("j", 1, 1000, 1000), func(r *Request) { r.Avoid = []model.VMID{"1"} }),
 			never: true, binds: ConstraintFailures},
