--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -16,7 +16,7 @@
 // accepts reports whether the worker takes new tasks such as this job now. It
 // doesn't consider capacity.
 func accepts(r *Request, w *Worker) bool {
-	return w.Closed == "" && (!w.Probe || canProbe(r.Job)) && !slices.Contains(r.Avoid, w.ID)
+	return w.ClosedReason == "" && (!w.Probe || canProbe(r.Job)) && !slices.Contains(r.Avoid, w.ID)
 }
 
 // canProbe reports whether the job may be used to test a quarantined worker. The
@@ -69,7 +69,7 @@
 		p.nearestFree(r, &out)
 		out.Detail = fmt.Sprintf("waits for one of %d workers to take tasks again", notAvoided)
 		if i, ok := p.byID[out.Nearest]; ok {
-			out.Detail += fmt.Sprintf("; %s: %s", out.Nearest, p.workers[i].Closed)
+			out.Detail += fmt.Sprintf("; %s: %s", out.Nearest, p.workers[i].ClosedReason)
 		}
 	default:
 		out.Permanent, out.Constraint = false, ConstraintFreeCapacity
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -21,10 +21,10 @@
 	Pool     model.PoolName
 	Capacity model.Resources
 	Used     model.Resources // reserved by tasks that run or are being started
-	// Closed is the reason why the worker accepts no new task now; empty if it
+	// ClosedReason is the reason why the worker accepts no new task now; empty if it
 	// accepts tasks. A closed worker still counts as one that could run a job
 	// later, so it doesn't make a refusal final.
-	Closed string
+	ClosedReason string
 	// Probe marks a quarantined worker that gets one repeatable job, to find out
 	// whether it works again.
 	Probe bool
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -65,7 +65,7 @@
 		{name: "the fuller worker, against fragmentation", request: job, want: "2",
 			workers: changed(1, func(w *Worker) { w.Used = model.Resources{MilliCPU: 4000, MemoryMB: 4000} })},
 		{name: "not a worker about to be maintained", workers: changed(0, func(w *Worker) { w.MaintenanceSoon = true }), request: job, want: "2"},
-		{name: "not a closed worker", workers: changed(0, func(w *Worker) { w.Closed = "leaving" }), request: job, want: "2"},
+		{name: "not a closed worker", workers: changed(0, func(w *Worker) { w.ClosedReason = "leaving" }), request: job, want: "2"},
 		{name: "not a worker that the job failed on", workers: equalWorkers, request: withChange(job, func(r *Request) { r.Avoid = []model.VMID{"1"} }), want: "2"},
 		{name: "the worker that it last ran on", workers: equalWorkers, request: withChange(job, func(r *Request) { r.LastVM = "2" }), want: "2"},
 		{name: "accelerators are kept for jobs that need them", request: job, want: "2",
@@ -91,7 +91,7 @@
 	full := worker("1", 8000, 8000)
 	full.Used = full.Capacity
 	closed := worker("2", 8000, 8000)
-	closed.Closed = "down"
+	closed.ClosedReason = "down"
 	teams := []model.Team{{Name: "a", Guaranteed: model.Resources{MilliCPU: 2000, MemoryMB: 8000}}}
 	nonRepeatable := func(r *Request) { j := *r.Job; j.Repeatable = false; r.Job = &j }
 	for _, tc := range []struct {
@@ -220,7 +220,7 @@
 		w.Zone = model.ZoneName(fmt.Sprint(i % 2))
 		w.Probe = rapid.IntRange(0, 9).Draw(t, "probe") == 0
 		if rapid.IntRange(0, 9).Draw(t, "closed") == 0 {
-			w.Closed = "closed"
+			w.ClosedReason = "closed"
 		}
 		s.Workers = append(s.Workers, w)
 	}
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -225,7 +225,7 @@
 func (p *planner) assign(r *Request, w *Worker) {
 	p.index.allocate(w, r.Size)
 	if w.Probe {
-		w.Closed = "being probed"
+		w.ClosedReason = "being probed"
 	}
 	p.addUsage(r.Job.Team, r.Size)
 	p.spread.add(r.Job, w)
