--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -146,7 +146,7 @@
 		left := len(s.tasks) - s.done
 		if left > 0 {
 			chains[i] = est
-			out.Work += est.Seconds() * s.spec.Size.Cores() * float64(left)
+			out.RemainingWork += est.Seconds() * s.spec.Size.Cores() * float64(left)
 		}
 		whole[i] = est
 		var before, beforeWhole time.Duration
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -51,16 +51,16 @@
 
 // Job holds the attributes of a job that determine its rank.
 type Job struct {
-	Priority     int // of its queue; 0 goes first
-	LongRunning  bool
-	Started      bool
-	Waited       time.Duration // time to finish in, from its acceptance or due time
-	Objective    time.Duration // time to finish in, from its acceptance
-	CriticalPath time.Duration // longest chain of dependent work still to do
-	Work         float64       // core-seconds still to do
-	Size         float64       // core-seconds in all
-	MeanSize     float64       // core-seconds, of the jobs of its queue; 0 if unknown
-	OverShare    bool          // its workspace exceeded its weighted share when the job was submitted
+	Priority      int // of its queue; 0 goes first
+	LongRunning   bool
+	Started       bool
+	Waited        time.Duration // time to finish in, from its acceptance or due time
+	Objective     time.Duration // time to finish in, from its acceptance
+	CriticalPath  time.Duration // longest chain of dependent work still to do
+	RemainingWork float64       // core-seconds still to do
+	Size          float64       // core-seconds in all
+	MeanSize      float64       // core-seconds, of the jobs of its queue; 0 if unknown
+	OverShare     bool          // its workspace exceeded its weighted share when the job was submitted
 }
 
 // Rank is the position of a job in the order; the lower rank goes first.
@@ -105,7 +105,7 @@
 }
 
 func cost(j Job) float64 {
-	work := j.Work
+	work := j.RemainingWork
 	if j.Started {
 		work *= startedFactor
 	}
