--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -134,7 +134,7 @@
 		Priority:    j.queue.Priority,
 		LongRunning: j.LongRunning(),
 		Started:     j.begun,
-		Waited:      now - o.due,
+		Age:         now - o.due,
 		Size:        j.size,
 		MeanSize:    c.size(j.Queue).mean(),
 		OverShare:   j.beyond,
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -54,7 +54,7 @@
 	Priority      int // of its queue; 0 goes first
 	LongRunning   bool
 	Started       bool
-	Waited        time.Duration // time to finish in, from its acceptance or due time
+	Age           time.Duration // time to finish in, from its acceptance or due time
 	Objective     time.Duration // time to finish in, from its acceptance
 	CriticalPath  time.Duration // longest chain of dependent work still to do
 	RemainingWork float64       // core-seconds still to do
@@ -94,7 +94,7 @@
 	if j.LongRunning {
 		return TierLongRunning
 	}
-	finish := j.Waited + j.CriticalPath
+	finish := j.Age + j.CriticalPath
 	switch {
 	case finish <= j.Objective:
 		return TierOnTime
--- a/policy/joborder/joborder_test.go
+++ b/policy/joborder/joborder_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"a long-running job goes before any other", Job{LongRunning: true}, small},
 		{"a job that can be in time goes before one that can't", small, Job{Objective: time.Second, CriticalPath: 2 * time.Second, RemainingWork: 1, Size: 10, MeanSize: 10}},
-		{"a late job goes before one that is too late to be of use", Job{Waited: 2 * time.Second, Objective: time.Second, RemainingWork: 10, Size: 10, MeanSize: 10}, Job{Waited: 9 * time.Second, Objective: time.Second, RemainingWork: 1, Size: 10, MeanSize: 10}},
+		{"a late job goes before one that is too late to be of use", Job{Age: 2 * time.Second, Objective: time.Second, RemainingWork: 10, Size: 10, MeanSize: 10}, Job{Age: 9 * time.Second, Objective: time.Second, RemainingWork: 1, Size: 10, MeanSize: 10}},
 		{"priority 0 goes before 1", small, Job{Priority: 1, Objective: 2 * time.Second, CriticalPath: time.Second, RemainingWork: 1, Size: 10, MeanSize: 10}},
 		{"less remaining work goes before more", Job{Objective: 2 * time.Second, RemainingWork: 2, Size: 10, MeanSize: 10}, small},
 		{"a started job goes before one of equal size", Job{Started: true, Objective: 2 * time.Second, CriticalPath: time.Second, RemainingWork: 10, Size: 10, MeanSize: 10}, small},
