--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -135,7 +135,7 @@
 		LongRunning: j.LongRunning(),
 		Started:     j.begun,
 		Age:         now - o.due,
-		Size:        j.size,
+		TotalWork:   j.size,
 		MeanSize:    c.size(j.Queue).mean(),
 		OverShare:   j.beyond,
 	}
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -58,7 +58,7 @@
 	Objective     time.Duration // time to finish in, from its acceptance
 	CriticalPath  time.Duration // longest chain of dependent work still to do
 	RemainingWork float64       // core-seconds still to do
-	Size          float64       // core-seconds in all
+	TotalWork     float64       // core-seconds in all
 	MeanSize      float64       // core-seconds, of the jobs of its queue; 0 if unknown
 	OverShare     bool          // its workspace exceeded its weighted share when the job was submitted
 }
@@ -116,5 +116,5 @@
 	if j.MeanSize <= 0 {
 		return 1
 	}
-	return min(maxValue, baseValue+workValue*j.Size/j.MeanSize)
+	return min(maxValue, baseValue+workValue*j.TotalWork/j.MeanSize)
 }
