--- a/policy/sizing/overrun.go
+++ b/policy/sizing/overrun.go
@@ -7,7 +7,7 @@
 
 // The actions, mildest first.
 const (
-	Leave      Action = "leave"
+	NoAction   Action = "leave"
 	Throttle   Action = "throttle"
 	Checkpoint Action = "checkpoint"
 	Stop       Action = "stop"
@@ -28,11 +28,11 @@
 // throttled at most, whatever its class.
 func Overrun(job *model.Job, size, used model.Resources, lowMemory bool) Action {
 	if used.MemoryMB <= size.MemoryMB+size.MemoryMB*tolerancePercent/100 {
-		return Leave
+		return NoAction
 	}
 	switch {
 	case !lowMemory:
-		return Leave
+		return NoAction
 	case !job.Repeatable || job.Class == model.ClassUrgent:
 		return Throttle
 	case job.Checkpoints:
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -113,9 +113,9 @@
 		lowMemory   bool
 		want        Action
 	}{
-		{"within its size", model.ClassNormal, true, true, 1000, true, Leave},
-		{"within the tolerance", model.ClassNormal, true, true, 1100, true, Leave},
-		{"over its size, but the worker has enough memory", model.ClassDeferrable, true, false, 2000, false, Leave},
+		{"within its size", model.ClassNormal, true, true, 1000, true, NoAction},
+		{"within the tolerance", model.ClassNormal, true, true, 1100, true, NoAction},
+		{"over its size, but the worker has enough memory", model.ClassDeferrable, true, false, 2000, false, NoAction},
 		{"urgent is throttled", model.ClassUrgent, true, true, 2000, true, Throttle},
 		{"normal stops at a checkpoint", model.ClassNormal, true, true, 2000, true, Checkpoint},
 		{"normal without one is throttled", model.ClassNormal, true, false, 2000, true, Throttle},
