--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -186,7 +186,7 @@
 // restrain acts on a task over its memory by its class.
 func (p *pass) restrain(ctx context.Context, r *Record, u infra.Usage, inUse model.Resources) error {
 	short := inUse.MemoryMB > p.view.Load().VMs[u.VM].Capacity.MemoryMB
-	switch sizing.Overrun(&r.Job, r.Size, u.Used, short) {
+	switch sizing.OverrunAction(&r.Job, r.Size, u.Used, short) {
 	case sizing.Throttle:
 		return fault("throttle task", "", p.machines.ThrottleTask(ctx, u.Attempt, max(r.Size.MilliCPU/throttleTo, 1)))
 	case sizing.Checkpoint:
--- a/policy/sizing/overrun.go
+++ b/policy/sizing/overrun.go
@@ -17,7 +17,7 @@
 // without any action: a report is a single sample, and the next may be lower again.
 const tolerancePercent = 10
 
-// Overrun returns the action for a task with the given size that was seen to use
+// OverrunAction returns the action for a task with the given size that was seen to use
 // used. lowMemory says that its worker is running out of memory, so that the use
 // of some task has to be cut before the worker kills a task of its own choice. No
 // action is taken otherwise.
@@ -26,7 +26,7 @@
 // unless it is urgent; a deferrable task without checkpoints is stopped, a normal
 // one throttled; an urgent task is throttled. A task that is not repeatable is
 // throttled at most, whatever its class.
-func Overrun(job *model.Job, size, used model.Resources, lowMemory bool) Action {
+func OverrunAction(job *model.Job, size, used model.Resources, lowMemory bool) Action {
 	if used.MemoryMB <= size.MemoryMB+size.MemoryMB*tolerancePercent/100 {
 		return NoAction
 	}
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -124,7 +124,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			job := &model.Job{Class: tc.class, Repeatable: tc.repeatable, Checkpoints: tc.checkpoints}
-			assert.Equal(t, Overrun(job, size, model.Resources{MemoryMB: tc.used}, tc.lowMemory), tc.want)
+			assert.Equal(t, OverrunAction(job, size, model.Resources{MemoryMB: tc.used}, tc.lowMemory), tc.want)
 		})
 	}
 }
