--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -56,7 +56,7 @@
 		return nil
 	}
 	in := f.input(w, r)
-	if len(in.Due) == 0 && in.Unavailable == 0 {
+	if len(in.Remaining) == 0 && in.Unavailable == 0 {
 		r.Completed = true
 		clear(r.emptying)
 		f.Log.Info("wave completed", "wave", w.Name, "took", (f.Clock.Now() - w.Seen).String())
@@ -96,7 +96,7 @@
 			in.Unavailable++
 		case !exists || r.Done[id]:
 		default:
-			in.Due = append(in.Due, f.candidate(r, vm, o != nil))
+			in.Remaining = append(in.Remaining, f.candidate(r, vm, o != nil))
 			f.due[vm.Worker] = true
 		}
 	}
--- a/policy/upkeep/upkeep.go
+++ b/policy/upkeep/upkeep.go
@@ -42,7 +42,7 @@
 	TimePerVM   time.Duration // to maintain one VM, draining and failure detection included
 	MaxAtATime  int
 	Unavailable int // VMs of the wave that are, or may be, down for maintenance
-	Due         []Candidate
+	Remaining   []Candidate
 }
 
 // Decision lists what to do now, by VM ID.
@@ -68,7 +68,7 @@
 func Decide(in Input) Decision {
 	var d Decision
 	freeSlots := max(1, in.MaxAtATime) - in.Unavailable
-	due := slices.Clone(in.Due)
+	due := slices.Clone(in.Remaining)
 	slices.SortStableFunc(due, compare)
 	behind := BehindSchedule(in)
 	for _, c := range due {
@@ -95,7 +95,7 @@
 // BehindSchedule reports whether the time left is so short that the wave must go on
 // whatever the load.
 func BehindSchedule(in Input) bool {
-	batches := (len(in.Due) + max(1, in.MaxAtATime) - 1) / max(1, in.MaxAtATime)
+	batches := (len(in.Remaining) + max(1, in.MaxAtATime) - 1) / max(1, in.MaxAtATime)
 	need := time.Duration(batches) * in.TimePerVM
 	return float64(need) > maxTimeShare*float64(in.TimeLeft)
 }
--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -15,7 +15,7 @@
 }
 
 func input(left time.Duration, cs ...Candidate) Input {
-	return Input{TimeLeft: left, TimePerVM: 5 * time.Second, MaxAtATime: 2, Due: cs}
+	return Input{TimeLeft: left, TimePerVM: 5 * time.Second, MaxAtATime: 2, Remaining: cs}
 }
 
 func TestParkedAndEmptyVMsGoFirst(t *testing.T) {
@@ -94,7 +94,7 @@
 		for i := range vms {
 			vms[i].Backlog = busyPhase
 		}
-		in.Due = vms
+		in.Remaining = vms
 		d := Decide(in)
 		for _, id := range d.Drain {
 			for i := range vms {
