--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -115,10 +115,10 @@
 func (p *planner) overQuota(r *Request) Refusal {
 	share, _ := p.quotaTracker.Guaranteed(r.Job.Team)
 	if p.quotaTracker.NeverFits(r.Job, r.Size) {
-		_, binds := shortfall(r.Size, share)
+		_, constraint := shortfall(r.Size, share)
 		return Refusal{Job: r.Job.ID, Permanent: true, Constraint: ConstraintQuota, Detail: fmt.Sprintf(
 			"needs %s, team %s is guaranteed %s, and work that is not repeatable can't borrow",
-			amount(r.Size, binds), r.Job.Team, amount(share, binds))}
+			amount(r.Size, constraint), r.Job.Team, amount(share, constraint))}
 	}
 	return Refusal{Job: r.Job.ID, Constraint: ConstraintQuota, Detail: fmt.Sprintf(
 		"waits for team %s to use less of its guarantee; work that is not repeatable can't borrow", r.Job.Team)}
@@ -127,14 +127,14 @@
 // shortfall returns the largest relative shortfall over all dimensions, as a
 // fraction of size (0 to 1), and the dimension that has it.
 func shortfall(size, have model.Resources) (float64, Constraint) {
-	lack, binds := shortfallRatio(size.MilliCPU, have.MilliCPU), ConstraintCPU
+	lack, constraint := shortfallRatio(size.MilliCPU, have.MilliCPU), ConstraintCPU
 	if l := shortfallRatio(size.MemoryMB, have.MemoryMB); l > lack {
-		lack, binds = l, ConstraintMemory
+		lack, constraint = l, ConstraintMemory
 	}
 	if l := shortfallRatio(size.Accelerators, have.Accelerators); l > lack {
-		lack, binds = l, ConstraintAccelerators
+		lack, constraint = l, ConstraintAccelerators
 	}
-	return lack, binds
+	return lack, constraint
 }
 
 func shortfallRatio(need, have int64) float64 {
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -1,4 +1,4 @@
-// Package placement decides which waiting job runs on which worker. Make is a
+// Package placement decides which waiting job runs on which worker. MakePlan is a
 // pure function of a snapshot: the same snapshot gives the same plan.
 //
 // Load pattern: thousands of jobs wait for a fleet that is nearly full, while
@@ -77,7 +77,7 @@
 	return Weights{Pack: d.BufferCost, Spread: 2, AvoidMaintenance: d.RollOutTime, SameWorker: d.Moves}
 }
 
-// Snapshot is the input of Make.
+// Snapshot is the input of MakePlan.
 type Snapshot struct {
 	Workers []Worker
 	Waiting []Request
@@ -127,7 +127,7 @@
 	Detail     string     // explanation for operators
 }
 
-// Plan is the result of Make. Each waiting job is either in Placements or in
+// Plan is the result of MakePlan. Each waiting job is either in Placements or in
 // Refused; a job for which tasks are preempted is in Refused.
 type Plan struct {
 	Placements  []Placement
--- a/policy/placement/placement_bench_test.go
+++ b/policy/placement/placement_bench_test.go
@@ -66,7 +66,7 @@
 	return out
 }
 
-// placer assigns a batch of requests to workers: Make or a baseline.
+// placer assigns a batch of requests to workers: MakePlan or a baseline.
 type placer func(workers []Worker, waiting []Request, rng *rand.Rand) []Placement
 
 func byPlan(workers []Worker, waiting []Request, _ *rand.Rand) []Placement {
@@ -87,7 +87,7 @@
 	return out
 }
 
-// randomFit tries as many random workers for a job as Make scores.
+// randomFit tries as many random workers for a job as MakePlan scores.
 func randomFit(workers []Worker, waiting []Request, rng *rand.Rand) []Placement {
 	workers = append([]Worker(nil), workers...)
 	var out []Placement
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -95,35 +95,35 @@
 	teams := []model.Team{{Name: "a", Guaranteed: model.Resources{MilliCPU: 2000, MemoryMB: 8000}}}
 	nonRepeatable := func(r *Request) { j := *r.Job; j.Repeatable = false; r.Job = &j }
 	for _, tc := range []struct {
-		name    string
-		workers []Worker
-		teams   []model.Team
-		request Request
-		running []Task
-		never   bool
-		binds   Constraint
-		nearest model.VMID
+		name       string
+		workers    []Worker
+		teams      []model.Team
+		request    Request
+		running    []Task
+		permanent  bool
+		constraint Constraint
+		nearest    model.VMID
 	}{
 		{name: "too many processors", workers: []Worker{worker("1", 4000, 9000), worker("2", 6000, 9000)},
-			request: request("j", 1, 8000, 100), never: true, binds: ConstraintCPU, nearest: "2"},
+			request: request("j", 1, 8000, 100), permanent: true, constraint: ConstraintCPU, nearest: "2"},
 		{name: "the scarcest dimension is named", workers: []Worker{worker("1", 4000, 1000)},
-			request: request("j", 1, 5000, 9000), never: true, binds: ConstraintMemory, nearest: "1"},
-		{name: "no free capacity now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), binds: ConstraintFreeCapacity, nearest: "1"},
-		{name: "closed now", workers: []Worker{closed}, request: request("j", 1, 1000, 1000), binds: ConstraintWorkersClosed, nearest: "2"},
+			request: request("j", 1, 5000, 9000), permanent: true, constraint: ConstraintMemory, nearest: "1"},
+		{name: "no free capacity now", workers: []Worker{full, worker("3", 100, 100)}, request: request("j", 1, 1000, 1000), constraint: ConstraintFreeCapacity, nearest: "1"},
+		{name: "closed now", workers: []Worker{closed}, request: request("j", 1, 1000, 1000), constraint: ConstraintWorkersClosed, nearest: "2"},
 		{name: "failed everywhere", workers: []Worker{full}, request: withChange(request("j", 1, 1000, 1000), func(r *Request) { r.Avoid = []model.VMID{"1"} }),
-			never: true, binds: ConstraintFailures},
+			permanent: true, constraint: ConstraintFailures},
 		{name: "over the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
-			request: withChange(request("j", 1, 2000, 100), nonRepeatable), running: []Task{running("o", "1", 1, 1000, unchanged)}, binds: ConstraintQuota},
+			request: withChange(request("j", 1, 2000, 100), nonRepeatable), running: []Task{running("o", "1", 1, 1000, unchanged)}, constraint: ConstraintQuota},
 		{name: "larger than the guarantee and not repeatable", workers: []Worker{worker("1", 8000, 8000)}, teams: teams,
-			request: withChange(request("j", 1, 3000, 100), nonRepeatable), never: true, binds: ConstraintQuota},
-		{name: "no worker at all", request: request("j", 1, 1, 1), never: true, binds: ConstraintPool},
+			request: withChange(request("j", 1, 3000, 100), nonRepeatable), permanent: true, constraint: ConstraintQuota},
+		{name: "no worker at all", request: request("j", 1, 1, 1), permanent: true, constraint: ConstraintPool},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			plan := MakePlan(Snapshot{Workers: tc.workers, Waiting: []Request{tc.request}, Running: tc.running, Teams: tc.teams})
 			assert.Equal(t, len(plan.Refused), 1, "%+v", plan)
 			got := plan.Refused[0]
-			assert.Equal(t, got.Permanent, tc.never, got.Detail)
-			assert.Equal(t, got.Constraint, tc.binds, got.Detail)
+			assert.Equal(t, got.Permanent, tc.permanent, got.Detail)
+			assert.Equal(t, got.Constraint, tc.constraint, got.Detail)
 			assert.Equal(t, got.Nearest, tc.nearest, got.Detail)
 			assert.Assert(t, got.Detail != "" && (got.Constraint != ConstraintWorkersClosed || strings.Contains(got.Detail, "2: down")), got.Detail)
 		})
--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -40,16 +40,16 @@
 // burst. Such VMs are drained at once, after the empty ones. With two or three tasks
 // they wait for the end of the burst, in which their capacity is needed.
 func TestVMsWithSlowMovesDrainFromTheStart(t *testing.T) {
-	longRunning := candidate("lasting", 3)
+	longRunning := candidate("long-running", 3)
 	longRunning.Backlog, longRunning.LongRunning, longRunning.SerialMoveTime = true, 2, 30*time.Second
 	short := candidate("short", 3)
 	short.Backlog, short.SerialMoveTime = true, longRunning.SerialMoveTime
 	d := Decide(input(27*time.Second, short, longRunning, candidate("empty", 0)))
 	assert.DeepEqual(t, d.Maintain, []string{"empty"})
-	assert.DeepEqual(t, d.Drain, []string{"lasting"})
+	assert.DeepEqual(t, d.Drain, []string{"long-running"})
 	longRunning.SerialMoveTime = 7500 * time.Millisecond
 	assert.Equal(t, len(Decide(input(27*time.Second, longRunning)).Drain), 0)
-	assert.DeepEqual(t, Decide(input(14*time.Second, longRunning)).Drain, []string{"lasting"})
+	assert.DeepEqual(t, Decide(input(14*time.Second, longRunning)).Drain, []string{"long-running"})
 }
 
 // VMs that are or may be unavailable count against the limit: an order without an
