--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -136,7 +136,7 @@
 		Started:     j.begun,
 		Age:         now - o.due,
 		TotalWork:   j.size,
-		MeanSize:    c.size(j.Queue).mean(),
+		MeanWork:    c.size(j.Queue).mean(),
 		OverShare:   j.beyond,
 	}
 	chains := make([]time.Duration, len(o.steps))
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -59,7 +59,7 @@
 	CriticalPath  time.Duration // longest chain of dependent work still to do
 	RemainingWork float64       // core-seconds still to do
 	TotalWork     float64       // core-seconds in all
-	MeanSize      float64       // core-seconds, of the jobs of its queue; 0 if unknown
+	MeanWork      float64       // core-seconds, of the jobs of its queue; 0 if unknown
 	OverShare     bool          // its workspace exceeded its weighted share when the job was submitted
 }
 
@@ -113,8 +113,8 @@
 }
 
 func value(j Job) float64 {
-	if j.MeanSize <= 0 {
+	if j.MeanWork <= 0 {
 		return 1
 	}
-	return min(maxValue, baseValue+workValue*j.TotalWork/j.MeanSize)
+	return min(maxValue, baseValue+workValue*j.TotalWork/j.MeanWork)
 }
--- a/policy/joborder/joborder_test.go
+++ b/policy/joborder/joborder_test.go
@@ -10,17 +10,17 @@
 )
 
 func TestOrderByCase(t *testing.T) {
-	small := Job{Objective: 2 * time.Second, CriticalPath: time.Second, RemainingWork: 10, TotalWork: 10, MeanSize: 10}
+	small := Job{Objective: 2 * time.Second, CriticalPath: time.Second, RemainingWork: 10, TotalWork: 10, MeanWork: 10}
 	for _, c := range []struct {
 		name        string
 		first, next Job
 	}{
 		{"a long-running job goes before any other", Job{LongRunning: true}, small},
-		{"a job that can be in time goes before one that can't", small, Job{Objective: time.Second, CriticalPath: 2 * time.Second, RemainingWork: 1, TotalWork: 10, MeanSize: 10}},
-		{"a late job goes before one that is too late to be of use", Job{Age: 2 * time.Second, Objective: time.Second, RemainingWork: 10, TotalWork: 10, MeanSize: 10}, Job{Age: 9 * time.Second, Objective: time.Second, RemainingWork: 1, TotalWork: 10, MeanSize: 10}},
-		{"priority 0 goes before 1", small, Job{Priority: 1, Objective: 2 * time.Second, CriticalPath: time.Second, RemainingWork: 1, TotalWork: 10, MeanSize: 10}},
-		{"less remaining work goes before more", Job{Objective: 2 * time.Second, RemainingWork: 2, TotalWork: 10, MeanSize: 10}, small},
-		{"a started job goes before one of equal size", Job{Started: true, Objective: 2 * time.Second, CriticalPath: time.Second, RemainingWork: 10, TotalWork: 10, MeanSize: 10}, small},
+		{"a job that can be in time goes before one that can't", small, Job{Objective: time.Second, CriticalPath: 2 * time.Second, RemainingWork: 1, TotalWork: 10, MeanWork: 10}},
+		{"a late job goes before one that is too late to be of use", Job{Age: 2 * time.Second, Objective: time.Second, RemainingWork: 10, TotalWork: 10, MeanWork: 10}, Job{Age: 9 * time.Second, Objective: time.Second, RemainingWork: 1, TotalWork: 10, MeanWork: 10}},
+		{"priority 0 goes before 1", small, Job{Priority: 1, Objective: 2 * time.Second, CriticalPath: time.Second, RemainingWork: 1, TotalWork: 10, MeanWork: 10}},
+		{"less remaining work goes before more", Job{Objective: 2 * time.Second, RemainingWork: 2, TotalWork: 10, MeanWork: 10}, small},
+		{"a started job goes before one of equal size", Job{Started: true, Objective: 2 * time.Second, CriticalPath: time.Second, RemainingWork: 10, TotalWork: 10, MeanWork: 10}, small},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Assert(t, RankOf(c.first).Before(RankOf(c.next)))
@@ -91,7 +91,7 @@
 	}
 	mean := sum / float64(len(jobs))
 	rank := func(j queued) Rank {
-		return RankOf(Job{Objective: time.Duration(1.6*float64(j.chain)) + 600*time.Millisecond, CriticalPath: j.chain, RemainingWork: j.size, TotalWork: j.size, MeanSize: mean})
+		return RankOf(Job{Objective: time.Duration(1.6*float64(j.chain)) + 600*time.Millisecond, CriticalPath: j.chain, RemainingWork: j.size, TotalWork: j.size, MeanWork: mean})
 	}
 	ordered, large := valueInTime(jobs, mean, func(a, b queued) bool { return rank(a).Before(rank(b)) })
 	arrival, _ := valueInTime(jobs, mean, func(a, b queued) bool { return false })
