--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -14,9 +14,9 @@
 // Parameters of the order.
 const (
 	// baseValue, workValue and maxValue define the value of a job as the
-	// deployments do: 0.3 plus 0.7 times its size over the mean size of its
-	// queue, at most 4. The value grows with the size, but a small job is worth
-	// more per core-second.
+	// deployments do: 0.3 plus 0.7 times its total work over the mean of its
+	// queue's jobs, at most 4. The value grows with the work, but a small job
+	// has more value per core-second.
 	baseValue = 0.3
 	workValue = 0.7
 	maxValue  = 4.0
@@ -54,12 +54,12 @@
 	Priority      int // of its queue; 0 goes first
 	LongRunning   bool
 	Started       bool
-	Age           time.Duration // time to finish in, from its acceptance or due time
+	Age           time.Duration // since its acceptance or due time
 	Objective     time.Duration // time to finish in, from its acceptance
-	CriticalPath  time.Duration // longest chain of dependent work still to do
+	CriticalPath  time.Duration // run time of the longest chain of dependent work still to do
 	RemainingWork float64       // core-seconds still to do
 	TotalWork     float64       // core-seconds in all
-	MeanWork      float64       // core-seconds, of the jobs of its queue; 0 if unknown
+	MeanWork      float64       // mean TotalWork of the jobs of its queue, in core-seconds; 0 if unknown
 	OverShare     bool          // its workspace exceeded its weighted share when the job was submitted
 }
 
--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -140,7 +140,7 @@
 	minEmptyTime = 150 * time.Millisecond
 )
 
-// Decide returns the moves to order now, most needed first.
+// Decide returns the moves to order now.
 func Decide(pools []Pool) []Move {
 	var moves []Move
 	evenShare := equalSplit(pools)
--- a/policy/pools/pools_test.go
+++ b/policy/pools/pools_test.go
@@ -265,8 +265,8 @@
 	assert.Equal(t, len(moves), 15, "a little over 300 cores, less the 64 of the pool")
 }
 
-// A pool with spare demand gets idle VMs, but takes none from pools that have a
-// backlog.
+// A pool with spare demand gets idle VMs, but only while no pool has a backlog: it
+// must not take them from that pool.
 func TestIdleVMsAreLentWhileNoPoolLacksAny(t *testing.T) {
 	tries := Pool{Name: "tries", VMs: vms("t", 6, 1, time.Minute), SpareDemand: 3}
 	idle := Pool{Name: "idle", VMs: vms("i", 8, 8, time.Second), SinceBacklog: time.Second}
