--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -210,7 +210,7 @@
 		ListAge:     p.listAge(),
 	}
 	s.Wave.Pools = w.Pools
-	return wave.Make(s), true
+	return wave.MakePlan(s), true
 }
 
 // planVMs returns the VMs of the wave's pools and of all pools that share a
--- a/policy/wave/wave.go
+++ b/policy/wave/wave.go
@@ -84,9 +84,9 @@
 	Forecast time.Duration // until the wave ends if nothing fails; 0 where finished
 }
 
-// Make plans the next stops of a wave. It starts nothing on evidence that is
+// MakePlan plans the next stops of a wave. It starts nothing on evidence that is
 // too old.
-func Make(s Snapshot) Plan {
+func MakePlan(s Snapshot) Plan {
 	p := newPlanner(s)
 	plan := Plan{Verdict: Hold, Progress: p.progress}
 	plan.Forecast = p.forecast()
--- a/policy/wave/wave_test.go
+++ b/policy/wave/wave_test.go
@@ -154,7 +154,7 @@
 			if tc.edit != nil {
 				tc.edit(&tc.snap)
 			}
-			p := Make(tc.snap)
+			p := MakePlan(tc.snap)
 			assert.Equal(t, p.Verdict, tc.verdict, p.Reason)
 			assert.Equal(t, len(p.Stops), tc.stops)
 			assert.Equal(t, p.Reason, tc.reason)
@@ -164,11 +164,11 @@
 
 func TestForecastShrinksAsVMsReturn(t *testing.T) {
 	s := fleet(1, 10, 4, 5, swift)
-	before := Make(s).Forecast
+	before := MakePlan(s).Forecast
 	for i := range 9 {
 		done(&s.VMs[i], time.Minute)
 	}
-	after := Make(s).Forecast
+	after := MakePlan(s).Forecast
 	assert.Assert(t, after < before)
 	assert.Equal(t, after, time.Minute)
 }
@@ -225,10 +225,10 @@
 func TestPoolsWithMostLeftGoFirst(t *testing.T) {
 	s := fleet(2, 10, 4, 8, frugal)
 	s.Wave.MaxBatch = 1
-	assert.Equal(t, Make(s).Stops[0], model.VMID("v0-0"), "the wave's order decides between equals")
+	assert.Equal(t, MakePlan(s).Stops[0], model.VMID("v0-0"), "the wave's order decides between equals")
 	done(&s.VMs[0], time.Minute)
 
-	assert.Equal(t, find(&s, Make(s).Stops[0]).Pool, model.PoolName("p1"))
+	assert.Equal(t, find(&s, MakePlan(s).Stops[0]).Pool, model.PoolName("p1"))
 }
 
 // Whatever fails and whatever is out, a plan keeps every budget, leaves room for
@@ -262,7 +262,7 @@
 			}
 		}
 
-		p := Make(s)
+		p := MakePlan(s)
 
 		for _, id := range p.Stops {
 			v := find(&s, id)
