--- a/policy/wave/planner.go
+++ b/policy/wave/planner.go
@@ -73,7 +73,7 @@
 
 func (p *planner) sortOut(v *VM) {
 	rebooted := v.ProofBoots > 0
-	limit := ReturnLimit + p.s.Wave.Probation
+	limit := ReturnTimeout + p.s.Wave.Probation
 	if rebooted && p.s.Now.Sub(v.Since) > limit {
 		p.fail(v)
 	}
@@ -84,7 +84,7 @@
 func (p *planner) sortDone(v *VM) {
 	p.progress.Done++
 	p.took = append(p.took, v.Took)
-	if v.Health == model.HealthDown && p.s.Now.Sub(v.Since) < ReturnLimit {
+	if v.Health == model.HealthDown && p.s.Now.Sub(v.Since) < ReturnTimeout {
 		p.fail(v)
 	}
 }
--- a/policy/wave/wave.go
+++ b/policy/wave/wave.go
@@ -29,9 +29,9 @@
 	DefaultMaxFailures = 2
 	// DefaultGrace is how long a drain may take where the wave does not say.
 	DefaultGrace = 10 * time.Minute
-	// ReturnLimit is how long a reboot and its proof of health may take
+	// ReturnTimeout is how long a reboot and its proof of health may take
 	// beyond the probation. A boot takes one to three minutes.
-	ReturnLimit = 10 * time.Minute
+	ReturnTimeout = 10 * time.Minute
 )
 
 // VM is one VM of the snapshot.
