--- a/internal/fleet/order_test.go
+++ b/internal/fleet/order_test.go
@@ -232,7 +232,7 @@
 	assert.Equal(t, refusal(t, err).Winner, "wave spring")
 	w.until(t, time.Hour, func() bool {
 		s, err := n.WaveStatus(ctx, "spring")
-		return err == nil && s.Progress.Left == 4 && s.Progress.Out == 0
+		return err == nil && s.Progress.Remaining == 4 && s.Progress.Out == 0
 	})
 	s, err := n.WaveStatus(ctx, "spring")
 	assert.NilError(t, err)
--- a/internal/fleet/wave_test.go
+++ b/internal/fleet/wave_test.go
@@ -181,7 +181,7 @@
 	}
 	s, err := w.nodes[0].WaveStatus(ctx, "spring")
 	assert.NilError(t, err)
-	assert.Equal(t, s.Progress.Left, 4)
+	assert.Equal(t, s.Progress.Remaining, 4)
 	assert.Equal(t, s.Hold, "the platform's list of VMs is 1h0m0s old")
 
 	w.machines.lag = 5 * time.Second
--- a/policy/wave/forecast.go
+++ b/policy/wave/forecast.go
@@ -5,7 +5,7 @@
 // forecast says how long the wave will still take: the VMs not done, as many
 // at once as are out now or the window allows, each as long as those before.
 func (p *planner) forecast() time.Duration {
-	remaining := p.progress.Left + p.progress.Out
+	remaining := p.progress.Remaining + p.progress.Out
 	if remaining == 0 {
 		return 0
 	}
--- a/policy/wave/pace.go
+++ b/policy/wave/pace.go
@@ -47,7 +47,7 @@
 	if left <= 0 {
 		return batch
 	}
-	work := time.Duration(p.progress.Left+p.progress.Out) * mean(p.took)
+	work := time.Duration(p.progress.Remaining+p.progress.Out) * mean(p.took)
 	return min(batch, int(math.Ceil(float64(work)/float64(left))))
 }
 
--- a/policy/wave/planner.go
+++ b/policy/wave/planner.go
@@ -64,7 +64,7 @@
 		p.sortDone(v)
 	default:
 		p.left = append(p.left, v)
-		p.progress.Left++
+		p.progress.Remaining++
 		if v.Postponed.After(time.Time{}) {
 			p.progress.Postponed++
 		}
--- a/policy/wave/wave.go
+++ b/policy/wave/wave.go
@@ -72,7 +72,7 @@
 	Out       int // held by the wave now
 	Failed    int // out, or back and down, beyond what is tolerated
 	Postponed int // given back since their drain took too long, to be tried again
-	Left      int // not begun
+	Remaining int // not begun
 }
 
 // Plan is what the wave does next and why.
--- a/policy/wave/wave_test.go
+++ b/policy/wave/wave_test.go
@@ -277,7 +277,7 @@
 				t.Fatalf("budget of %s broken by %v: %s", name, p.Stops, c.Broken())
 			}
 		}
-		idle := held == 0 && allUp(before) && p.Progress.Left > 0
+		idle := held == 0 && allUp(before) && p.Progress.Remaining > 0
 		if idle && required < n && len(s.Declaration.Services[0].Pools) == 1 && len(p.Stops) == 0 {
 			t.Fatalf("nothing taken: %s", p.Reason)
 		}
