--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -183,7 +183,7 @@
 		l.value = l.value.without(id)
 		l.value.Stops = append(l.value.Stops, stop)
 		vm.Ledgers = append(vm.Ledgers, s.Name)
-		tallies[s.Name].TakeOut(m)
+		tallies[s.Name].MarkTakenOut(m)
 	}
 	w.change(c.cond(), c.put())
 }
--- a/policy/wave/domains.go
+++ b/policy/wave/domains.go
@@ -83,8 +83,8 @@
 	t.racks[m.Rack] = true
 }
 
-// TakeOut counts m as held by a wave from now on.
-func (t *Tally) TakeOut(m budget.Member) {
+// MarkTakenOut counts m as held by a wave from now on.
+func (t *Tally) MarkTakenOut(m budget.Member) {
 	t.Stop(m)
 	t.touch(m)
 }
--- a/policy/wave/planner.go
+++ b/policy/wave/planner.go
@@ -159,7 +159,7 @@
 			continue
 		}
 		for _, t := range p.byPool[v.Pool] {
-			t.TakeOut(memberOf(v))
+			t.MarkTakenOut(memberOf(v))
 		}
 		stops = append(stops, v.ID)
 	}
--- a/policy/wave/wave_test.go
+++ b/policy/wave/wave_test.go
@@ -213,7 +213,7 @@
 		ms = append(ms, memberOf(&s.VMs[i]))
 	}
 	tally := NewTally(budget.Count(&s.Declaration.Services[0], ms), nil, swift)
-	tally.TakeOut(ms[0])
+	tally.MarkTakenOut(ms[0])
 
 	assert.Equal(t, tally.RefuseOrder(ms[1], 0), "")
 	assert.Equal(t, tally.RefuseOrder(ms[1], 1), "service s0 has 9 of 10 VMs up, needs 8 and must stand the loss of any one VM")
