--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -142,7 +142,7 @@
 		t := tallies[s.Name]
 		why := ""
 		if byWave {
-			why = t.Refuse(m)
+			why = t.RefusalReason(m)
 		} else {
 			why = t.RefuseOrder(m, len(r.ledgers[s.Name].value.Stops))
 		}
--- a/policy/wave/domains.go
+++ b/policy/wave/domains.go
@@ -89,9 +89,9 @@
 	t.touch(m)
 }
 
-// Refuse says why a wave can't stop m besides what is stopped already, or
+// RefusalReason says why a wave can't stop m besides what is stopped already, or
 // nothing.
-func (t *Tally) Refuse(m budget.Member) string {
+func (t *Tally) RefusalReason(m budget.Member) string {
 	if !t.Allows(m) {
 		return t.Explain(m.Zone)
 	}
--- a/policy/wave/planner.go
+++ b/policy/wave/planner.go
@@ -178,7 +178,7 @@
 		return fmt.Sprintf("VM %s was postponed until %s", v.ID, until.UTC().Format(time.RFC3339))
 	}
 	for _, t := range p.byPool[v.Pool] {
-		if why := t.Refuse(memberOf(v)); why != "" {
+		if why := t.RefusalReason(memberOf(v)); why != "" {
 			return why
 		}
 	}
