--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -144,7 +144,7 @@
 		if byWave {
 			why = t.RefusalReason(m)
 		} else {
-			why = t.RefuseOrder(m, len(r.ledgers[s.Name].value.Stops))
+			why = t.OrderRefusalReason(m, len(r.ledgers[s.Name].value.Stops))
 		}
 		if why != "" {
 			return why
--- a/policy/wave/domains.go
+++ b/policy/wave/domains.go
@@ -107,11 +107,11 @@
 	return ""
 }
 
-// RefuseOrder says why an operator's order can't stop m beside so many planned
+// OrderRefusalReason says why an operator's order can't stop m beside so many planned
 // stops in progress, or nothing. A lone order may go down to the budget, as the
 // operator may know a VM to be bad; added to other stops it must leave the
 // reserve, else stops that are each harmless pile up into it.
-func (t *Tally) RefuseOrder(m budget.Member, stops int) string {
+func (t *Tally) OrderRefusalReason(m budget.Member, stops int) string {
 	if !t.Allows(m) {
 		return t.Explain(m.Zone)
 	}
--- a/policy/wave/wave_test.go
+++ b/policy/wave/wave_test.go
@@ -215,11 +215,11 @@
 	tally := NewTally(budget.Count(&s.Declaration.Services[0], ms), nil, swift)
 	tally.MarkTakenOut(ms[0])
 
-	assert.Equal(t, tally.RefuseOrder(ms[1], 0), "")
-	assert.Equal(t, tally.RefuseOrder(ms[1], 1), "service s0 has 9 of 10 VMs up, needs 8 and must stand the loss of any one VM")
+	assert.Equal(t, tally.OrderRefusalReason(ms[1], 0), "")
+	assert.Equal(t, tally.OrderRefusalReason(ms[1], 1), "service s0 has 9 of 10 VMs up, needs 8 and must stand the loss of any one VM")
 	down := ms[1]
 	down.Up = false
-	assert.Equal(t, tally.RefuseOrder(down, 1), "", "what is down costs nothing")
+	assert.Equal(t, tally.OrderRefusalReason(down, 1), "", "what is down costs nothing")
 }
 
 func TestPoolsWithMostLeftGoFirst(t *testing.T) {
