--- a/policy/budget/budget.go
+++ b/policy/budget/budget.go
@@ -113,8 +113,8 @@
 	return t.Up-1 >= t.Required && z.Up-1 >= z.Required
 }
 
-// Stop counts m as down from now on.
-func (t *Tally) Stop(m Member) {
+// MarkDown counts m as down from now on.
+func (t *Tally) MarkDown(m Member) {
 	if !m.Up {
 		return
 	}
--- a/policy/budget/budget_test.go
+++ b/policy/budget/budget_test.go
@@ -76,7 +76,7 @@
 			tally := Count(&model.Service{Name: "s", Budget: tc.budget}, ms)
 			assert.Equal(t, tally.Broken(), tc.broken)
 			for i := range tc.stopped {
-				tally.Stop(ms[len(ms)-2-2*i])
+				tally.MarkDown(ms[len(ms)-2-2*i])
 			}
 			assert.Equal(t, tally.Allows(ms[len(ms)-2-2*tc.stopped]), tc.allowed)
 		})
@@ -88,7 +88,7 @@
 	tally := Count(&model.Service{Budget: model.Budget{MinAvailable: model.Quantity{Count: 9}}}, ms)
 
 	assert.Assert(t, tally.Allows(ms[0]))
-	tally.Stop(ms[0])
+	tally.MarkDown(ms[0])
 
 	assert.Equal(t, tally.Up, 9)
 	assert.Assert(t, !tally.Allows(ms[1]))
--- a/policy/wave/domains.go
+++ b/policy/wave/domains.go
@@ -85,7 +85,7 @@
 
 // MarkTakenOut counts m as held by a wave from now on.
 func (t *Tally) MarkTakenOut(m budget.Member) {
-	t.Stop(m)
+	t.MarkDown(m)
 	t.touch(m)
 }
 
