--- a/internal/fleet/life.go
+++ b/internal/fleet/life.go
@@ -146,7 +146,7 @@
 		if s == nil {
 			continue
 		}
-		if why := p.tally(s, r.ledgers[name].value, p.weights(nil)).Broken(); why != "" {
+		if why := p.tally(s, r.ledgers[name].value, p.weights(nil)).Violation(); why != "" {
 			return why
 		}
 	}
--- a/policy/budget/budget.go
+++ b/policy/budget/budget.go
@@ -97,7 +97,7 @@
 
 // Holds reports whether the budget holds now, in the service and every zone.
 func (t *Tally) Holds() bool {
-	return t.Broken() == ""
+	return t.Violation() == ""
 }
 
 // Allows reports whether the budget holds with m down as well. A member that
@@ -125,7 +125,7 @@
 
 // Explain says in a sentence why a stop in zone is not allowed.
 func (t *Tally) Explain(zone model.ZoneName) string {
-	if why := t.Broken(); why != "" {
+	if why := t.Violation(); why != "" {
 		return why
 	}
 	z, ok := t.Zones[zone]
@@ -135,8 +135,8 @@
 	return fmt.Sprintf("service %s has %d of %d VMs up and needs %d", t.Service, t.Up, t.Total, t.Required)
 }
 
-// Broken says in a sentence where the budget does not hold, or nothing.
-func (t *Tally) Broken() string {
+// Violation says in a sentence where the budget does not hold, or nothing.
+func (t *Tally) Violation() string {
 	if t.Spare() < 0 {
 		return fmt.Sprintf("service %s has only %d of %d VMs up and needs %d", t.Service, t.Up, t.Total, t.Required)
 	}
--- a/policy/budget/budget_test.go
+++ b/policy/budget/budget_test.go
@@ -74,7 +74,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ms := members(tc.total, tc.down)
 			tally := Count(&model.Service{Name: "s", Budget: tc.budget}, ms)
-			assert.Equal(t, tally.Broken(), tc.broken)
+			assert.Equal(t, tally.Violation(), tc.broken)
 			for i := range tc.stopped {
 				tally.MarkDown(ms[len(ms)-2-2*i])
 			}
--- a/policy/wave/wave_test.go
+++ b/policy/wave/wave_test.go
@@ -274,7 +274,7 @@
 		after := counts(&s)
 		for name, c := range after {
 			if b := before[name]; c.Up < b.Up && !c.Holds() {
-				t.Fatalf("budget of %s broken by %v: %s", name, p.Stops, c.Broken())
+				t.Fatalf("budget of %s broken by %v: %s", name, p.Stops, c.Violation())
 			}
 		}
 		idle := held == 0 && allUp(before) && p.Progress.Remaining > 0
