--- a/policy/budget/budget.go
+++ b/policy/budget/budget.go
@@ -123,8 +123,8 @@
 	domain(t.Racks, m.Rack).Up--
 }
 
-// Explain says in a sentence why a stop in zone is not allowed.
-func (t *Tally) Explain(zone model.ZoneName) string {
+// ExplainRefusal says in a sentence why a stop in zone is not allowed.
+func (t *Tally) ExplainRefusal(zone model.ZoneName) string {
 	if why := t.Violation(); why != "" {
 		return why
 	}
--- a/policy/wave/domains.go
+++ b/policy/wave/domains.go
@@ -93,7 +93,7 @@
 // nothing.
 func (t *Tally) RefusalReason(m budget.Member) string {
 	if !t.Allows(m) {
-		return t.Explain(m.Zone)
+		return t.ExplainRefusal(m.Zone)
 	}
 	if !t.keepsReserve(m) {
 		return t.explainReserve()
@@ -113,7 +113,7 @@
 // reserve, else stops that are each harmless pile up into it.
 func (t *Tally) OrderRefusalReason(m budget.Member, stops int) string {
 	if !t.Allows(m) {
-		return t.Explain(m.Zone)
+		return t.ExplainRefusal(m.Zone)
 	}
 	if m.Up && stops > 0 && !t.keepsReserve(m) {
 		return t.explainReserve()
