--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -107,7 +107,7 @@
 			peers = append(peers, &other.health)
 		}
 	}
-	health.Judge(&t.health, peers, d.mayLeave(svc, now), now)
+	health.EjectOutlier(&t.health, peers, d.mayLeave(svc, now), now)
 }
 
 // mayLeave reports whether the service's budget permits one target less.
--- a/policy/health/health.go
+++ b/policy/health/health.go
@@ -144,10 +144,10 @@
 	return max(0, time.Duration(min(t.consecutive, maxPenalty))*typical-held)
 }
 
-// Judge looks at the target after a failure and ejects it where it is an
+// EjectOutlier looks at the target after a failure and ejects it where it is an
 // outlier among its peers (itself not included) and mayLeave says that the
 // budget permits one less. It reports whether it ejected it.
-func Judge(t *Target, peers []*Target, mayLeave bool, now time.Time) bool {
+func EjectOutlier(t *Target, peers []*Target, mayLeave bool, now time.Time) bool {
 	if !mayLeave || t.Ejected(now) || !t.outlier(peers, now) {
 		return false
 	}
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.Equal(t, Judge(tc.target, tc.peers, tc.may, t0), tc.want)
+			assert.Equal(t, EjectOutlier(tc.target, tc.peers, tc.may, t0), tc.want)
 			assert.Equal(t, tc.target.Ejected(t0), tc.want)
 		})
 	}
@@ -61,7 +61,7 @@
 		for range ConsecutiveFailures {
 			target.Observe(false, now)
 		}
-		assert.Assert(t, Judge(target, peers, true, now))
+		assert.Assert(t, EjectOutlier(target, peers, true, now))
 		start := now
 		for target.Ejected(now) {
 			now = now.Add(time.Second)
@@ -86,7 +86,7 @@
 	for range rateSamples {
 		target.Observe(true, now)
 	}
-	assert.Assert(t, !Judge(target, []*Target{history(50, 0)}, true, now))
+	assert.Assert(t, !EjectOutlier(target, []*Target{history(50, 0)}, true, now))
 }
 
 func TestMayLeave(t *testing.T) {
