--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -119,7 +119,7 @@
 		}
 	}
 	total := len(svc.targets)
-	return health.MayLeave(total, out, svc.decl.Budget.MinAvailable.Of(total))
+	return health.MayEject(total, out, svc.decl.Budget.MinAvailable.Of(total))
 }
 
 // Probed takes in a health answer of a target.
--- a/policy/health/health.go
+++ b/policy/health/health.go
@@ -182,8 +182,8 @@
 // third of the targets look bad, the judgement or something shared is.
 const maxEjectedShare = 3
 
-// MayLeave reports whether one more target may be ejected: of total targets,
+// MayEject reports whether one more target may be ejected: of total targets,
 // out are out already for any reason, and the budget asks for minAvailable.
-func MayLeave(total, out, minAvailable int) bool {
+func MayEject(total, out, minAvailable int) bool {
 	return total-out-1 >= minAvailable && (out+1)*maxEjectedShare <= total
 }
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -104,7 +104,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.Equal(t, MayLeave(tc.total, tc.out, tc.min), tc.want)
+			assert.Equal(t, MayEject(tc.total, tc.out, tc.min), tc.want)
 		})
 	}
 }
