--- a/policy/health/health.go
+++ b/policy/health/health.go
@@ -11,9 +11,9 @@
 import "time"
 
 const (
-	// ConsecutiveFailures ejects a target whose peers mostly succeed. Five in a
+	// ConsecutiveFailureThreshold ejects a target whose peers mostly succeed. Five in a
 	// row happen by chance once in 3 million requests at a failure rate of 5%.
-	ConsecutiveFailures = 5
+	ConsecutiveFailureThreshold = 5
 	// windowSpan is how far back rates reach: long enough for the 10 samples
 	// that a rate needs at one request a second.
 	windowSpan = 10 * time.Second
@@ -164,7 +164,7 @@
 		others.failed += s.failed
 	}
 	othersRate := others.rate()
-	if t.consecutive >= ConsecutiveFailures {
+	if t.consecutive >= ConsecutiveFailureThreshold {
 		return othersRate < 0.5
 	}
 	return own.ok+own.failed >= rateSamples && own.rate() >= othersRate+rateExcess
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -58,7 +58,7 @@
 	target, peers := history(0, 0), []*Target{history(50, 0)}
 	now := t0
 	eject := func() time.Duration {
-		for range ConsecutiveFailures {
+		for range ConsecutiveFailureThreshold {
 			target.Observe(false, now)
 		}
 		assert.Assert(t, EjectOutlier(target, peers, true, now))
