--- a/policy/dispatch/fleet.go
+++ b/policy/dispatch/fleet.go
@@ -98,7 +98,7 @@
 	}
 	came := vm.Serving && !t.serving
 	if came && (!fresh || len(d.services) > 0) {
-		t.health.Start(now)
+		t.health.BeginSlowStart(now)
 		t.latency = routing.Latency{}
 	}
 	t.zone, t.address, t.serving = vm.Zone, vm.Address, vm.Serving
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -136,7 +136,7 @@
 		t.down = d.allMayLeave(t, now)
 	}
 	if back {
-		t.health.Start(now)
+		t.health.BeginSlowStart(now)
 	}
 }
 
--- a/policy/health/health.go
+++ b/policy/health/health.go
@@ -55,8 +55,8 @@
 
 type count struct{ ok, failed int }
 
-// Start begins a slow start: the target is new or was away.
-func (t *Target) Start(now time.Time) {
+// BeginSlowStart begins a slow start: the target is new or was away.
+func (t *Target) BeginSlowStart(now time.Time) {
 	*t = Target{startedAt: now, cleanSince: now}
 }
 
