--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -10,8 +10,8 @@
 	// same is certain not to run.
 	refusedBase = time.Second
 	refusedMax  = 8 * time.Second
-	// ProbeFailures in a row make a target unreachable. One is a lost packet.
-	ProbeFailures = 3
+	// ProbeFailureThreshold in a row make a target unreachable. One is a lost packet.
+	ProbeFailureThreshold = 3
 )
 
 // Answer is what a health probe brought.
@@ -67,7 +67,7 @@
 // Unreachable reports whether the target has not answered its latest probes.
 // That may be for the prober's own links, so that it is for the caller to ask
 // MayLeave before it acts on it.
-func (l *Leaving) Unreachable() bool { return l.unreachable >= ProbeFailures }
+func (l *Leaving) Unreachable() bool { return l.unreachable >= ProbeFailureThreshold }
 
 // Out reports whether the target gets no new work by its own word.
 func (l *Leaving) Out(now time.Time) bool { return l.says || now.Before(l.refusedUntil) }
