--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -115,7 +115,7 @@
 	return d.policy.Retry(w.ticket, attempts, replayable, d.clock.Now())
 }
 
-func (d *dispatcher) probed(vm model.VMID, a health.Answer) {
+func (d *dispatcher) probed(vm model.VMID, a health.ProbeResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.policy.Probed(vm, a, d.clock.Now())
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -79,7 +79,7 @@
 	p.dispatch.probed(t.VM, answer)
 }
 
-func (p *prober) ask(ctx context.Context, address string) health.Answer {
+func (p *prober) ask(ctx context.Context, address string) health.ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/healthz", nil)
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -123,7 +123,7 @@
 }
 
 // Probed takes in a health answer of a target.
-func (d *Dispatcher) Probed(vm model.VMID, a health.Answer, now time.Time) {
+func (d *Dispatcher) Probed(vm model.VMID, a health.ProbeResult, now time.Time) {
 	t := d.targets[vm]
 	if t == nil {
 		return
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -131,7 +131,7 @@
 
 func TestLeaving(t *testing.T) {
 	type event func(*Leaving)
-	probe := func(a Answer) event { return func(l *Leaving) { l.Probed(a, t0) } }
+	probe := func(a ProbeResult) event { return func(l *Leaving) { l.Probed(a, t0) } }
 	refuse := func(l *Leaving) { l.Refused(0, t0) }
 	cases := []struct {
 		name   string
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -14,12 +14,12 @@
 	ProbeFailureThreshold = 3
 )
 
-// Answer is what a health probe brought.
-type Answer int8
+// ProbeResult is what a health probe brought.
+type ProbeResult int8
 
 // The answers.
 const (
-	AnswerOK Answer = iota + 1
+	AnswerOK ProbeResult = iota + 1
 	AnswerLeaving
 	AnswerNone // no answer in time, or none that is understood
 )
@@ -35,7 +35,7 @@
 
 // Probed takes in a health answer. It reports whether the target came back
 // with it.
-func (l *Leaving) Probed(a Answer, now time.Time) (back bool) {
+func (l *Leaving) Probed(a ProbeResult, now time.Time) (back bool) {
 	before := l.Out(now)
 	switch a {
 	case AnswerOK:
