--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -108,7 +108,7 @@
 	s := buildStage(b, 1, faketarget.Options{}, nil)
 	ctx := context.Background()
 	for b.Loop() {
-		if s.server.prober.ask(ctx, s.targets[0].Address()) != health.AnswerOK {
+		if s.server.prober.ask(ctx, s.targets[0].Address()) != health.ProbeOK {
 			b.Fatal("no answer")
 		}
 	}
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -98,7 +98,7 @@
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		return health.AnswerLeaving
 	case resp.StatusCode == http.StatusOK && strings.TrimSpace(string(body)) == "ok":
-		return health.AnswerOK
+		return health.ProbeOK
 	}
 	return health.AnswerNone
 }
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -141,12 +141,12 @@
 		says   bool
 	}{
 		{"says so", []event{probe(AnswerLeaving)}, time.Hour, true, true},
-		{"takes it back", []event{probe(AnswerLeaving), probe(AnswerOK)}, 0, false, false},
+		{"takes it back", []event{probe(AnswerLeaving), probe(ProbeOK)}, 0, false, false},
 		{"no answer after saying so", []event{probe(AnswerLeaving), probe(AnswerNone)}, 0, true, true},
 		{"refused", []event{refuse}, refusedBase - 1, true, false},
 		{"refused some time ago", []event{refuse}, refusedBase, false, false},
 		{"refused twice, twice as long", []event{refuse, refuse}, 2*refusedBase - 1, true, false},
-		{"refused for being full, health is ok", []event{refuse, probe(AnswerOK)}, 0, false, false},
+		{"refused for being full, health is ok", []event{refuse, probe(ProbeOK)}, 0, false, false},
 		{"refused ever again, at most", []event{refuse, refuse, refuse, refuse, refuse, refuse}, refusedMax, false, false},
 	}
 	for _, tc := range cases {
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -19,7 +19,7 @@
 
 // The answers.
 const (
-	AnswerOK ProbeResult = iota + 1
+	ProbeOK ProbeResult = iota + 1
 	AnswerLeaving
 	AnswerNone // no answer in time, or none that is understood
 )
@@ -38,7 +38,7 @@
 func (l *Leaving) Probed(a ProbeResult, now time.Time) (back bool) {
 	before := l.Out(now)
 	switch a {
-	case AnswerOK:
+	case ProbeOK:
 		l.says, l.unreachable = false, 0
 		l.refusedUntil = time.Time{}
 	case AnswerLeaving:
