--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -96,7 +96,7 @@
 	case err != nil:
 		return health.AnswerNone
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		return health.AnswerLeaving
+		return health.ProbeLeaving
 	case resp.StatusCode == http.StatusOK && strings.TrimSpace(string(body)) == "ok":
 		return health.ProbeOK
 	}
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -140,9 +140,9 @@
 		out    bool
 		says   bool
 	}{
-		{"says so", []event{probe(AnswerLeaving)}, time.Hour, true, true},
-		{"takes it back", []event{probe(AnswerLeaving), probe(ProbeOK)}, 0, false, false},
-		{"no answer after saying so", []event{probe(AnswerLeaving), probe(AnswerNone)}, 0, true, true},
+		{"says so", []event{probe(ProbeLeaving)}, time.Hour, true, true},
+		{"takes it back", []event{probe(ProbeLeaving), probe(ProbeOK)}, 0, false, false},
+		{"no answer after saying so", []event{probe(ProbeLeaving), probe(AnswerNone)}, 0, true, true},
 		{"refused", []event{refuse}, refusedBase - 1, true, false},
 		{"refused some time ago", []event{refuse}, refusedBase, false, false},
 		{"refused twice, twice as long", []event{refuse, refuse}, 2*refusedBase - 1, true, false},
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -20,7 +20,7 @@
 // The answers.
 const (
 	ProbeOK ProbeResult = iota + 1
-	AnswerLeaving
+	ProbeLeaving
 	AnswerNone // no answer in time, or none that is understood
 )
 
@@ -41,7 +41,7 @@
 	case ProbeOK:
 		l.says, l.unreachable = false, 0
 		l.refusedUntil = time.Time{}
-	case AnswerLeaving:
+	case ProbeLeaving:
 		l.says, l.unreachable = true, 0
 	default:
 		l.unreachable++
