--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -84,21 +84,21 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/healthz", nil)
 	if err != nil {
-		return health.AnswerNone
+		return health.ProbeNoAnswer
 	}
 	resp, err := p.transport.RoundTrip(req)
 	if err != nil {
-		return health.AnswerNone
+		return health.ProbeNoAnswer
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxHealthBytes))
 	switch {
 	case err != nil:
-		return health.AnswerNone
+		return health.ProbeNoAnswer
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		return health.ProbeLeaving
 	case resp.StatusCode == http.StatusOK && strings.TrimSpace(string(body)) == "ok":
 		return health.ProbeOK
 	}
-	return health.AnswerNone
+	return health.ProbeNoAnswer
 }
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -142,7 +142,7 @@
 	}{
 		{"says so", []event{probe(ProbeLeaving)}, time.Hour, true, true},
 		{"takes it back", []event{probe(ProbeLeaving), probe(ProbeOK)}, 0, false, false},
-		{"no answer after saying so", []event{probe(ProbeLeaving), probe(AnswerNone)}, 0, true, true},
+		{"no answer after saying so", []event{probe(ProbeLeaving), probe(ProbeNoAnswer)}, 0, true, true},
 		{"refused", []event{refuse}, refusedBase - 1, true, false},
 		{"refused some time ago", []event{refuse}, refusedBase, false, false},
 		{"refused twice, twice as long", []event{refuse, refuse}, 2*refusedBase - 1, true, false},
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -21,7 +21,7 @@
 const (
 	ProbeOK ProbeResult = iota + 1
 	ProbeLeaving
-	AnswerNone // no answer in time, or none that is understood
+	ProbeNoAnswer // no answer in time, or none that is understood
 )
 
 // Leaving holds what a target itself has told of its leaving: by its health
