--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -25,7 +25,7 @@
 	own     int // requests of this entry VM there now
 	latency routing.Latency
 	health  health.Target
-	leaving health.Leaving
+	leaving health.Readiness
 	down    bool // its health answers stay away, and the budget can do without it
 
 	probedAt  time.Time
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -130,9 +130,9 @@
 }
 
 func TestLeaving(t *testing.T) {
-	type event func(*Leaving)
-	probe := func(a ProbeResult) event { return func(l *Leaving) { l.Probed(a, t0) } }
-	refuse := func(l *Leaving) { l.Refused(0, t0) }
+	type event func(*Readiness)
+	probe := func(a ProbeResult) event { return func(l *Readiness) { l.Probed(a, t0) } }
+	refuse := func(l *Readiness) { l.Refused(0, t0) }
 	cases := []struct {
 		name   string
 		events []event
@@ -151,7 +151,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l := &Leaving{}
+			l := &Readiness{}
 			for _, e := range tc.events {
 				e(l)
 			}
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -24,9 +24,9 @@
 	ProbeNoAnswer // no answer in time, or none that is understood
 )
 
-// Leaving holds what a target itself has told of its leaving: by its health
+// Readiness holds what a target itself has told of its leaving: by its health
 // answer, or by refusing a request. The zero value is a target that works.
-type Leaving struct {
+type Readiness struct {
 	says         bool // its last health answer said so
 	unreachable  int  // probes without answer in a row
 	refusals     int  // in a row
@@ -35,7 +35,7 @@
 
 // Probed takes in a health answer. It reports whether the target came back
 // with it.
-func (l *Leaving) Probed(a ProbeResult, now time.Time) (back bool) {
+func (l *Readiness) Probed(a ProbeResult, now time.Time) (back bool) {
 	before := l.Out(now)
 	switch a {
 	case ProbeOK:
@@ -52,22 +52,22 @@
 // Refused takes in a refusal with the time after which the target asked to be
 // asked again, 0 if it did not. Whether it leaves or was only full, its health
 // answer tells; until then it gets nothing.
-func (l *Leaving) Refused(retryAfter time.Duration, now time.Time) {
+func (l *Readiness) Refused(retryAfter time.Duration, now time.Time) {
 	span := min(max(retryAfter, refusedBase<<min(l.refusals, 10)), refusedMax)
 	l.refusals++
 	l.refusedUntil = now.Add(span)
 }
 
 // Accepted takes in that the target started a request.
-func (l *Leaving) Accepted() { l.refusals = 0 }
+func (l *Readiness) Accepted() { l.refusals = 0 }
 
 // Says reports what is told to peers: the target said that it leaves.
-func (l *Leaving) Says() bool { return l.says }
+func (l *Readiness) Says() bool { return l.says }
 
 // Unreachable reports whether the target has not answered its latest probes.
 // That may be for the prober's own links, so that it is for the caller to ask
 // MayLeave before it acts on it.
-func (l *Leaving) Unreachable() bool { return l.unreachable >= ProbeFailureThreshold }
+func (l *Readiness) Unreachable() bool { return l.unreachable >= ProbeFailureThreshold }
 
 // Out reports whether the target gets no new work by its own word.
-func (l *Leaving) Out(now time.Time) bool { return l.says || now.Before(l.refusedUntil) }
+func (l *Readiness) Out(now time.Time) bool { return l.says || now.Before(l.refusedUntil) }
