--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -63,7 +63,7 @@
 // the target itself and ask it again each second, so that it is not stale long.
 func (d *Dispatcher) out(t *target, now time.Time) bool {
 	switch {
-	case !t.serving, t.down, t.leaving.Out(now), t.health.Ejected(now):
+	case !t.serving, t.down, t.leaving.Unready(now), t.health.Ejected(now):
 		return true
 	}
 	return d.cfg.Peers != nil && d.cfg.Peers.Leaving(t.id)
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -174,7 +174,7 @@
 	var due []ProbeTarget
 	for _, t := range d.targets {
 		every := probeEveryRemote
-		suspect := t.leaving.Out(now) || t.down
+		suspect := t.leaving.Unready(now) || t.down
 		if t.zone == d.cfg.Zone || suspect {
 			every = probeEvery
 		}
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -155,7 +155,7 @@
 			for _, e := range tc.events {
 				e(l)
 			}
-			assert.Equal(t, l.Out(t0.Add(tc.after)), tc.out)
+			assert.Equal(t, l.Unready(t0.Add(tc.after)), tc.out)
 			assert.Equal(t, l.Says(), tc.says)
 		})
 	}
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -36,7 +36,7 @@
 // Probed takes in a health answer. It reports whether the target came back
 // with it.
 func (l *Readiness) Probed(a ProbeResult, now time.Time) (back bool) {
-	before := l.Out(now)
+	before := l.Unready(now)
 	switch a {
 	case ProbeOK:
 		l.says, l.unreachable = false, 0
@@ -46,7 +46,7 @@
 	default:
 		l.unreachable++
 	}
-	return before && !l.Out(now)
+	return before && !l.Unready(now)
 }
 
 // Refused takes in a refusal with the time after which the target asked to be
@@ -69,5 +69,5 @@
 // MayLeave before it acts on it.
 func (l *Readiness) Unreachable() bool { return l.unreachable >= ProbeFailureThreshold }
 
-// Out reports whether the target gets no new work by its own word.
-func (l *Readiness) Out(now time.Time) bool { return l.says || now.Before(l.refusedUntil) }
+// Unready reports whether the target gets no new work by its own word.
+func (l *Readiness) Unready(now time.Time) bool { return l.says || now.Before(l.refusedUntil) }
