--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -119,7 +119,7 @@
 	states := make([]State, 0, len(d.sorted))
 	for _, t := range d.sorted {
 		states = append(states, State{
-			VM: t.id, InFlight: t.own, Limit: t.limit, Leaving: t.leaving.Says(),
+			VM: t.id, InFlight: t.own, Limit: t.limit, Leaving: t.leaving.ReportsLeaving(),
 			Ejected: t.health.Ejected(now), Out: d.out(t, now),
 		})
 	}
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -156,7 +156,7 @@
 				e(l)
 			}
 			assert.Equal(t, l.Unready(t0.Add(tc.after)), tc.out)
-			assert.Equal(t, l.Says(), tc.says)
+			assert.Equal(t, l.ReportsLeaving(), tc.says)
 		})
 	}
 }
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -61,8 +61,8 @@
 // Accepted takes in that the target started a request.
 func (l *Readiness) Accepted() { l.refusals = 0 }
 
-// Says reports what is told to peers: the target said that it leaves.
-func (l *Readiness) Says() bool { return l.says }
+// ReportsLeaving reports what is told to peers: the target said that it leaves.
+func (l *Readiness) ReportsLeaving() bool { return l.says }
 
 // Unreachable reports whether the target has not answered its latest probes.
 // That may be for the prober's own links, so that it is for the caller to ask
