--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -128,7 +128,7 @@
 	if t == nil {
 		return
 	}
-	back := t.leaving.Probed(a, now)
+	back := t.leaving.RecordProbe(a, now)
 	if t.down && !t.leaving.Unreachable() {
 		t.down, back = false, true
 	}
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -33,9 +33,9 @@
 	refusedUntil time.Time
 }
 
-// Probed takes in a health answer. It reports whether the target came back
+// RecordProbe takes in a health answer. It reports whether the target came back
 // with it.
-func (l *Readiness) Probed(a ProbeResult, now time.Time) (back bool) {
+func (l *Readiness) RecordProbe(a ProbeResult, now time.Time) (back bool) {
 	before := l.Unready(now)
 	switch a {
 	case ProbeOK:
