--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -78,7 +78,7 @@
 		t.leaving.Accepted()
 		t.health.Observe(true, now)
 	case Refused, NotSent:
-		t.leaving.Refused(u.RetryAfter, now)
+		t.leaving.RecordRefusal(u.RetryAfter, now)
 	case Errored, Failed:
 		t.health.Observe(false, now)
 		d.penalize(svc, t, u, now)
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -132,7 +132,7 @@
 func TestLeaving(t *testing.T) {
 	type event func(*Readiness)
 	probe := func(a ProbeResult) event { return func(l *Readiness) { l.RecordProbe(a, t0) } }
-	refuse := func(l *Readiness) { l.Refused(0, t0) }
+	refuse := func(l *Readiness) { l.RecordRefusal(0, t0) }
 	cases := []struct {
 		name   string
 		events []event
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -49,10 +49,10 @@
 	return before && !l.Unready(now)
 }
 
-// Refused takes in a refusal with the time after which the target asked to be
+// RecordRefusal takes in a refusal with the time after which the target asked to be
 // asked again, 0 if it did not. Whether it leaves or was only full, its health
 // answer tells; until then it gets nothing.
-func (l *Readiness) Refused(retryAfter time.Duration, now time.Time) {
+func (l *Readiness) RecordRefusal(retryAfter time.Duration, now time.Time) {
 	span := min(max(retryAfter, refusedBase<<min(l.refusals, 10)), refusedMax)
 	l.refusals++
 	l.refusedUntil = now.Add(span)
