--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -75,7 +75,7 @@
 	switch u.Ended {
 	case Answered:
 		t.latency.Observe(u.Answer, now)
-		t.leaving.Accepted()
+		t.leaving.RecordAccepted()
 		t.health.Observe(true, now)
 	case Refused, NotSent:
 		t.leaving.RecordRefusal(u.RetryAfter, now)
--- a/policy/health/leaving.go
+++ b/policy/health/leaving.go
@@ -58,8 +58,8 @@
 	l.refusedUntil = now.Add(span)
 }
 
-// Accepted takes in that the target started a request.
-func (l *Readiness) Accepted() { l.refusals = 0 }
+// RecordAccepted takes in that the target started a request.
+func (l *Readiness) RecordAccepted() { l.refusals = 0 }
 
 // ReportsLeaving reports what is told to peers: the target said that it leaves.
 func (l *Readiness) ReportsLeaving() bool { return l.says }
