--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -9,9 +9,9 @@
 import "time"
 
 const (
-	// Ratio is how many retries one fresh request earns. With Reserve the
+	// RetriesPerRequest is how many retries one fresh request earns. With Reserve the
 	// retries stay within a tenth of the load from 500 requests on.
-	Ratio = 0.09
+	RetriesPerRequest = 0.09
 	// Reserve is the balance at the start, so that the first request of a
 	// fresh entry VM that meets a refusing target need not fail.
 	Reserve = 5
@@ -33,7 +33,7 @@
 func NewBudget() *Budget { return &Budget{balance: Reserve} }
 
 // Fresh counts a request that is not a retry.
-func (b *Budget) Fresh() { b.balance = min(b.balance+Ratio, MaxBalance) }
+func (b *Budget) Fresh() { b.balance = min(b.balance+RetriesPerRequest, MaxBalance) }
 
 // Attempt describes a request whose latest attempt was certainly not run.
 type Attempt struct {
