--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -12,9 +12,9 @@
 	// RetriesPerRequest is how many retries one fresh request earns. With Reserve the
 	// retries stay within a tenth of the load from 500 requests on.
 	RetriesPerRequest = 0.09
-	// Reserve is the balance at the start, so that the first request of a
+	// InitialBalance is the balance at the start, so that the first request of a
 	// fresh entry VM that meets a refusing target need not fail.
-	Reserve = 5
+	InitialBalance = 5
 	// MaxBalance bounds what a quiet hour saves up: an outage after it must not
 	// begin with a storm.
 	MaxBalance = 50
@@ -30,7 +30,7 @@
 }
 
 // NewBudget returns a Budget that holds its reserve.
-func NewBudget() *Budget { return &Budget{balance: Reserve} }
+func NewBudget() *Budget { return &Budget{balance: InitialBalance} }
 
 // Fresh counts a request that is not a retry.
 func (b *Budget) Fresh() { b.balance = min(b.balance+RetriesPerRequest, MaxBalance) }
