--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -148,7 +148,7 @@
 // before; it waits only where another target may take it.
 func (d *Dispatcher) judgeRequest(svc *service, r Request, now time.Time) *Refusal {
 	if r.Avoid == "" {
-		svc.retries.Fresh()
+		svc.retries.RecordRequest()
 		return d.turnAway(svc, r, now)
 	}
 	for _, t := range svc.targets {
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -32,8 +32,8 @@
 // NewBudget returns a Budget that holds its reserve.
 func NewBudget() *Budget { return &Budget{balance: InitialBalance} }
 
-// Fresh counts a request that is not a retry.
-func (b *Budget) Fresh() { b.balance = min(b.balance+RetriesPerRequest, MaxBalance) }
+// RecordRequest counts a request that is not a retry.
+func (b *Budget) RecordRequest() { b.balance = min(b.balance+RetriesPerRequest, MaxBalance) }
 
 // Attempt describes a request whose latest attempt was certainly not run.
 type Attempt struct {
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -36,7 +36,7 @@
 	b := NewBudget()
 	retries := 0
 	for range 10000 {
-		b.Fresh()
+		b.RecordRequest()
 		for n := 1; b.Decide(Attempt{Number: n, Replayable: true, Deadline: t0.Add(time.Second)}, t0) == Retry; n++ {
 			retries++
 		}
@@ -48,7 +48,7 @@
 func TestBudgetIsBounded(t *testing.T) {
 	b := NewBudget()
 	for range 100000 {
-		b.Fresh()
+		b.RecordRequest()
 	}
 	retries := 0
 	for b.Decide(Attempt{Number: 1, Replayable: true, Deadline: t0.Add(time.Second)}, t0) == Retry {
