--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -227,10 +227,10 @@
 // run, is submitted again.
 func (d *Dispatcher) Retry(t *Ticket, attempts int, replayable bool, now time.Time) retry.Verdict {
 	return t.svc.retries.Decide(retry.Attempt{
-		Number:     attempts,
-		Replayable: replayable,
-		Deadline:   t.Request.Deadline,
-		Typical:    t.svc.hold.Mean(),
+		Number:          attempts,
+		Replayable:      replayable,
+		Deadline:        t.Request.Deadline,
+		TypicalDuration: t.svc.hold.Mean(),
 	}, now)
 }
 
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -37,10 +37,10 @@
 
 // Attempt describes a request whose latest attempt was certainly not run.
 type Attempt struct {
-	Number     int  // attempts made, 1 after the first
-	Replayable bool // its body can be sent again from the start
-	Deadline   time.Time
-	Typical    time.Duration // of an answer; 0 where unknown
+	Number          int  // attempts made, 1 after the first
+	Replayable      bool // its body can be sent again from the start
+	Deadline        time.Time
+	TypicalDuration time.Duration // of an answer; 0 where unknown
 }
 
 // Verdict says why a retry is or is not made.
@@ -77,7 +77,7 @@
 		return TooManyAttempts
 	case !a.Replayable:
 		return BodyGone
-	case !now.Add(a.Typical).Before(a.Deadline):
+	case !now.Add(a.TypicalDuration).Before(a.Deadline):
 		return TooLate
 	case b.balance < 1:
 		return OverBudget
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -10,7 +10,7 @@
 var t0 = time.Unix(0, 0)
 
 func TestDecide(t *testing.T) {
-	soon := Attempt{Number: 1, Replayable: true, Deadline: t0.Add(time.Second), Typical: 100 * time.Millisecond}
+	soon := Attempt{Number: 1, Replayable: true, Deadline: t0.Add(time.Second), TypicalDuration: 100 * time.Millisecond}
 	with := func(change func(*Attempt)) Attempt { a := soon; change(&a); return a }
 	cases := []struct {
 		name    string
@@ -21,7 +21,7 @@
 		{"too many", with(func(a *Attempt) { a.Number = MaxAttempts }), TooManyAttempts},
 		{"body was read", with(func(a *Attempt) { a.Replayable = false }), BodyGone},
 		{"past the deadline", with(func(a *Attempt) { a.Deadline = t0 }), TooLate},
-		{"no time for an answer", with(func(a *Attempt) { a.Typical = time.Second }), TooLate},
+		{"no time for an answer", with(func(a *Attempt) { a.TypicalDuration = time.Second }), TooLate},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
