--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -50,7 +50,7 @@
 const (
 	Retry Verdict = iota + 1
 	TooManyAttempts
-	BodyGone
+	BodyNotReplayable
 	TooLate
 	OverBudget
 )
@@ -62,7 +62,7 @@
 		return "retry"
 	case TooManyAttempts:
 		return "too-many-attempts"
-	case BodyGone:
+	case BodyNotReplayable:
 		return "body-gone"
 	case TooLate:
 		return "too-late"
@@ -76,7 +76,7 @@
 	case a.Number >= MaxAttempts:
 		return TooManyAttempts
 	case !a.Replayable:
-		return BodyGone
+		return BodyNotReplayable
 	case !now.Add(a.TypicalDuration).Before(a.Deadline):
 		return TooLate
 	case b.balance < 1:
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -19,7 +19,7 @@
 	}{
 		{"in time", soon, Retry},
 		{"too many", with(func(a *Attempt) { a.Number = MaxAttempts }), TooManyAttempts},
-		{"body was read", with(func(a *Attempt) { a.Replayable = false }), BodyGone},
+		{"body was read", with(func(a *Attempt) { a.Replayable = false }), BodyNotReplayable},
 		{"past the deadline", with(func(a *Attempt) { a.Deadline = t0 }), TooLate},
 		{"no time for an answer", with(func(a *Attempt) { a.TypicalDuration = time.Second }), TooLate},
 	}
