--- a/policy/breaker/breaker.go
+++ b/policy/breaker/breaker.go
@@ -9,9 +9,9 @@
 
 import "time"
 
-// Pause is how long calls are refused after a failure before one tries again.
+// RetryInterval is how long calls are refused after a failure before one tries again.
 // Cuts and outages last seconds; a caller who is refused comes back after one.
-const Pause = 250 * time.Millisecond
+const RetryInterval = 250 * time.Millisecond
 
 // Breaker is the state for one callee. The zero value lets calls through. It is
 // not safe for concurrent use.
@@ -29,14 +29,14 @@
 	if now < b.retry {
 		return false
 	}
-	b.retry = now + Pause
+	b.retry = now + RetryInterval
 	return true
 }
 
 // Failed notes a call without an answer.
 func (b *Breaker) Failed(now time.Duration) {
 	b.failing = true
-	b.retry = now + Pause
+	b.retry = now + RetryInterval
 }
 
 // Succeeded notes an answer.
