--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -181,7 +181,7 @@
 	defer f.mu.Unlock()
 	switch infra.KindOf(err) {
 	case infra.KindUnavailable, infra.KindUnknown, infra.KindRateLimited:
-		f.store.Failed(f.Clock.Now())
+		f.store.RecordFailure(f.Clock.Now())
 	default:
 		f.store.Succeeded()
 	}
--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -216,7 +216,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.dials[address].Failed(time.Since(c.began))
+		c.dials[address].RecordFailure(time.Since(c.began))
 		c.Log.V(1).Info("owner can't be reached", "address", address, "error", err.Error())
 		return nil, ErrNotSent
 	}
--- a/policy/breaker/breaker.go
+++ b/policy/breaker/breaker.go
@@ -33,8 +33,8 @@
 	return true
 }
 
-// Failed notes a call without an answer.
-func (b *Breaker) Failed(now time.Duration) {
+// RecordFailure notes a call without an answer.
+func (b *Breaker) RecordFailure(now time.Duration) {
 	b.failing = true
 	b.retry = now + RetryInterval
 }
--- a/policy/breaker/breaker_test.go
+++ b/policy/breaker/breaker_test.go
@@ -17,7 +17,7 @@
 	for now := time.Duration(0); now < 5*time.Second; now += 10 * time.Millisecond {
 		for len(outcomes) > 0 && outcomes[0] <= now {
 			outcomes = outcomes[1:]
-			b.Failed(now)
+			b.RecordFailure(now)
 		}
 		if b.Allow(now) {
 			waited++
