--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -183,7 +183,7 @@
 	case infra.KindUnavailable, infra.KindUnknown, infra.KindRateLimited:
 		f.store.RecordFailure(f.Clock.Now())
 	default:
-		f.store.Succeeded()
+		f.store.RecordSuccess()
 	}
 	return err
 }
--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -220,7 +220,7 @@
 		c.Log.V(1).Info("owner can't be reached", "address", address, "error", err.Error())
 		return nil, ErrNotSent
 	}
-	c.dials[address].Succeeded()
+	c.dials[address].RecordSuccess()
 	if other := c.links[address]; other != nil && !other.isDead() {
 		conn.Close()
 		return other, nil
--- a/policy/breaker/breaker.go
+++ b/policy/breaker/breaker.go
@@ -39,5 +39,5 @@
 	b.retry = now + RetryInterval
 }
 
-// Succeeded notes an answer.
-func (b *Breaker) Succeeded() { *b = Breaker{} }
+// RecordSuccess notes an answer.
+func (b *Breaker) RecordSuccess() { *b = Breaker{} }
--- a/policy/breaker/breaker_test.go
+++ b/policy/breaker/breaker_test.go
@@ -29,7 +29,7 @@
 	t.Logf("waited %d, refused at once %d", waited, refused)
 	assert.Assert(t, waited < 90, "60 come before the first failure is known")
 	assert.Assert(t, refused > 400)
-	b.Succeeded()
+	b.RecordSuccess()
 	assert.Assert(t, b.Allow(6*time.Second))
 	assert.Assert(t, b.Allow(6*time.Second))
 }
