--- a/policy/wave/forecast.go
+++ b/policy/wave/forecast.go
@@ -2,8 +2,10 @@
 
 import "time"
 
-// forecast says how long the wave will still take: the VMs not done, as many
-// at once as are out now or the window allows, each as long as those before.
+// forecast estimates how long the wave will still take. It assumes that as many
+// VMs are out at once as now, or as the window allows if none are, and that each
+// stop takes the mean duration of the finished ones. It returns 0 if no VM
+// remains.
 func (p *planner) forecast() time.Duration {
 	remaining := p.progress.Remaining + p.progress.Out
 	if remaining == 0 {
@@ -14,5 +16,5 @@
 		width = min(p.window(), remaining)
 	}
 	rounds := (remaining + width - 1) / width
-	return time.Duration(rounds) * p.meanStop()
+	return time.Duration(rounds) * p.meanStopDuration()
 }
--- a/policy/wave/planner.go
+++ b/policy/wave/planner.go
@@ -10,60 +10,63 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// assumedStop is how long a VM is out while no VM of the wave has shown it.
-const assumedStop = 5 * time.Minute
+// defaultStopDuration is the assumed time for which a VM is out, used until a VM
+// of the wave has finished.
+const defaultStopDuration = 5 * time.Minute
 
-// planner holds the counts that one plan is made from.
+// planner holds the intermediate state of one MakePlan call.
 type planner struct {
-	s        Snapshot
-	order    map[model.PoolName]int
-	left     []*VM
-	failed   []model.VMID
-	progress Progress
-	took     []time.Duration // of the VMs done
-	tallies  map[model.ServiceName]*Tally
-	byPool   map[model.PoolName][]*Tally
+	s             Snapshot
+	poolOrder     map[model.PoolName]int // index of each pool in the wave's declared order
+	remaining     []*VM
+	failed        []model.VMID
+	progress      Progress
+	stopDurations []time.Duration // how long each finished VM was out
+	tallies       map[model.ServiceName]*Tally
+	talliesByPool map[model.PoolName][]*Tally
 }
 
 func newPlanner(s Snapshot) *planner {
-	p := &planner{s: s, order: make(map[model.PoolName]int)}
+	p := &planner{s: s, poolOrder: make(map[model.PoolName]int)}
 	for i, pool := range s.Wave.Pools {
-		p.order[pool] = i
+		p.poolOrder[pool] = i
 	}
 	for i := range s.VMs {
-		p.sort(&s.VMs[i])
+		p.classify(&s.VMs[i])
 	}
 	return p
 }
 
-// holderPrefix begins VM.Holder while a wave holds the VM.
+// holderPrefix is the prefix of VM.Holder while a wave holds the VM.
 const holderPrefix = "wave "
 
-// Holder is what VM.Holder says while the wave holds a VM.
+// Holder returns the value of VM.Holder while the wave holds the VM.
 func Holder(w model.WaveName) string { return holderPrefix + string(w) }
 
-// NameOf returns the wave that a VM.Holder names.
+// NameOf returns the name of the wave in a VM.Holder that Holder returned.
 func NameOf(holder string) model.WaveName {
 	return model.WaveName(strings.TrimPrefix(holder, holderPrefix))
 }
 
-// HeldByWave reports whether a wave, not an order, holds the VM.
+// HeldByWave reports whether the VM with this holder is held by a wave, and not
+// by an operator's order or by nothing.
 func HeldByWave(holder string) bool { return strings.HasPrefix(holder, holderPrefix) }
 
-// sort puts a VM of the wave where it belongs by its progress.
-func (p *planner) sort(v *VM) {
-	if _, ok := p.order[v.Pool]; !ok {
+// classify counts a VM as out, done or remaining. It ignores VMs whose pool
+// isn't part of the wave.
+func (p *planner) classify(v *VM) {
+	if _, ok := p.poolOrder[v.Pool]; !ok {
 		return
 	}
 	p.progress.Total++
 	switch {
 	case v.Holder == Holder(p.s.Wave.Name):
 		p.progress.Out++
-		p.sortOut(v)
+		p.classifyOut(v)
 	case v.Run == p.s.Run && v.Wave == p.s.Wave.Name:
-		p.sortDone(v)
+		p.classifyDone(v)
 	default:
-		p.left = append(p.left, v)
+		p.remaining = append(p.remaining, v)
 		p.progress.Remaining++
 		if v.Postponed.After(time.Time{}) {
 			p.progress.Postponed++
@@ -71,25 +74,29 @@
 	}
 }
 
-func (p *planner) sortOut(v *VM) {
+// classifyOut counts a rebooted VM that hasn't returned to service in time as a
+// failure of the wave.
+func (p *planner) classifyOut(v *VM) {
 	rebooted := v.ProofBoots > 0
 	limit := ReturnTimeout + p.s.Wave.Probation
 	if rebooted && p.s.Now.Sub(v.Since) > limit {
-		p.fail(v)
+		p.recordFailure(v)
 	}
 }
 
-// sortDone counts a VM that came back and then went down as a failure of the
-// wave: a bad image may fail only under load.
-func (p *planner) sortDone(v *VM) {
+// classifyDone counts a finished VM that went down soon after its return as a
+// failure of the wave, since a bad image may fail only under load.
+func (p *planner) classifyDone(v *VM) {
 	p.progress.Done++
-	p.took = append(p.took, v.Took)
+	p.stopDurations = append(p.stopDurations, v.Took)
 	if v.Health == model.HealthDown && p.s.Now.Sub(v.Since) < ReturnTimeout {
-		p.fail(v)
+		p.recordFailure(v)
 	}
 }
 
-func (p *planner) fail(v *VM) {
+// recordFailure counts a failed VM, unless it failed before an operator last
+// resumed the wave.
+func (p *planner) recordFailure(v *VM) {
 	if v.Since.Before(p.s.Resumed) {
 		return
 	}
@@ -97,8 +104,9 @@
 	p.failed = append(p.failed, v.ID)
 }
 
-// maxFailures is how many failures pause the wave. One is enough among the
-// canaries, which are there to show it before others go.
+// maxFailures returns the number of failures that pauses the wave. It is 1 until
+// all canaries are done: they are maintained first in order to reveal a failure
+// before other VMs are affected.
 func (p *planner) maxFailures() int {
 	if p.progress.Done < p.s.Wave.Canary {
 		return 1
@@ -109,6 +117,7 @@
 	return DefaultMaxFailures
 }
 
+// failureReason returns why the wave is paused, with the IDs of the failed VMs.
 func (p *planner) failureReason() string {
 	names := make([]string, len(p.failed))
 	for i, id := range p.failed {
@@ -118,47 +127,52 @@
 	return fmt.Sprintf("%d VMs failed after the wave rebooted them: %s", len(names), strings.Join(names, ", "))
 }
 
-// meanStop is how long a VM is out, as the wave's finished VMs show.
-func (p *planner) meanStop() time.Duration {
-	if len(p.took) == 0 {
-		return assumedStop
+// meanStopDuration returns the mean time for which the finished VMs of the wave
+// were out, or defaultStopDuration if none has finished.
+func (p *planner) meanStopDuration() time.Duration {
+	if len(p.stopDurations) == 0 {
+		return defaultStopDuration
 	}
-	return mean(p.took)
+	return mean(p.stopDurations)
 }
 
-// choose picks the VMs to take out now: canaries alone first, then as many as
-// the window and all budgets concerned allow.
-func (p *planner) choose() ([]model.VMID, string) {
+// selectStops returns the VMs to take out now: only canaries first, then as many
+// VMs as the window and the budgets of all affected services allow. If it returns
+// fewer than the window allows, it also returns the reason.
+func (p *planner) selectStops() ([]model.VMID, string) {
 	if p.progress.Done < p.s.Wave.Canary {
-		room := p.s.Wave.Canary - p.progress.Done - p.progress.Out
-		if room <= 0 {
+		free := p.s.Wave.Canary - p.progress.Done - p.progress.Out
+		if free <= 0 {
 			return nil, "waits for the canary VMs"
 		}
-		return p.pick(room)
+		return p.selectUpTo(free)
 	}
-	room := p.window() - p.progress.Out
-	if room <= 0 {
+	free := p.window() - p.progress.Out
+	if free <= 0 {
 		return nil, fmt.Sprintf("%d VMs are out, as many as the wave takes at once", p.progress.Out)
 	}
-	return p.pick(room)
+	return p.selectUpTo(free)
 }
 
-func (p *planner) pick(room int) ([]model.VMID, string) {
-	p.count()
-	p.arrange()
+// selectUpTo returns at most limit VMs that may be taken out now. If it reaches
+// the end of the remaining VMs, it also returns why the first refused one was
+// refused.
+func (p *planner) selectUpTo(limit int) ([]model.VMID, string) {
+	p.countServices()
+	p.sortRemaining()
 	var stops []model.VMID
 	var reason string
-	for _, v := range p.left {
-		if len(stops) == room {
+	for _, v := range p.remaining {
+		if len(stops) == limit {
 			return stops, ""
 		}
-		if why := p.refuse(v); why != "" {
+		if refusal := p.refusalReason(v); refusal != "" {
 			if reason == "" {
-				reason = why
+				reason = refusal
 			}
 			continue
 		}
-		for _, t := range p.byPool[v.Pool] {
+		for _, t := range p.talliesByPool[v.Pool] {
 			t.MarkTakenOut(memberOf(v))
 		}
 		stops = append(stops, v.ID)
@@ -166,8 +180,9 @@
 	return stops, reason
 }
 
-// refuse says why v can't be taken out now, or nothing.
-func (p *planner) refuse(v *VM) string {
+// refusalReason returns why v can't be taken out now, or an empty string if it
+// can.
+func (p *planner) refusalReason(v *VM) string {
 	if v.Holder != "" {
 		return fmt.Sprintf("VM %s is held by %s", v.ID, v.Holder)
 	}
@@ -177,33 +192,35 @@
 	if until := v.Postponed.Add(Grace(&p.s.Wave)); !v.Postponed.IsZero() && p.s.Now.Before(until) {
 		return fmt.Sprintf("VM %s was postponed until %s", v.ID, until.UTC().Format(time.RFC3339))
 	}
-	for _, t := range p.byPool[v.Pool] {
-		if why := t.RefusalReason(memberOf(v)); why != "" {
-			return why
+	for _, t := range p.talliesByPool[v.Pool] {
+		if refusal := t.RefusalReason(memberOf(v)); refusal != "" {
+			return refusal
 		}
 	}
 	return ""
 }
 
-// arrange sorts what is left: postponed VMs last; pools with more VMs left
-// first, so that no pool is still at work when all others are done, and by the
-// wave's order where they have as many; then zone by zone and rack by rack, so
-// that stops stay within one domain. The canaries come from the first pool.
-func (p *planner) arrange() {
-	leftIn := make(map[model.PoolName]int)
-	for _, v := range p.left {
-		leftIn[v.Pool]++
+// sortRemaining sorts the remaining VMs into the order in which they are taken
+// out. Postponed VMs come last. Pools with more remaining VMs come first, so that
+// all pools finish at about the same time; pools with equally many follow the
+// wave's order. Within a pool VMs are sorted by zone and rack, so that concurrent
+// stops stay within one failure domain. Canaries are taken by the wave's order of
+// pools alone, so that they come from the first pool.
+func (p *planner) sortRemaining() {
+	remainingIn := make(map[model.PoolName]int)
+	for _, v := range p.remaining {
+		remainingIn[v.Pool]++
 	}
 	canary := p.progress.Done < p.s.Wave.Canary
-	sort.SliceStable(p.left, func(i, j int) bool {
-		a, b := p.left[i], p.left[j]
+	sort.SliceStable(p.remaining, func(i, j int) bool {
+		a, b := p.remaining[i], p.remaining[j]
 		switch {
 		case !a.Postponed.Equal(b.Postponed):
 			return a.Postponed.Before(b.Postponed)
-		case !canary && leftIn[a.Pool] != leftIn[b.Pool]:
-			return leftIn[a.Pool] > leftIn[b.Pool]
-		case p.order[a.Pool] != p.order[b.Pool]:
-			return p.order[a.Pool] < p.order[b.Pool]
+		case !canary && remainingIn[a.Pool] != remainingIn[b.Pool]:
+			return remainingIn[a.Pool] > remainingIn[b.Pool]
+		case p.poolOrder[a.Pool] != p.poolOrder[b.Pool]:
+			return p.poolOrder[a.Pool] < p.poolOrder[b.Pool]
 		case a.Zone != b.Zone:
 			return a.Zone < b.Zone
 		case a.Rack != b.Rack:
@@ -213,16 +230,17 @@
 	})
 }
 
-// count tallies every service that has targets in a pool of the wave.
-func (p *planner) count() {
+// countServices counts the VMs of every service that has targets in a pool of
+// the wave, and assigns the tallies to the pools.
+func (p *planner) countServices() {
 	services := make(map[model.PoolName][]*model.Service)
-	concerned := make(map[model.ServiceName]bool)
+	affected := make(map[model.ServiceName]bool)
 	for i := range p.s.Declaration.Services {
 		svc := &p.s.Declaration.Services[i]
 		for _, pool := range svc.Pools {
 			services[pool] = append(services[pool], svc)
-			if _, ok := p.order[pool]; ok {
-				concerned[svc.Name] = true
+			if _, ok := p.poolOrder[pool]; ok {
+				affected[svc.Name] = true
 			}
 		}
 	}
@@ -231,7 +249,7 @@
 	for i := range p.s.VMs {
 		v := &p.s.VMs[i]
 		for _, svc := range services[v.Pool] {
-			if !concerned[svc.Name] {
+			if !affected[svc.Name] {
 				continue
 			}
 			members[svc.Name] = append(members[svc.Name], memberOf(v))
@@ -240,17 +258,18 @@
 			}
 		}
 	}
-	p.byPool = make(map[model.PoolName][]*Tally)
+	p.talliesByPool = make(map[model.PoolName][]*Tally)
 	for pool, list := range services {
 		for _, svc := range list {
-			if !concerned[svc.Name] {
+			if !affected[svc.Name] {
 				continue
 			}
-			p.byPool[pool] = append(p.byPool[pool], p.tallyOf(svc, members[svc.Name], held[svc.Name]))
+			p.talliesByPool[pool] = append(p.talliesByPool[pool], p.tallyOf(svc, members[svc.Name], held[svc.Name]))
 		}
 	}
 }
 
+// tallyOf returns the tally of svc, which all pools of the service share.
 func (p *planner) tallyOf(svc *model.Service, members, held []budget.Member) *Tally {
 	if p.tallies == nil {
 		p.tallies = make(map[model.ServiceName]*Tally)
--- a/policy/wave/wave.go
+++ b/policy/wave/wave.go
@@ -1,10 +1,12 @@
-// Package wave decides which VMs a maintenance wave takes out next: a pure
-// function from a snapshot to a plan.
+// Package wave decides which VMs a maintenance wave takes out of service next.
+// A wave stops, reboots and returns every VM of some pools once. The decision is
+// a pure function from a snapshot to a plan.
 //
-// It answers two patterns: many VMs that must all stop once while their
-// services go on, and failures that correlate within the wave (a bad image, a
-// rack). Without it a wave is either as slow as one VM at a time or takes a
-// service below its budget, and a bad image goes through the whole fleet.
+// It addresses two problems. Many VMs must each stop once while their services
+// stay available: one VM at a time takes too long, and too many at a time
+// violate the services' budgets. And VMs of the same wave may fail for a common
+// cause, such as a bad image or a rack: a wave that doesn't pause on such
+// failures would roll a bad image out to the whole fleet.
 package wave
 
 import (
@@ -15,77 +17,81 @@
 )
 
 const (
-	// MaxViewAge is how old the view of the fleet may be for a stop to start.
-	// Watches deliver within a second; ten times that is an outage, and what
-	// has failed meanwhile is not known.
+	// MaxViewAge is the maximum age of the view of the fleet for a stop to
+	// start. Watches deliver changes within a second; a delay of ten times that
+	// is an outage, during which VMs may have failed unnoticed.
 	MaxViewAge = 10 * time.Second
-	// MaxListAge is how far the platform's list may lag. It is asked for as
-	// its size allows, every 34 s at 3,600 VMs, and lags by seconds itself;
-	// the entry VMs' own probes see failures sooner, so that it may lag more
-	// than the view.
+	// MaxListAge is the maximum age of the platform's list of VMs for a stop to
+	// start. The interval at which the list is read grows with its size (34 s at
+	// 3,600 VMs), and the list itself lags by seconds. It may be older than the
+	// view because the entry VMs' own probes detect failures sooner.
 	MaxListAge = 60 * time.Second
-	// DefaultMaxFailures pauses a wave that declares no limit: one failure
-	// is an ordinary day's, the second in one wave has a common cause.
+	// DefaultMaxFailures is the number of failures that pauses a wave that
+	// declares no limit. A single failure is to be expected on any day; a second
+	// one in the same wave suggests a common cause.
 	DefaultMaxFailures = 2
-	// DefaultGrace is how long a drain may take where the wave does not say.
+	// DefaultGrace is how long a drain may take if the wave declares no grace
+	// period.
 	DefaultGrace = 10 * time.Minute
-	// ReturnTimeout is how long a reboot and its proof of health may take
-	// beyond the probation. A boot takes one to three minutes.
+	// ReturnTimeout is how long a reboot and the following health check may
+	// take in addition to the wave's probation period. A boot takes one to three
+	// minutes.
 	ReturnTimeout = 10 * time.Minute
 )
 
-// VM is one VM of the snapshot.
+// VM is one VM of a Snapshot: its record and its current health.
 type VM struct {
 	*model.VM      // read only
-	Up        bool // certainly in service, as budget.Up says
+	Up        bool // certainly in service, see budget.Up
 	Health    model.Health
 }
 
-// Snapshot is all that a plan is made from.
+// Snapshot is the complete input of MakePlan.
 type Snapshot struct {
 	Now         time.Time
 	Declaration *model.Declaration
-	Wave        model.Wave // with the pools of this run
+	Wave        model.Wave // its Pools are those of this run
 	Run         model.ChangeID
-	VMs         []VM      // at least all VMs of all services that have targets in the wave's pools
+	VMs         []VM      // must include every VM of every service that has targets in the wave's pools
 	Started     time.Time // when the run was started
-	Resumed     time.Time // when an operator let it go on last; failures before are known to them
+	Resumed     time.Time // when an operator last resumed the run; earlier failures are known to the operator and not counted
 	ViewAge     time.Duration
 	ListAge     time.Duration
 }
 
-// Verdict is what the wave does next.
+// Verdict tells the executor what to do with the wave next.
 type Verdict string
 
-// The verdicts of a Plan.
+// The possible verdicts of a Plan.
 const (
-	Go       Verdict = "go"       // Stops may start
-	Hold     Verdict = "hold"     // wait, and go on by itself
-	Pause    Verdict = "pause"    // stop until an operator resumes
-	Finished Verdict = "finished" // every VM is done
+	Go       Verdict = "go"       // start the stops in Plan.Stops
+	Hold     Verdict = "hold"     // start nothing now; the wave continues by itself later
+	Pause    Verdict = "pause"    // start nothing until an operator resumes the wave
+	Finished Verdict = "finished" // every VM has been maintained
 )
 
-// Progress counts the VMs of the wave.
+// Progress counts the VMs of a wave by state. Done, Out and Remaining add up to
+// Total; Failed and Postponed VMs are among them.
 type Progress struct {
 	Total     int
 	Done      int
 	Out       int // held by the wave now
-	Failed    int // out, or back and down, beyond what is tolerated
-	Postponed int // given back since their drain took too long, to be tried again
-	Remaining int // not begun
+	Failed    int // not back within the time allowed, or down soon after they came back
+	Postponed int // returned to service because their drain took too long; tried again later
+	Remaining int // not started in this run, including postponed VMs
 }
 
-// Plan is what the wave does next and why.
+// Plan is the next step of a wave, with its reason.
 type Plan struct {
 	Verdict  Verdict
-	Stops    []model.VMID // to take out now, in this order
-	Reason   string       // what holds the wave back or paused it; empty if nothing
+	Stops    []model.VMID // VMs to take out of service now, in this order
+	Reason   string       // why the wave starts no (further) stops or is paused; empty if nothing prevents it
 	Progress Progress
-	Forecast time.Duration // until the wave ends if nothing fails; 0 where finished
+	Forecast time.Duration // estimated time until the wave ends if nothing fails; 0 if it is finished
 }
 
-// MakePlan plans the next stops of a wave. It starts nothing on evidence that is
-// too old.
+// MakePlan decides the next stops of a wave. It starts none if the view of the
+// fleet or the platform's list of VMs is too old.
 func MakePlan(s Snapshot) Plan {
 	p := newPlanner(s)
 	plan := Plan{Verdict: Hold, Progress: p.progress}
@@ -101,7 +107,7 @@
 	case s.ListAge > MaxListAge:
 		plan.Reason = "the platform's list of VMs is " + s.ListAge.Round(time.Second).String() + " old"
 	default:
-		plan.Stops, plan.Reason = p.choose()
+		plan.Stops, plan.Reason = p.selectStops()
 		if len(plan.Stops) > 0 {
 			plan.Verdict = Go
 		}
@@ -111,7 +117,8 @@
 
 func (s *Snapshot) weights() model.Weights { return Weights(s.Declaration, &s.Wave) }
 
-// Weights returns what steers a wave: its own weights, else the deployment's.
+// Weights returns the weights that apply to w: its own if it declares any, else
+// those of the deployment. A nil w gets the weights of the deployment.
 func Weights(d *model.Declaration, w *model.Wave) model.Weights {
 	if w != nil && w.Weights != (model.Weights{}) {
 		return w.Weights
@@ -123,7 +130,8 @@
 	return budget.Member{ID: v.ID, Zone: v.Zone, Rack: v.Rack, Up: v.Up}
 }
 
-// Grace returns how long a drain of the wave may take before it is postponed.
+// Grace returns how long the drain of a VM may take before the wave postpones
+// the VM.
 func Grace(w *model.Wave) time.Duration {
 	if w.Grace > 0 {
 		return w.Grace
--- a/policy/wave/wave_test.go
+++ b/policy/wave/wave_test.go
@@ -14,8 +14,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// TestMain fixes the seed of property tests, so that CI's verdict is the same
-// every time; -rapid.seed on the command line overrides it.
+// TestMain fixes the seed of property tests, so that every CI run checks the
+// same cases; -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
@@ -27,13 +27,14 @@
 var now = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
 var (
-	swift  = model.Weights{RollOutTime: 3, BufferCost: 1, Moves: 1}
-	frugal = model.Weights{RollOutTime: 1, BufferCost: 3, Moves: 1}
+	preferRollOutTime = model.Weights{RollOutTime: 3, BufferCost: 1, Moves: 1}
+	preferBufferCost  = model.Weights{RollOutTime: 1, BufferCost: 3, Moves: 1}
 )
 
-// fleet makes services s0.. of pools p0.., each of n VMs over zones, four VMs of
-// a zone to a rack.
-func fleet(services, n, zones, required int, w model.Weights) Snapshot {
+// newSnapshot returns a snapshot with services s0, s1 and so on in pools p0, p1
+// and so on. Each pool has n healthy VMs spread over the zones; each rack holds up
+// to four VMs of one zone. Every service requires the given number of VMs up.
+func newSnapshot(services, n, zones, required int, w model.Weights) Snapshot {
 	d := &model.Declaration{Weights: w}
 	s := Snapshot{Now: now, Declaration: d, Run: "r1", Wave: model.Wave{Name: "spring"}}
 	inZone := make([]int, zones)
@@ -58,15 +59,17 @@
 	return s
 }
 
-func hold(v *VM, state model.VMState) {
+// markHeld makes v a VM that the wave holds since now.
+func markHeld(v *VM, state model.VMState) {
 	v.Holder, v.State, v.Up, v.Run, v.Since = "wave spring", state, false, "r1", now
 }
 
-func done(v *VM, took time.Duration) {
+// markDone makes v a VM that the wave finished now, after it was out for took.
+func markDone(v *VM, took time.Duration) {
 	v.Run, v.Wave, v.Took, v.Since = "r1", "spring", took, now
 }
 
-func TestPlan(t *testing.T) {
+func TestMakePlan(t *testing.T) {
 	cases := []struct {
 		name    string
 		snap    Snapshot
@@ -75,77 +78,77 @@
 		stops   int
 		reason  string
 	}{
-		{"takes what budgets allow beside the reserve", fleet(5, 10, 4, 7, swift), nil, Go, 7, "service s0 has 8 of 10 VMs up, needs 7 and must stand the loss of any one VM"},
-		{"canaries go alone", fleet(5, 10, 4, 7, swift), func(s *Snapshot) { s.Wave.Canary = 2 }, Go, 2, ""},
-		{"waits for the canary", fleet(5, 10, 4, 7, swift), func(s *Snapshot) {
+		{"stops as many VMs as budgets and reserve allow", newSnapshot(5, 10, 4, 7, preferRollOutTime), nil, Go, 7, "service s0 has 8 of 10 VMs up, needs 7 and must stand the loss of any one VM"},
+		{"stops only canaries at first", newSnapshot(5, 10, 4, 7, preferRollOutTime), func(s *Snapshot) { s.Wave.Canary = 2 }, Go, 2, ""},
+		{"holds until the canary returns", newSnapshot(5, 10, 4, 7, preferRollOutTime), func(s *Snapshot) {
 			s.Wave.Canary = 1
-			hold(&s.VMs[0], model.VMRebooting)
+			markHeld(&s.VMs[0], model.VMRebooting)
 		}, Hold, 0, "waits for the canary VMs"},
-		{"declared batch", fleet(5, 10, 4, 7, swift), func(s *Snapshot) { s.Wave.MaxBatch = 3 }, Go, 3, ""},
-		{"no headroom", fleet(1, 10, 4, 10, swift), nil, Hold, 0, "service s0 has 10 of 10 VMs up and needs 10"},
-		{"last headroom is used without reserve", fleet(1, 10, 4, 9, swift), nil, Go, 1, "service s0 has 9 of 10 VMs up and needs 9"},
-		{"a failure uses the headroom up", fleet(1, 10, 4, 9, swift), func(s *Snapshot) { s.VMs[9].Up = false }, Hold, 0, "service s0 has 9 of 10 VMs up and needs 9"},
-		{"stale view", fleet(1, 10, 4, 7, swift), func(s *Snapshot) { s.ViewAge = time.Minute }, Hold, 0, "the view of the fleet is 1m0s old"},
-		{"stale list", fleet(1, 10, 4, 7, swift), func(s *Snapshot) { s.ListAge = time.Hour }, Hold, 0, "the platform's list of VMs is 1h0m0s old"},
-		{"held by an order", fleet(1, 1, 1, 0, swift), func(s *Snapshot) { s.VMs[0].Holder = "order c1" }, Hold, 0, "VM v0-0 is held by order c1"},
-		{"not healthy", fleet(1, 1, 1, 0, swift), func(s *Snapshot) { s.VMs[0].Up = false }, Hold, 0, "VM v0-0 is not certainly healthy"},
-		{"postponed", fleet(1, 1, 1, 0, swift), func(s *Snapshot) { s.VMs[0].Postponed = now }, Hold, 0, "VM v0-0 was postponed until 2026-03-02T08:10:00Z"},
-		{"postponed long ago", fleet(1, 1, 1, 0, swift), func(s *Snapshot) { s.VMs[0].Postponed = now.Add(-time.Hour) }, Go, 1, ""},
-		{"finished", fleet(1, 2, 1, 0, swift), func(s *Snapshot) { done(&s.VMs[0], 1); done(&s.VMs[1], 1) }, Finished, 0, ""},
-		{"one failure is not correlated", fleet(1, 10, 4, 7, swift), func(s *Snapshot) {
-			done(&s.VMs[0], time.Minute)
+		{"declared batch size limits the stops", newSnapshot(5, 10, 4, 7, preferRollOutTime), func(s *Snapshot) { s.Wave.MaxBatch = 3 }, Go, 3, ""},
+		{"no headroom", newSnapshot(1, 10, 4, 10, preferRollOutTime), nil, Hold, 0, "service s0 has 10 of 10 VMs up and needs 10"},
+		{"the last headroom may be used without a reserve", newSnapshot(1, 10, 4, 9, preferRollOutTime), nil, Go, 1, "service s0 has 9 of 10 VMs up and needs 9"},
+		{"a failure uses up the headroom", newSnapshot(1, 10, 4, 9, preferRollOutTime), func(s *Snapshot) { s.VMs[9].Up = false }, Hold, 0, "service s0 has 9 of 10 VMs up and needs 9"},
+		{"stale view", newSnapshot(1, 10, 4, 7, preferRollOutTime), func(s *Snapshot) { s.ViewAge = time.Minute }, Hold, 0, "the view of the fleet is 1m0s old"},
+		{"stale list", newSnapshot(1, 10, 4, 7, preferRollOutTime), func(s *Snapshot) { s.ListAge = time.Hour }, Hold, 0, "the platform's list of VMs is 1h0m0s old"},
+		{"VM held by an order", newSnapshot(1, 1, 1, 0, preferRollOutTime), func(s *Snapshot) { s.VMs[0].Holder = "order c1" }, Hold, 0, "VM v0-0 is held by order c1"},
+		{"VM not healthy", newSnapshot(1, 1, 1, 0, preferRollOutTime), func(s *Snapshot) { s.VMs[0].Up = false }, Hold, 0, "VM v0-0 is not certainly healthy"},
+		{"postponed VM within the grace period", newSnapshot(1, 1, 1, 0, preferRollOutTime), func(s *Snapshot) { s.VMs[0].Postponed = now }, Hold, 0, "VM v0-0 was postponed until 2026-03-02T08:10:00Z"},
+		{"postponed VM after the grace period", newSnapshot(1, 1, 1, 0, preferRollOutTime), func(s *Snapshot) { s.VMs[0].Postponed = now.Add(-time.Hour) }, Go, 1, ""},
+		{"finished", newSnapshot(1, 2, 1, 0, preferRollOutTime), func(s *Snapshot) { markDone(&s.VMs[0], 1); markDone(&s.VMs[1], 1) }, Finished, 0, ""},
+		{"one failure does not pause the wave", newSnapshot(1, 10, 4, 7, preferRollOutTime), func(s *Snapshot) {
+			markDone(&s.VMs[0], time.Minute)
 			s.VMs[0].Health, s.VMs[0].Up = model.HealthDown, false
 		}, Go, 1, "service s0 has 8 of 10 VMs up, needs 7 and must stand the loss of any one VM"},
-		{"correlated failures after return", fleet(1, 10, 4, 5, swift), func(s *Snapshot) {
+		{"two failures after return pause the wave", newSnapshot(1, 10, 4, 5, preferRollOutTime), func(s *Snapshot) {
 			for i := range 2 {
-				done(&s.VMs[i], time.Minute)
+				markDone(&s.VMs[i], time.Minute)
 				s.VMs[i].Health, s.VMs[i].Up = model.HealthDown, false
 			}
 		}, Pause, 0, "2 VMs failed after the wave rebooted them: v0-0, v0-1"},
-		{"reboot that never ends", fleet(1, 10, 4, 7, swift), func(s *Snapshot) {
+		{"reboot that does not end in time", newSnapshot(1, 10, 4, 7, preferRollOutTime), func(s *Snapshot) {
 			s.Wave.MaxFailures = 1
-			hold(&s.VMs[3], model.VMRebooting)
+			markHeld(&s.VMs[3], model.VMRebooting)
 			s.VMs[3].ProofBoots = 2
 			s.VMs[3].Since = now.Add(-time.Hour)
 		}, Pause, 0, "1 VMs failed after the wave rebooted them: v0-3"},
-		{"failed canary", fleet(1, 10, 4, 7, swift), func(s *Snapshot) {
+		{"failed canary", newSnapshot(1, 10, 4, 7, preferRollOutTime), func(s *Snapshot) {
 			s.Wave.Canary = 1
-			hold(&s.VMs[3], model.VMProbation)
+			markHeld(&s.VMs[3], model.VMProbation)
 			s.VMs[3].ProofBoots = 2
 			s.VMs[3].Since = now.Add(-time.Hour)
 		}, Pause, 0, "1 VMs failed after the wave rebooted them: v0-3"},
-		{"failure that the operator resumed over", fleet(1, 10, 4, 7, swift), func(s *Snapshot) {
+		{"failure before the operator resumed the wave", newSnapshot(1, 10, 4, 7, preferRollOutTime), func(s *Snapshot) {
 			s.Wave.MaxFailures = 1
 			s.Resumed = now.Add(-time.Minute)
-			hold(&s.VMs[3], model.VMProbation)
+			markHeld(&s.VMs[3], model.VMProbation)
 			s.VMs[3].ProofBoots = 2
 			s.VMs[3].Since = now.Add(-time.Hour)
 		}, Go, 1, "service s0 has VMs out in another zone than z0"},
-		{"second zone only if both could be lost", fleet(1, 10, 2, 7, swift), func(s *Snapshot) {
-			hold(&s.VMs[0], model.VMLeaving)
+		{"no stop in a second zone unless the service survives the loss of both", newSnapshot(1, 10, 2, 7, preferRollOutTime), func(s *Snapshot) {
+			markHeld(&s.VMs[0], model.VMLeaving)
 			for i := 2; i < 10; i += 2 {
-				done(&s.VMs[i], time.Minute)
+				markDone(&s.VMs[i], time.Minute)
 			}
 			s.Declaration.Services[0].Budget.MinAvailable.Count = 6
 		}, Hold, 0, "service s0 has VMs out in another zone than z1"},
-		{"second rack only if both could be lost", fleet(1, 10, 1, 4, swift), func(s *Snapshot) {
-			hold(&s.VMs[0], model.VMLeaving)
+		{"no stop in a second rack unless the service survives the loss of both", newSnapshot(1, 10, 1, 4, preferRollOutTime), func(s *Snapshot) {
+			markHeld(&s.VMs[0], model.VMLeaving)
 			for i := 1; i < 4; i++ {
-				done(&s.VMs[i], time.Minute)
+				markDone(&s.VMs[i], time.Minute)
 			}
 			s.VMs[8].Holder, s.VMs[9].Holder = "order c1", "order c2"
 		}, Hold, 0, "service s0 has VMs out in another rack than z0-r1"},
-		{"frugal takes a tenth", fleet(5, 10, 4, 5, frugal), nil, Go, 5, ""},
-		{"frugal takes less once it knows how the times differ", fleet(5, 10, 4, 5, frugal), func(s *Snapshot) {
+		{"buffer cost: a tenth of the VMs at once", newSnapshot(5, 10, 4, 5, preferBufferCost), nil, Go, 5, ""},
+		{"buffer cost: fewer once the durations of stops are known", newSnapshot(5, 10, 4, 5, preferBufferCost), func(s *Snapshot) {
 			s.Started = now.Add(-10 * time.Minute)
 			for i := range 10 {
-				done(&s.VMs[i], time.Duration(i+1)*time.Minute)
+				markDone(&s.VMs[i], time.Duration(i+1)*time.Minute)
 			}
 		}, Go, 4, ""},
-		{"frugal catches up when it is late", fleet(5, 10, 4, 5, frugal), func(s *Snapshot) {
+		{"buffer cost: more again when the wave is late", newSnapshot(5, 10, 4, 5, preferBufferCost), func(s *Snapshot) {
 			s.Started = now.Add(-time.Hour)
 			for i := range 10 {
-				done(&s.VMs[i], time.Duration(i+1)*time.Minute)
+				markDone(&s.VMs[i], time.Duration(i+1)*time.Minute)
 			}
 		}, Go, 5, ""},
 	}
@@ -162,11 +165,11 @@
 	}
 }
 
-func TestForecastShrinksAsVMsReturn(t *testing.T) {
-	s := fleet(1, 10, 4, 5, swift)
+func TestForecastDropsAsVMsReturn(t *testing.T) {
+	s := newSnapshot(1, 10, 4, 5, preferRollOutTime)
 	before := MakePlan(s).Forecast
 	for i := range 9 {
-		done(&s.VMs[i], time.Minute)
+		markDone(&s.VMs[i], time.Minute)
 	}
 	after := MakePlan(s).Forecast
 	assert.Assert(t, after < before)
@@ -181,18 +184,18 @@
 		weights  model.Weights
 		want     Reserve
 	}{
-		{"a zone beside one stop", 10, 6, swift, ReserveZone},
-		{"a rack", 10, 7, swift, ReserveRack},
-		{"one VM", 10, 8, swift, ReserveVM},
-		{"nothing", 10, 9, swift, ReserveNone},
-		{"roll-out would be slower than by tenths", 100, 70, swift, ReserveRack},
-		{"buffer cost bears the slower roll-out", 100, 70, frugal, ReserveZone},
+		{"zone", 10, 6, preferRollOutTime, ReserveZone},
+		{"rack", 10, 7, preferRollOutTime, ReserveRack},
+		{"one VM", 10, 8, preferRollOutTime, ReserveVM},
+		{"no reserve", 10, 9, preferRollOutTime, ReserveNone},
+		{"roll-out time: no zone if fewer than a tenth could be out", 100, 70, preferRollOutTime, ReserveRack},
+		{"buffer cost: zone in spite of a slower roll-out", 100, 70, preferBufferCost, ReserveZone},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := fleet(1, tc.total, 4, tc.required, tc.weights)
+			s := newSnapshot(1, tc.total, 4, tc.required, tc.weights)
 			if tc.total == 10 {
-				for i := range s.VMs { // two VMs of the service to a rack
+				for i := range s.VMs { // at most two VMs of the service in a rack
 					s.VMs[i].Rack = model.RackName(fmt.Sprint(s.VMs[i].Zone, i/8))
 				}
 			}
@@ -206,40 +209,40 @@
 	}
 }
 
-func TestOrderMayUseTheReserveOnlyAlone(t *testing.T) {
-	s := fleet(1, 10, 4, 8, swift) // room for two stops, or one and a failure
+func TestOrderUsesReserveOnlyWithoutOtherStops(t *testing.T) {
+	s := newSnapshot(1, 10, 4, 8, preferRollOutTime) // headroom for two stops, or for one stop and one failure
 	var ms []budget.Member
 	for i := range s.VMs {
 		ms = append(ms, memberOf(&s.VMs[i]))
 	}
-	tally := NewTally(budget.Count(&s.Declaration.Services[0], ms), nil, swift)
+	tally := NewTally(budget.Count(&s.Declaration.Services[0], ms), nil, preferRollOutTime)
 	tally.MarkTakenOut(ms[0])
 
 	assert.Equal(t, tally.OrderRefusalReason(ms[1], 0), "")
 	assert.Equal(t, tally.OrderRefusalReason(ms[1], 1), "service s0 has 9 of 10 VMs up, needs 8 and must stand the loss of any one VM")
 	down := ms[1]
 	down.Up = false
-	assert.Equal(t, tally.OrderRefusalReason(down, 1), "", "what is down costs nothing")
+	assert.Equal(t, tally.OrderRefusalReason(down, 1), "", "stopping a VM that is down uses no headroom")
 }
 
-func TestPoolsWithMostLeftGoFirst(t *testing.T) {
-	s := fleet(2, 10, 4, 8, frugal)
+func TestPoolsWithMostRemainingVMsGoFirst(t *testing.T) {
+	s := newSnapshot(2, 10, 4, 8, preferBufferCost)
 	s.Wave.MaxBatch = 1
-	assert.Equal(t, MakePlan(s).Stops[0], model.VMID("v0-0"), "the wave's order decides between equals")
-	done(&s.VMs[0], time.Minute)
+	assert.Equal(t, MakePlan(s).Stops[0], model.VMID("v0-0"), "pools with equally many VMs follow the wave's order")
+	markDone(&s.VMs[0], time.Minute)
 
-	assert.Equal(t, find(&s, MakePlan(s).Stops[0]).Pool, model.PoolName("p1"))
+	assert.Equal(t, findVM(&s, MakePlan(s).Stops[0]).Pool, model.PoolName("p1"))
 }
 
-// Whatever fails and whatever is out, a plan keeps every budget, leaves room for
-// the reserve where one is kept, takes no VM twice or that is not up, and where
-// nothing is in the way it takes at least one.
-func TestAnyPlanKeepsTheBudgets(t *testing.T) {
+// For random fleets with VMs down, held or done, the stops of a plan must violate
+// no budget and include no VM twice or that isn't up. With nothing down or held
+// and headroom left, a plan must stop at least one VM, or a wave would never end.
+func TestPlanKeepsBudgetsForRandomFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "n")
 		required := rapid.IntRange(0, n).Draw(t, "required")
-		weights := rapid.SampledFrom([]model.Weights{swift, frugal}).Draw(t, "weights")
-		s := fleet(rapid.IntRange(1, 3).Draw(t, "services"), n, rapid.IntRange(1, 4).Draw(t, "zones"), required, weights)
+		weights := rapid.SampledFrom([]model.Weights{preferRollOutTime, preferBufferCost}).Draw(t, "weights")
+		s := newSnapshot(rapid.IntRange(1, 3).Draw(t, "services"), n, rapid.IntRange(1, 4).Draw(t, "zones"), required, weights)
 		if rapid.Bool().Draw(t, "shared pool") {
 			last := &s.Declaration.Services[len(s.Declaration.Services)-1]
 			last.Pools = s.Wave.Pools
@@ -249,13 +252,13 @@
 			case 0:
 				s.VMs[i].Up = false
 			case 1:
-				hold(&s.VMs[i], model.VMLeaving)
+				markHeld(&s.VMs[i], model.VMLeaving)
 			case 2:
-				done(&s.VMs[i], time.Minute)
+				markDone(&s.VMs[i], time.Minute)
 			}
 		}
 		held := 0
-		before := counts(&s)
+		before := countServices(&s)
 		for i := range s.VMs {
 			if s.VMs[i].Holder != "" {
 				held++
@@ -265,26 +268,26 @@
 		p := MakePlan(s)
 
 		for _, id := range p.Stops {
-			v := find(&s, id)
+			v := findVM(&s, id)
 			if !v.Up {
-				t.Fatalf("%s taken although it is not up", id)
+				t.Fatalf("plan stops VM %s, which is not up", id)
 			}
 			v.Up, v.Holder = false, "wave spring"
 		}
-		after := counts(&s)
+		after := countServices(&s)
 		for name, c := range after {
 			if b := before[name]; c.Up < b.Up && !c.Holds() {
-				t.Fatalf("budget of %s broken by %v: %s", name, p.Stops, c.Violation())
+				t.Fatalf("budget of service %s violated by stops %v: %s", name, p.Stops, c.Violation())
 			}
 		}
 		idle := held == 0 && allUp(before) && p.Progress.Remaining > 0
 		if idle && required < n && len(s.Declaration.Services[0].Pools) == 1 && len(p.Stops) == 0 {
-			t.Fatalf("nothing taken: %s", p.Reason)
+			t.Fatalf("plan stops no VM: %s", p.Reason)
 		}
 	})
 }
 
-func counts(s *Snapshot) map[model.ServiceName]*budget.Tally {
+func countServices(s *Snapshot) map[model.ServiceName]*budget.Tally {
 	all := make(map[model.ServiceName]*budget.Tally)
 	for i := range s.Declaration.Services {
 		svc := &s.Declaration.Services[i]
@@ -310,7 +313,7 @@
 	return true
 }
 
-func find(s *Snapshot, id model.VMID) *VM {
+func findVM(s *Snapshot, id model.VMID) *VM {
 	for i := range s.VMs {
 		if s.VMs[i].ID == id {
 			return &s.VMs[i]
