--- a/policy/budget/budget.go
+++ b/policy/budget/budget.go
@@ -1,9 +1,9 @@
-// Package budget counts what a service has left of its availability budget.
+// Package budget compares the number of VMs that a service has up with its
+// availability budget, the minimum that it needs in total and in each zone.
 //
-// It answers the pattern of planned stops and failures that come together:
-// each looks harmless alone, and without one pessimistic count over both the
-// sum takes a service below what it needs. Whatever is not certain counts as
-// down.
+// Planned stops and failures must be counted together: each may be harmless on
+// its own, while their sum takes a service below its budget. The count is
+// pessimistic: a VM that isn't certainly in service counts as down.
 package budget
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Member is one VM of a service as the budget counts it.
+// Member is one VM of a service, with what the budget needs to know of it.
 type Member struct {
 	ID   model.VMID
 	Zone model.ZoneName
@@ -20,38 +20,39 @@
 	Up   bool // certainly in service, see Up
 }
 
-// Evidence is what is known of a VM besides its record.
+// Evidence is the information about a VM that isn't in its record.
 type Evidence struct {
-	Listed  bool         // it is in a fresh list of the platform, live and not leaving
-	Health  model.Health // what the entry VMs see
-	Stopped bool         // a ledger holds a planned stop of it
+	Listed  bool         // a recent list of the platform contains it, live and not leaving
+	Health  model.Health // as the entry VMs observe it
+	Stopped bool         // a ledger contains a planned stop of it
 }
 
-// Up reports whether a VM certainly serves. A VM that is leaving still works
-// on requests but takes no new ones, so it is down for the count already: a
-// budget that counts it would be broken the moment it stops.
+// Up reports whether a VM is certainly in service. A VM that is leaving counts
+// as down, although it still processes its current requests: it takes no new
+// ones, and a budget that counted it as up would be violated the moment it stops.
 func Up(state model.VMState, e Evidence) bool {
 	return state == model.VMInPool && !e.Stopped && e.Listed && e.Health == model.HealthHealthy
 }
 
-// Domain counts the members of one failure domain (a zone or a rack).
+// Domain is the count of a service's members in one failure domain (a zone or a
+// rack).
 type Domain struct {
 	Total    int
 	Up       int
-	Required int // least up; 0 for racks, which have no budget of their own
+	Required int // minimum of members up; 0 for racks, which have no budget of their own
 }
 
-// Tally is the count of one service.
+// Tally is the availability count of one service.
 type Tally struct {
 	Service  model.ServiceName
 	Total    int
 	Up       int
-	Required int
+	Required int // minimum of members up in the whole service
 	Zones    map[model.ZoneName]*Domain
 	Racks    map[model.RackName]*Domain
 }
 
-// Count counts the members of a service against its budget.
+// Count returns the tally of a service with these members.
 func Count(s *model.Service, members []Member) *Tally {
 	t := &Tally{
 		Service: s.Name,
@@ -69,8 +70,8 @@
 }
 
 func (t *Tally) add(m Member) {
-	zone := domain(t.Zones, m.Zone)
-	rack := domain(t.Racks, m.Rack)
+	zone := domainOf(t.Zones, m.Zone)
+	rack := domainOf(t.Racks, m.Rack)
 	t.Total++
 	zone.Total++
 	rack.Total++
@@ -82,7 +83,8 @@
 	rack.Up++
 }
 
-func domain[K comparable](domains map[K]*Domain, key K) *Domain {
+// domainOf returns the domain with the key, which it adds if it is missing.
+func domainOf[K comparable](domains map[K]*Domain, key K) *Domain {
 	d, ok := domains[key]
 	if !ok {
 		d = &Domain{}
@@ -91,17 +93,18 @@
 	return d
 }
 
-// Spare returns how many more members may go down before the budget of the
-// whole service is used up; negative where it is broken.
+// Spare returns how many more members may go down without violating the budget
+// of the whole service. It is negative if the budget is violated already.
 func (t *Tally) Spare() int { return t.Up - t.Required }
 
-// Holds reports whether the budget holds now, in the service and every zone.
+// Holds reports whether the budget is met now, in the service and in every zone.
 func (t *Tally) Holds() bool {
 	return t.Violation() == ""
 }
 
-// Allows reports whether the budget holds with m down as well. A member that
-// is down already costs nothing, but no stop is added to a broken budget.
+// Allows reports whether m may be stopped, that is whether the budget is met now
+// and with m down as well. Stopping a member that is already down uses no
+// headroom, but isn't allowed either while the budget is violated.
 func (t *Tally) Allows(m Member) bool {
 	if !t.Holds() {
 		return false
@@ -109,21 +112,22 @@
 	if !m.Up {
 		return true
 	}
-	z := domain(t.Zones, m.Zone)
+	z := domainOf(t.Zones, m.Zone)
 	return t.Up-1 >= t.Required && z.Up-1 >= z.Required
 }
 
-// MarkDown counts m as down from now on.
+// MarkDown counts m as down. It changes nothing if m is down already.
 func (t *Tally) MarkDown(m Member) {
 	if !m.Up {
 		return
 	}
 	t.Up--
-	domain(t.Zones, m.Zone).Up--
-	domain(t.Racks, m.Rack).Up--
+	domainOf(t.Zones, m.Zone).Up--
+	domainOf(t.Racks, m.Rack).Up--
 }
 
-// ExplainRefusal says in a sentence why a stop in zone is not allowed.
+// ExplainRefusal returns a sentence that tells operators why a stop in the zone
+// isn't allowed.
 func (t *Tally) ExplainRefusal(zone model.ZoneName) string {
 	if why := t.Violation(); why != "" {
 		return why
@@ -135,21 +139,23 @@
 	return fmt.Sprintf("service %s has %d of %d VMs up and needs %d", t.Service, t.Up, t.Total, t.Required)
 }
 
-// Violation says in a sentence where the budget does not hold, or nothing.
+// Violation returns a sentence that tells operators where the budget is violated:
+// in the whole service, or else in the first such zone by name. It returns an
+// empty string if the budget is met.
 func (t *Tally) Violation() string {
 	if t.Spare() < 0 {
 		return fmt.Sprintf("service %s has only %d of %d VMs up and needs %d", t.Service, t.Up, t.Total, t.Required)
 	}
-	worst := model.ZoneName("")
+	violated := model.ZoneName("")
 	for name, z := range t.Zones {
-		if z.Up < z.Required && (worst == "" || name < worst) {
-			worst = name
+		if z.Up < z.Required && (violated == "" || name < violated) {
+			violated = name
 		}
 	}
-	if worst == "" {
+	if violated == "" {
 		return ""
 	}
-	return t.explainZone(worst, t.Zones[worst])
+	return t.explainZone(violated, t.Zones[violated])
 }
 
 func (t *Tally) explainZone(name model.ZoneName, z *Domain) string {
