--- a/policy/health/health.go
+++ b/policy/health/health.go
@@ -1,189 +1,205 @@
-// Package health judges targets by what their requests showed, against their
-// peers, and says how much of its work a target gets.
+// Package health detects unhealthy targets by the outcomes of their requests and
+// determines which share of its normal load a target gets.
 //
-// It answers a target that fails what it is sent, and fails it fast: being
-// free all the time it would draw most of the load. Judged alone, targets
-// would also be ejected for a caller whose requests fail everywhere, or for a
-// broken dependency of the whole service, until none is left; so a target is
-// judged against the others, and the service's budget bounds how many go.
+// A target that fails its requests quickly always has free capacity, and would
+// therefore receive most of the load. It is ejected, which means that it gets no
+// requests for a time. Targets are compared with their peers: by an absolute
+// failure rate, a caller whose requests fail everywhere or a failed dependency of
+// the whole service would eject one target after another until none is left. For
+// the same reason the service's budget limits the number of ejected targets.
 package health
 
 import "time"
 
 const (
-	// ConsecutiveFailureThreshold ejects a target whose peers mostly succeed. Five in a
-	// row happen by chance once in 3 million requests at a failure rate of 5%.
+	// ConsecutiveFailureThreshold is the number of consecutive failures that
+	// ejects a target whose peers mostly succeed. At a failure rate of 5%, five
+	// in a row happen by chance once in 3 million requests.
 	ConsecutiveFailureThreshold = 5
-	// windowSpan is how far back rates reach: long enough for the 10 samples
-	// that a rate needs at one request a second.
-	windowSpan = 10 * time.Second
-	// rateSamples is the least number of samples a rate is believed with.
-	rateSamples = 10
-	// rateExcess is by how much the failure rate must exceed the peers': one
-	// caller's bad requests spread over all targets alike and never exceed it.
-	rateExcess = 0.3
-	// EjectionBase is the first ejection's time, doubled for each further one
-	// up to EjectionMax: a restart takes about as long, a broken VM is asked
-	// once a minute.
+	// rateWindow is the period over which failure rates are computed. At one
+	// request per second it holds the 10 samples that a rate requires.
+	rateWindow = 10 * time.Second
+	// minRateSamples is the minimum number of samples for a failure rate to be
+	// used.
+	minRateSamples = 10
+	// minRateExcess is the difference by which a target's failure rate must
+	// exceed that of its peers for an ejection. The bad requests of one caller
+	// spread evenly over all targets and don't cause such a difference.
+	minRateExcess = 0.3
+	// EjectionBase is the duration of the first ejection, about the time of a
+	// restart. It doubles with each further ejection up to EjectionMax, so that
+	// a VM that stays broken is tried once a minute.
 	EjectionBase = 5 * time.Second
 	EjectionMax  = time.Minute
-	// forgiveAfter clean time takes back one doubling.
-	forgiveAfter = time.Minute
-	// SlowStart is how long a target that comes (back) gets less: a process
-	// with cold caches that is sent its full share at once times out and is
-	// ejected again.
+	// ejectionDecay is the time without failures that undoes one doubling.
+	ejectionDecay = time.Minute
+	// SlowStart is the time over which the load of a new or returning target
+	// rises to its full share. A process with cold caches that gets its full
+	// share at once times out and is ejected again.
 	SlowStart = 10 * time.Second
-	// slowStartFloor is the share it starts with: enough requests to be judged.
-	slowStartFloor = 0.1
+	// minSlowStartWeight is the share of the load at the start of a slow start.
+	// It yields enough requests to assess the target's health.
+	minSlowStartWeight = 0.1
 )
 
-// Target is what is known of one target's health. The zero value is a target
-// that was always there.
+// Target is the health state of one target. The zero value is a healthy target
+// that gets its full share of the load.
 type Target struct {
-	consecutive int
-	slots       [windowSlots]count
-	slotAt      int64 // number of the newest slot of time
-
-	ejectedUntil time.Time
-	ejections    int
-	cleanSince   time.Time
-	startedAt    time.Time // of its slow start; zero if it was always there
+	consecutiveFailures int
+	buckets             [rateBuckets]outcomes
+	newestBucket        int64 // time of the newest bucket, in bucket lengths since the Unix epoch
+
+	ejectedUntil     time.Time
+	ejections        int       // number of doublings for the next ejection
+	failureFreeSince time.Time // start of the period that ejectionDecay is compared with
+	slowStartAt      time.Time // start of the slow start; zero if there was none
 }
 
-// windowSlots divides windowSpan; old samples leave a slot at a time.
-const windowSlots = 5
+// rateBuckets is the number of buckets into which rateWindow is divided. Samples
+// expire one bucket at a time.
+const rateBuckets = 5
 
-type count struct{ ok, failed int }
+// outcomes counts requests by outcome.
+type outcomes struct{ ok, failed int }
 
-// BeginSlowStart begins a slow start: the target is new or was away.
+// BeginSlowStart resets the state of a new or returning target and begins its
+// slow start.
 func (t *Target) BeginSlowStart(now time.Time) {
-	*t = Target{startedAt: now, cleanSince: now}
+	*t = Target{slowStartAt: now, failureFreeSince: now}
 }
 
-// Observe takes in how a request ended.
+// Observe records the outcome of a request.
 func (t *Target) Observe(ok bool, now time.Time) {
 	t.advance(now)
-	c := &t.slots[t.slotAt%windowSlots]
+	c := &t.buckets[t.newestBucket%rateBuckets]
 	if ok {
 		c.ok++
-		t.consecutive = 0
-		t.forgive(now)
+		t.consecutiveFailures = 0
+		t.decayEjections(now)
 		return
 	}
 	c.failed++
-	t.consecutive++
-	t.cleanSince = now
+	t.consecutiveFailures++
+	t.failureFreeSince = now
 }
 
-func (t *Target) forgive(now time.Time) {
-	if t.ejections > 0 && now.Sub(t.cleanSince) >= forgiveAfter {
+// decayEjections undoes one doubling of the ejection time if the target had no
+// failure for ejectionDecay.
+func (t *Target) decayEjections(now time.Time) {
+	if t.ejections > 0 && now.Sub(t.failureFreeSince) >= ejectionDecay {
 		t.ejections--
-		t.cleanSince = now
+		t.failureFreeSince = now
 	}
 }
 
-// advance empties the slots of time that have passed since the last sample.
+// advance clears the buckets whose time has come since the last sample.
 func (t *Target) advance(now time.Time) {
-	at := now.UnixNano() / int64(windowSpan/windowSlots)
-	if at <= t.slotAt {
+	at := now.UnixNano() / int64(rateWindow/rateBuckets)
+	if at <= t.newestBucket {
 		return
 	}
-	for n := max(t.slotAt+1, at-windowSlots+1); n <= at; n++ {
-		t.slots[n%windowSlots] = count{}
+	for n := max(t.newestBucket+1, at-rateBuckets+1); n <= at; n++ {
+		t.buckets[n%rateBuckets] = outcomes{}
 	}
-	t.slotAt = at
+	t.newestBucket = at
 }
 
-// sum returns the window's samples.
-func (t *Target) sum(now time.Time) count {
+// sum returns the outcomes within rateWindow.
+func (t *Target) sum(now time.Time) outcomes {
 	t.advance(now)
-	var s count
-	for _, c := range t.slots {
+	var s outcomes
+	for _, c := range t.buckets {
 		s.ok += c.ok
 		s.failed += c.failed
 	}
 	return s
 }
 
-// Ejected reports whether the target gets no work for its failures.
+// Ejected reports whether the target is ejected now and gets no requests.
 func (t *Target) Ejected(now time.Time) bool { return now.Before(t.ejectedUntil) }
 
-// Weight is the share of its work the target gets, 0..1.
+// Weight returns the share of its normal load that the target gets, from
+// minSlowStartWeight to 1. It rises linearly during a slow start.
 func (t *Target) Weight(now time.Time) float64 {
-	if t.startedAt.IsZero() {
+	if t.slowStartAt.IsZero() {
 		return 1
 	}
-	age := now.Sub(t.startedAt)
+	age := now.Sub(t.slowStartAt)
 	if age >= SlowStart {
 		return 1
 	}
-	return max(slowStartFloor, float64(age)/float64(SlowStart))
+	return max(minSlowStartWeight, float64(age)/float64(SlowStart))
 }
 
-// eject takes the target out for a time that doubles with each ejection, after
-// which it starts slowly.
+// eject ejects the target for a time that doubles with each ejection. A slow
+// start follows.
 func (t *Target) eject(now time.Time) {
-	span := min(EjectionBase<<min(t.ejections, 10), EjectionMax)
+	duration := min(EjectionBase<<min(t.ejections, 10), EjectionMax)
 	t.ejections++
-	t.ejectedUntil = now.Add(span)
-	t.startedAt = t.ejectedUntil
-	t.cleanSince = now
-	t.consecutive = 0
-	t.slots = [windowSlots]count{}
+	t.ejectedUntil = now.Add(duration)
+	t.slowStartAt = t.ejectedUntil
+	t.failureFreeSince = now
+	t.consecutiveFailures = 0
+	t.buckets = [rateBuckets]outcomes{}
 }
 
-// maxPenalty bounds Penalty, in typical requests: a target that fails all it is
-// sent gets a tenth of what its peers get.
+// maxPenalty is the maximum of Penalty, as a multiple of a request's typical
+// duration: a target that fails all its requests gets a tenth of its peers' load.
 const maxPenalty = 10
 
-// Penalty is how long a slot of the target stays taken after a failure: as many
-// typical requests as have failed in a row, less the time it was held. A
-// failing target that the budget keeps in use would otherwise be the one with
-// free slots and, under load, draw nearly every request.
-func (t *Target) Penalty(held, typical time.Duration) time.Duration {
-	return max(0, time.Duration(min(t.consecutive, maxPenalty))*typical-held)
+// Penalty returns for how long a slot of the target stays occupied after a failed
+// request has ended: the typical duration of a request times the number of
+// consecutive failures, less held, the time for which the request occupied the
+// slot. Otherwise a failing target that the budget doesn't allow to be ejected
+// would be the one with free slots and, under load, get nearly every request.
+func (t *Target) Penalty(held, typicalDuration time.Duration) time.Duration {
+	return max(0, time.Duration(min(t.consecutiveFailures, maxPenalty))*typicalDuration-held)
 }
 
-// EjectOutlier looks at the target after a failure and ejects it where it is an
-// outlier among its peers (itself not included) and mayLeave says that the
-// budget permits one less. It reports whether it ejected it.
-func EjectOutlier(t *Target, peers []*Target, mayLeave bool, now time.Time) bool {
-	if !mayLeave || t.Ejected(now) || !t.outlier(peers, now) {
+// EjectOutlier is called after a failure of t. It ejects t if t isn't ejected
+// already, its failures make it an outlier compared with its peers, and mayEject
+// tells that the budget permits it. Peers must not include t. It reports whether
+// it ejected t.
+func EjectOutlier(t *Target, peers []*Target, mayEject bool, now time.Time) bool {
+	if !mayEject || t.Ejected(now) || !t.isOutlier(peers, now) {
 		return false
 	}
 	t.eject(now)
 	return true
 }
 
-func (t *Target) outlier(peers []*Target, now time.Time) bool {
-	own := t.sum(now)
-	others := count{}
+// isOutlier reports whether the target fails more than its peers: by consecutive
+// failures while more than half of the peers' requests succeed, or by its rate.
+func (t *Target) isOutlier(peers []*Target, now time.Time) bool {
+	ownOutcomes := t.sum(now)
+	peerOutcomes := outcomes{}
 	for _, p := range peers {
 		s := p.sum(now)
-		others.ok += s.ok
-		others.failed += s.failed
+		peerOutcomes.ok += s.ok
+		peerOutcomes.failed += s.failed
 	}
-	othersRate := others.rate()
-	if t.consecutive >= ConsecutiveFailureThreshold {
-		return othersRate < 0.5
+	peerRate := peerOutcomes.rate()
+	if t.consecutiveFailures >= ConsecutiveFailureThreshold {
+		return peerRate < 0.5
 	}
-	return own.ok+own.failed >= rateSamples && own.rate() >= othersRate+rateExcess
+	return ownOutcomes.ok+ownOutcomes.failed >= minRateSamples && ownOutcomes.rate() >= peerRate+minRateExcess
 }
 
-// rate is the share of failures, 0 where there are no samples.
-func (c count) rate() float64 {
+// rate returns the share of failures, or 0 if there are no samples.
+func (c outcomes) rate() float64 {
 	if c.failed == 0 {
 		return 0
 	}
 	return float64(c.failed) / float64(c.ok+c.failed)
 }
 
-// maxEjectedShare bounds ejections whatever the budget says: when more than a
-// third of the targets look bad, the judgement or something shared is.
-const maxEjectedShare = 3
+// minTargetsPerEjection is the number of targets required for each target that is
+// out, whatever the budget permits. If more than a third of the targets look
+// unhealthy, the detection itself or a shared dependency is at fault.
+const minTargetsPerEjection = 3
 
-// MayEject reports whether one more target may be ejected: of total targets,
-// out are out already for any reason, and the budget asks for minAvailable.
+// MayEject reports whether one more target may be ejected, where out of the total
+// targets are out already for any reason and the budget requires minAvailable.
 func MayEject(total, out, minAvailable int) bool {
-	return total-out-1 >= minAvailable && (out+1)*maxEjectedShare <= total
+	return total-out-1 >= minAvailable && (out+1)*minTargetsPerEjection <= total
 }
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -9,8 +9,8 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-// history is a target with ok successes, then failed failures.
-func history(ok, failed int) *Target {
+// newTarget returns a target with ok successes, followed by failed failures.
+func newTarget(ok, failed int) *Target {
 	t := &Target{}
 	for range ok {
 		t.Observe(true, t0)
@@ -21,32 +21,34 @@
 	return t
 }
 
-func TestJudge(t *testing.T) {
-	good, bad := history(50, 0), history(0, 50)
+func TestEjectOutlier(t *testing.T) {
+	healthy, failing := newTarget(50, 0), newTarget(0, 50)
 	cases := []struct {
-		name   string
-		target *Target
-		peers  []*Target
-		may    bool
-		want   bool
+		name     string
+		target   *Target
+		peers    []*Target
+		mayEject bool
+		want     bool
 	}{
-		{"fails in a row", history(20, 5), []*Target{good, good}, true, true},
-		{"a few failures", history(20, 4), []*Target{good, good}, true, false},
-		{"the budget keeps it", history(0, 50), []*Target{good, good}, false, false},
-		{"its peers fail as well", history(0, 50), []*Target{bad, bad}, true, false},
-		{"half of its requests fail", mixed(20), []*Target{good, good}, true, true},
-		{"half fail everywhere", mixed(20), []*Target{mixed(20), mixed(20)}, true, false},
-		{"too few to tell a rate", mixed(4), []*Target{good, good}, true, false},
+		{"consecutive failures", newTarget(20, 5), []*Target{healthy, healthy}, true, true},
+		{"fewer consecutive failures than the threshold", newTarget(20, 4), []*Target{healthy, healthy}, true, false},
+		{"the budget permits no ejection", newTarget(0, 50), []*Target{healthy, healthy}, false, false},
+		{"the peers fail as well", newTarget(0, 50), []*Target{failing, failing}, true, false},
+		{"half of its requests fail", newAlternatingTarget(20), []*Target{healthy, healthy}, true, true},
+		{"half of all targets' requests fail", newAlternatingTarget(20), []*Target{newAlternatingTarget(20), newAlternatingTarget(20)}, true, false},
+		{"too few samples for a rate", newAlternatingTarget(4), []*Target{healthy, healthy}, true, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.Equal(t, EjectOutlier(tc.target, tc.peers, tc.may, t0), tc.want)
+			assert.Equal(t, EjectOutlier(tc.target, tc.peers, tc.mayEject, t0), tc.want)
 			assert.Equal(t, tc.target.Ejected(t0), tc.want)
 		})
 	}
 }
 
-func mixed(n int) *Target {
+// newAlternatingTarget returns a target with n requests, of which every other one
+// failed.
+func newAlternatingTarget(n int) *Target {
 	t := &Target{}
 	for i := range n {
 		t.Observe(i%2 == 0, t0)
@@ -54,8 +56,8 @@
 	return t
 }
 
-func TestEjectionsGrowAndAreForgiven(t *testing.T) {
-	target, peers := history(0, 0), []*Target{history(50, 0)}
+func TestEjectionsGrowAndDecay(t *testing.T) {
+	target, peers := newTarget(0, 0), []*Target{newTarget(50, 0)}
 	now := t0
 	eject := func() time.Duration {
 		for range ConsecutiveFailureThreshold {
@@ -71,25 +73,25 @@
 	for _, want := range []time.Duration{5, 10, 20, 40, 60, 60} {
 		assert.Equal(t, eject(), want*time.Second)
 	}
-	assert.Assert(t, target.Weight(now) < 0.2, "comes back slowly")
+	assert.Assert(t, target.Weight(now) < 0.2, "a slow start follows the ejection")
 	for range 20 {
-		now = now.Add(forgiveAfter)
+		now = now.Add(ejectionDecay)
 		target.Observe(true, now)
 	}
 	assert.Equal(t, target.Weight(now), 1.0)
 	assert.Equal(t, eject(), EjectionBase)
 }
 
-func TestOldFailuresAreForgotten(t *testing.T) {
-	target := mixed(40)
-	now := t0.Add(windowSpan + time.Second)
-	for range rateSamples {
+func TestOldFailuresLeaveTheRateWindow(t *testing.T) {
+	target := newAlternatingTarget(40)
+	now := t0.Add(rateWindow + time.Second)
+	for range minRateSamples {
 		target.Observe(true, now)
 	}
-	assert.Assert(t, !EjectOutlier(target, []*Target{history(50, 0)}, true, now))
+	assert.Assert(t, !EjectOutlier(target, []*Target{newTarget(50, 0)}, true, now))
 }
 
-func TestMayLeave(t *testing.T) {
+func TestMayEject(t *testing.T) {
 	cases := []struct {
 		name            string
 		total, out, min int
@@ -99,8 +101,8 @@
 		{"at the budget", 10, 2, 8, false},
 		{"no budget, up to a third", 10, 2, 0, true},
 		{"no budget, beyond a third", 10, 3, 0, false},
-		{"the only one", 1, 0, 0, false},
-		{"one of two", 2, 0, 0, false},
+		{"the only target", 1, 0, 0, false},
+		{"one of two targets", 2, 0, 0, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -117,10 +119,10 @@
 		held   time.Duration
 		want   time.Duration
 	}{
-		{"one fast failure takes as long as a request", history(5, 1), time.Millisecond, 99 * time.Millisecond},
-		{"one slow failure has taken its time", history(5, 1), time.Second, 0},
-		{"many", history(0, 100), 0, time.Second},
-		{"a success ends it", history(0, 0), 0, 0},
+		{"a fast failure occupies the slot as long as a request", newTarget(5, 1), time.Millisecond, 99 * time.Millisecond},
+		{"a slow failure has occupied the slot long enough", newTarget(5, 1), time.Second, 0},
+		{"many failures, up to the maximum", newTarget(0, 100), 0, time.Second},
+		{"no failure", newTarget(0, 0), 0, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -129,34 +131,34 @@
 	}
 }
 
-func TestLeaving(t *testing.T) {
+func TestReadiness(t *testing.T) {
 	type event func(*Readiness)
-	probe := func(a ProbeResult) event { return func(l *Readiness) { l.RecordProbe(a, t0) } }
-	refuse := func(l *Readiness) { l.RecordRefusal(0, t0) }
+	probe := func(a ProbeResult) event { return func(r *Readiness) { r.RecordProbe(a, t0) } }
+	refuse := func(r *Readiness) { r.RecordRefusal(0, t0) }
 	cases := []struct {
-		name   string
-		events []event
-		after  time.Duration
-		out    bool
-		says   bool
+		name           string
+		events         []event
+		after          time.Duration
+		unready        bool
+		reportsLeaving bool
 	}{
-		{"says so", []event{probe(ProbeLeaving)}, time.Hour, true, true},
-		{"takes it back", []event{probe(ProbeLeaving), probe(ProbeOK)}, 0, false, false},
-		{"no answer after saying so", []event{probe(ProbeLeaving), probe(ProbeNoAnswer)}, 0, true, true},
-		{"refused", []event{refuse}, refusedBase - 1, true, false},
-		{"refused some time ago", []event{refuse}, refusedBase, false, false},
-		{"refused twice, twice as long", []event{refuse, refuse}, 2*refusedBase - 1, true, false},
-		{"refused for being full, health is ok", []event{refuse, probe(ProbeOK)}, 0, false, false},
-		{"refused ever again, at most", []event{refuse, refuse, refuse, refuse, refuse, refuse}, refusedMax, false, false},
+		{"reports that it is leaving", []event{probe(ProbeLeaving)}, time.Hour, true, true},
+		{"leaving, then ready again", []event{probe(ProbeLeaving), probe(ProbeOK)}, 0, false, false},
+		{"leaving, then no answer", []event{probe(ProbeLeaving), probe(ProbeNoAnswer)}, 0, true, true},
+		{"within the backoff after a refusal", []event{refuse}, refusalBackoffBase - 1, true, false},
+		{"after the backoff", []event{refuse}, refusalBackoffBase, false, false},
+		{"backoff doubles with a second refusal", []event{refuse, refuse}, 2*refusalBackoffBase - 1, true, false},
+		{"successful probe ends the backoff", []event{refuse, probe(ProbeOK)}, 0, false, false},
+		{"backoff is bounded", []event{refuse, refuse, refuse, refuse, refuse, refuse}, refusalBackoffMax, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l := &Readiness{}
+			r := &Readiness{}
 			for _, e := range tc.events {
-				e(l)
+				e(r)
 			}
-			assert.Equal(t, l.Unready(t0.Add(tc.after)), tc.out)
-			assert.Equal(t, l.ReportsLeaving(), tc.says)
+			assert.Equal(t, r.Unready(t0.Add(tc.after)), tc.unready)
+			assert.Equal(t, r.ReportsLeaving(), tc.reportsLeaving)
 		})
 	}
 }
