--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -1,61 +1,66 @@
-// Package retry decides whether a request that certainly was not run is sent
-// to another target.
+// Package retry decides whether a request that its target certainly hasn't run is
+// sent to another target.
 //
-// It answers a partial outage: without a budget each failing request costs
-// several attempts, the attempts take the slots of the targets that still
-// work, these fail in turn, and the load stays after its cause has gone.
+// A budget limits the share of retries in the load. Without it, in a partial
+// outage each failing request would be attempted several times; the attempts
+// would occupy the slots of the targets that still work, overload these as well,
+// and keep up the load after the original fault is gone.
 package retry
 
 import "time"
 
 const (
-	// RetriesPerRequest is how many retries one fresh request earns. With Reserve the
-	// retries stay within a tenth of the load from 500 requests on.
+	// RetriesPerRequest is the amount by which each request that isn't a retry
+	// raises the balance. Together with InitialBalance it keeps retries within a
+	// tenth of the load from 500 requests on.
 	RetriesPerRequest = 0.09
-	// InitialBalance is the balance at the start, so that the first request of a
-	// fresh entry VM that meets a refusing target need not fail.
+	// InitialBalance is the number of retries allowed at the start, so that the
+	// first request of a newly started entry VM doesn't fail because one target
+	// refuses it.
 	InitialBalance = 5
-	// MaxBalance bounds what a quiet hour saves up: an outage after it must not
-	// begin with a storm.
+	// MaxBalance is the maximum number of retries that can accumulate, so that an
+	// outage after a long time without failures doesn't begin with a retry storm.
 	MaxBalance = 50
-	// MaxAttempts is the most targets one request is sent to. Two refusals in
-	// a row tell that the service is short of slots, not that the pick was bad.
+	// MaxAttempts is the maximum number of targets that one request is sent to.
+	// Two refusals in a row show that the service is short of slots and not that
+	// an unsuitable target was selected.
 	MaxAttempts = 3
 )
 
-// Budget is one service's allowance of retries. The zero value is not ready;
-// use NewBudget.
+// Budget limits the retries of one service. The zero value has no initial
+// balance; use NewBudget. It is not safe for concurrent use.
 type Budget struct {
-	balance float64
+	balance float64 // number of retries allowed now
 }
 
-// NewBudget returns a Budget that holds its reserve.
+// NewBudget returns a Budget with InitialBalance retries.
 func NewBudget() *Budget { return &Budget{balance: InitialBalance} }
 
 // RecordRequest counts a request that is not a retry.
 func (b *Budget) RecordRequest() { b.balance = min(b.balance+RetriesPerRequest, MaxBalance) }
 
-// Attempt describes a request whose latest attempt was certainly not run.
+// Attempt describes a request whose last attempt certainly wasn't run by its
+// target.
 type Attempt struct {
-	Number          int  // attempts made, 1 after the first
-	Replayable      bool // its body can be sent again from the start
+	Number          int  // attempts made so far, 1 after the first
+	Replayable      bool // the request's body can be sent again from the start
 	Deadline        time.Time
-	TypicalDuration time.Duration // of an answer; 0 where unknown
+	TypicalDuration time.Duration // from sending a request to its response; 0 if unknown
 }
 
-// Verdict says why a retry is or is not made.
+// Verdict tells whether a retry is made, and if not, why.
 type Verdict int8
 
 // The verdicts of Decide.
 const (
-	Retry Verdict = iota + 1
-	TooManyAttempts
-	BodyNotReplayable
-	TooLate
-	OverBudget
+	Retry             Verdict = iota + 1
+	TooManyAttempts           // MaxAttempts were made
+	BodyNotReplayable         // the body was consumed by an attempt
+	TooLate                   // no response can be expected before the deadline
+	OverBudget                // the balance allows no retry
 )
 
-// String returns the word for metrics.
+// String returns the name of the verdict in metrics.
 func (v Verdict) String() string {
 	switch v {
 	case Retry:
@@ -70,7 +75,8 @@
 	return "over-budget"
 }
 
-// Decide takes one retry from the budget where one is worth making.
+// Decide decides whether the request is retried now. If it returns Retry, it has
+// taken one retry from the balance.
 func (b *Budget) Decide(a Attempt, now time.Time) Verdict {
 	switch {
 	case a.Number >= MaxAttempts:
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -10,18 +10,18 @@
 var t0 = time.Unix(0, 0)
 
 func TestDecide(t *testing.T) {
-	soon := Attempt{Number: 1, Replayable: true, Deadline: t0.Add(time.Second), TypicalDuration: 100 * time.Millisecond}
-	with := func(change func(*Attempt)) Attempt { a := soon; change(&a); return a }
+	replayable := Attempt{Number: 1, Replayable: true, Deadline: t0.Add(time.Second), TypicalDuration: 100 * time.Millisecond}
+	with := func(change func(*Attempt)) Attempt { a := replayable; change(&a); return a }
 	cases := []struct {
 		name    string
 		attempt Attempt
 		want    Verdict
 	}{
-		{"in time", soon, Retry},
-		{"too many", with(func(a *Attempt) { a.Number = MaxAttempts }), TooManyAttempts},
-		{"body was read", with(func(a *Attempt) { a.Replayable = false }), BodyNotReplayable},
+		{"in time", replayable, Retry},
+		{"too many attempts", with(func(a *Attempt) { a.Number = MaxAttempts }), TooManyAttempts},
+		{"body not replayable", with(func(a *Attempt) { a.Replayable = false }), BodyNotReplayable},
 		{"past the deadline", with(func(a *Attempt) { a.Deadline = t0 }), TooLate},
-		{"no time for an answer", with(func(a *Attempt) { a.TypicalDuration = time.Second }), TooLate},
+		{"no time for a response", with(func(a *Attempt) { a.TypicalDuration = time.Second }), TooLate},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -30,9 +30,9 @@
 	}
 }
 
-// Every request is refused by every target, for an hour. Retries must stay
-// within a tenth of what callers sent.
-func TestBudgetHoldsUnderATotalOutage(t *testing.T) {
+// Every target refuses each of 10,000 requests. Retries must stay within a tenth
+// of the requests that callers sent.
+func TestRetriesStayWithinBudgetInATotalOutage(t *testing.T) {
 	b := NewBudget()
 	retries := 0
 	for range 10000 {
@@ -44,8 +44,9 @@
 	assert.Assert(t, retries > 850 && retries <= 1000, "%d", retries)
 }
 
-// A quiet hour must not save up a storm.
-func TestBudgetIsBounded(t *testing.T) {
+// Many requests without failures must not accumulate more than MaxBalance
+// retries, which an outage would then turn into a retry storm.
+func TestBudgetBalanceIsBounded(t *testing.T) {
 	b := NewBudget()
 	for range 100000 {
 		b.RecordRequest()
