--- a/policy/imports_test.go
+++ b/policy/imports_test.go
@@ -13,18 +13,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// allowed lists what decisions may import. None of it can reach a network, a
-// file, a clock's hand or another goroutine.
-var allowed = map[string]bool{
+// allowedImports lists the packages that policy packages may import besides each other.
+// None of them accesses a network, files or other goroutines. Package time can
+// read the clock, so its calls are checked separately.
+var allowedImports = map[string]bool{
 	"cmp": true, "container/heap": true, "container/list": true, "errors": true, "fmt": true, "hash/fnv": true,
 	"maps": true, "math": true, "math/bits": true, "math/rand/v2": true, "slices": true,
 	"sort": true, "strconv": true, "strings": true, "time": true,
 }
 
-// A decision that reads the clock or the network cannot be replayed: the same
-// snapshot would give another plan, and its tests would flake. Imports are
-// checked, and the calls of package time that read the clock.
-func TestDecisionsImportNoNetworkAndReadNoClock(t *testing.T) {
+// A decision that reads the clock or the network can't be replayed: the same
+// snapshot would give another plan, and its tests would be flaky. The test checks
+// the imports, and rejects the functions of package time that read the clock or
+// wait.
+func TestPolicyImportsNoNetworkAndReadsNoClock(t *testing.T) {
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -35,8 +37,8 @@
 		for _, imp := range file.Imports {
 			name, err := strconv.Unquote(imp.Path.Value)
 			assert.NilError(t, err)
-			own := strings.HasPrefix(name, "github.com/pumicestage/pumicestage/policy/")
-			assert.Assert(t, own || allowed[name], "%s imports %s", path, name)
+			isPolicy := strings.HasPrefix(name, "github.com/pumicestage/pumicestage/policy/")
+			assert.Assert(t, isPolicy || allowedImports[name], "%s imports %s", path, name)
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			sel, ok := n.(*ast.SelectorExpr)
