--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -25,7 +25,7 @@
 
 // within gives a call so much time, and more while this owner is behind.
 func (e *Engine) within(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, d+overload.Patience(e.behind()))
+	return context.WithTimeout(ctx, d+overload.ExtraTimeout(e.behind()))
 }
 
 // relieved reports whether the cell is to be handed over to a VM that can bear it.
@@ -38,7 +38,7 @@
 	level, resting := e.core.Level(), len(e.core.open) == 0
 	e.mu.Unlock()
 	held := now - e.began
-	return e.relief.Due(level, e.Successor, held, now) || resting && e.relief.DueAtRest(e.Successor, held, now)
+	return e.relief.Due(level, e.Successor, held, now) || resting && e.relief.DueWhenIdle(e.Successor, held, now)
 }
 
 // Strain takes over how long what is ready to run waits for the processor at the least.
@@ -55,10 +55,10 @@
 func (c *Core) Level() float64 { return c.governor.Level() }
 
 // LimitStarts bounds the starts of the next plan; underWay have no answer yet.
-func (c *Core) LimitStarts(underWay int) { c.mayStart = c.governor.Starts(underWay) }
+func (c *Core) LimitStarts(underWay int) { c.mayStart = c.governor.StartsLeft(underWay) }
 
 // pollPause is the pause between two polls of a worker.
-func (c *Core) pollPause() time.Duration { return c.governor.Pause(polling.Pause(c.busy)) }
+func (c *Core) pollPause() time.Duration { return c.governor.PollPause(polling.MinInterval(c.busy)) }
 
 // Held reports whether the last plan kept starts back until others are answered.
 func (c *Core) Held() bool { return c.held }
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -25,7 +25,7 @@
 // are acknowledged.
 type modelWorker struct {
 	id       work.WorkerID
-	life     work.Life
+	life     work.Incarnation
 	slow     float64 // its clock's rate
 	born     time.Duration
 	token    int64
@@ -386,7 +386,7 @@
 			continue
 		}
 		for _, task := range w.tasks() {
-			m.end(w, task, work.Lapsed)
+			m.end(w, task, work.LeaseExpired)
 		}
 		w.lapsed = w.seq
 	}
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -46,11 +46,11 @@
 		if t.state != taskActive {
 			continue
 		}
-		if t.step.spec.Fill {
+		if t.step.spec.BestEffort {
 			filling = append(filling, t)
 		} else if t.step.spec.Serving() && t.atWork() {
 			tail := time.Duration(t.gauge) * time.Millisecond
-			load.Worst = max(load.Worst, float64(tail)/float64(t.step.spec.TargetTail))
+			load.WorstTailRatio = max(load.WorstTailRatio, float64(tail)/float64(t.step.spec.TargetTail))
 		}
 	}
 	return load, filling
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -135,7 +135,7 @@
 	Mean     time.Duration
 	High     time.Duration
 	Away     float64 // share of work that goes to other zones first
-	Heavy    []admission.Heavy
+	Heavy    []admission.HeavyCaller
 }
 
 // heavyShare is from which share of a service's slot time a caller is named to
@@ -148,7 +148,7 @@
 	for _, svc := range d.order {
 		s := ServiceState{
 			Service: svc.decl.Name, Queued: svc.queue.Len(), InFlight: svc.running,
-			Mean: svc.hold.Mean(), High: svc.hold.High(), Away: svc.shift.Share(),
+			Mean: svc.hold.Mean(), High: svc.hold.HighQuantile(), Away: svc.shift.Share(),
 			Heavy: svc.costs.Heaviest(heavyShare),
 		}
 		for _, t := range svc.targets {
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -173,11 +173,11 @@
 // load is what admission sees of the service.
 func (d *Dispatcher) load(svc *service, r Request, now time.Time) admission.Load {
 	l := admission.Load{
-		InFlight: svc.running,
-		Limit:    d.limit(svc),
-		Ahead:    svc.queue.Ahead(r.Caller, r.Class),
-		Mean:     svc.hold.Mean(),
-		High:     svc.hold.High(),
+		InFlight:     svc.running,
+		Limit:        d.limit(svc),
+		CostAhead:    svc.queue.CostAhead(r.Caller, r.Class),
+		Mean:         svc.hold.Mean(),
+		HighQuantile: svc.hold.HighQuantile(),
 	}
 	for _, t := range svc.targets {
 		if d.out(t, now) {
@@ -264,13 +264,13 @@
 			return
 		}
 		free, total := capacity(c.Targets)
-		it := svc.queue.Pop(now, admission.Idle(free, total))
+		it := svc.queue.Pop(now, admission.DeferrableMayStart(free, total))
 		if it == nil {
 			return
 		}
 		t := it.Data.(*Ticket)
-		if svc.queue.Len() > 0 && admission.Hopeless(t.Request.admission(), svc.hold.High(), now) {
-			d.refuse(t, Refusal{Reason: DeadlinePast, RetryAfter: svc.hold.High()})
+		if svc.queue.Len() > 0 && admission.CannotMeetDeadline(t.Request.admission(), svc.hold.HighQuantile(), now) {
+			d.refuse(t, Refusal{Reason: DeadlinePast, RetryAfter: svc.hold.HighQuantile()})
 			continue
 		}
 		d.grant(t, c)
--- a/policy/placement/displace.go
+++ b/policy/placement/displace.go
@@ -24,7 +24,7 @@
 // guarantee on what others have borrowed. Work that is not repeatable is never
 // stopped, urgent work neither.
 func (p *planner) displace(k rank, r *Request) bool {
-	borrows := p.book.Stand(r.Job, r.Size) == quota.Borrows
+	borrows := p.book.Check(r.Job, r.Size) == quota.Borrows
 	if p.stops >= maxStops || k != urgentRank && p.stops >= maxReclaims || k != urgentRank && (borrows || !p.anyOver()) {
 		return false
 	}
@@ -59,7 +59,7 @@
 
 func (p *planner) anyOver() bool {
 	for _, t := range p.declared {
-		if p.book.Over(t.Name) {
+		if p.book.OverGuarantee(t.Name) {
 			return true
 		}
 	}
@@ -121,20 +121,20 @@
 
 // yields reports whether the task may be stopped for the job.
 func (p *planner) yields(r *Request, t *Task) bool {
-	if !quota.TakesBack(t.Job) || t.Job.Class == model.ClassUrgent {
+	if !quota.Preemptible(t.Job) || t.Job.Class == model.ClassUrgent {
 		return false
 	}
 	if r.Job.Class == model.ClassUrgent && t.Job.Class == model.ClassDeferrable {
 		return true
 	}
-	return t.Job.Team != r.Job.Team && p.book.Over(t.Job.Team)
+	return t.Job.Team != r.Job.Team && p.book.OverGuarantee(t.Job.Team)
 }
 
 // yieldsStill asks again after others of the same team were chosen: what its
 // team then has left within the guarantee is not taken from it.
 func (p *planner) yieldsStill(r *Request, t *Task, chosen model.Resources) bool {
-	p.book.Give(t.Job.Team, chosen)
-	defer p.book.Take(t.Job.Team, chosen)
+	p.book.Release(t.Job.Team, chosen)
+	defer p.book.Reserve(t.Job.Team, chosen)
 	return p.yields(r, t)
 }
 
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -258,7 +258,7 @@
 func MostFree(workers []*Worker) work.Resources {
 	var most work.Resources
 	for _, w := range workers {
-		most = most.Most(w.Free)
+		most = most.Max(w.Free)
 	}
 	return most
 }
@@ -328,7 +328,7 @@
 // Reserved returns what a task of the step holds of a worker's capacity.
 func Reserved(s *work.Step) work.Resources {
 	r := s.Size
-	if s.Fill {
+	if s.BestEffort {
 		r.MilliCPU = 0
 	}
 	return r
@@ -350,13 +350,13 @@
 	if w.Limit >= 0 {
 		w.Limit -= n
 	}
-	if s.Step.Lasting {
+	if s.Step.LongRunning {
 		w.Lasting += n
 	}
 	if s.Step.Serving() {
 		w.Serving += n
 	}
-	if s.Step.Fill {
+	if s.Step.BestEffort {
 		w.Filling += n
 	}
 	if s.Hazardous {
@@ -367,7 +367,7 @@
 // shares reports whether the task may go beside the suspects on trial there: they are given up
 // together. A step that lasts is not, and each of its suspects is tried by itself.
 func (s *Step) shares(w *Worker, t Task) bool {
-	return w.trial == s && t.Suspect && !s.Step.Lasting
+	return w.trial == s && t.Suspect && !s.Step.LongRunning
 }
 
 // choose returns the worker with the lowest score, or nil.
@@ -449,7 +449,7 @@
 	if slices.Contains(t.Avoid, w.ID) {
 		score += scoreAvoid
 	}
-	if s.Step.Fill && w.Serving > 0 || s.Step.Serving() && w.Filling > 0 {
+	if s.Step.BestEffort && w.Serving > 0 || s.Step.Serving() && w.Filling > 0 {
 		score += scoreDisturbed
 	}
 	if s.Hazardous && w.Lasting > 0 {
@@ -468,14 +468,14 @@
 		score += scoreSought
 	}
 	score += scoreSlow * max(0, w.Slowness-1)
-	if s.Step.Lasting && w.Due {
+	if s.Step.LongRunning && w.Due {
 		score += scoreDue
 	}
-	if s.Step.Lasting && w.Lasting == 0 {
+	if s.Step.LongRunning && w.Lasting == 0 {
 		score += scoreMixed
 	}
 	free := float64(w.Free.MilliCPU) / float64(max(1, w.Total.MilliCPU))
-	if s.Step.Fill {
+	if s.Step.BestEffort {
 		// A fill task lives on what others leave: the emptier the better.
 		return score - scoreFill*free
 	}
