--- a/policy/wave/wave.go
+++ b/policy/wave/wave.go
@@ -35,7 +35,8 @@
 	DefaultGrace = 10 * time.Minute
 	// ReturnTimeout is how long a reboot and the following health check may
 	// take in addition to the wave's probation period. A boot takes one to three
-	// minutes.
+	// minutes. A finished VM that is found down within this time of its last
+	// change of state also counts as a failure of the wave.
 	ReturnTimeout = 10 * time.Minute
 )
 
@@ -52,11 +53,11 @@
 	Declaration *model.Declaration
 	Wave        model.Wave // its Pools are those of this run
 	Run         model.ChangeID
-	VMs         []VM      // must include every VM of every service that has targets in the wave's pools
-	Started     time.Time // when the run was started
-	Resumed     time.Time // when an operator last resumed the run; earlier failures are known to the operator and not counted
-	ViewAge     time.Duration
-	ListAge     time.Duration
+	VMs         []VM          // must include every VM of every service that has targets in the wave's pools
+	Started     time.Time     // when the run was started
+	Resumed     time.Time     // when an operator last resumed the run; earlier failures are known to the operator and not counted
+	ViewAge     time.Duration // age of the view of the fleet
+	ListAge     time.Duration // age of the platform's list of VMs
 }
 
 // Verdict tells the executor what to do with the wave next.
