--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -108,7 +108,7 @@
 }
 
 // endingOf tells an answer that says the target failed from all others.
-func endingOf(status int) dispatch.Ending {
+func endingOf(status int) dispatch.OutcomeKind {
 	if status >= http.StatusInternalServerError && status != http.StatusNotImplemented {
 		return dispatch.Errored
 	}
@@ -140,7 +140,7 @@
 	return a.resp, a.err
 }
 
-func (f *forwarder) ended(how dispatch.Ending, start time.Time, p *Problem) result {
+func (f *forwarder) ended(how dispatch.OutcomeKind, start time.Time, p *Problem) result {
 	return result{use: dispatch.Use{Ended: how, Held: f.clock.Since(start)}, problem: p}
 }
 
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -37,7 +37,7 @@
 	m.problems.Add(p.Type, 1)
 }
 
-func (m *metrics) attempt(how dispatch.Ending) { m.attempts.Add(how.String(), 1) }
+func (m *metrics) attempt(how dispatch.OutcomeKind) { m.attempts.Add(how.String(), 1) }
 
 func (m *metrics) retry(v retry.Verdict) { m.retries.Add(v.String(), 1) }
 
--- a/policy/dispatch/model_test.go
+++ b/policy/dispatch/model_test.go
@@ -342,7 +342,7 @@
 	}
 }
 
-func (s *sim) notRun(r *simRequest, t *simTarget, how Ending) {
+func (s *sim) notRun(r *simRequest, t *simTarget, how OutcomeKind) {
 	t.granted--
 	r.entry.d.Done(r.ticket, Use{Ended: how}, s.now)
 	if !r.over && r.entry.d.Retry(r.ticket, r.attempts, true, s.now) == 1 {
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -32,21 +32,21 @@
 	penalties []time.Time // when slots taken for failures are free again
 }
 
-// Ending is how a request's stay at a target ended.
-type Ending int8
+// OutcomeKind is how a request's stay at a target ended.
+type OutcomeKind int8
 
 // The endings.
 const (
-	Answered  Ending = iota + 1 // a whole answer came
-	Errored                     // a whole answer came that says the target failed (5xx)
-	Refused                     // the target said not-run
-	NotSent                     // no connection; nothing was sent
-	Failed                      // broken, unreadable or late
-	Abandoned                   // the caller went away; says nothing of the target
+	Answered  OutcomeKind = iota + 1 // a whole answer came
+	Errored                          // a whole answer came that says the target failed (5xx)
+	Refused                          // the target said not-run
+	NotSent                          // no connection; nothing was sent
+	Failed                           // broken, unreadable or late
+	Abandoned                        // the caller went away; says nothing of the target
 )
 
 // String returns the word for metrics.
-func (e Ending) String() string {
+func (e OutcomeKind) String() string {
 	switch e {
 	case Answered:
 		return "answered"
@@ -64,7 +64,7 @@
 
 // Use is what one request's stay at a target showed.
 type Use struct {
-	Ended      Ending
+	Ended      OutcomeKind
 	Answer     time.Duration // until the answer began; 0 where it did not
 	Held       time.Duration // until the slot was free again
 	RetryAfter time.Duration // a refusing target's, 0 if it gave none
