--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -86,12 +86,12 @@
 	if d.policy.Cancel(w.ticket) {
 		return
 	}
-	d.policy.Done(w.ticket, dispatch.Use{Ended: dispatch.Abandoned}, d.clock.Now())
+	d.policy.Done(w.ticket, dispatch.Outcome{Ended: dispatch.Abandoned}, d.clock.Now())
 	d.deliver()
 }
 
 // done ends a request's use of its slot.
-func (d *dispatcher) done(w *waiter, u dispatch.Use) {
+func (d *dispatcher) done(w *waiter, u dispatch.Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.policy.Done(w.ticket, u, d.clock.Now())
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -57,7 +57,7 @@
 
 // result is how an attempt ended.
 type result struct {
-	use     dispatch.Use
+	use     dispatch.Outcome
 	problem *Problem // nil where the caller has its answer, or a broken one
 	// broken: the answer broke off after its beginning was given on. The
 	// caller's connection must be broken as well.
@@ -104,7 +104,7 @@
 		resp.Body.Close()
 		return nil, f.ended(dispatch.Failed, start, problemTargetFailed())
 	}
-	return resp, result{use: dispatch.Use{Ended: endingOf(resp.StatusCode)}}
+	return resp, result{use: dispatch.Outcome{Ended: endingOf(resp.StatusCode)}}
 }
 
 // endingOf tells an answer that says the target failed from all others.
@@ -141,7 +141,7 @@
 }
 
 func (f *forwarder) ended(how dispatch.OutcomeKind, start time.Time, p *Problem) result {
-	return result{use: dispatch.Use{Ended: how, Held: f.clock.Since(start)}, problem: p}
+	return result{use: dispatch.Outcome{Ended: how, Held: f.clock.Since(start)}, problem: p}
 }
 
 // request builds the request to the target. sent is set as soon as a
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -200,7 +200,7 @@
 func (d *Dispatcher) Cancel(t *Ticket) bool { return t.svc.queue.Remove(&t.item) }
 
 // Done ends a granted Ticket's use of its slot.
-func (d *Dispatcher) Done(t *Ticket, u Use, now time.Time) {
+func (d *Dispatcher) Done(t *Ticket, u Outcome, now time.Time) {
 	if t.target == nil {
 		return
 	}
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -62,8 +62,8 @@
 	return "abandoned"
 }
 
-// Use is what one request's stay at a target showed.
-type Use struct {
+// Outcome is what one request's stay at a target showed.
+type Outcome struct {
 	Ended      OutcomeKind
 	Answer     time.Duration // until the answer began; 0 where it did not
 	Held       time.Duration // until the slot was free again
@@ -71,7 +71,7 @@
 }
 
 // note takes in what a use showed of the target.
-func (d *Dispatcher) note(svc *service, t *target, u Use, now time.Time) {
+func (d *Dispatcher) note(svc *service, t *target, u Outcome, now time.Time) {
 	switch u.Ended {
 	case Answered:
 		t.latency.Observe(u.Answer, now)
@@ -87,7 +87,7 @@
 }
 
 // penalize keeps a slot of a failing target taken for a while.
-func (d *Dispatcher) penalize(svc *service, t *target, u Use, now time.Time) {
+func (d *Dispatcher) penalize(svc *service, t *target, u Outcome, now time.Time) {
 	if span := t.health.Penalty(u.Held, svc.hold.Mean()); span > 0 {
 		t.penalties = append(t.penalties, now.Add(span))
 	}
