--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -86,7 +86,7 @@
 	if d.policy.Cancel(w.ticket) {
 		return
 	}
-	d.policy.Done(w.ticket, dispatch.Outcome{Ended: dispatch.Abandoned}, d.clock.Now())
+	d.policy.Done(w.ticket, dispatch.Outcome{Kind: dispatch.Abandoned}, d.clock.Now())
 	d.deliver()
 }
 
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -66,7 +66,7 @@
 
 // certainlyNotRun reports whether the request may be sent to another target.
 func (r result) certainlyNotRun() bool {
-	return r.use.Ended == dispatch.Refused || r.use.Ended == dispatch.NotSent
+	return r.use.Kind == dispatch.Refused || r.use.Kind == dispatch.NotSent
 }
 
 // send makes one attempt at the target and gives its answer to the caller.
@@ -104,7 +104,7 @@
 		resp.Body.Close()
 		return nil, f.ended(dispatch.Failed, start, problemTargetFailed())
 	}
-	return resp, result{use: dispatch.Outcome{Ended: endingOf(resp.StatusCode)}}
+	return resp, result{use: dispatch.Outcome{Kind: endingOf(resp.StatusCode)}}
 }
 
 // endingOf tells an answer that says the target failed from all others.
@@ -141,7 +141,7 @@
 }
 
 func (f *forwarder) ended(how dispatch.OutcomeKind, start time.Time, p *Problem) result {
-	return result{use: dispatch.Outcome{Ended: how, Held: f.clock.Since(start)}, problem: p}
+	return result{use: dispatch.Outcome{Kind: how, Held: f.clock.Since(start)}, problem: p}
 }
 
 // request builds the request to the target. sent is set as soon as a
--- a/internal/entry/give.go
+++ b/internal/entry/give.go
@@ -15,7 +15,7 @@
 func (f *forwarder) give(e *exchange, resp *http.Response, res result) result {
 	if !e.in.ProtoAtLeast(1, 1) && resp.ContentLength < 0 {
 		if !f.measure(resp) {
-			return result{use: dispatch.Outcome{Ended: dispatch.Failed, Answer: res.use.Answer}, problem: problemTargetFailed()}
+			return result{use: dispatch.Outcome{Kind: dispatch.Failed, Answer: res.use.Answer}, problem: problemTargetFailed()}
 		}
 	}
 	f.giveHeader(e, resp)
@@ -23,9 +23,9 @@
 	case err == nil:
 		giveTrailer(e.out.Header(), resp.Trailer)
 	case errors.Is(err, errCallerGone):
-		res.use.Ended, res.broken = dispatch.Abandoned, true
+		res.use.Kind, res.broken = dispatch.Abandoned, true
 	default:
-		res.use.Ended, res.broken = dispatch.Failed, true
+		res.use.Kind, res.broken = dispatch.Failed, true
 	}
 	return res
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -127,17 +127,17 @@
 
 // send makes one attempt; the slot is freed whatever happens.
 func (s *Server) send(e *exchange, w *waiter, address string) result {
-	res := result{use: dispatch.Outcome{Ended: dispatch.Failed}}
+	res := result{use: dispatch.Outcome{Kind: dispatch.Failed}}
 	defer func() { s.dispatch.done(w, res.use) }()
 	if e.maySend != nil && !e.maySend() {
 		// This VM stood still, or the wait for a slot was long: the claim may be
 		// forgotten soon and a repeat of the key run. Half of the time that it is
 		// remembered is left for the connection that would be opened now.
-		res = result{use: dispatch.Outcome{Ended: dispatch.Abandoned}, problem: problemTimeout("no slot came free while the claim of the key was young enough", NotRun)}
+		res = result{use: dispatch.Outcome{Kind: dispatch.Abandoned}, problem: problemTimeout("no slot came free while the claim of the key was young enough", NotRun)}
 		return res
 	}
 	res = s.forward.send(e, address)
-	s.metrics.attempt(res.use.Ended)
+	s.metrics.attempt(res.use.Kind)
 	return res
 }
 
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -209,10 +209,10 @@
 	target.own--
 	svc.running--
 	d.note(svc, target, u, now)
-	if u.Ended == Answered {
+	if u.Kind == Answered {
 		svc.hold.Observe(u.Held)
 	}
-	if u.Ended != NotSent && u.Ended != Refused {
+	if u.Kind != NotSent && u.Kind != Refused {
 		svc.costs.Observe(t.Request.Caller, u.Held, svc.hold.Mean())
 	}
 	d.pump(svc, now)
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -83,7 +83,7 @@
 		sent int
 		why  Reason // 0 for none
 	}{
-		{"a slot comes free", func(d *Dispatcher, first *Ticket) { d.Done(first, Outcome{Ended: Answered}, t0) }, 1, 0},
+		{"a slot comes free", func(d *Dispatcher, first *Ticket) { d.Done(first, Outcome{Kind: Answered}, t0) }, 1, 0},
 		{"the deadline passes", func(d *Dispatcher, _ *Ticket) { d.Tick(t0.Add(time.Minute)) }, 0, DeadlinePast},
 		{"the service is declared no more", func(d *Dispatcher, _ *Ticket) {
 			d.Update(Fleet{Services: []model.Service{{Name: "b", Pools: []model.PoolName{"p"}}}}, t0)
@@ -121,7 +121,7 @@
 			_, refusal := submit(d, "a", model.ClassNormal)
 			assert.Assert(t, refusal == nil)
 			g := d.Grants()[0]
-			d.Done(g.Ticket, Outcome{Ended: Refused}, t0)
+			d.Done(g.Ticket, Outcome{Kind: Refused}, t0)
 			assert.Equal(t, d.Retry(g.Ticket, 1, true, t0), retry.Retry)
 			r := g.Ticket.Request
 			r.Avoid = g.VM
--- a/policy/dispatch/model_test.go
+++ b/policy/dispatch/model_test.go
@@ -313,9 +313,9 @@
 
 func (s *sim) answer(r *simRequest, t *simTarget, sent time.Time, failed bool) {
 	held := s.now.Sub(sent)
-	u := Outcome{Ended: Answered, Answer: held, Held: held}
+	u := Outcome{Kind: Answered, Answer: held, Held: held}
 	if failed {
-		u.Ended = Errored
+		u.Kind = Errored
 	}
 	t.granted--
 	r.entry.d.Done(r.ticket, u, s.now)
@@ -344,7 +344,7 @@
 
 func (s *sim) notRun(r *simRequest, t *simTarget, how OutcomeKind) {
 	t.granted--
-	r.entry.d.Done(r.ticket, Outcome{Ended: how}, s.now)
+	r.entry.d.Done(r.ticket, Outcome{Kind: how}, s.now)
 	if !r.over && r.entry.d.Retry(r.ticket, r.attempts, true, s.now) == 1 {
 		s.submit(r, t.vm.ID)
 	} else if !r.over {
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -64,7 +64,7 @@
 
 // Outcome is what one request's stay at a target showed.
 type Outcome struct {
-	Ended      OutcomeKind
+	Kind       OutcomeKind
 	Answer     time.Duration // until the answer began; 0 where it did not
 	Held       time.Duration // until the slot was free again
 	RetryAfter time.Duration // a refusing target's, 0 if it gave none
@@ -72,7 +72,7 @@
 
 // note takes in what a use showed of the target.
 func (d *Dispatcher) note(svc *service, t *target, u Outcome, now time.Time) {
-	switch u.Ended {
+	switch u.Kind {
 	case Answered:
 		t.latency.Observe(u.Answer, now)
 		t.leaving.Accepted()
