--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -77,7 +77,7 @@
 		return res
 	}
 	defer resp.Body.Close()
-	res.use.Answer = f.clock.Since(start)
+	res.use.ResponseLatency = f.clock.Since(start)
 	res = f.give(e, resp, res)
 	res.use.Held = f.clock.Since(start)
 	return res
--- a/internal/entry/give.go
+++ b/internal/entry/give.go
@@ -15,7 +15,7 @@
 func (f *forwarder) give(e *exchange, resp *http.Response, res result) result {
 	if !e.in.ProtoAtLeast(1, 1) && resp.ContentLength < 0 {
 		if !f.measure(resp) {
-			return result{use: dispatch.Outcome{Kind: dispatch.Failed, Answer: res.use.Answer}, problem: problemTargetFailed()}
+			return result{use: dispatch.Outcome{Kind: dispatch.Failed, ResponseLatency: res.use.ResponseLatency}, problem: problemTargetFailed()}
 		}
 	}
 	f.giveHeader(e, resp)
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -64,17 +64,17 @@
 
 // Outcome is what one request's stay at a target showed.
 type Outcome struct {
-	Kind       OutcomeKind
-	Answer     time.Duration // until the answer began; 0 where it did not
-	Held       time.Duration // until the slot was free again
-	RetryAfter time.Duration // a refusing target's, 0 if it gave none
+	Kind            OutcomeKind
+	ResponseLatency time.Duration // until the answer began; 0 where it did not
+	Held            time.Duration // until the slot was free again
+	RetryAfter      time.Duration // a refusing target's, 0 if it gave none
 }
 
 // note takes in what a use showed of the target.
 func (d *Dispatcher) note(svc *service, t *target, u Outcome, now time.Time) {
 	switch u.Kind {
 	case Answered:
-		t.latency.Observe(u.Answer, now)
+		t.latency.Observe(u.ResponseLatency, now)
 		t.leaving.Accepted()
 		t.health.Observe(true, now)
 	case Refused, NotSent:
