--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -79,7 +79,7 @@
 	defer resp.Body.Close()
 	res.use.ResponseLatency = f.clock.Since(start)
 	res = f.give(e, resp, res)
-	res.use.Held = f.clock.Since(start)
+	res.use.SlotTime = f.clock.Since(start)
 	return res
 }
 
@@ -141,7 +141,7 @@
 }
 
 func (f *forwarder) ended(how dispatch.OutcomeKind, start time.Time, p *Problem) result {
-	return result{use: dispatch.Outcome{Kind: how, Held: f.clock.Since(start)}, problem: p}
+	return result{use: dispatch.Outcome{Kind: how, SlotTime: f.clock.Since(start)}, problem: p}
 }
 
 // request builds the request to the target. sent is set as soon as a
--- a/policy/dispatch/cost_test.go
+++ b/policy/dispatch/cost_test.go
@@ -49,7 +49,7 @@
 			{"request", func() {
 				submit(d, "p0", model.ClassNormal)
 				for _, g := range d.Grants() {
-					d.Done(g.Ticket, Outcome{Kind: Answered, ResponseLatency: time.Millisecond, Held: time.Millisecond}, now)
+					d.Done(g.Ticket, Outcome{Kind: Answered, ResponseLatency: time.Millisecond, SlotTime: time.Millisecond}, now)
 				}
 			}},
 			{"tick", func() { now = now.Add(tickEvery); d.Tick(now) }},
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -210,10 +210,10 @@
 	svc.running--
 	d.note(svc, target, u, now)
 	if u.Kind == Answered {
-		svc.hold.Observe(u.Held)
+		svc.hold.Observe(u.SlotTime)
 	}
 	if u.Kind != NotSent && u.Kind != Refused {
-		svc.costs.Observe(t.Request.Caller, u.Held, svc.hold.Mean())
+		svc.costs.Observe(t.Request.Caller, u.SlotTime, svc.hold.Mean())
 	}
 	d.pump(svc, now)
 	for _, other := range d.order {
--- a/policy/dispatch/model_test.go
+++ b/policy/dispatch/model_test.go
@@ -313,7 +313,7 @@
 
 func (s *sim) answer(r *simRequest, t *simTarget, sent time.Time, failed bool) {
 	held := s.now.Sub(sent)
-	u := Outcome{Kind: Answered, ResponseLatency: held, Held: held}
+	u := Outcome{Kind: Answered, ResponseLatency: held, SlotTime: held}
 	if failed {
 		u.Kind = Errored
 	}
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -66,7 +66,7 @@
 type Outcome struct {
 	Kind            OutcomeKind
 	ResponseLatency time.Duration // until the answer began; 0 where it did not
-	Held            time.Duration // until the slot was free again
+	SlotTime        time.Duration // until the slot was free again
 	RetryAfter      time.Duration // a refusing target's, 0 if it gave none
 }
 
@@ -88,7 +88,7 @@
 
 // penalize keeps a slot of a failing target taken for a while.
 func (d *Dispatcher) penalize(svc *service, t *target, u Outcome, now time.Time) {
-	if span := t.health.Penalty(u.Held, svc.hold.Mean()); span > 0 {
+	if span := t.health.Penalty(u.SlotTime, svc.hold.Mean()); span > 0 {
 		t.penalties = append(t.penalties, now.Add(span))
 	}
 }
