--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -131,7 +131,7 @@
 	return d.policy.ProbesDue(now)
 }
 
-func (d *dispatcher) states() []dispatch.State {
+func (d *dispatcher) states() []dispatch.TargetState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.policy.States(d.clock.Now())
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -104,8 +104,8 @@
 	return free, total
 }
 
-// State is what is known of a target, for digests, metrics and operators.
-type State struct {
+// TargetState is what is known of a target, for digests, metrics and operators.
+type TargetState struct {
 	VM       model.VMID
 	InFlight int
 	Limit    int
@@ -115,10 +115,10 @@
 }
 
 // States returns the state of every target, by ID.
-func (d *Dispatcher) States(now time.Time) []State {
-	states := make([]State, 0, len(d.sorted))
+func (d *Dispatcher) States(now time.Time) []TargetState {
+	states := make([]TargetState, 0, len(d.sorted))
 	for _, t := range d.sorted {
-		states = append(states, State{
+		states = append(states, TargetState{
 			VM: t.id, InFlight: t.own, Limit: t.limit, Leaving: t.leaving.Says(),
 			Ejected: t.health.Ejected(now), Out: d.out(t, now),
 		})
--- a/policy/dispatch/model_peers_test.go
+++ b/policy/dispatch/model_peers_test.go
@@ -11,7 +11,7 @@
 // digest tells the entry VMs of the zone what this one knows first hand, four
 // times a second, and those of other zones of its lending only, once a second.
 func (s *sim) digest(e *simEntry, n int) {
-	loads := map[model.VMID]State{}
+	loads := map[model.VMID]TargetState{}
 	for _, st := range e.d.States(s.now) {
 		loads[st.VM] = st
 	}
--- a/policy/dispatch/model_test.go
+++ b/policy/dispatch/model_test.go
@@ -88,7 +88,7 @@
 
 type simDigest struct {
 	at    time.Time
-	loads map[model.VMID]State
+	loads map[model.VMID]TargetState
 	msg   slots.Message
 }
 
