--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -87,7 +87,7 @@
 		return problemCallerLimit(r.RetryAfter)
 	case dispatch.NoOtherFree:
 		return problemRefused(r.RetryAfter)
-	case dispatch.DeadlinePast:
+	case dispatch.DeadlineExceeded:
 		return problemTimeout("no slot came free in time", NotRun)
 	}
 	return problemOverload("the answer would be late: a wait of "+r.Wait.Round(time.Millisecond).String()+" is predicted", r.RetryAfter)
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -60,12 +60,12 @@
 
 // The reasons.
 const (
-	NoService    Reason = iota + 1 // not declared, or no more
-	NoTarget                       // no live slot
-	WouldBeLate                    // the predicted wait exceeds the deadline
-	OverShare                      // the queue is full and the caller has most of it
-	NoOtherFree                    // only the target that refused it has a free slot
-	DeadlinePast                   // it waited too long
+	NoService        Reason = iota + 1 // not declared, or no more
+	NoTarget                           // no live slot
+	WouldBeLate                        // the predicted wait exceeds the deadline
+	OverShare                          // the queue is full and the caller has most of it
+	NoOtherFree                        // only the target that refused it has a free slot
+	DeadlineExceeded                   // it waited too long
 )
 
 // Refusal turns a request away, certainly not run.
@@ -239,7 +239,7 @@
 func (d *Dispatcher) Tick(now time.Time) {
 	for _, svc := range d.order {
 		for _, it := range svc.queue.TakeExpired(now) {
-			d.refuse(it.Data.(*Ticket), Refusal{Reason: DeadlinePast, RetryAfter: svc.hold.Mean()})
+			d.refuse(it.Data.(*Ticket), Refusal{Reason: DeadlineExceeded, RetryAfter: svc.hold.Mean()})
 		}
 	}
 	d.stepLoans(now)
@@ -270,7 +270,7 @@
 		}
 		t := it.Data.(*Ticket)
 		if svc.queue.Len() > 0 && admission.Hopeless(t.Request.admission(), svc.hold.High(), now) {
-			d.refuse(t, Refusal{Reason: DeadlinePast, RetryAfter: svc.hold.High()})
+			d.refuse(t, Refusal{Reason: DeadlineExceeded, RetryAfter: svc.hold.High()})
 			continue
 		}
 		d.grant(t, c)
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -84,7 +84,7 @@
 		why  Reason // 0 for none
 	}{
 		{"a slot comes free", func(d *Dispatcher, first *Ticket) { d.Done(first, Outcome{Kind: Answered}, t0) }, 1, 0},
-		{"the deadline passes", func(d *Dispatcher, _ *Ticket) { d.Tick(t0.Add(time.Minute)) }, 0, DeadlinePast},
+		{"the deadline passes", func(d *Dispatcher, _ *Ticket) { d.Tick(t0.Add(time.Minute)) }, 0, DeadlineExceeded},
 		{"the service is declared no more", func(d *Dispatcher, _ *Ticket) {
 			d.Update(Fleet{Services: []model.Service{{Name: "b", Pools: []model.PoolName{"p"}}}}, t0)
 		}, 0, NoService},
