--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -85,7 +85,7 @@
 		return problemNoTarget(r.RetryAfter)
 	case dispatch.OverShare:
 		return problemCallerLimit(r.RetryAfter)
-	case dispatch.NoOtherFree:
+	case dispatch.NoOtherTarget:
 		return problemRefused(r.RetryAfter)
 	case dispatch.DeadlineExceeded:
 		return problemTimeout("no slot came free in time", NotRun)
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -64,7 +64,7 @@
 	NoTarget                           // no live slot
 	WouldBeLate                        // the predicted wait exceeds the deadline
 	OverShare                          // the queue is full and the caller has most of it
-	NoOtherFree                        // only the target that refused it has a free slot
+	NoOtherTarget                      // only the target that refused it has a free slot
 	DeadlineExceeded                   // it waited too long
 )
 
@@ -156,7 +156,7 @@
 			return nil
 		}
 	}
-	return &Refusal{Reason: NoOtherFree, RetryAfter: time.Second}
+	return &Refusal{Reason: NoOtherTarget, RetryAfter: time.Second}
 }
 
 func (d *Dispatcher) turnAway(svc *service, r Request, now time.Time) *Refusal {
@@ -283,7 +283,7 @@
 	c.Avoid = t.Request.Avoid
 	i := d.cfg.Pick(c)
 	if i < 0 {
-		d.refuse(t, Refusal{Reason: NoOtherFree, RetryAfter: time.Second})
+		d.refuse(t, Refusal{Reason: NoOtherTarget, RetryAfter: time.Second})
 		return
 	}
 	t.target = t.svc.targets[i]
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -127,7 +127,7 @@
 			r.Avoid = g.VM
 			_, refusal = d.Submit(r, t0)
 			if targets == 1 {
-				assert.Equal(t, refusal.Reason, NoOtherFree)
+				assert.Equal(t, refusal.Reason, NoOtherTarget)
 				return
 			}
 			assert.Assert(t, refusal == nil)
