--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -28,11 +28,11 @@
 
 // Config sets a Dispatcher up.
 type Config struct {
-	Self  model.EntryID
-	Zone  model.ZoneName
-	Peers Peers                       // nil where there are none
-	Rand  func(n int) int             // returns a number in [0,n)
-	Share func(caller string) float64 // weight of a caller; nil for equal weights
+	Self         model.EntryID
+	Zone         model.ZoneName
+	Peers        Peers                       // nil where there are none
+	Rand         func(n int) int             // returns a number in [0,n)
+	CallerWeight func(caller string) float64 // weight of a caller; nil for equal weights
 	// Pick chooses among targets; nil for routing.Pick. Benchmarks compare
 	// others with it.
 	Pick func(routing.Choice) int
--- a/policy/dispatch/fleet.go
+++ b/policy/dispatch/fleet.go
@@ -127,7 +127,7 @@
 	svc := d.services[decl.Name]
 	if svc == nil {
 		svc = &service{
-			queue:   queue.New(queue.Config{Weight: d.cfg.Share}),
+			queue:   queue.New(queue.Config{Weight: d.cfg.CallerWeight}),
 			costs:   admission.NewCosts(),
 			retries: retry.NewBudget(),
 		}
