--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -146,7 +146,7 @@
 func (d *dispatcher) lending() slots.Message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.policy.Lending()
+	return d.policy.LendingMessage()
 }
 
 func (d *dispatcher) queued() int {
--- a/policy/dispatch/loans.go
+++ b/policy/dispatch/loans.go
@@ -134,8 +134,8 @@
 	return best
 }
 
-// Lending returns what to tell peers.
-func (d *Dispatcher) Lending() slots.Message {
+// LendingMessage returns what to tell peers.
+func (d *Dispatcher) LendingMessage() slots.Message {
 	var wants []slots.Want
 	for _, svc := range d.order {
 		if n := svc.wanted(); n > 0 {
--- a/policy/dispatch/model_peers_test.go
+++ b/policy/dispatch/model_peers_test.go
@@ -15,7 +15,7 @@
 	for _, st := range e.d.States(s.now) {
 		loads[st.VM] = st
 	}
-	msg := e.d.Lending()
+	msg := e.d.LendingMessage()
 	for _, peer := range s.es {
 		switch {
 		case peer == e:
