--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -118,7 +118,7 @@
 func (d *dispatcher) probed(vm model.VMID, a health.Answer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.policy.Probed(vm, a, d.clock.Now())
+	d.policy.ObserveProbe(vm, a, d.clock.Now())
 	d.policy.Tick(d.clock.Now())
 	d.deliver()
 }
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -122,8 +122,8 @@
 	return health.MayLeave(total, out, svc.decl.Budget.MinAvailable.Of(total))
 }
 
-// Probed takes in a health answer of a target.
-func (d *Dispatcher) Probed(vm model.VMID, a health.Answer, now time.Time) {
+// ObserveProbe takes in a health answer of a target.
+func (d *Dispatcher) ObserveProbe(vm model.VMID, a health.Answer, now time.Time) {
 	t := d.targets[vm]
 	if t == nil {
 		return
