--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -82,8 +82,8 @@
 // Leaving implements dispatch.Peers.
 func (p *peers) Leaving(vm model.VMID) bool { return p.loads.PeerSaysLeaving(vm) }
 
-// Messages implements dispatch.Peers.
-func (p *peers) Messages() []slots.PeerMessage {
+// LendingMessages implements dispatch.Peers.
+func (p *peers) LendingMessages() []slots.PeerMessage {
 	if p.digests == nil {
 		return nil
 	}
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -21,9 +21,9 @@
 	InFlight(vm model.VMID) int
 	// Leaving reports whether a fresh peer has seen the target leave.
 	Leaving(vm model.VMID) bool
-	// Messages returns what each peer last said of lending slots, nil where
+	// LendingMessages returns what each peer last said of lending slots, nil where
 	// that is not known.
-	Messages() []slots.PeerMessage
+	LendingMessages() []slots.PeerMessage
 }
 
 // Config sets a Dispatcher up.
--- a/policy/dispatch/loans.go
+++ b/policy/dispatch/loans.go
@@ -17,7 +17,7 @@
 	if d.cfg.Peers == nil {
 		return
 	}
-	peers := d.cfg.Peers.Messages()
+	peers := d.cfg.Peers.LendingMessages()
 	d.book.Hear(peers, now)
 	for _, svc := range d.order {
 		svc.noteUse()
--- a/policy/dispatch/model_peers_test.go
+++ b/policy/dispatch/model_peers_test.go
@@ -47,8 +47,8 @@
 	return false
 }
 
-// Messages implements Peers.
-func (e *simEntry) Messages() []slots.PeerMessage {
+// LendingMessages implements Peers.
+func (e *simEntry) LendingMessages() []slots.PeerMessage {
 	if e.noLoans {
 		return nil
 	}
