--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -100,7 +100,7 @@
 	sorted   []*target // the targets by ID
 	live     []slots.Entry
 	epoch    uint64 // grows with each change of live
-	book     *slots.Book
+	book     *slots.Ledger
 	grants   []Grant
 }
 
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -60,12 +60,12 @@
 	Message
 }
 
-// Book keeps what an entry VM has lent and borrowed. At any time each slot of a
+// Ledger keeps what an entry VM has lent and borrowed. At any time each slot of a
 // target has one entry VM that may start work on it: its owner, or the peer it
 // is lent to. The owner uses a slot again only when the borrower has confirmed
 // that it saw the loan taken back and has nothing running on it. So while peers
 // hear each other, no target is sent more than its slots, whatever is delayed.
-type Book struct {
+type Ledger struct {
 	self     model.EntryID
 	lent     map[model.VMID]*lending // at most one borrower a target
 	borrowed map[borrowKey]*Loan     // loans to this entry VM, taken back ones included
@@ -85,8 +85,8 @@
 }
 
 // NewBook returns an empty Book.
-func NewBook(self model.EntryID) *Book {
-	return &Book{
+func NewBook(self model.EntryID) *Ledger {
+	return &Ledger{
 		self:     self,
 		lent:     make(map[model.VMID]*lending),
 		borrowed: make(map[borrowKey]*Loan),
@@ -95,7 +95,7 @@
 }
 
 // Hear takes in what peers say.
-func (b *Book) Hear(peers []PeerMessage, now time.Time) {
+func (b *Ledger) Hear(peers []PeerMessage, now time.Time) {
 	clear(b.heard)
 	clear(b.borrowed)
 	for _, p := range peers {
@@ -115,7 +115,7 @@
 }
 
 // confirmed ends a loan that was taken back, once its borrower is out of it.
-func (b *Book) confirmed(from model.EntryID, c Borrow) {
+func (b *Ledger) confirmed(from model.EntryID, c Borrow) {
 	l := b.lent[c.VM]
 	if l == nil || c.From != b.self || l.To != from || l.Slots > 0 || c.Version != l.Version {
 		return
@@ -126,7 +126,7 @@
 }
 
 // giveUp ends the loans of borrowers that are not heard any more.
-func (b *Book) giveUp(now time.Time) {
+func (b *Ledger) giveUp(now time.Time) {
 	for vm, l := range b.lent {
 		last := b.heard[l.To]
 		if last.Before(l.since) {
@@ -140,7 +140,7 @@
 
 // Limit returns how many slots of the target this entry VM may use: its share,
 // less what it lent, plus what it borrowed.
-func (b *Book) Limit(vm model.VMID, share int, now time.Time) int {
+func (b *Ledger) Limit(vm model.VMID, share int, now time.Time) int {
 	limit := share - b.owed(vm)
 	for key, l := range b.borrowed {
 		if key.vm == vm && now.Sub(b.heard[key.from]) < LoanFresh {
@@ -151,7 +151,7 @@
 }
 
 // owed is how many of the target's slots are lent, or not yet back.
-func (b *Book) owed(vm model.VMID) int {
+func (b *Ledger) owed(vm model.VMID) int {
 	if l := b.lent[vm]; l != nil {
 		return l.owed
 	}
@@ -159,10 +159,10 @@
 }
 
 // Lending reports whether slots of the target are lent, or not yet back.
-func (b *Book) Lending(vm model.VMID) bool { return b.lent[vm] != nil }
+func (b *Ledger) Lending(vm model.VMID) bool { return b.lent[vm] != nil }
 
 // Borrowing reports whether slots of the target are borrowed.
-func (b *Book) Borrowing(vm model.VMID) bool {
+func (b *Ledger) Borrowing(vm model.VMID) bool {
 	for key := range b.borrowed {
 		if key.vm == vm {
 			return true
@@ -173,14 +173,14 @@
 
 // Lend lends slots of a target that is neither lent nor borrowed: a slot that
 // went round between three would be nobody's to count.
-func (b *Book) Lend(vm model.VMID, to model.EntryID, n int, now time.Time) {
+func (b *Ledger) Lend(vm model.VMID, to model.EntryID, n int, now time.Time) {
 	b.version++
 	b.lent[vm] = &lending{Loan: Loan{VM: vm, To: to, Slots: n, Version: b.version}, owed: n, since: now}
 }
 
 // TakeBack ends the loan of the target's slots and returns how many will come
 // back, those on their way included.
-func (b *Book) TakeBack(vm model.VMID) int {
+func (b *Ledger) TakeBack(vm model.VMID) int {
 	l := b.lent[vm]
 	if l == nil {
 		return 0
@@ -194,14 +194,14 @@
 
 // Idle reports whether a loan has stood for long and its borrower wants no
 // more of it.
-func (b *Book) Idle(vm model.VMID, wants func(model.EntryID) bool, now time.Time) bool {
+func (b *Ledger) Idle(vm model.VMID, wants func(model.EntryID) bool, now time.Time) bool {
 	l := b.lent[vm]
 	return l != nil && l.Slots > 0 && now.Sub(l.since) >= loanKept && !wants(l.To)
 }
 
 // Message returns what to tell peers, given this entry VM's requests at each
 // target and its share there.
-func (b *Book) Message(wants []Want, inFlight, share func(model.VMID) int) Message {
+func (b *Ledger) Message(wants []Want, inFlight, share func(model.VMID) int) Message {
 	m := Message{Wants: wants}
 	for _, l := range b.lent {
 		m.Loans = append(m.Loans, l.Loan)
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -88,7 +88,7 @@
 type world struct {
 	t       *rapid.T
 	ids     []model.EntryID
-	books   map[model.EntryID]*Book
+	books   map[model.EntryID]*Ledger
 	running map[model.EntryID]int
 	pipes   map[[2]model.EntryID][]Message
 	heard   map[[2]model.EntryID]Message
@@ -159,7 +159,7 @@
 // refuse, or be slowed for all. Whatever the order, the slots hold.
 func TestLoansNeverOverrunATarget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{t: rt, ids: []model.EntryID{"a", "b", "c", "d"}, books: map[model.EntryID]*Book{},
+		w := &world{t: rt, ids: []model.EntryID{"a", "b", "c", "d"}, books: map[model.EntryID]*Ledger{},
 			running: map[model.EntryID]int{}, pipes: map[[2]model.EntryID][]Message{},
 			heard: map[[2]model.EntryID]Message{}, now: time.Unix(0, 0)}
 		for _, id := range w.ids {
@@ -189,7 +189,7 @@
 	a, b := NewBook("a"), NewBook("b")
 	a.Lend("v", "c", 1, now)
 	b.Lend("v", "a", 1, now)
-	tell := func(from *Book, running func(model.VMID) int) PeerMessage {
+	tell := func(from *Ledger, running func(model.VMID) int) PeerMessage {
 		return PeerMessage{Entry: from.self, Heard: now, Message: from.Message(nil, running, two)}
 	}
 	a.Hear([]PeerMessage{tell(b, one)}, now)
