--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -114,7 +114,7 @@
 		services: make(map[model.ServiceName]*service),
 		targets:  make(map[model.VMID]*target),
 		live:     []slots.Entry{{ID: cfg.Self, Zone: cfg.Zone}},
-		book:     slots.NewBook(cfg.Self),
+		book:     slots.NewLedger(cfg.Self),
 	}
 }
 
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -84,8 +84,8 @@
 	from model.EntryID
 }
 
-// NewBook returns an empty Book.
-func NewBook(self model.EntryID) *Ledger {
+// NewLedger returns an empty Book.
+func NewLedger(self model.EntryID) *Ledger {
 	return &Ledger{
 		self:     self,
 		lent:     make(map[model.VMID]*lending),
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -163,7 +163,7 @@
 			running: map[model.EntryID]int{}, pipes: map[[2]model.EntryID][]Message{},
 			heard: map[[2]model.EntryID]Message{}, now: time.Unix(0, 0)}
 		for _, id := range w.ids {
-			w.books[id] = NewBook(id)
+			w.books[id] = NewLedger(id)
 		}
 		for range rapid.IntRange(10, 200).Draw(rt, "steps") {
 			w.step()
@@ -186,7 +186,7 @@
 	now := time.Unix(0, 0)
 	one := func(model.VMID) int { return 1 }
 	two := func(model.VMID) int { return 2 }
-	a, b := NewBook("a"), NewBook("b")
+	a, b := NewLedger("a"), NewLedger("b")
 	a.Lend("v", "c", 1, now)
 	b.Lend("v", "a", 1, now)
 	tell := func(from *Ledger, running func(model.VMID) int) PeerMessage {
@@ -207,7 +207,7 @@
 // has stopped using it long before.
 func TestLoanOfALostPeerComesBack(t *testing.T) {
 	now := time.Unix(0, 0)
-	a, b := NewBook("a"), NewBook("b")
+	a, b := NewLedger("a"), NewLedger("b")
 	a.Lend("v", "b", 1, now)
 	b.Hear([]PeerMessage{{Entry: "a", Heard: now, Message: a.Message(nil, func(model.VMID) int { return 0 }, func(model.VMID) int { return 2 })}}, now)
 	cases := []struct {
