--- a/policy/dispatch/loans.go
+++ b/policy/dispatch/loans.go
@@ -18,7 +18,7 @@
 		return
 	}
 	peers := d.cfg.Peers.LendingMessages()
-	d.book.Hear(peers, now)
+	d.book.Receive(peers, now)
 	for _, svc := range d.order {
 		svc.noteUse()
 		d.stepLoansOf(svc, peers, now)
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Hear takes in what peers say.
-func (b *Ledger) Hear(peers []PeerMessage, now time.Time) {
+// Receive takes in what peers say.
+func (b *Ledger) Receive(peers []PeerMessage, now time.Time) {
 	clear(b.heard)
 	clear(b.borrowed)
 	for _, p := range peers {
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -123,7 +123,7 @@
 			peers = append(peers, PeerMessage{Entry: id, Heard: w.now, Message: m})
 		}
 	}
-	w.books[to].Hear(peers, w.now)
+	w.books[to].Receive(peers, w.now)
 }
 
 func (w *world) step() {
@@ -192,13 +192,13 @@
 	tell := func(from *Ledger, running func(model.VMID) int) PeerMessage {
 		return PeerMessage{Entry: from.self, Heard: now, Message: from.Message(nil, running, two)}
 	}
-	a.Hear([]PeerMessage{tell(b, one)}, now)
+	a.Receive([]PeerMessage{tell(b, one)}, now)
 	assert.Equal(t, a.Limit("v", 2, now), 2)
 	b.TakeBack("v")
-	a.Hear([]PeerMessage{tell(b, one)}, now)
-	b.Hear([]PeerMessage{tell(a, two)}, now)
+	a.Receive([]PeerMessage{tell(b, one)}, now)
+	b.Receive([]PeerMessage{tell(a, two)}, now)
 	assert.Equal(t, b.Limit("v", 2, now), 1, "still in use by a")
-	b.Hear([]PeerMessage{tell(a, one)}, now)
+	b.Receive([]PeerMessage{tell(a, one)}, now)
 	assert.Equal(t, b.Limit("v", 2, now), 2)
 }
 
@@ -209,7 +209,7 @@
 	now := time.Unix(0, 0)
 	a, b := NewLedger("a"), NewLedger("b")
 	a.Lend("v", "b", 1, now)
-	b.Hear([]PeerMessage{{Entry: "a", Heard: now, Message: a.Message(nil, func(model.VMID) int { return 0 }, func(model.VMID) int { return 2 })}}, now)
+	b.Receive([]PeerMessage{{Entry: "a", Heard: now, Message: a.Message(nil, func(model.VMID) int { return 0 }, func(model.VMID) int { return 2 })}}, now)
 	cases := []struct {
 		after          time.Duration
 		lender, borrow int
@@ -222,7 +222,7 @@
 	}
 	for _, tc := range cases {
 		at := now.Add(tc.after)
-		a.Hear(nil, at)
+		a.Receive(nil, at)
 		assert.Equal(t, a.Limit("v", 2, at), tc.lender, "lender after %v", tc.after)
 		assert.Equal(t, b.Limit("v", 2, at), tc.borrow, "borrower after %v", tc.after)
 	}
