--- a/policy/dispatch/loans.go
+++ b/policy/dispatch/loans.go
@@ -40,7 +40,7 @@
 	wants := wantsOf(svc.decl.Name, peers)
 	for _, t := range svc.targets {
 		if d.book.Idle(t.id, func(e model.EntryID) bool { return wants[e] > 0 }, now) {
-			d.book.TakeBack(t.id)
+			d.book.Recall(t.id)
 		}
 	}
 	d.lend(svc, wants, now)
@@ -54,7 +54,7 @@
 		if n <= 0 {
 			return
 		}
-		n -= d.book.TakeBack(t.id)
+		n -= d.book.Recall(t.id)
 	}
 }
 
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -178,9 +178,9 @@
 	b.lent[vm] = &lending{Loan: Loan{VM: vm, To: to, Slots: n, Version: b.version}, owed: n, since: now}
 }
 
-// TakeBack ends the loan of the target's slots and returns how many will come
+// Recall ends the loan of the target's slots and returns how many will come
 // back, those on their way included.
-func (b *Ledger) TakeBack(vm model.VMID) int {
+func (b *Ledger) Recall(vm model.VMID) int {
 	l := b.lent[vm]
 	if l == nil {
 		return 0
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -140,7 +140,7 @@
 			w.books[a].Lend("v", b, n, w.now)
 		}
 	case 3:
-		w.books[a].TakeBack("v")
+		w.books[a].Recall("v")
 	case 4:
 		w.tell(a, b)
 	case 5: // a quick digest, so that deep histories come up
@@ -194,7 +194,7 @@
 	}
 	a.Receive([]PeerMessage{tell(b, one)}, now)
 	assert.Equal(t, a.Limit("v", 2, now), 2)
-	b.TakeBack("v")
+	b.Recall("v")
 	a.Receive([]PeerMessage{tell(b, one)}, now)
 	b.Receive([]PeerMessage{tell(a, two)}, now)
 	assert.Equal(t, b.Limit("v", 2, now), 1, "still in use by a")
