--- a/policy/dispatch/loans.go
+++ b/policy/dispatch/loans.go
@@ -39,7 +39,7 @@
 	}
 	wants := wantsOf(svc.decl.Name, peers)
 	for _, t := range svc.targets {
-		if d.book.Idle(t.id, func(e model.EntryID) bool { return wants[e] > 0 }, now) {
+		if d.book.IsLoanIdle(t.id, func(e model.EntryID) bool { return wants[e] > 0 }, now) {
 			d.book.Recall(t.id)
 		}
 	}
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -192,9 +192,9 @@
 	return l.owed
 }
 
-// Idle reports whether a loan has stood for long and its borrower wants no
+// IsLoanIdle reports whether a loan has stood for long and its borrower wants no
 // more of it.
-func (b *Ledger) Idle(vm model.VMID, wants func(model.EntryID) bool, now time.Time) bool {
+func (b *Ledger) IsLoanIdle(vm model.VMID, wants func(model.EntryID) bool, now time.Time) bool {
 	l := b.lent[vm]
 	return l != nil && l.Slots > 0 && now.Sub(l.since) >= loanKept && !wants(l.To)
 }
