--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -158,8 +158,8 @@
 	return 0
 }
 
-// Lending reports whether slots of the target are lent, or not yet back.
-func (b *Ledger) Lending(vm model.VMID) bool { return b.lent[vm] != nil }
+// IsLent reports whether slots of the target are lent, or not yet back.
+func (b *Ledger) IsLent(vm model.VMID) bool { return b.lent[vm] != nil }
 
 // Borrowing reports whether slots of the target are borrowed.
 func (b *Ledger) Borrowing(vm model.VMID) bool {
