--- a/policy/dispatch/loans.go
+++ b/policy/dispatch/loans.go
@@ -67,7 +67,7 @@
 			return
 		}
 		n := min(t.limit-t.own, spare, wants[to])
-		if n <= 0 || d.out(t, now) || d.book.IsLent(t.id) || d.book.Borrowing(t.id) {
+		if n <= 0 || d.out(t, now) || d.book.IsLent(t.id) || d.book.IsBorrowed(t.id) {
 			continue
 		}
 		d.book.Lend(t.id, to, n, now)
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -161,8 +161,8 @@
 // IsLent reports whether slots of the target are lent, or not yet back.
 func (b *Ledger) IsLent(vm model.VMID) bool { return b.lent[vm] != nil }
 
-// Borrowing reports whether slots of the target are borrowed.
-func (b *Ledger) Borrowing(vm model.VMID) bool {
+// IsBorrowed reports whether slots of the target are borrowed.
+func (b *Ledger) IsBorrowed(vm model.VMID) bool {
 	for key := range b.borrowed {
 		if key.vm == vm {
 			return true
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -136,7 +136,7 @@
 	case 1:
 		w.running[a] = max(0, w.running[a]-1)
 	case 2:
-		if n := w.limit(a) - w.running[a]; a != b && n > 0 && !w.books[a].IsLent("v") && !w.books[a].Borrowing("v") {
+		if n := w.limit(a) - w.running[a]; a != b && n > 0 && !w.books[a].IsLent("v") && !w.books[a].IsBorrowed("v") {
 			w.books[a].Lend("v", b, n, w.now)
 		}
 	case 3:
