--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// LoanFresh is how long a borrower uses a loan without hearing from its
+	// LoanValidity is how long a borrower uses a loan without hearing from its
 	// lender. Other zones' digests come once a second: two may be lost.
-	LoanFresh = 3 * time.Second
+	LoanValidity = 3 * time.Second
 	// LoanLost is how long a lender waits for a borrower it does not hear
 	// before it counts a slot as its own again. It is well above LoanFresh:
 	// what may still run there then has run for 7 s.
@@ -143,7 +143,7 @@
 func (b *Ledger) Limit(vm model.VMID, share int, now time.Time) int {
 	limit := share - b.owed(vm)
 	for key, l := range b.borrowed {
-		if key.vm == vm && now.Sub(b.heard[key.from]) < LoanFresh {
+		if key.vm == vm && now.Sub(b.heard[key.from]) < LoanValidity {
 			limit += l.Slots
 		}
 	}
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -215,8 +215,8 @@
 		lender, borrow int
 	}{
 		{0, 1, 3},
-		{LoanFresh - 1, 1, 3},
-		{LoanFresh, 1, 2},
+		{LoanValidity - 1, 1, 3},
+		{LoanValidity, 1, 2},
 		{LoanLost - 1, 1, 2},
 		{LoanLost, 2, 2},
 	}
