--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -12,10 +12,10 @@
 	// LoanValidity is how long a borrower uses a loan without hearing from its
 	// lender. Other zones' digests come once a second: two may be lost.
 	LoanValidity = 3 * time.Second
-	// LoanLost is how long a lender waits for a borrower it does not hear
+	// LoanReclaimTimeout is how long a lender waits for a borrower it does not hear
 	// before it counts a slot as its own again. It is well above LoanFresh:
 	// what may still run there then has run for 7 s.
-	LoanLost = 10 * time.Second
+	LoanReclaimTimeout = 10 * time.Second
 	// loanKept is how long a loan stands at least, so that a borrower whose
 	// load comes in bursts does not ask anew for each.
 	loanKept = 5 * time.Second
@@ -132,7 +132,7 @@
 		if last.Before(l.since) {
 			last = l.since
 		}
-		if now.Sub(last) >= LoanLost {
+		if now.Sub(last) >= LoanReclaimTimeout {
 			delete(b.lent, vm)
 		}
 	}
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -217,8 +217,8 @@
 		{0, 1, 3},
 		{LoanValidity - 1, 1, 3},
 		{LoanValidity, 1, 2},
-		{LoanLost - 1, 1, 2},
-		{LoanLost, 2, 2},
+		{LoanReclaimTimeout - 1, 1, 2},
+		{LoanReclaimTimeout, 2, 2},
 	}
 	for _, tc := range cases {
 		at := now.Add(tc.after)
