--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -97,7 +97,7 @@
 func messageOf(d peer.Digest) slots.Message {
 	var m slots.Message
 	for _, w := range d.Wants {
-		m.Wants = append(m.Wants, slots.Want{Service: w.Service, Slots: int(w.Slots)})
+		m.Wants = append(m.Wants, slots.Demand{Service: w.Service, Slots: int(w.Slots)})
 	}
 	for _, l := range d.Loans {
 		m.Loans = append(m.Loans, slots.Loan{VM: l.VM, To: l.To, Slots: int(l.Slots), Version: l.Version})
--- a/policy/dispatch/loans.go
+++ b/policy/dispatch/loans.go
@@ -136,10 +136,10 @@
 
 // LendingMessage returns what to tell peers.
 func (d *Dispatcher) LendingMessage() slots.Message {
-	var wants []slots.Want
+	var wants []slots.Demand
 	for _, svc := range d.order {
 		if n := svc.wanted(); n > 0 {
-			wants = append(wants, slots.Want{Service: svc.decl.Name, Slots: n})
+			wants = append(wants, slots.Demand{Service: svc.decl.Name, Slots: n})
 		}
 	}
 	inFlight := func(vm model.VMID) int { return d.targetOr(vm).own }
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -21,8 +21,8 @@
 	loanKept = 5 * time.Second
 )
 
-// Want asks peers for slots of a service.
-type Want struct {
+// Demand asks peers for slots of a service.
+type Demand struct {
 	Service model.ServiceName
 	Slots   int
 }
@@ -48,7 +48,7 @@
 // Message is what an entry VM tells all peers of its lending. It holds nothing
 // where nobody lends.
 type Message struct {
-	Wants    []Want
+	Wants    []Demand
 	Loans    []Loan
 	Borrowed []Borrow
 }
@@ -201,7 +201,7 @@
 
 // Message returns what to tell peers, given this entry VM's requests at each
 // target and its share there.
-func (b *Ledger) Message(wants []Want, inFlight, share func(model.VMID) int) Message {
+func (b *Ledger) Message(wants []Demand, inFlight, share func(model.VMID) int) Message {
 	m := Message{Wants: wants}
 	for _, l := range b.lent {
 		m.Loans = append(m.Loans, l.Loan)
