--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -97,7 +97,7 @@
 func messageOf(d peer.Digest) slots.Message {
 	var m slots.Message
 	for _, w := range d.Wants {
-		m.Wants = append(m.Wants, slots.Demand{Service: w.Service, Slots: int(w.Slots)})
+		m.Demands = append(m.Demands, slots.Demand{Service: w.Service, Slots: int(w.Slots)})
 	}
 	for _, l := range d.Loans {
 		m.Loans = append(m.Loans, slots.Loan{VM: l.VM, To: l.To, Slots: int(l.Slots), Version: l.Version})
@@ -114,7 +114,7 @@
 	d.Queued = uint32(s.Queued())
 	m := s.dispatch.lending()
 	d.Wants, d.Loans, d.Borrowed = nil, nil, nil
-	for _, w := range m.Wants {
+	for _, w := range m.Demands {
 		d.Wants = append(d.Wants, peer.SlotWant{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
 	}
 	for _, l := range m.Loans {
--- a/policy/dispatch/loans.go
+++ b/policy/dispatch/loans.go
@@ -115,7 +115,7 @@
 func wantsOf(name model.ServiceName, peers []slots.PeerMessage) map[model.EntryID]int {
 	wants := make(map[model.EntryID]int)
 	for _, p := range peers {
-		for _, w := range p.Wants {
+		for _, w := range p.Demands {
 			if w.Service == name && w.Slots > 0 {
 				wants[p.Entry] = w.Slots
 			}
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -48,7 +48,7 @@
 // Message is what an entry VM tells all peers of its lending. It holds nothing
 // where nobody lends.
 type Message struct {
-	Wants    []Demand
+	Demands  []Demand
 	Loans    []Loan
 	Borrowed []Borrow
 }
@@ -202,7 +202,7 @@
 // Message returns what to tell peers, given this entry VM's requests at each
 // target and its share there.
 func (b *Ledger) Message(wants []Demand, inFlight, share func(model.VMID) int) Message {
-	m := Message{Wants: wants}
+	m := Message{Demands: wants}
 	for _, l := range b.lent {
 		m.Loans = append(m.Loans, l.Loan)
 	}
