--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -41,7 +41,7 @@
 type Borrow struct {
 	VM      model.VMID
 	From    model.EntryID
-	Using   int
+	InUse   int
 	Version uint32
 }
 
@@ -120,7 +120,7 @@
 	if l == nil || c.From != b.self || l.To != from || l.Slots > 0 || c.Version != l.Version {
 		return
 	}
-	if l.owed = c.Using; l.owed == 0 {
+	if l.owed = c.InUse; l.owed == 0 {
 		delete(b.lent, c.VM)
 	}
 }
@@ -209,7 +209,7 @@
 	for key, l := range b.borrowed {
 		// What it lent of its share is not its own to run on.
 		over := max(0, inFlight(key.vm)-share(key.vm)+b.owed(key.vm))
-		m.Borrowed = append(m.Borrowed, Borrow{VM: key.vm, From: key.from, Using: over, Version: l.Version})
+		m.Borrowed = append(m.Borrowed, Borrow{VM: key.vm, From: key.from, InUse: over, Version: l.Version})
 	}
 	slices.SortFunc(m.Loans, func(x, y Loan) int { return strings.Compare(string(x.VM), string(y.VM)) })
 	slices.SortFunc(m.Borrowed, func(x, y Borrow) int {
