--- a/policy/dispatch/model_peers_test.go
+++ b/policy/dispatch/model_peers_test.go
@@ -54,7 +54,7 @@
 	}
 	var all []slots.PeerMessage
 	for id, d := range e.heard {
-		all = append(all, slots.PeerMessage{Entry: id, Heard: d.at, Message: d.msg})
+		all = append(all, slots.PeerMessage{Entry: id, ReceivedAt: d.at, Message: d.msg})
 	}
 	slices.SortFunc(all, func(a, b slots.PeerMessage) int { return strings.Compare(string(a.Entry), string(b.Entry)) })
 	return all
--- a/policy/slots/book.go
+++ b/policy/slots/book.go
@@ -55,8 +55,8 @@
 
 // PeerMessage is the latest Message heard of a peer.
 type PeerMessage struct {
-	Entry model.EntryID
-	Heard time.Time
+	Entry      model.EntryID
+	ReceivedAt time.Time
 	Message
 }
 
@@ -99,7 +99,7 @@
 	clear(b.heard)
 	clear(b.borrowed)
 	for _, p := range peers {
-		b.heard[p.Entry] = p.Heard
+		b.heard[p.Entry] = p.ReceivedAt
 		for _, l := range p.Loans {
 			if l.To == b.self {
 				b.borrowed[borrowKey{l.VM, p.Entry}] = &l
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -120,7 +120,7 @@
 	var peers []PeerMessage
 	for _, id := range w.ids {
 		if m, ok := w.heard[[2]model.EntryID{id, to}]; ok {
-			peers = append(peers, PeerMessage{Entry: id, Heard: w.now, Message: m})
+			peers = append(peers, PeerMessage{Entry: id, ReceivedAt: w.now, Message: m})
 		}
 	}
 	w.books[to].Receive(peers, w.now)
@@ -190,7 +190,7 @@
 	a.Lend("v", "c", 1, now)
 	b.Lend("v", "a", 1, now)
 	tell := func(from *Ledger, running func(model.VMID) int) PeerMessage {
-		return PeerMessage{Entry: from.self, Heard: now, Message: from.Message(nil, running, two)}
+		return PeerMessage{Entry: from.self, ReceivedAt: now, Message: from.Message(nil, running, two)}
 	}
 	a.Receive([]PeerMessage{tell(b, one)}, now)
 	assert.Equal(t, a.Limit("v", 2, now), 2)
@@ -209,7 +209,7 @@
 	now := time.Unix(0, 0)
 	a, b := NewLedger("a"), NewLedger("b")
 	a.Lend("v", "b", 1, now)
-	b.Receive([]PeerMessage{{Entry: "a", Heard: now, Message: a.Message(nil, func(model.VMID) int { return 0 }, func(model.VMID) int { return 2 })}}, now)
+	b.Receive([]PeerMessage{{Entry: "a", ReceivedAt: now, Message: a.Message(nil, func(model.VMID) int { return 0 }, func(model.VMID) int { return 2 })}}, now)
 	cases := []struct {
 		after          time.Duration
 		lender, borrow int
