--- a/policy/dispatch/bench_test.go
+++ b/policy/dispatch/bench_test.go
@@ -39,7 +39,7 @@
 	return func(c routing.Choice) int {
 		best := -1
 		for _, i := range freeTargets(c) {
-			if best < 0 || c.Targets[i].Own < c.Targets[best].Own {
+			if best < 0 || c.Targets[i].InFlight < c.Targets[best].InFlight {
 				best = i
 			}
 		}
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -42,14 +42,14 @@
 
 func (d *Dispatcher) routingTarget(t *target, now time.Time) routing.Target {
 	rt := routing.Target{
-		ID:      t.id,
-		Local:   t.zone == d.cfg.Zone,
-		Own:     t.own,
-		Slots:   t.slots,
-		Limit:   t.limit - t.penalized(now),
-		Latency: t.latency.Value(now, 0),
-		Weight:  t.health.Weight(now),
-		Out:     d.out(t, now),
+		ID:       t.id,
+		Local:    t.zone == d.cfg.Zone,
+		InFlight: t.own,
+		Slots:    t.slots,
+		Limit:    t.limit - t.penalized(now),
+		Latency:  t.latency.Value(now, 0),
+		Weight:   t.health.Weight(now),
+		Out:      d.out(t, now),
 	}
 	if d.cfg.Peers != nil {
 		rt.Peers = d.cfg.Peers.InFlight(t.id)
--- a/policy/routing/routing_test.go
+++ b/policy/routing/routing_test.go
@@ -17,9 +17,9 @@
 func TestPick(t *testing.T) {
 	with := func(t Target, change func(*Target)) Target { change(&t); return t }
 	home, away := sound("h", true), sound("a", false)
-	full := with(home, func(t *Target) { t.Own = 8 })
+	full := with(home, func(t *Target) { t.InFlight = 8 })
 	fullByPeers := with(home, func(t *Target) { t.Peers = 8 })
-	overShare := with(home, func(t *Target) { t.Limit, t.Own = 1, 1 })
+	overShare := with(home, func(t *Target) { t.Limit, t.InFlight = 1, 1 })
 	out := with(home, func(t *Target) { t.Out = true })
 	slow := with(home, func(t *Target) { t.Latency = time.Second })
 	cases := []struct {
