--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -52,7 +52,7 @@
 		Out:      d.out(t, now),
 	}
 	if d.cfg.Peers != nil {
-		rt.Peers = d.cfg.Peers.InFlight(t.id)
+		rt.PeerInFlight = d.cfg.Peers.InFlight(t.id)
 	}
 	return rt
 }
--- a/policy/routing/routing.go
+++ b/policy/routing/routing.go
@@ -32,15 +32,15 @@
 
 // Target is what is known of one target at the time of a choice.
 type Target struct {
-	ID       model.VMID
-	Local    bool          // in the entry VM's own zone
-	InFlight int           // this entry VM's requests there now
-	Peers    int           // fresh peers' requests there, from digests
-	Slots    int           // requests the target works on at once
-	Limit    int           // requests this entry VM may have there, its share of the slots
-	Latency  time.Duration // estimate for answered requests; 0 where unknown
-	Weight   float64       // share of its work it gets, below 1 while it is coming back; 0 counts as 1
-	Out      bool          // leaving, ejected or otherwise not to be used
+	ID           model.VMID
+	Local        bool          // in the entry VM's own zone
+	InFlight     int           // this entry VM's requests there now
+	PeerInFlight int           // fresh peers' requests there, from digests
+	Slots        int           // requests the target works on at once
+	Limit        int           // requests this entry VM may have there, its share of the slots
+	Latency      time.Duration // estimate for answered requests; 0 where unknown
+	Weight       float64       // share of its work it gets, below 1 while it is coming back; 0 counts as 1
+	Out          bool          // leaving, ejected or otherwise not to be used
 }
 
 // Free returns how many more requests may be sent there now: within this entry
@@ -49,7 +49,7 @@
 	if t.Out {
 		return 0
 	}
-	return max(0, min(t.Limit-t.InFlight, t.Slots-t.InFlight-t.Peers))
+	return max(0, min(t.Limit-t.InFlight, t.Slots-t.InFlight-t.PeerInFlight))
 }
 
 func (t *Target) latency(typical time.Duration) time.Duration {
@@ -62,7 +62,7 @@
 // score is the expected time until a further request there would be done,
 // were the target's speed shared by its load. Lower is better.
 func (t *Target) score(typical time.Duration) float64 {
-	load := float64(t.InFlight+t.Peers+1) / float64(max(t.Slots, 1))
+	load := float64(t.InFlight+t.PeerInFlight+1) / float64(max(t.Slots, 1))
 	return load * float64(t.latency(typical))
 }
 
--- a/policy/routing/routing_test.go
+++ b/policy/routing/routing_test.go
@@ -18,7 +18,7 @@
 	with := func(t Target, change func(*Target)) Target { change(&t); return t }
 	home, away := sound("h", true), sound("a", false)
 	full := with(home, func(t *Target) { t.InFlight = 8 })
-	fullByPeers := with(home, func(t *Target) { t.Peers = 8 })
+	fullByPeers := with(home, func(t *Target) { t.PeerInFlight = 8 })
 	overShare := with(home, func(t *Target) { t.Limit, t.InFlight = 1, 1 })
 	out := with(home, func(t *Target) { t.Out = true })
 	slow := with(home, func(t *Target) { t.Latency = time.Second })
@@ -37,7 +37,7 @@
 		{"leaving", []Target{out, home}, nil, 1},
 		{"slow target is left free", []Target{slow, full, full}, nil, -1},
 		{"slow target is sooner than waiting", []Target{slow, full, full}, func(c *Choice) { c.Wait = 2 * time.Second }, 0},
-		{"less loaded of two", []Target{with(home, func(t *Target) { t.Peers = 4 }), home}, nil, 1},
+		{"less loaded of two", []Target{with(home, func(t *Target) { t.PeerInFlight = 4 }), home}, nil, 1},
 		{"quicker of two", []Target{home, with(home, func(t *Target) { t.Latency = 50 * ms })}, nil, 1},
 		{"unmeasured counts as typical", []Target{with(home, func(t *Target) { t.Latency = 0 }), full, full}, nil, 0},
 	}
