--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -42,14 +42,14 @@
 
 func (d *Dispatcher) routingTarget(t *target, now time.Time) routing.Target {
 	rt := routing.Target{
-		ID:       t.id,
-		Local:    t.zone == d.cfg.Zone,
-		InFlight: t.own,
-		Slots:    t.slots,
-		Limit:    t.limit - t.penalized(now),
-		Latency:  t.latency.Value(now, 0),
-		Weight:   t.health.Weight(now),
-		Out:      d.out(t, now),
+		ID:          t.id,
+		Local:       t.zone == d.cfg.Zone,
+		InFlight:    t.own,
+		Slots:       t.slots,
+		Limit:       t.limit - t.penalized(now),
+		Latency:     t.latency.Value(now, 0),
+		Weight:      t.health.Weight(now),
+		Unavailable: d.out(t, now),
 	}
 	if d.cfg.Peers != nil {
 		rt.PeerInFlight = d.cfg.Peers.InFlight(t.id)
@@ -72,7 +72,7 @@
 // usable counts the slots of targets in use, anywhere and in the own zone.
 func usable(ts []routing.Target) (all, local int) {
 	for i := range ts {
-		if ts[i].Out {
+		if ts[i].Unavailable {
 			continue
 		}
 		all += ts[i].Limit
@@ -96,7 +96,7 @@
 // capacity returns the free and the usable slots of the targets in use.
 func capacity(ts []routing.Target) (free, total int) {
 	for i := range ts {
-		if !ts[i].Out {
+		if !ts[i].Unavailable {
 			free += ts[i].Free()
 			total += ts[i].Limit
 		}
--- a/policy/routing/routing.go
+++ b/policy/routing/routing.go
@@ -40,13 +40,13 @@
 	Limit        int           // requests this entry VM may have there, its share of the slots
 	Latency      time.Duration // estimate for answered requests; 0 where unknown
 	Weight       float64       // share of its work it gets, below 1 while it is coming back; 0 counts as 1
-	Out          bool          // leaving, ejected or otherwise not to be used
+	Unavailable  bool          // leaving, ejected or otherwise not to be used
 }
 
 // Free returns how many more requests may be sent there now: within this entry
 // VM's own share, and within the slots by all that is known of peers.
 func (t *Target) Free() int {
-	if t.Out {
+	if t.Unavailable {
 		return 0
 	}
 	return max(0, min(t.Limit-t.InFlight, t.Slots-t.InFlight-t.PeerInFlight))
@@ -173,7 +173,7 @@
 	var buffer [typicalBuffer]time.Duration
 	known := buffer[:0]
 	for i := range ts {
-		if ts[i].Latency > 0 && !ts[i].Out {
+		if ts[i].Latency > 0 && !ts[i].Unavailable {
 			known = append(known, ts[i].Latency)
 		}
 	}
@@ -186,7 +186,7 @@
 	var buffer [typicalBuffer]time.Duration
 	known := buffer[:0]
 	for i := range ts {
-		if ts[i].Latency > 0 && !ts[i].Out && ts[i].Local == local {
+		if ts[i].Latency > 0 && !ts[i].Unavailable && ts[i].Local == local {
 			known = append(known, ts[i].Latency)
 		}
 	}
--- a/policy/routing/routing_test.go
+++ b/policy/routing/routing_test.go
@@ -20,7 +20,7 @@
 	full := with(home, func(t *Target) { t.InFlight = 8 })
 	fullByPeers := with(home, func(t *Target) { t.PeerInFlight = 8 })
 	overShare := with(home, func(t *Target) { t.Limit, t.InFlight = 1, 1 })
-	out := with(home, func(t *Target) { t.Out = true })
+	out := with(home, func(t *Target) { t.Unavailable = true })
 	slow := with(home, func(t *Target) { t.Latency = time.Second })
 	cases := []struct {
 		name    string
