--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -24,7 +24,7 @@
 	mean := svc.hold.Mean()
 	all, local := usable(ts)
 	c.Wait, c.LocalWait = waitFor(all, mean), waitFor(local, mean)
-	c.Away = d.cfg.Rand(shiftSteps) < int(shiftSteps*d.shiftStep(svc, ts, now))
+	c.PreferRemote = d.cfg.Rand(shiftSteps) < int(shiftSteps*d.shiftStep(svc, ts, now))
 	return c
 }
 
--- a/policy/routing/routing.go
+++ b/policy/routing/routing.go
@@ -73,8 +73,8 @@
 	Wait    time.Duration // expected wait for the next free slot, anywhere
 	// LocalWait is the expected wait for the next free slot in the own zone.
 	LocalWait time.Duration
-	// Away says that this request goes to another zone first, see package shift.
-	Away bool
+	// PreferRemote says that this request goes to another zone first, see package shift.
+	PreferRemote bool
 	// Rand returns a number in [0,n).
 	Rand func(n int) int
 }
@@ -84,7 +84,7 @@
 // slot is used where waiting for one at home would cost more than the hop.
 func Pick(c Choice) int {
 	typical := Typical(c.Targets)
-	if c.Away {
+	if c.PreferRemote {
 		if i := c.pickAmong(false, typical); i >= 0 {
 			return i
 		}
--- a/policy/routing/routing_test.go
+++ b/policy/routing/routing_test.go
@@ -31,7 +31,7 @@
 		{"own zone first", []Target{away, home}, nil, 1},
 		{"other zone where the own is full", []Target{away, full}, nil, 0},
 		{"waits where the hop costs more", []Target{away, full}, func(c *Choice) { c.LocalWait = ms }, -1},
-		{"work that shifts goes away first", []Target{away, home}, func(c *Choice) { c.Away = true }, 0},
+		{"work that shifts goes away first", []Target{away, home}, func(c *Choice) { c.PreferRemote = true }, 0},
 		{"full by peers", []Target{fullByPeers}, nil, -1},
 		{"own share used", []Target{overShare}, nil, -1},
 		{"leaving", []Target{out, home}, nil, 1},
