--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -35,7 +35,7 @@
 func (d *Dispatcher) shiftStep(svc *service, ts []routing.Target, now time.Time) float64 {
 	home, elsewhere := routing.TypicalOf(ts, true), routing.TypicalOf(ts, false)
 	if elsewhere > 0 {
-		elsewhere += routing.HopCost
+		elsewhere += routing.CrossZoneCost
 	}
 	return svc.shift.Step(home, elsewhere, now)
 }
--- a/policy/routing/routing.go
+++ b/policy/routing/routing.go
@@ -14,8 +14,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// HopCost is what sending a request to another zone adds: 1.5 ms each way.
-const HopCost = 3 * time.Millisecond
+// CrossZoneCost is what sending a request to another zone adds: 1.5 ms each way.
+const CrossZoneCost = 3 * time.Millisecond
 
 // SlowFactor is how many times the typical latency makes a target slow. A slow
 // target gets a request only if the request would be done sooner there than by
@@ -92,7 +92,7 @@
 	if i := c.pickAmong(true, typical); i >= 0 {
 		return i
 	}
-	if c.LocalWait <= HopCost {
+	if c.LocalWait <= CrossZoneCost {
 		return -1
 	}
 	return c.pickAmong(false, typical)
