--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -15,7 +15,7 @@
 		ts = append(ts, d.routingTarget(t, now))
 	}
 	svc.scratch = ts
-	if typical := routing.Typical(ts); typical > time.Microsecond {
+	if typical := routing.TypicalLatency(ts); typical > time.Microsecond {
 		for i, t := range svc.targets {
 			ts[i].Latency = t.latency.Value(now, typical)
 		}
--- a/policy/routing/routing.go
+++ b/policy/routing/routing.go
@@ -83,7 +83,7 @@
 // a slot than to use one that is free. The own zone goes first; another zone's
 // slot is used where waiting for one at home would cost more than the hop.
 func Pick(c Choice) int {
-	typical := Typical(c.Targets)
+	typical := TypicalLatency(c.Targets)
 	if c.PreferRemote {
 		if i := c.pickAmong(false, typical); i >= 0 {
 			return i
@@ -165,11 +165,11 @@
 // typicalBuffer keeps the usual pool's median off the heap.
 const typicalBuffer = 64
 
-// Typical returns the (lower) median latency of the targets in use: half of
+// TypicalLatency returns the (lower) median latency of the targets in use: half of
 // the targets must go wrong before a good one is taken for slow. A target that
 // nobody has measured counts as typical, so that it gets the requests that
 // measure it. It returns a microsecond where nothing is known.
-func Typical(ts []Target) time.Duration {
+func TypicalLatency(ts []Target) time.Duration {
 	var buffer [typicalBuffer]time.Duration
 	known := buffer[:0]
 	for i := range ts {
