--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -33,7 +33,7 @@
 
 // shiftStep compares the own zone's targets with the others.
 func (d *Dispatcher) shiftStep(svc *service, ts []routing.Target, now time.Time) float64 {
-	home, elsewhere := routing.TypicalOf(ts, true), routing.TypicalOf(ts, false)
+	home, elsewhere := routing.ZoneTypicalLatency(ts, true), routing.ZoneTypicalLatency(ts, false)
 	if elsewhere > 0 {
 		elsewhere += routing.CrossZoneCost
 	}
--- a/policy/routing/routing.go
+++ b/policy/routing/routing.go
@@ -180,9 +180,9 @@
 	return max(lowerMedian(known), time.Microsecond)
 }
 
-// TypicalOf returns the same for the own zone's targets or for the others, 0
+// ZoneTypicalLatency returns the same for the own zone's targets or for the others, 0
 // where nothing is known.
-func TypicalOf(ts []Target, local bool) time.Duration {
+func ZoneTypicalLatency(ts []Target, local bool) time.Duration {
 	var buffer [typicalBuffer]time.Duration
 	known := buffer[:0]
 	for i := range ts {
