--- a/policy/dispatch/fleet.go
+++ b/policy/dispatch/fleet.go
@@ -99,7 +99,7 @@
 	came := vm.Serving && !t.serving
 	if came && (!fresh || len(d.services) > 0) {
 		t.health.Start(now)
-		t.latency = routing.Latency{}
+		t.latency = routing.LatencyEstimate{}
 	}
 	t.zone, t.address, t.serving = vm.Zone, vm.Address, vm.Serving
 }
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -23,7 +23,7 @@
 	from    division // what share and prober were computed from
 
 	own     int // requests of this entry VM there now
-	latency routing.Latency
+	latency routing.LatencyEstimate
 	health  health.Target
 	leaving health.Leaving
 	down    bool // its health answers stay away, and the budget can do without it
--- a/policy/routing/latency.go
+++ b/policy/routing/latency.go
@@ -19,11 +19,11 @@
 // three times their mean with 5%), and a target that looks slow gets no second.
 const latencySamples = 5
 
-// Latency estimates how long a target takes to begin its answer. It averages
+// LatencyEstimate estimates how long a target takes to begin its answer. It averages
 // logarithms: one request a hundred times longer than the others (long work
 // among short) moves it by a factor of 1.6 and not by 11, whereas a target that
 // is slow for all requests shows fully. The zero value knows nothing.
-type Latency struct {
+type LatencyEstimate struct {
 	logMean float64
 	samples int
 	at      time.Time
@@ -31,7 +31,7 @@
 
 // Observe takes in a sample. Only answers count: a target that fails fast must
 // not look quick.
-func (l *Latency) Observe(d time.Duration, now time.Time) {
+func (l *LatencyEstimate) Observe(d time.Duration, now time.Time) {
 	sample := math.Log(float64(max(d, time.Microsecond)))
 	l.samples++
 	gain := max(latencyGain, 1/float64(l.samples))
@@ -41,7 +41,7 @@
 
 // Value returns the estimate at now, 0 where nothing is known. Without samples
 // it nears typical (0 where that is not known).
-func (l *Latency) Value(now time.Time, typical time.Duration) time.Duration {
+func (l *LatencyEstimate) Value(now time.Time, typical time.Duration) time.Duration {
 	if l.samples < latencySamples {
 		return 0
 	}
--- a/policy/routing/routing_test.go
+++ b/policy/routing/routing_test.go
@@ -78,8 +78,8 @@
 
 func TestLatency(t *testing.T) {
 	now := time.Unix(0, 0)
-	feed := func(samples ...time.Duration) *Latency {
-		l := &Latency{}
+	feed := func(samples ...time.Duration) *LatencyEstimate {
+		l := &LatencyEstimate{}
 		for _, s := range samples {
 			l.Observe(s, now)
 		}
@@ -95,11 +95,11 @@
 	const typical = 100 * ms
 	cases := []struct {
 		name        string
-		l           *Latency
+		l           *LatencyEstimate
 		after       time.Duration
 		least, most time.Duration
 	}{
-		{"nothing known", &Latency{}, 0, 0, 0},
+		{"nothing known", &LatencyEstimate{}, 0, 0, 0},
 		{"one long sample says nothing", feed(time.Minute), 0, 0, 0},
 		{"one long among short", feed(append(many(typical, 50), 100*typical)...), 0, typical, 2 * typical},
 		{"ten times slower shows", feed(append(many(typical, 50), many(10*typical, 12)...)...), 0, SlowFactor * typical, 10 * typical},
