--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -128,10 +128,10 @@
 // large has the owner know so many workers that it forwards, and returns one of
 // them whose calls go by other-0.
 func (r *rig) large() int {
-	for i := range forwarding.From {
+	for i := range forwarding.MinWorkers {
 		assert.Equal(r.t, r.poll(i), engine.OutcomeOK)
 	}
-	for i := range forwarding.From {
+	for i := range forwarding.MinWorkers {
 		r.others[0].count()
 		assert.Equal(r.t, r.poll(i), engine.OutcomeOK)
 		if r.others[0].count() == 1 {
@@ -146,10 +146,10 @@
 
 func TestTheOwnerOfASmallCellCallsItsWorkersItself(t *testing.T) {
 	r := newRig(t)
-	for i := range forwarding.From - 1 {
+	for i := range forwarding.MinWorkers - 1 {
 		assert.Equal(t, r.poll(i), engine.OutcomeOK)
 	}
-	assert.Equal(t, r.direct.count(), forwarding.From-1)
+	assert.Equal(t, r.direct.count(), forwarding.MinWorkers-1)
 }
 
 // Jobs wait while workers are free: the owner's share of a core goes into calls.
@@ -200,7 +200,7 @@
 	assert.Assert(t, p.Name != "other-0", "it would be dialled for each call")
 	for range 2 { // the others are called all the while, or the cell would be small
 		r.clock.now += avoidFor / 2
-		for j := range forwarding.From {
+		for j := range forwarding.MinWorkers {
 			r.owner.via(worker(j))
 		}
 	}
--- a/policy/forwarding/forwarding.go
+++ b/policy/forwarding/forwarding.go
@@ -26,14 +26,14 @@
 }
 
 const (
-	// From is how many workers a cell has from which its calls are forwarded. An
+	// MinWorkers is how many workers a cell has from which its calls are forwarded. An
 	// owner that had drawn all 48 VMs of a small deployment has been measured at a
 	// tenth of a core; one with sixty to three hundred is asked 2,300 starts a second
 	// and more in a burst and takes a millisecond of processor time for each.
-	From = 56
+	MinWorkers = 56
 	// until keeps a cell whose VMs come and go by turns from changing over and
 	// back: a worker's connection to the new caller has a price each time.
-	until = From / 2
+	until = MinWorkers / 2
 	// choices is how many entry VMs are tried for a worker before the owner
 	// calls it itself.
 	choices = 2
@@ -50,7 +50,7 @@
 	if now {
 		return workers >= until
 	}
-	return workers >= From
+	return workers >= MinWorkers
 }
 
 // Choices returns the entry VMs that may speak with the worker, the preferred one
