--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	if want := forwarding.Wanted(len(w.workers), w.active); want != w.active {
+	if want := forwarding.ShouldForward(len(w.workers), w.active); want != w.active {
 		w.active = want
 		w.Log.Info("calls to workers are forwarded", "on", want, "workers", len(w.workers))
 	}
--- a/policy/forwarding/forwarding.go
+++ b/policy/forwarding/forwarding.go
@@ -44,9 +44,9 @@
 	leastShare = 0.25
 )
 
-// Wanted reports whether a cell of so many workers is to forward its calls. now
+// ShouldForward reports whether a cell of so many workers is to forward its calls. now
 // says whether it does.
-func Wanted(workers int, now bool) bool {
+func ShouldForward(workers int, now bool) bool {
 	if now {
 		return workers >= until
 	}
--- a/policy/forwarding/forwarding_test.go
+++ b/policy/forwarding/forwarding_test.go
@@ -94,8 +94,8 @@
 }
 
 func TestACellNearTheLimitDoesNotChangeOverAndBack(t *testing.T) {
-	assert.Assert(t, !Wanted(MinWorkers-1, false))
-	assert.Assert(t, Wanted(MinWorkers, false))
-	assert.Assert(t, Wanted(MinWorkers-1, true))
-	assert.Assert(t, !Wanted(until-1, true))
+	assert.Assert(t, !ShouldForward(MinWorkers-1, false))
+	assert.Assert(t, ShouldForward(MinWorkers, false))
+	assert.Assert(t, ShouldForward(MinWorkers-1, true))
+	assert.Assert(t, !ShouldForward(until-1, true))
 }
