--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -95,7 +95,7 @@
 	}
 	w.refreshLocked()
 	if r.choices == nil || r.version != w.version {
-		r.choices, r.version = forwarding.Choices(string(to.ID), to.Zone, w.Self, w.members), w.version
+		r.choices, r.version = forwarding.Candidates(string(to.ID), to.Zone, w.Self, w.members), w.version
 	}
 	for i, name := range r.choices {
 		if i >= r.past && now >= w.avoid[name] {
--- a/policy/forwarding/forwarding.go
+++ b/policy/forwarding/forwarding.go
@@ -53,13 +53,13 @@
 	return workers >= MinWorkers
 }
 
-// Choices returns the entry VMs that may speak with the worker, the preferred one
+// Candidates returns the entry VMs that may speak with the worker, the preferred one
 // first. Those of the worker's own zone come first: most bytes then stay within
 // it, and a cut of the zone does not come between the two. Within a zone each
 // worker has its own order, in which VMs come early as often as they can carry
 // (weighted rendezvous), so that one that leaves hands its workers to all others
 // and no other worker changes.
-func Choices(worker, zone, owner string, members []Member) []string {
+func Candidates(worker, zone, owner string, members []Member) []string {
 	type candidate struct {
 		name  string
 		away  int
--- a/policy/forwarding/forwarding_test.go
+++ b/policy/forwarding/forwarding_test.go
@@ -35,7 +35,7 @@
 func first(members []Member, owner string, n int) map[string]int {
 	out := make(map[string]int)
 	for _, w := range workers(n) {
-		out[Choices(w, "a", owner, members)[0]]++
+		out[Candidates(w, "a", owner, members)[0]]++
 	}
 	return out
 }
@@ -67,12 +67,12 @@
 // forward count.
 func TestSmallVMsAreUsedWhereTheOwnerIsTheOnlyLargeOne(t *testing.T) {
 	members := []Member{{Name: "owner", Zone: "a", Weight: 0.8}, {Name: "x", Zone: "a", Weight: 0.02}, {Name: "far", Zone: "b", Weight: 0.8}}
-	assert.DeepEqual(t, Choices("i-1", "a", "owner", members), []string{"x", "far"})
+	assert.DeepEqual(t, Candidates("i-1", "a", "owner", members), []string{"x", "far"})
 }
 
 func TestVMsOfTheWorkersZoneComeFirst(t *testing.T) {
 	members := []Member{{Name: "far", Zone: "b", Weight: 10}, {Name: "near", Zone: "a", Weight: 0.01}}
-	assert.DeepEqual(t, Choices("i-1", "a", "", members), []string{"near", "far"})
+	assert.DeepEqual(t, Candidates("i-1", "a", "", members), []string{"near", "far"})
 }
 
 // Connections are dear: when an entry VM goes, only its own workers may change.
@@ -80,7 +80,7 @@
 	before := fleet()
 	after := slices.DeleteFunc(slices.Clone(before), func(m Member) bool { return m.Name == "a-large-1" })
 	for _, w := range workers(500) {
-		was, is := Choices(w, "a", "", before), Choices(w, "a", "", after)
+		was, is := Candidates(w, "a", "", before), Candidates(w, "a", "", after)
 		if was[0] != "a-large-1" {
 			assert.Equal(t, was[0], is[0])
 			continue
@@ -90,7 +90,7 @@
 }
 
 func TestTheOwnerCallsItselfWhereItIsAlone(t *testing.T) {
-	assert.Equal(t, len(Choices("i-1", "a", "me", []Member{{Name: "me", Zone: "a", Weight: 1}})), 0)
+	assert.Equal(t, len(Candidates("i-1", "a", "me", []Member{{Name: "me", Zone: "a", Weight: 1}})), 0)
 }
 
 func TestACellNearTheLimitDoesNotChangeOverAndBack(t *testing.T) {
