--- a/policy/slots/slots.go
+++ b/policy/slots/slots.go
@@ -1,5 +1,6 @@
-// Package slots divides a target's slots among the entry VMs, which agree on
-// nothing with each other.
+// Package slots divides a target's slots among the entry VMs without consensus
+// between them. Each computes its share from the list of live entry VMs; idle
+// slots are lent between peers.
 package slots
 
 import (
@@ -10,24 +11,25 @@
 	"github.com/pumicestage/pumicestage/policy/rendezvous"
 )
 
-// Entry is one live entry VM.
+// Entry is a live entry VM.
 type Entry struct {
 	ID   model.EntryID
 	Zone model.ZoneName
 }
 
-// Target is whose slots are divided.
+// Target is a VM whose slots are divided.
 type Target struct {
 	ID    model.VMID
 	Zone  model.ZoneName
 	Slots int
 }
 
-// Share returns how many of the target's slots are the entry VM's own, given
-// all live entry VMs. Every entry VM that knows the same entry VMs computes the
-// same shares, and shares add up to the slots. Slots are dealt in turn in an
-// order hashed per target, its own zone's entry VMs first, so that what does
-// not divide evenly falls to those next to the target.
+// Share returns how many of the target's slots belong to the entry VM self,
+// given all live entry VMs; all slots if entries is empty, none if self is not
+// among them. Entry VMs with the same list compute the same shares, and the
+// shares sum to the slots. Slots are dealt in turn, in an order hashed per
+// target with entry VMs of the target's zone first, so that the remainder goes
+// to those closest to the target.
 func Share(t Target, entries []Entry, self model.EntryID) int {
 	order := rank(t, entries)
 	n := len(order)
@@ -47,7 +49,7 @@
 	return 0
 }
 
-// rank orders entry VMs for a target: its zone's first, then by hash.
+// rank sorts entry VMs for a target: those of its zone first, then by hash.
 func rank(t Target, entries []Entry) []Entry {
 	order := slices.Clone(entries)
 	slices.SortFunc(order, func(a, b Entry) int {
@@ -65,8 +67,9 @@
 	return order
 }
 
-// Prober returns the zone's entry VM that asks the target for its health: the
-// first of the rendezvous order, so that each asks few, whatever the number.
+// Prober returns the zone's entry VM that probes the target's health, the one
+// with the highest rendezvous score, so that probing is spread over the entry
+// VMs. It is empty if the zone has none.
 func Prober(t Target, zone model.ZoneName, entries []Entry) model.EntryID {
 	var prober model.EntryID
 	best := uint64(0)
@@ -78,5 +81,5 @@
 	return prober
 }
 
-// weight is the rendezvous hash of a target and an entry VM.
+// weight returns the rendezvous score of an entry VM for a target.
 func weight(t model.VMID, e model.EntryID) uint64 { return rendezvous.Score(string(t), string(e)) }
--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -13,15 +13,15 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// TestMain fixes the seed of random histories: a verdict must not change from
-// run to run.
+// TestMain fixes the seed of the random histories, so that every run gives the
+// same result.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "3000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
 	}
-	flag.Parse() // the command line may ask for more
+	flag.Parse() // the command line may override these values
 	os.Exit(m.Run())
 }
 
@@ -33,14 +33,14 @@
 	return entries
 }
 
-func TestSharesAddUpToTheSlots(t *testing.T) {
+func TestSharesSumToSlots(t *testing.T) {
 	cases := []struct {
-		name           string
-		entries, slots int
-		least, most    int
+		name               string
+		entries, slots     int
+		minShare, maxShare int
 	}{
-		{"one entry VM has all", 1, 8, 8, 8},
-		{"today", 8, 8, 1, 1},
+		{"a single entry VM", 1, 8, 8, 8},
+		{"as many entry VMs as slots", 8, 8, 1, 1},
 		{"one entry VM less", 7, 8, 1, 2},
 		{"more entry VMs than slots", 20, 8, 0, 1},
 		{"more slots than entry VMs", 3, 64, 21, 22},
@@ -53,7 +53,7 @@
 				sum := 0
 				for _, e := range entries {
 					share := Share(target, entries, e.ID)
-					assert.Assert(t, share >= tc.least && share <= tc.most, "%d", share)
+					assert.Assert(t, share >= tc.minShare && share <= tc.maxShare, "%d", share)
 					sum += share
 				}
 				assert.Equal(t, sum, tc.slots)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestRemaindersGoToTheTargetsZone(t *testing.T) {
+func TestRemainderSlotsGoToTargetZone(t *testing.T) {
 	entries := entriesOf(7, 4)
 	for i := range 20 {
 		target := Target{ID: model.VMID(fmt.Sprint("v", i)), Zone: "z1", Slots: 8}
@@ -70,63 +70,63 @@
 	}
 }
 
-func TestProbersShareTheTargets(t *testing.T) {
+func TestProbesSpreadOverEntriesOfZone(t *testing.T) {
 	entries := entriesOf(8, 2)
-	asks := make(map[model.EntryID]int)
+	probes := make(map[model.EntryID]int)
 	for i := range 400 {
-		asks[Prober(Target{ID: model.VMID(fmt.Sprint("v", i))}, "z1", entries)]++
+		probes[Prober(Target{ID: model.VMID(fmt.Sprint("v", i))}, "z1", entries)]++
 	}
-	assert.Equal(t, len(asks), 4)
-	for e, n := range asks {
-		assert.Assert(t, n > 60 && n < 140, "%s asks %d of 400", e, n)
+	assert.Equal(t, len(probes), 4)
+	for e, n := range probes {
+		assert.Assert(t, n > 60 && n < 140, "%s probes %d of 400", e, n)
 	}
 	assert.Equal(t, Prober(Target{ID: "v"}, "z9", entries), model.EntryID(""))
 }
 
-// world is some entry VMs that lend the slots of one target to each other,
-// with digests that arrive late but in order.
-type world struct {
-	t       *rapid.T
-	ids     []model.EntryID
-	books   map[model.EntryID]*Ledger
-	running map[model.EntryID]int
-	pipes   map[[2]model.EntryID][]Message
-	heard   map[[2]model.EntryID]Message
-	now     time.Time
+// cluster is a set of entry VMs that lend the slots of one target to each
+// other. Messages between two of them may be delayed but arrive in order.
+type cluster struct {
+	t         *rapid.T
+	ids       []model.EntryID
+	ledgers   map[model.EntryID]*Ledger
+	running   map[model.EntryID]int
+	inTransit map[[2]model.EntryID][]Message
+	received  map[[2]model.EntryID]Message
+	now       time.Time
 }
 
-const worldShare = 2
+const clusterShare = 2
 
-func (w *world) entry(label string) model.EntryID {
+func (w *cluster) entry(label string) model.EntryID {
 	return rapid.SampledFrom(w.ids).Draw(w.t, label)
 }
 
-func (w *world) limit(e model.EntryID) int { return w.books[e].Limit("v", worldShare, w.now) }
+func (w *cluster) limit(e model.EntryID) int { return w.ledgers[e].Limit("v", clusterShare, w.now) }
 
-// tell sends an entry VM's digest on its way to another.
-func (w *world) tell(from, to model.EntryID) {
+// send puts an entry VM's message in transit to another.
+func (w *cluster) send(from, to model.EntryID) {
 	one := func(model.VMID) int { return w.running[from] }
-	share := func(model.VMID) int { return worldShare }
-	w.pipes[[2]model.EntryID{from, to}] = append(w.pipes[[2]model.EntryID{from, to}], w.books[from].Message(nil, one, share))
+	share := func(model.VMID) int { return clusterShare }
+	w.inTransit[[2]model.EntryID{from, to}] = append(w.inTransit[[2]model.EntryID{from, to}], w.ledgers[from].Message(nil, one, share))
 }
 
-// hear lets the next digest on the way arrive.
-func (w *world) hear(from, to model.EntryID) {
+// receive delivers the next message in transit, if any.
+func (w *cluster) receive(from, to model.EntryID) {
 	pipe := [2]model.EntryID{from, to}
-	if len(w.pipes[pipe]) == 0 {
+	if len(w.inTransit[pipe]) == 0 {
 		return
 	}
-	w.heard[pipe], w.pipes[pipe] = w.pipes[pipe][0], w.pipes[pipe][1:]
+	w.received[pipe], w.inTransit[pipe] = w.inTransit[pipe][0], w.inTransit[pipe][1:]
 	var peers []PeerMessage
 	for _, id := range w.ids {
-		if m, ok := w.heard[[2]model.EntryID{id, to}]; ok {
+		if m, ok := w.received[[2]model.EntryID{id, to}]; ok {
 			peers = append(peers, PeerMessage{Entry: id, ReceivedAt: w.now, Message: m})
 		}
 	}
-	w.books[to].Receive(peers, w.now)
+	w.ledgers[to].Receive(peers, w.now)
 }
 
-func (w *world) step() {
+func (w *cluster) step() {
 	a, b := w.entry("a"), w.entry("b")
 	switch rapid.IntRange(0, 6).Draw(w.t, "do") {
 	case 0:
@@ -136,34 +136,34 @@
 	case 1:
 		w.running[a] = max(0, w.running[a]-1)
 	case 2:
-		if n := w.limit(a) - w.running[a]; a != b && n > 0 && !w.books[a].IsLent("v") && !w.books[a].IsBorrowed("v") {
-			w.books[a].Lend("v", b, n, w.now)
+		if n := w.limit(a) - w.running[a]; a != b && n > 0 && !w.ledgers[a].IsLent("v") && !w.ledgers[a].IsBorrowed("v") {
+			w.ledgers[a].Lend("v", b, n, w.now)
 		}
 	case 3:
-		w.books[a].Recall("v")
+		w.ledgers[a].Recall("v")
 	case 4:
-		w.tell(a, b)
-	case 5: // a quick digest, so that deep histories come up
-		w.tell(a, b)
-		for len(w.pipes[[2]model.EntryID{a, b}]) > 0 {
-			w.hear(a, b)
+		w.send(a, b)
+	case 5: // immediate delivery, so that long histories of loans occur
+		w.send(a, b)
+		for len(w.inTransit[[2]model.EntryID{a, b}]) > 0 {
+			w.receive(a, b)
 		}
 	default:
-		w.hear(a, b)
+		w.receive(a, b)
 	}
 }
 
-// Four entry VMs lend a target's slots round, while their digests are delayed
-// for any time. A slot that its lender takes for returned while the borrower
-// still uses it, or may start to, would overrun the target: its runner would
-// refuse, or be slowed for all. Whatever the order, the slots hold.
-func TestLoansNeverOverrunATarget(t *testing.T) {
+// TestLoansNeverExceedSlots has four entry VMs lend and recall a target's slots
+// while their messages are delayed arbitrarily. If a lender took a slot as
+// returned while the borrower still used it, or could start to, the target
+// would get more requests than slots and refuse some or slow all down.
+func TestLoansNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{t: rt, ids: []model.EntryID{"a", "b", "c", "d"}, books: map[model.EntryID]*Ledger{},
-			running: map[model.EntryID]int{}, pipes: map[[2]model.EntryID][]Message{},
-			heard: map[[2]model.EntryID]Message{}, now: time.Unix(0, 0)}
+		w := &cluster{t: rt, ids: []model.EntryID{"a", "b", "c", "d"}, ledgers: map[model.EntryID]*Ledger{},
+			running: map[model.EntryID]int{}, inTransit: map[[2]model.EntryID][]Message{},
+			received: map[[2]model.EntryID]Message{}, now: time.Unix(0, 0)}
 		for _, id := range w.ids {
-			w.books[id] = NewLedger(id)
+			w.ledgers[id] = NewLedger(id)
 		}
 		for range rapid.IntRange(10, 200).Draw(rt, "steps") {
 			w.step()
@@ -171,41 +171,43 @@
 			for _, n := range w.running {
 				sum += n
 			}
-			if sum > worldShare*len(w.ids) {
-				rt.Fatalf("%d running of %d slots: %v", sum, worldShare*len(w.ids), w.running)
+			if sum > clusterShare*len(w.ids) {
+				rt.Fatalf("%d running of %d slots: %v", sum, clusterShare*len(w.ids), w.running)
 			}
 		}
 	})
 }
 
-// An entry VM has lent a slot and then borrows another of the same target. Its
-// lender takes that back. The borrower is at its share, but one of its
-// requests runs on the borrowed slot, as one of its own is lent: if it
-// confirmed nothing running, its lender would use the slot as well.
-func TestBorrowerThatAlsoLends(t *testing.T) {
+// TestBorrowerThatLendsSameTarget has an entry VM lend a slot and then borrow
+// another of the same target, which its lender recalls. The borrower's requests
+// do not exceed its share, but one of them runs on the borrowed slot, since one
+// of its own is lent. If it confirmed that nothing is running, the lender would
+// use the slot at the same time.
+func TestBorrowerThatLendsSameTarget(t *testing.T) {
 	now := time.Unix(0, 0)
 	one := func(model.VMID) int { return 1 }
 	two := func(model.VMID) int { return 2 }
 	a, b := NewLedger("a"), NewLedger("b")
 	a.Lend("v", "c", 1, now)
 	b.Lend("v", "a", 1, now)
-	tell := func(from *Ledger, running func(model.VMID) int) PeerMessage {
+	message := func(from *Ledger, running func(model.VMID) int) PeerMessage {
 		return PeerMessage{Entry: from.self, ReceivedAt: now, Message: from.Message(nil, running, two)}
 	}
-	a.Receive([]PeerMessage{tell(b, one)}, now)
+	a.Receive([]PeerMessage{message(b, one)}, now)
 	assert.Equal(t, a.Limit("v", 2, now), 2)
 	b.Recall("v")
-	a.Receive([]PeerMessage{tell(b, one)}, now)
-	b.Receive([]PeerMessage{tell(a, two)}, now)
-	assert.Equal(t, b.Limit("v", 2, now), 1, "still in use by a")
-	b.Receive([]PeerMessage{tell(a, one)}, now)
+	a.Receive([]PeerMessage{message(b, one)}, now)
+	b.Receive([]PeerMessage{message(a, two)}, now)
+	assert.Equal(t, b.Limit("v", 2, now), 1, "a request of the borrower still runs on the slot")
+	b.Receive([]PeerMessage{message(a, one)}, now)
 	assert.Equal(t, b.Limit("v", 2, now), 2)
 }
 
-// A borrower is replaced, or cut off, while it holds a loan. Its lender gets
-// the slot back after LoanLost, and a borrower that no longer hears its lender
-// has stopped using it long before.
-func TestLoanOfALostPeerComesBack(t *testing.T) {
+// TestLoanOfUnreachablePeerIsReclaimed replaces or disconnects a borrower that
+// holds a loan. Its lender gets the slot back after LoanReclaimTimeout; a
+// borrower that no longer receives messages from its lender has stopped using
+// the slot well before.
+func TestLoanOfUnreachablePeerIsReclaimed(t *testing.T) {
 	now := time.Unix(0, 0)
 	a, b := NewLedger("a"), NewLedger("b")
 	a.Lend("v", "b", 1, now)
