--- a/policy/routing/routing.go
+++ b/policy/routing/routing.go
@@ -1,10 +1,11 @@
 // Package routing chooses the target of a request.
 //
-// It answers a slow target among equals and a zone short of slots. Choosing at
-// random sends a slow target as much as a fast one, and every tenth caller
-// waits; choosing the least loaded of all sends all entry VMs to the same
-// target between two digests. Two choices avoid both, weighed by how long a
-// target has been taking, so that a slower target gets less.
+// It handles a slow target among equal ones and a zone that is short of slots.
+// A random choice sends a slow target as many requests as a fast one, so that
+// one caller in ten waits; choosing the least loaded target makes all entry VMs
+// choose the same one between two digests. The power of two random choices,
+// scored by load and estimated latency, avoids both: a slower target gets fewer
+// requests.
 package routing
 
 import (
@@ -14,37 +15,39 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// CrossZoneCost is what sending a request to another zone adds: 1.5 ms each way.
+// CrossZoneCost is the latency that sending a request to another zone adds: 1.5
+// ms in each direction.
 const CrossZoneCost = 3 * time.Millisecond
 
-// SlowFactor is how many times the typical latency makes a target slow. A slow
-// target gets a request only if the request would be done sooner there than by
-// waiting for the next slot of another. Three is beyond the noise of the
-// estimate (exponential service times stay within a factor of two) and well
-// below a tenfold slowdown.
+// SlowFactor is the ratio to the typical latency from which a target counts as
+// slow. A slow target gets a request only if it would complete the request
+// sooner than the next free slot of another target. Three exceeds the noise of
+// the estimate (for exponential service times it stays within a factor of two)
+// and is well below a tenfold slowdown.
 const SlowFactor = 3
 
-// clearlyBetter is the ratio of scores below which the second choice beats the
-// first. Idle targets differ by noise in their latency alone; without a margin
-// the luckiest of them would get all work at low load. One request more of
-// eight still counts.
-const clearlyBetter = 0.9
+// scoreMargin is the ratio of scores below which the second random choice is
+// preferred to the first. Idle targets differ in score only by noise in their
+// latency; without a margin, the one with the luckiest estimate would get all
+// requests at low load. A difference of one request in eight still counts.
+const scoreMargin = 0.9
 
-// Target is what is known of one target at the time of a choice.
+// Target is the known state of a target at the time of a choice.
 type Target struct {
 	ID           model.VMID
 	Local        bool          // in the entry VM's own zone
-	InFlight     int           // this entry VM's requests there now
-	PeerInFlight int           // fresh peers' requests there, from digests
-	Slots        int           // requests the target works on at once
-	Limit        int           // requests this entry VM may have there, its share of the slots
-	Latency      time.Duration // estimate for answered requests; 0 where unknown
-	Weight       float64       // share of its work it gets, below 1 while it is coming back; 0 counts as 1
-	Unavailable  bool          // leaving, ejected or otherwise not to be used
+	InFlight     int           // this entry VM's requests in flight at the target
+	PeerInFlight int           // requests of peers in flight there, from fresh digests
+	Slots        int           // requests that the target runs at a time
+	Limit        int           // requests that this entry VM may have there: its share of the slots, with loans
+	Latency      time.Duration // estimated latency of responses; 0 if unknown
+	Weight       float64       // fraction of its normal load during ramp-up, below 1; 0 counts as 1
+	Unavailable  bool          // leaving, ejected or otherwise not usable
 }
 
-// Free returns how many more requests may be sent there now: within this entry
-// VM's own share, and within the slots by all that is known of peers.
+// Free returns how many more requests this entry VM may send now: within its
+// own limit, and within the slots that peers leave free according to their
+// digests.
 func (t *Target) Free() int {
 	if t.Unavailable {
 		return 0
@@ -52,6 +55,7 @@
 	return max(0, min(t.Limit-t.InFlight, t.Slots-t.InFlight-t.PeerInFlight))
 }
 
+// latency returns the estimated latency, or typical if there is no estimate.
 func (t *Target) latency(typical time.Duration) time.Duration {
 	if t.Latency <= 0 {
 		return typical
@@ -59,29 +63,31 @@
 	return t.Latency
 }
 
-// score is the expected time until a further request there would be done,
-// were the target's speed shared by its load. Lower is better.
+// score estimates the time until a further request would complete if the
+// target's speed were shared by its load. Lower is better.
 func (t *Target) score(typical time.Duration) float64 {
 	load := float64(t.InFlight+t.PeerInFlight+1) / float64(max(t.Slots, 1))
 	return load * float64(t.latency(typical))
 }
 
-// Choice asks for a target.
+// Choice is the input of Pick.
 type Choice struct {
 	Targets []Target
-	Avoid   model.VMID    // a target that just refused the request; empty for none
-	Wait    time.Duration // expected wait for the next free slot, anywhere
+	Avoid   model.VMID    // a target that just refused the request; empty if none
+	Wait    time.Duration // expected wait for the next free slot, in any zone
 	// LocalWait is the expected wait for the next free slot in the own zone.
 	LocalWait time.Duration
-	// PreferRemote says that this request goes to another zone first, see package shift.
+	// PreferRemote makes the request try targets of other zones first; see
+	// package shift.
 	PreferRemote bool
-	// Rand returns a number in [0,n).
+	// Rand returns a uniform random number in [0,n).
 	Rand func(n int) int
 }
 
-// Pick returns the index of the chosen target, -1 if it is better to wait for
-// a slot than to use one that is free. The own zone goes first; another zone's
-// slot is used where waiting for one at home would cost more than the hop.
+// Pick returns the index of the chosen target, or -1 if none is eligible or it
+// is better to wait for a slot than to use a free one. Targets of the own zone
+// are preferred; another zone's slot is used if the wait for a local one would
+// exceed CrossZoneCost.
 func Pick(c Choice) int {
 	typical := TypicalLatency(c.Targets)
 	if c.PreferRemote {
@@ -98,8 +104,9 @@
 	return c.pickAmong(false, typical)
 }
 
-// pickAmong takes the better of two different eligible targets of the own zone
-// or of the others.
+// pickAmong picks two different eligible targets at random, from the own zone
+// or from the others, and returns the better one. It returns -1 if there is
+// none.
 func (c *Choice) pickAmong(local bool, typical time.Duration) int {
 	n := 0
 	for i := range c.Targets {
@@ -111,7 +118,7 @@
 		return -1
 	}
 	k := c.Rand(n)
-	first := c.nth(k, local, typical)
+	first := c.nthEligible(k, local, typical)
 	if n == 1 {
 		return first
 	}
@@ -119,26 +126,27 @@
 	if other >= k {
 		other++
 	}
-	second := c.nth(other, local, typical)
-	best, rest := first, second
-	if c.Targets[second].score(typical) < clearlyBetter*c.Targets[first].score(typical) {
-		best, rest = second, first
+	second := c.nthEligible(other, local, typical)
+	best, worse := first, second
+	if c.Targets[second].score(typical) < scoreMargin*c.Targets[first].score(typical) {
+		best, worse = second, first
 	}
-	if c.passesOver(best) {
-		return rest
+	if c.skipRampingUp(best) {
+		return worse
 	}
 	return best
 }
 
-// passesOver reports whether a target that is coming back lets the other one
-// of the two go first. It is a matter of chance and not of score: an idle
-// target with a worse score would never be chosen at low load.
-func (c *Choice) passesOver(i int) bool {
+// skipRampingUp reports whether a target that is ramping up is passed over for
+// the other one of the two. It is decided at random and not by score: at low
+// load, an idle target with a worse score would never be chosen.
+func (c *Choice) skipRampingUp(i int) bool {
 	const resolution = 1000
 	w := c.Targets[i].Weight
 	return w > 0 && w < 1 && c.Rand(resolution) >= int(w*resolution)
 }
 
+// eligible reports whether the target has a free slot and is not too slow.
 func (c *Choice) eligible(i int, local bool, typical time.Duration) bool {
 	t := &c.Targets[i]
 	if t.Local != local || t.ID == c.Avoid || t.Free() == 0 {
@@ -148,8 +156,9 @@
 	return latency < SlowFactor*typical || latency < c.Wait+typical
 }
 
-// nth returns the index of the k-th eligible target.
-func (c *Choice) nth(k int, local bool, typical time.Duration) int {
+// nthEligible returns the index of the k-th eligible target, counted from 0, or
+// -1.
+func (c *Choice) nthEligible(k int, local bool, typical time.Duration) int {
 	for i := range c.Targets {
 		if !c.eligible(i, local, typical) {
 			continue
@@ -162,15 +171,16 @@
 	return -1
 }
 
-// typicalBuffer keeps the usual pool's median off the heap.
-const typicalBuffer = 64
+// latencyBuffer is the number of targets up to which the median needs no heap
+// allocation.
+const latencyBuffer = 64
 
-// TypicalLatency returns the (lower) median latency of the targets in use: half of
-// the targets must go wrong before a good one is taken for slow. A target that
-// nobody has measured counts as typical, so that it gets the requests that
-// measure it. It returns a microsecond where nothing is known.
+// TypicalLatency returns the lower median latency of the available targets:
+// half of the targets must be slow before a good one counts as slow. A target
+// without an estimate counts as typical, so that it gets the requests that
+// provide one. The result is one microsecond if no estimate is available.
 func TypicalLatency(ts []Target) time.Duration {
-	var buffer [typicalBuffer]time.Duration
+	var buffer [latencyBuffer]time.Duration
 	known := buffer[:0]
 	for i := range ts {
 		if ts[i].Latency > 0 && !ts[i].Unavailable {
@@ -180,10 +190,11 @@
 	return max(lowerMedian(known), time.Microsecond)
 }
 
-// ZoneTypicalLatency returns the same for the own zone's targets or for the others, 0
-// where nothing is known.
+// ZoneTypicalLatency returns the lower median latency of the available targets
+// in the own zone if local is set, else of those in other zones. The result is
+// 0 if no estimate is available.
 func ZoneTypicalLatency(ts []Target, local bool) time.Duration {
-	var buffer [typicalBuffer]time.Duration
+	var buffer [latencyBuffer]time.Duration
 	known := buffer[:0]
 	for i := range ts {
 		if ts[i].Latency > 0 && !ts[i].Unavailable && ts[i].Local == local {
