--- a/policy/forwarding/forwarding.go
+++ b/policy/forwarding/forwarding.go
@@ -1,13 +1,15 @@
-// Package forwarding decides which entry VM speaks with a worker for the owner of
-// its cell.
+// Package forwarding selects the entry VMs that call a cell's workers on behalf
+// of the cell's owner. A cell is a service's workers and the jobs on them; one
+// entry VM at a time owns it.
 //
-// Load pattern: a large service's burst asks for thousands of starts a second.
-// One plan can make them, but the calls to the workers, each with its connection,
-// its headers and its answer, take two and a half times the processor time of the
-// plans (by a profile at a thousand starts a second); made by the owner alone they
-// fill its share of a core, answers come late, and jobs wait with workers free. The
-// calls of a large cell therefore go through other entry VMs, each of which speaks with
-// some of the workers. The plan, and the right to give orders, stay with the owner.
+// A burst of jobs for a large service can need thousands of starts a second.
+// One planner can issue them, but the calls to the workers, each with its
+// connection, headers and response, take two and a half times the processor
+// time of planning (at a thousand starts a second). If the owner made all calls
+// itself, they would use up its share of a core: responses would arrive late,
+// and jobs would wait although workers are free. The calls of a large cell are
+// therefore forwarded by other entry VMs, each of which calls some of the
+// workers. Planning, and the right to give orders, stay with the owner.
 package forwarding
 
 import (
@@ -22,72 +24,75 @@
 type Member struct {
 	Name   string
 	Zone   string
-	Weight float64 // what it can carry against others
+	Weight float64 // capacity relative to other entry VMs
 }
 
 const (
-	// MinWorkers is how many workers a cell has from which its calls are forwarded. An
-	// owner that had drawn all 48 VMs of a small deployment has been measured at a
-	// tenth of a core; one with sixty to three hundred is asked 2,300 starts a second
-	// and more in a burst and takes a millisecond of processor time for each.
+	// MinWorkers is the number of workers from which a cell's calls are
+	// forwarded. An owner whose cell had all 48 VMs of a small deployment used
+	// a tenth of a core; one with 60 to 300 workers gets 2,300 and more starts
+	// a second in a burst and spends a millisecond of processor time on each.
 	MinWorkers = 56
-	// until keeps a cell whose VMs come and go by turns from changing over and
-	// back: a worker's connection to the new caller has a price each time.
-	until = MinWorkers / 2
-	// choices is how many entry VMs are tried for a worker before the owner
-	// calls it itself.
-	choices = 2
-	// leastShare is how much of what the largest entry VM of its zone can carry
-	// one must carry to be used. Calls of a plan that leave for the same VM share
-	// a write, and their answers a read: spread over many small VMs, each carrying
-	// little, every call would cost the owner both.
-	leastShare = 0.25
+	// stopBelow is the number of workers below which forwarding stops. The gap
+	// to MinWorkers keeps a cell whose size fluctuates from switching back and
+	// forth, since each switch costs new connections to all workers.
+	stopBelow = MinWorkers / 2
+	// maxCandidates is how many entry VMs are tried for a worker before the
+	// owner calls it itself.
+	maxCandidates = 2
+	// minRelativeWeight is the least weight, relative to the largest other
+	// entry VM of the zone, at which an entry VM forwards calls. Calls of one
+	// plan to the same VM share a write, and their responses a read; spread
+	// over many small VMs, each call would cost the owner both.
+	minRelativeWeight = 0.25
 )
 
-// ShouldForward reports whether a cell of so many workers is to forward its calls. now
-// says whether it does.
-func ShouldForward(workers int, now bool) bool {
-	if now {
-		return workers >= until
+// ShouldForward reports whether a cell with that many workers is to forward its
+// calls. forwarding is whether it does so now.
+func ShouldForward(workers int, forwarding bool) bool {
+	if forwarding {
+		return workers >= stopBelow
 	}
 	return workers >= MinWorkers
 }
 
-// Candidates returns the entry VMs that may speak with the worker, the preferred one
-// first. Those of the worker's own zone come first: most bytes then stay within
-// it, and a cut of the zone does not come between the two. Within a zone each
-// worker has its own order, in which VMs come early as often as they can carry
-// (weighted rendezvous), so that one that leaves hands its workers to all others
-// and no other worker changes.
+// Candidates returns the entry VMs that may call the worker, the preferred one
+// first. It is empty if the owner is to call the worker itself. Entry VMs of
+// the worker's zone come first: most traffic then stays within the zone, and a
+// network partition between zones does not separate the two. Within a zone,
+// each worker has its own order by weighted rendezvous hashing, in which an
+// entry VM comes first in proportion to its weight. When one leaves, its
+// workers are spread over all others and no other worker changes.
 func Candidates(worker, zone, owner string, members []Member) []string {
 	type candidate struct {
-		name  string
-		away  int
-		place float64
+		name   string
+		remote int
+		rank   float64
 	}
 	var all []candidate
-	largest := largestByZone(owner, members)
+	largest := maxWeightByZone(owner, members)
 	for _, m := range members {
-		if m.Name == owner || m.Weight <= 0 || m.Weight < leastShare*largest[m.Zone] {
+		if m.Name == owner || m.Weight <= 0 || m.Weight < minRelativeWeight*largest[m.Zone] {
 			continue
 		}
-		c := candidate{name: m.Name, place: -math.Log(draw(worker, m.Name)) / m.Weight}
+		c := candidate{name: m.Name, rank: -math.Log(uniformHash(worker, m.Name)) / m.Weight}
 		if m.Zone != zone {
-			c.away = 1
+			c.remote = 1
 		}
 		all = append(all, c)
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.away, b.away), cmp.Compare(a.place, b.place), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.remote, b.remote), cmp.Compare(a.rank, b.rank), cmp.Compare(a.name, b.name))
 	})
 	var out []string
-	for _, c := range all[:min(choices, len(all))] {
+	for _, c := range all[:min(maxCandidates, len(all))] {
 		out = append(out, c.name)
 	}
 	return out
 }
 
-func largestByZone(owner string, members []Member) map[string]float64 {
+// maxWeightByZone returns the largest weight in each zone, without the owner.
+func maxWeightByZone(owner string, members []Member) map[string]float64 {
 	out := make(map[string]float64)
 	for _, m := range members {
 		if m.Name != owner {
@@ -97,7 +102,7 @@
 	return out
 }
 
-// draw is a number in (0, 1] that the two names determine.
-func draw(worker, member string) float64 {
+// uniformHash returns a number in (0, 1] determined by the two names.
+func uniformHash(worker, member string) float64 {
 	return (float64(rendezvous.Score(worker, member)>>11) + 1) / (1 << 53)
 }
--- a/policy/forwarding/forwarding_test.go
+++ b/policy/forwarding/forwarding_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet is as a large deployment has it: in each zone two large entry VMs and some
-// small ones.
-func fleet() []Member {
+// largeDeployment returns the entry VMs of a large deployment: in each of two
+// zones two large ones and eight small ones.
+func largeDeployment() []Member {
 	var out []Member
 	for _, zone := range []string{"a", "b"} {
 		for i := range 2 {
@@ -31,8 +31,8 @@
 	return out
 }
 
-// first counts the workers by their first choice.
-func first(members []Member, owner string, n int) map[string]int {
+// countByFirstCandidate returns the number of workers for each first candidate.
+func countByFirstCandidate(members []Member, owner string, n int) map[string]int {
 	out := make(map[string]int)
 	for _, w := range workers(n) {
 		out[Candidates(w, "a", owner, members)[0]]++
@@ -40,12 +40,13 @@
 	return out
 }
 
-// A burst on every worker at once: the owner makes none of the calls, and each
-// entry VM gets as many workers as it can carry against the others of the zone.
-func TestWorkersAreSpreadByWhatVMsCanCarry(t *testing.T) {
+// TestWorkersAreSpreadByWeight checks that in a burst on every worker the owner
+// makes none of the calls, and that each other entry VM of the zone gets
+// workers in proportion to its weight.
+func TestWorkersAreSpreadByWeight(t *testing.T) {
 	const n = 4000
 	members := []Member{{Name: "owner", Zone: "a", Weight: 0.8}, {Name: "x", Zone: "a", Weight: 0.8}, {Name: "y", Zone: "a", Weight: 0.8}, {Name: "z", Zone: "a", Weight: 0.4}}
-	got := first(members, "owner", n)
+	got := countByFirstCandidate(members, "owner", n)
 	assert.Equal(t, got["owner"], 0)
 	for _, m := range members[1:] {
 		want := m.Weight / 2.0 * n
@@ -53,31 +54,34 @@
 	}
 }
 
-// A zone has two large entry VMs and eight small ones that carry a tenth together:
-// calls spread over all ten would hardly share a message. They go by the large one
-// that is not the owner, and by small ones where those are all there is.
-func TestSmallVMsAreUsedWhereThereAreNoLargeOnes(t *testing.T) {
-	assert.DeepEqual(t, first(fleet(), "a-large-0", 500), map[string]int{"a-large-1": 500})
-	small := slices.DeleteFunc(fleet(), func(m Member) bool { return m.Weight > 0.1 })
-	assert.Equal(t, len(first(small, "", 500)), 8)
+// TestSmallVMsAreUsedOnlyWithoutLargeOnes has a zone with two large entry VMs
+// and eight small ones that together have a tenth of the capacity. Calls spread
+// over all ten would hardly share messages: they must go through the large one
+// that is not the owner, and through small ones only if there is no large one.
+func TestSmallVMsAreUsedOnlyWithoutLargeOnes(t *testing.T) {
+	assert.DeepEqual(t, countByFirstCandidate(largeDeployment(), "a-large-0", 500), map[string]int{"a-large-1": 500})
+	small := slices.DeleteFunc(largeDeployment(), func(m Member) bool { return m.Weight > 0.1 })
+	assert.Equal(t, len(countByFirstCandidate(small, "", 500)), 8)
 }
 
-// Workers of a zone are called from another, or not at all by others: the owner is the
-// only large entry VM there, and small ones are measured against it. Only those that may
-// forward count.
-func TestSmallVMsAreUsedWhereTheOwnerIsTheOnlyLargeOne(t *testing.T) {
+// TestSmallVMsAreUsedIfOwnerIsOnlyLargeOne has the owner as the only large
+// entry VM of the worker's zone. If small ones were compared with the owner,
+// none would qualify, and calls would come from another zone or not be
+// forwarded at all.
+func TestSmallVMsAreUsedIfOwnerIsOnlyLargeOne(t *testing.T) {
 	members := []Member{{Name: "owner", Zone: "a", Weight: 0.8}, {Name: "x", Zone: "a", Weight: 0.02}, {Name: "far", Zone: "b", Weight: 0.8}}
 	assert.DeepEqual(t, Candidates("i-1", "a", "owner", members), []string{"x", "far"})
 }
 
-func TestVMsOfTheWorkersZoneComeFirst(t *testing.T) {
+func TestCandidatesOfWorkerZoneComeFirst(t *testing.T) {
 	members := []Member{{Name: "far", Zone: "b", Weight: 10}, {Name: "near", Zone: "a", Weight: 0.01}}
 	assert.DeepEqual(t, Candidates("i-1", "a", "", members), []string{"near", "far"})
 }
 
-// Connections are dear: when an entry VM goes, only its own workers may change.
-func TestOnlyTheWorkersOfAVMThatGoesChange(t *testing.T) {
-	before := fleet()
+// TestRemovedVMChangesOnlyItsWorkers guards against needless new connections:
+// when an entry VM is removed, only its own workers may get another candidate.
+func TestRemovedVMChangesOnlyItsWorkers(t *testing.T) {
+	before := largeDeployment()
 	after := slices.DeleteFunc(slices.Clone(before), func(m Member) bool { return m.Name == "a-large-1" })
 	for _, w := range workers(500) {
 		was, is := Candidates(w, "a", "", before), Candidates(w, "a", "", after)
@@ -89,13 +93,13 @@
 	}
 }
 
-func TestTheOwnerCallsItselfWhereItIsAlone(t *testing.T) {
+func TestNoCandidatesIfOwnerIsAlone(t *testing.T) {
 	assert.Equal(t, len(Candidates("i-1", "a", "me", []Member{{Name: "me", Zone: "a", Weight: 1}})), 0)
 }
 
-func TestACellNearTheLimitDoesNotChangeOverAndBack(t *testing.T) {
+func TestForwardingHysteresis(t *testing.T) {
 	assert.Assert(t, !ShouldForward(MinWorkers-1, false))
 	assert.Assert(t, ShouldForward(MinWorkers, false))
 	assert.Assert(t, ShouldForward(MinWorkers-1, true))
-	assert.Assert(t, !ShouldForward(until-1, true))
+	assert.Assert(t, !ShouldForward(stopBelow-1, true))
 }
