--- a/policy/shift/shift.go
+++ b/policy/shift/shift.go
@@ -1,60 +1,63 @@
-// Package shift bounds how fast work moves away from the own zone.
+// Package shift limits how fast work moves from the own zone to other zones.
 //
-// It answers a zone whose targets have grown slow. Without it two things go
-// wrong: entry VMs that stay with their zone make every caller there wait, and
-// entry VMs that all leave at once overrun the next zone, find their own idle
-// and quick again, and come back, for as long as the cause lasts. Work leaves
-// in steps, returns in smaller ones, and nothing moves on a difference that
-// noise explains.
+// It handles a zone whose targets have become slow. Two failures must be
+// avoided: if entry VMs always use their own zone, every caller there waits; if
+// all entry VMs leave at the same time, they overload the next zone, find their
+// own idle and fast again, and return, for as long as the cause lasts. So work
+// leaves in steps, returns in smaller steps, and does not move on a difference
+// that noise explains.
 package shift
 
 import "time"
 
 const (
-	// leaveFactor and returnFactor are the ratios of the own zone's cost to the
-	// others' beyond which work leaves and below which it returns. Between them
-	// nothing moves. Medians of a few targets differ by half by chance.
+	// Work leaves if the ratio of the own zone's cost to that of the others
+	// exceeds leaveFactor, and returns if it is below returnFactor. Between the
+	// two nothing moves. Medians of a few targets can differ by half by chance.
 	leaveFactor  = 2.0
 	returnFactor = 1.3
-	// leaveRate and returnRate are the most that moves in a second, as shares
-	// of the zone's work: it is gone after 4 s, and back after 20 s, longer
-	// than the estimates take to follow, so that a step's effect is seen before
-	// the next one.
+	// leaveRate and returnRate limit how much work moves in a second, as shares
+	// of the zone's work: it leaves within 4 s and returns within 20 s. This is
+	// longer than the latency estimates need to follow, so that the effect of a
+	// step is visible before the next one.
 	leaveRate  = 0.25
 	returnRate = 0.05
-	// maxShare of the work leaves. The rest keeps the zone's estimates alive;
-	// without it nobody would see the zone recover.
-	maxShare = 0.9
-	// maxStep bounds the time one step accounts for, after a quiet time.
-	maxStep = time.Second
+	// maxRemoteShare is the largest share of work that leaves. The rest keeps
+	// the latency estimates of the own zone current; without it, the zone's
+	// recovery would not be noticed.
+	maxRemoteShare = 0.9
+	// maxStepTime limits the time that one step accounts for after a pause
+	// without requests.
+	maxStepTime = time.Second
 )
 
-// Shifter holds how much of an entry VM's work for a service prefers another
-// zone. The zero value prefers the own zone.
+// Shifter holds the share of an entry VM's work for a service that prefers
+// other zones. The zero value sends all work to the own zone.
 type Shifter struct {
-	share float64
-	at    time.Time
+	share     float64
+	updatedAt time.Time
 }
 
-// Step takes in what a request costs at home and elsewhere (the hop included;
-// 0 where unknown) and returns the share of work, 0..1, that goes elsewhere
-// first.
-func (s *Shifter) Step(home, elsewhere time.Duration, now time.Time) float64 {
-	span := now.Sub(s.at)
-	if s.at.IsZero() || span < 0 {
-		span = 0
+// Step updates and returns the share of work, 0 to 1, that prefers other zones.
+// local and remote are the latencies of a request in the own zone and in the
+// others, the latter including the hop between zones; 0 means unknown and
+// leaves the share unchanged.
+func (s *Shifter) Step(local, remote time.Duration, now time.Time) float64 {
+	elapsed := now.Sub(s.updatedAt)
+	if s.updatedAt.IsZero() || elapsed < 0 {
+		elapsed = 0
 	}
-	s.at = now
-	seconds := min(span, maxStep).Seconds()
+	s.updatedAt = now
+	seconds := min(elapsed, maxStepTime).Seconds()
 	switch {
-	case home <= 0 || elsewhere <= 0:
-	case float64(home) > leaveFactor*float64(elsewhere):
-		s.share = min(maxShare, s.share+leaveRate*seconds)
-	case float64(home) < returnFactor*float64(elsewhere):
+	case local <= 0 || remote <= 0:
+	case float64(local) > leaveFactor*float64(remote):
+		s.share = min(maxRemoteShare, s.share+leaveRate*seconds)
+	case float64(local) < returnFactor*float64(remote):
 		s.share = max(0, s.share-returnRate*seconds)
 	}
 	return s.share
 }
 
-// Share returns the share of work that goes elsewhere first.
+// Share returns the share of work, 0 to 1, that prefers other zones.
 func (s *Shifter) Share() float64 { return s.share }
