--- a/policy/rendezvous/rendezvous.go
+++ b/policy/rendezvous/rendezvous.go
@@ -1,22 +1,24 @@
-// Package rendezvous scores one of several for a piece of work. Everyone who sees the
-// same ones comes to the same answer without asking, and one more or less moves no
-// other's work.
+// Package rendezvous implements rendezvous (highest random weight) hashing: it
+// scores each of several candidates for a piece of work. VMs with the same list
+// of candidates agree without communication, and adding or removing a candidate
+// moves only the work of that candidate.
 package rendezvous
 
 import "hash/fnv"
 
-// Score of the one with this name for the work; by use, the highest or lowest takes it.
-// Equal names give equal scores on all VMs, whatever their versions.
+// Score returns the score of the named candidate for the work. Depending on its
+// use, the candidate with the highest or the lowest score takes the work. Equal
+// arguments give equal scores on all VMs and in all versions of the software.
 func Score(work, name string) uint64 {
 	h := fnv.New64a()
 	for _, part := range []string{work, "\x00", name} {
-		h.Write([]byte(part)) // a hash takes every write
+		h.Write([]byte(part)) // never returns an error
 	}
 	return mix(h.Sum64())
 }
 
-// mix spreads FNV's weak high bits, which names that differ in their last character
-// hardly reach. It is the finalizer of MurmurHash3.
+// mix is the finalizer of MurmurHash3. FNV's high bits are weak: names that
+// differ only in their last character hardly change them.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
