--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -54,7 +54,7 @@
 			out = append(out, shareClaim{workspace: name, rev: a.rev, Settlement: s})
 		}
 	}
-	slices.SortFunc(out, func(x, y shareClaim) int { return cmp.Compare(y.Has, x.Has) })
+	slices.SortFunc(out, func(x, y shareClaim) int { return cmp.Compare(y.Allocated, x.Allocated) })
 	if len(out) > claimsInTxn {
 		out = out[:claimsInTxn] // the others are due again at the next review
 	}
@@ -67,7 +67,7 @@
 // claimDue says whether the account's share is to change, and completes the claim.
 func (c *Core) claimDue(a *account, claim *workspace.Claim, now time.Duration) bool {
 	has := a.ledger.Of(c.cell, len(c.cells))
-	waits, noted := a.short(len(c.cells)), a.ledger.Wants[c.cell] > 0
+	waits, noted := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
 	if waits && !noted {
 		return true
 	}
@@ -87,22 +87,22 @@
 	}
 	claim.Need = peak
 	restores := a.explicit && a.granted < min(has, claim.Need)
-	return waits || noted || restores || a.inDoubt || a.ledger.Idle(*claim)
+	return waits || noted || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
 }
 
 // settle settles the claim with the ledger as it is known; false where the ledger says so already.
 func (c *Core) settle(a *account, claim workspace.Claim) (workspace.Settlement, bool) {
 	before := a.share(len(c.cells))
 	s := a.ledger.Settle(claim)
-	a.lower(s.Use, len(c.cells))
-	same := s.Has == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.Wants[c.cell] == a.ledger.Wants[c.cell]
-	return s, !same || s.Use > before || a.inDoubt // what is stored makes the earlier change fail
+	a.lower(s.Usable, len(c.cells))
+	same := s.Allocated == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
+	return s, !same || s.Usable > before || a.inDoubt // what is stored makes the earlier change fail
 }
 
 // wantsShares reports whether a workspace's work waits for a share that was not asked for yet.
 func (c *Core) wantsShares() bool {
 	for _, a := range c.limits.accounts {
-		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.Wants[c.cell] == 0 {
+		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
 			return true
 		}
 	}
@@ -113,9 +113,9 @@
 // one waits for what others have, and, half as often, where it has more than its even share and
 // the word of others may have been lost.
 func (c *Core) lookDue(now time.Duration) bool {
-	even, due := workspace.Even(len(c.cells)), false
+	even, due := workspace.EvenShare(len(c.cells)), false
 	for _, a := range c.limits.accounts {
-		waits, above := a.ledger.Wants[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
+		waits, above := a.ledger.UnmetNeeds[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
 		if a.inFlight || !a.lookNow && !(waits && now >= a.looked+reviewEvery) && !(above && now >= a.looked+2*reviewEvery) {
 			continue
 		}
@@ -136,7 +136,7 @@
 // configuration.
 func (c *Core) usesShares() bool {
 	for _, a := range c.limits.accounts {
-		if a.limited() && a.need > workspace.Provisional(len(c.cells)) {
+		if a.limited() && a.need > workspace.ProvisionalShare(len(c.cells)) {
 			return true
 		}
 	}
@@ -148,9 +148,9 @@
 	a := c.limits.of(s.workspace)
 	a.inFlight, a.inDoubt = false, false
 	a.ledger, a.rev = s.Ledger, rev
-	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Use, "of", workspace.Whole, "has", s.Has, "need", a.need, "waits", s.Ledger.Wants[c.cell] > 0)
-	a.granted = s.Use
-	_, a.explicit = s.Ledger.Has[c.cell]
+	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Usable, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
+	a.granted = s.Usable
+	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
 
 // ClaimFailed takes over that the change was not stored; doubt says that it may yet be.
@@ -174,7 +174,7 @@
 		}
 	}
 	a.ledger, a.rev = l, rev
-	if has, named := l.Has[c.cell]; named {
+	if has, named := l.Allocated[c.cell]; named {
 		a.lower(has, len(c.cells))
 	}
 }
@@ -201,5 +201,5 @@
 		a.lower(0, len(c.cells))
 		return
 	}
-	a.granted, a.explicit = a.ledger.Has[c.cell]
+	a.granted, a.explicit = a.ledger.Allocated[c.cell]
 }
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -21,7 +21,7 @@
 	// would give back what its predecessor's work still uses.
 	planned bool
 
-	arrivals workspace.Arrivals
+	arrivals workspace.TokenBucket
 
 	ledger workspace.Ledger // as last read or written
 	rev    infra.Revision   // of its key; 0: there is none
@@ -52,7 +52,7 @@
 	if a.explicit {
 		return a.granted
 	}
-	return workspace.Even(cells)
+	return workspace.EvenShare(cells)
 }
 
 // lower bounds what the cell has from here on.
@@ -127,7 +127,7 @@
 func (c *Core) share(a *account, now time.Duration) workspace.Parts {
 	share := a.share(len(c.cells))
 	if within := c.bounds.ConfigWithin; within > 0 && now > c.limits.confirmed+within {
-		return min(share, workspace.Provisional(len(c.cells)))
+		return min(share, workspace.ProvisionalShare(len(c.cells)))
 	}
 	return share
 }
@@ -187,7 +187,7 @@
 	}
 	if room, known := c.unheardRoom(); known {
 		for name, r := range out {
-			out[name] = r.Least(room)
+			out[name] = r.Min(room)
 		}
 	}
 	return out
@@ -245,7 +245,7 @@
 	before := a.wanted
 	a.wanted = before.Plus(size)
 	if room := pool.Room(); !a.wanted.Fits(room) {
-		a.wanted, a.filled = before.Most(a.wanted.Least(room)), true
+		a.wanted, a.filled = before.Max(a.wanted.Min(room)), true
 	}
 }
 
@@ -253,7 +253,7 @@
 // VMs would stand idle beside it.
 func (c *Core) atLimit(s *step) bool {
 	a := s.job.account
-	return a != nil && a.limited() && a.short(len(c.cells)) && a.ledger.Wants[c.cell] > 0
+	return a != nil && a.limited() && a.short(len(c.cells)) && a.ledger.UnmetNeeds[c.cell] > 0
 }
 
 // spend notes a start of the step in its workspace's account.
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -142,11 +142,11 @@
 	Service  model.ServiceName
 	Queued   int
 	InFlight int
-	Slots    int               // usable now by this entry VM
-	Mean     time.Duration     // mean time that a request occupies a slot
-	High     time.Duration     // time within which most requests release their slot
-	Away     float64           // share of work, 0 to 1, that prefers other zones
-	Heavy    []admission.Heavy // callers that certainly have at least heavyShare of the slot time
+	Slots    int                     // usable now by this entry VM
+	Mean     time.Duration           // mean time that a request occupies a slot
+	High     time.Duration           // time within which most requests release their slot
+	Away     float64                 // share of work, 0 to 1, that prefers other zones
+	Heavy    []admission.HeavyCaller // callers that certainly have at least heavyShare of the slot time
 }
 
 // heavyShare is the share of a service's slot time from which a caller is
@@ -159,7 +159,7 @@
 	for _, svc := range d.sortedServices {
 		s := ServiceState{
 			Service: svc.decl.Name, Queued: svc.queue.Len(), InFlight: svc.running,
-			Mean: svc.slotTime.Mean(), High: svc.slotTime.High(), Away: svc.shift.Share(),
+			Mean: svc.slotTime.Mean(), High: svc.slotTime.HighQuantile(), Away: svc.shift.Share(),
 			Heavy: svc.costs.Heaviest(heavyShare),
 		}
 		for _, t := range svc.targets {
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -182,11 +182,11 @@
 // load returns the state of the service as input for admission control.
 func (d *Dispatcher) load(svc *service, r Request, now time.Time) admission.Load {
 	l := admission.Load{
-		InFlight: svc.running,
-		Limit:    d.concurrencyLimit(svc),
-		Ahead:    svc.queue.Ahead(r.Caller, r.Class),
-		Mean:     svc.slotTime.Mean(),
-		High:     svc.slotTime.High(),
+		InFlight:     svc.running,
+		Limit:        d.concurrencyLimit(svc),
+		CostAhead:    svc.queue.CostAhead(r.Caller, r.Class),
+		Mean:         svc.slotTime.Mean(),
+		HighQuantile: svc.slotTime.HighQuantile(),
 	}
 	for _, t := range svc.targets {
 		if d.unavailable(t, now) {
@@ -277,13 +277,13 @@
 			return
 		}
 		free, total := slotCapacity(c.Targets)
-		it := svc.queue.Pop(now, admission.Idle(free, total))
+		it := svc.queue.Pop(now, admission.DeferrableMayStart(free, total))
 		if it == nil {
 			return
 		}
 		t := it.Data.(*Ticket)
-		if svc.queue.Len() > 0 && admission.Hopeless(t.Request.admission(), svc.slotTime.High(), now) {
-			d.refuse(t, Refusal{Reason: DeadlineExceeded, RetryAfter: svc.slotTime.High()})
+		if svc.queue.Len() > 0 && admission.CannotMeetDeadline(t.Request.admission(), svc.slotTime.HighQuantile(), now) {
+			d.refuse(t, Refusal{Reason: DeadlineExceeded, RetryAfter: svc.slotTime.HighQuantile()})
 			continue
 		}
 		d.grant(t, c)
--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -33,7 +33,7 @@
 	byID    map[model.VMID]int
 	index   *index
 	tasks   map[model.VMID][]Task
-	book    *quota.Book
+	book    *quota.Tracker
 	weights Weights
 	spread  spread
 	queues  []*queue
@@ -74,7 +74,7 @@
 		workers:  slices.Clone(s.Workers),
 		byID:     make(map[model.VMID]int, len(s.Workers)),
 		tasks:    make(map[model.VMID][]Task),
-		book:     quota.NewBook(s.Teams),
+		book:     quota.NewTracker(s.Teams),
 		weights:  s.Weights,
 		spread:   make(spread),
 		full:     make(map[shape]Refusal),
@@ -86,7 +86,7 @@
 		p.byID[p.workers[i].ID] = i
 	}
 	for _, t := range s.Running {
-		p.book.Take(t.Job.Team, t.Size)
+		p.book.Reserve(t.Job.Team, t.Size)
 		p.tasks[t.VM] = append(p.tasks[t.VM], t)
 		if i, ok := p.byID[t.VM]; ok {
 			p.spread.add(t.Job, &p.workers[i])
@@ -97,7 +97,7 @@
 	p.teams = make(map[model.TeamName]*queue, len(p.queues))
 	for _, q := range p.queues {
 		p.teams[q.team] = q
-		q.share = p.book.Ratio(q.team)
+		q.share = p.book.UsageRatio(q.team)
 	}
 	return p
 }
@@ -190,7 +190,7 @@
 // try places the request or refuses it, and returns false where a later rank
 // is to look at it again.
 func (p *planner) try(k rank, r *Request) bool {
-	stand := p.book.Stand(r.Job, r.Size)
+	stand := p.book.Check(r.Job, r.Size)
 	if stand == quota.Waits {
 		p.refuse(p.overQuota(r))
 		return true
@@ -229,9 +229,9 @@
 
 // take books a size for a team, or with a negative size gives it back.
 func (p *planner) take(team model.TeamName, size model.Resources) {
-	p.book.Take(team, size)
+	p.book.Reserve(team, size)
 	if q := p.teams[team]; q != nil {
-		q.share = p.book.Ratio(team)
+		q.share = p.book.UsageRatio(team)
 	}
 }
 
--- a/policy/work/work.go
+++ b/policy/work/work.go
@@ -20,9 +20,9 @@
 // what the last one ran.
 type WorkerID string
 
-// Life tells the lives of a worker that starts again under its ID apart: the moment of its
+// Incarnation tells the lives of a worker that starts again under its ID apart: the moment of its
 // start by its own clock, compared for equality alone. 0: not told.
-type Life int64
+type Incarnation int64
 
 // Resources are what a task asks for or a worker offers.
 type Resources struct {
@@ -56,13 +56,13 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.GPU - o.GPU}
 }
 
-// Most returns the larger of the two in every dimension.
-func (r Resources) Most(o Resources) Resources {
+// Max returns the larger of the two in every dimension.
+func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.MilliCPU, o.MilliCPU), max(r.MemoryMB, o.MemoryMB), max(r.GPU, o.GPU)}
 }
 
-// Least returns the smaller of the two in every dimension.
-func (r Resources) Least(o Resources) Resources {
+// Min returns the smaller of the two in every dimension.
+func (r Resources) Min(o Resources) Resources {
 	return Resources{min(r.MilliCPU, o.MilliCPU), min(r.MemoryMB, o.MemoryMB), min(r.GPU, o.GPU)}
 }
 
@@ -83,8 +83,8 @@
 	Gang          bool `json:"gang,omitempty" msgpack:"g,omitempty"`           // tasks work only while all of them are present
 	RackSensitive bool `json:"rack_sensitive,omitempty" msgpack:"r,omitempty"` // slower when spread over racks
 	Duplicates    bool `json:"duplicates,omitempty" msgpack:"d,omitempty"`     // copies of a task may run side by side
-	Lasting       bool `json:"lasting,omitempty" msgpack:"l,omitempty"`        // runs until cancelled, restarted however it ends
-	Fill          bool `json:"fill,omitempty" msgpack:"f,omitempty"`           // processor share is not reserved: runs on what others leave
+	LongRunning   bool `json:"lasting,omitempty" msgpack:"l,omitempty"`        // runs until cancelled, restarted however it ends
+	BestEffort    bool `json:"fill,omitempty" msgpack:"f,omitempty"`           // processor share is not reserved: runs on what others leave
 
 	Requires       string        `json:"requires,omitempty" msgpack:"q,omitempty"`        // label the worker must have
 	DataRack       string        `json:"data_rack,omitempty" msgpack:"w,omitempty"`       // rack of the data; slower elsewhere
@@ -127,10 +127,10 @@
 // Timed reports whether the job runs by the clock.
 func (j *Job) Timed() bool { return j.Schedule.Times > 0 }
 
-// Lasting reports whether the job runs until it is cancelled.
-func (j *Job) Lasting() bool {
+// LongRunning reports whether the job runs until it is cancelled.
+func (j *Job) LongRunning() bool {
 	for i := range j.Steps {
-		if j.Steps[i].Lasting {
+		if j.Steps[i].LongRunning {
 			return true
 		}
 	}
@@ -195,12 +195,12 @@
 
 // The ways a run ends.
 const (
-	Done    End = "done"
-	Faulted End = "failed"  // through its own fault or the worker's
-	Stopped End = "stopped" // by an order
-	Lapsed  End = "lapsed"  // its lease ran out
-	Broken  End = "broken"  // another member of its gang ended
-	Alone   End = "alone"   // the rest of its gang did not come in time
+	Done           End = "done"
+	Faulted        End = "failed"  // through its own fault or the worker's
+	Stopped        End = "stopped" // by an order
+	LeaseExpired   End = "lapsed"  // its lease ran out
+	GangBroken     End = "broken"  // another member of its gang ended
+	GangIncomplete End = "alone"   // the rest of its gang did not come in time
 )
 
 // VMState is where a VM stands in the platform's list.
