--- a/policy/dispatch/bench_test.go
+++ b/policy/dispatch/bench_test.go
@@ -267,7 +267,7 @@
 		}{
 			{"loans", func(*scenario) {}},
 			{"fixed", func(sc *scenario) { sc.noLoans = true }},
-			{"deaf", func(sc *scenario) { sc.noDigests = true }},
+			{"no-digests", func(sc *scenario) { sc.noDigests = true }},
 			{"split-no-refusal", func(sc *scenario) { sc.noDigests, sc.split = true, true }},
 			{"split", func(sc *scenario) { sc.noDigests, sc.split, sc.refuses = true, true, true }},
 			{"optimistic", func(sc *scenario) { sc.noLoans, sc.optimistic, sc.refuses = true, true, true }},
--- a/policy/dispatch/cost_test.go
+++ b/policy/dispatch/cost_test.go
@@ -39,8 +39,8 @@
 		name                           string
 		pools, perPool, entries, zones int
 	}{
-		{"today", 5, 10, 8, 4},
-		{"to-come", 347, 10, 60, 6},
+		{"50-vms", 5, 10, 8, 4},
+		{"3470-vms", 347, 10, 60, 6},
 	} {
 		d, f := newSizedDispatcher(size.pools, size.perPool, size.entries, size.zones)
 		now := t0
