--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -57,7 +57,7 @@
 
 // result is how an attempt ended.
 type result struct {
-	use     dispatch.Use
+	use     dispatch.Outcome
 	problem *Problem // nil where the caller has its answer, or a broken one
 	// broken: the answer broke off after its beginning was given on. The
 	// caller's connection must be broken as well.
@@ -66,7 +66,7 @@
 
 // certainlyNotRun reports whether the request may be sent to another target.
 func (r result) certainlyNotRun() bool {
-	return r.use.Ended == dispatch.Refused || r.use.Ended == dispatch.NotSent
+	return r.use.Kind == dispatch.Refused || r.use.Kind == dispatch.NotSent
 }
 
 // send makes one attempt at the target and gives its answer to the caller.
@@ -77,9 +77,9 @@
 		return res
 	}
 	defer resp.Body.Close()
-	res.use.Answer = f.clock.Since(start)
+	res.use.ResponseLatency = f.clock.Since(start)
 	res = f.give(e, resp, res)
-	res.use.Held = f.clock.Since(start)
+	res.use.SlotTime = f.clock.Since(start)
 	return res
 }
 
@@ -104,11 +104,11 @@
 		resp.Body.Close()
 		return nil, f.ended(dispatch.Failed, start, problemTargetFailed())
 	}
-	return resp, result{use: dispatch.Use{Ended: endingOf(resp.StatusCode)}}
+	return resp, result{use: dispatch.Outcome{Kind: endingOf(resp.StatusCode)}}
 }
 
 // endingOf tells an answer that says the target failed from all others.
-func endingOf(status int) dispatch.Ending {
+func endingOf(status int) dispatch.OutcomeKind {
 	if status >= http.StatusInternalServerError && status != http.StatusNotImplemented {
 		return dispatch.Errored
 	}
@@ -140,8 +140,8 @@
 	return a.resp, a.err
 }
 
-func (f *forwarder) ended(how dispatch.Ending, start time.Time, p *Problem) result {
-	return result{use: dispatch.Use{Ended: how, Held: f.clock.Since(start)}, problem: p}
+func (f *forwarder) ended(how dispatch.OutcomeKind, start time.Time, p *Problem) result {
+	return result{use: dispatch.Outcome{Kind: how, SlotTime: f.clock.Since(start)}, problem: p}
 }
 
 // request builds the request to the target. sent is set as soon as a
