--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -86,12 +86,12 @@
 	if d.policy.Cancel(w.ticket) {
 		return
 	}
-	d.policy.Done(w.ticket, dispatch.Use{Ended: dispatch.Abandoned}, d.clock.Now())
+	d.policy.Done(w.ticket, dispatch.Outcome{Kind: dispatch.Abandoned}, d.clock.Now())
 	d.deliver()
 }
 
 // done ends a request's use of its slot.
-func (d *dispatcher) done(w *waiter, u dispatch.Use) {
+func (d *dispatcher) done(w *waiter, u dispatch.Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.policy.Done(w.ticket, u, d.clock.Now())
@@ -115,10 +115,10 @@
 	return d.policy.Retry(w.ticket, attempts, replayable, d.clock.Now())
 }
 
-func (d *dispatcher) probed(vm model.VMID, a health.Answer) {
+func (d *dispatcher) probed(vm model.VMID, a health.ProbeResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.policy.Probed(vm, a, d.clock.Now())
+	d.policy.ObserveProbe(vm, a, d.clock.Now())
 	d.policy.Tick(d.clock.Now())
 	d.deliver()
 }
@@ -131,7 +131,7 @@
 	return d.policy.ProbesDue(now)
 }
 
-func (d *dispatcher) states() []dispatch.State {
+func (d *dispatcher) states() []dispatch.TargetState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.policy.States(d.clock.Now())
@@ -146,7 +146,7 @@
 func (d *dispatcher) lending() slots.Message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.policy.Lending()
+	return d.policy.LendingMessage()
 }
 
 func (d *dispatcher) queued() int {
--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -85,9 +85,9 @@
 		return problemNoTarget(r.RetryAfter)
 	case dispatch.OverShare:
 		return problemCallerLimit(r.RetryAfter)
-	case dispatch.NoOtherFree:
+	case dispatch.NoOtherTarget:
 		return problemRefused(r.RetryAfter)
-	case dispatch.DeadlinePast:
+	case dispatch.DeadlineExceeded:
 		return problemTimeout("no slot came free in time", NotRun)
 	}
 	return problemOverload("the answer would be late: a wait of "+r.Wait.Round(time.Millisecond).String()+" is predicted", r.RetryAfter)
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -142,9 +142,9 @@
 		t := tallies[s.Name]
 		why := ""
 		if byWave {
-			why = t.Refuse(m)
+			why = t.RefusalReason(m)
 		} else {
-			why = t.RefuseOrder(m, len(r.ledgers[s.Name].value.Stops))
+			why = t.OrderRefusalReason(m, len(r.ledgers[s.Name].value.Stops))
 		}
 		if why != "" {
 			return why
@@ -183,7 +183,7 @@
 		l.value = l.value.without(id)
 		l.value.Stops = append(l.value.Stops, stop)
 		vm.Ledgers = append(vm.Ledgers, s.Name)
-		tallies[s.Name].TakeOut(m)
+		tallies[s.Name].MarkTakenOut(m)
 	}
 	w.change(c.cond(), c.put())
 }
