--- a/policy/taskplan/index_test.go
+++ b/policy/taskplan/index_test.go
@@ -43,7 +43,7 @@
 			w.Slowness = rapid.SampledFrom([]float64{1, 1, 1.5}).Draw(t, "slow")
 			if rapid.Bool().Draw(t, "in use") {
 				w.Tasks, w.Free.MilliCPU = 2, rapid.Int64Range(0, 7000).Draw(t, "free")
-				w.Lasting = rapid.IntRange(0, 2).Draw(t, "lasting")
+				w.LongRunning = rapid.IntRange(0, 2).Draw(t, "lasting")
 			}
 			copied := *w
 			first, second = append(first, w), append(second, &copied)
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -19,20 +19,20 @@
 
 // Worker is one worker as the plan sees it.
 type Worker struct {
-	ID       work.WorkerID
-	Total    work.Resources
-	Free     work.Resources // what no run, start or stop in progress holds
-	Labels   []string
-	Rack     string
-	Closed   bool    // takes no new tasks: leaving, cordoned, unheard
-	Limit    int     // most tasks to place now; negative: any number
-	Lasting  int     // lasting tasks there
-	Serving  int     // serving tasks there
-	Filling  int     // fill tasks there
-	Slowness float64 // duration of its tasks against its peers'; 1 is usual
-	Due      bool    // its VM's maintenance is to come
-	Sought   bool    // has a label that other work asks for
-	Tasks    int     // all tasks there
+	ID          work.WorkerID
+	Total       work.Resources
+	Free        work.Resources // what no run, start or stop in progress holds
+	Labels      []string
+	Rack        string
+	Closed      bool    // takes no new tasks: leaving, cordoned, unheard
+	Limit       int     // most tasks to place now; negative: any number
+	LongRunning int     // lasting tasks there
+	Serving     int     // serving tasks there
+	Filling     int     // fill tasks there
+	Slowness    float64 // duration of its tasks against its peers'; 1 is usual
+	Due         bool    // its VM's maintenance is to come
+	Sought      bool    // has a label that other work asks for
+	Tasks       int     // all tasks there
 	// Fresh is the job whose hazardous tasks have just begun there; empty: none.
 	Fresh work.JobID
 
@@ -351,7 +351,7 @@
 		w.Limit -= n
 	}
 	if s.Step.LongRunning {
-		w.Lasting += n
+		w.LongRunning += n
 	}
 	if s.Step.Serving() {
 		w.Serving += n
@@ -452,7 +452,7 @@
 	if s.Step.BestEffort && w.Serving > 0 || s.Step.Serving() && w.Filling > 0 {
 		score += scoreDisturbed
 	}
-	if s.Hazardous && w.Lasting > 0 {
+	if s.Hazardous && w.LongRunning > 0 {
 		score += scoreExposed
 	}
 	if s.Hazardous && w.Fresh != "" && w.Fresh != s.Ref.Job {
@@ -471,7 +471,7 @@
 	if s.Step.LongRunning && w.Due {
 		score += scoreDue
 	}
-	if s.Step.LongRunning && w.Lasting == 0 {
+	if s.Step.LongRunning && w.LongRunning == 0 {
 		score += scoreMixed
 	}
 	free := float64(w.Free.MilliCPU) / float64(max(1, w.Total.MilliCPU))
--- a/policy/taskplan/taskplan_test.go
+++ b/policy/taskplan/taskplan_test.go
@@ -54,7 +54,7 @@
 	apart := spec(1000)
 	apart.AntiAffinity = 1
 	dueSoon := worker("a", 1000)
-	dueSoon.Due, dueSoon.Lasting = true, 3
+	dueSoon.Due, dueSoon.LongRunning = true, 3
 	lasting := spec(1000)
 	lasting.LongRunning = true
 	sought := worker("a", 1000)
@@ -130,7 +130,7 @@
 	lasting := spec(1000)
 	lasting.LongRunning = true
 	a, b := worker("a", 8000), worker("b", 6000)
-	a.Lasting = 2
+	a.LongRunning = 2
 	assert.DeepEqual(t, on(Plan([]*Worker{a, b}, []*Step{step("s", 2, lasting)})), []string{"s>a", "s>a"})
 }
 
@@ -190,7 +190,7 @@
 // Lasting work goes down with short work of a kind that crashes many workers.
 func TestHazardousWorkKeepsAwayFromLastingWork(t *testing.T) {
 	a, b := worker("a", 3000), worker("b", 8000)
-	a.Lasting, a.Tasks = 1, 1
+	a.LongRunning, a.Tasks = 1, 1
 	s := step("s", 2, spec(1000))
 	s.Hazardous = true
 	assert.DeepEqual(t, on(Plan([]*Worker{a, b}, []*Step{s})), []string{"s>b", "s>b"})
