--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -209,7 +209,7 @@
 		Closed: w.closed(now),
 		Limit:  -1,
 
-		LongRunning: w.load.lasting, Serving: w.load.serving, Filling: w.load.filling,
+		LongRunning: w.load.lasting, Serving: w.load.serving, BestEffort: w.load.filling,
 		Slowness: w.slowness.Factor(),
 		Due:      w.cordon.Kind == Due,
 		Tasks:    len(w.tasks),
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -28,7 +28,7 @@
 	Limit       int     // most tasks to place now; negative: any number
 	LongRunning int     // lasting tasks there
 	Serving     int     // serving tasks there
-	Filling     int     // fill tasks there
+	BestEffort  int     // fill tasks there
 	Slowness    float64 // duration of its tasks against its peers'; 1 is usual
 	Due         bool    // its VM's maintenance is to come
 	Sought      bool    // has a label that other work asks for
@@ -357,7 +357,7 @@
 		w.Serving += n
 	}
 	if s.Step.BestEffort {
-		w.Filling += n
+		w.BestEffort += n
 	}
 	if s.Hazardous {
 		w.Fresh = s.Ref.Job
@@ -449,7 +449,7 @@
 	if slices.Contains(t.Avoid, w.ID) {
 		score += scoreAvoid
 	}
-	if s.Step.BestEffort && w.Serving > 0 || s.Step.Serving() && w.Filling > 0 {
+	if s.Step.BestEffort && w.Serving > 0 || s.Step.Serving() && w.BestEffort > 0 {
 		score += scoreDisturbed
 	}
 	if s.Hazardous && w.LongRunning > 0 {
