--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -210,9 +210,9 @@
 		Limit:  -1,
 
 		LongRunning: w.load.lasting, Serving: w.load.serving, BestEffort: w.load.filling,
-		Slowness: w.slowness.Factor(),
-		Due:      w.cordon.Kind == Due,
-		Tasks:    len(w.tasks),
+		Slowness:       w.slowness.Factor(),
+		MaintenanceDue: w.cordon.Kind == Due,
+		Tasks:          len(w.tasks),
 	}
 	if n := len(w.info.Labels); n > 0 {
 		out.Rack = w.info.Labels[n-1]
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -19,20 +19,20 @@
 
 // Worker is one worker as the plan sees it.
 type Worker struct {
-	ID          work.WorkerID
-	Total       work.Resources
-	Free        work.Resources // what no run, start or stop in progress holds
-	Labels      []string
-	Rack        string
-	Closed      bool    // takes no new tasks: leaving, cordoned, unheard
-	Limit       int     // most tasks to place now; negative: any number
-	LongRunning int     // lasting tasks there
-	Serving     int     // serving tasks there
-	BestEffort  int     // fill tasks there
-	Slowness    float64 // duration of its tasks against its peers'; 1 is usual
-	Due         bool    // its VM's maintenance is to come
-	Sought      bool    // has a label that other work asks for
-	Tasks       int     // all tasks there
+	ID             work.WorkerID
+	Total          work.Resources
+	Free           work.Resources // what no run, start or stop in progress holds
+	Labels         []string
+	Rack           string
+	Closed         bool    // takes no new tasks: leaving, cordoned, unheard
+	Limit          int     // most tasks to place now; negative: any number
+	LongRunning    int     // lasting tasks there
+	Serving        int     // serving tasks there
+	BestEffort     int     // fill tasks there
+	Slowness       float64 // duration of its tasks against its peers'; 1 is usual
+	MaintenanceDue bool    // its VM's maintenance is to come
+	Sought         bool    // has a label that other work asks for
+	Tasks          int     // all tasks there
 	// Fresh is the job whose hazardous tasks have just begun there; empty: none.
 	Fresh work.JobID
 
@@ -125,7 +125,7 @@
 	if w.Tasks > 0 || w.Limit >= 0 || w.Free != w.Total || len(w.Labels) > 2 {
 		return emptyKind{}, false
 	}
-	kind := emptyKind{total: w.Total, slow: w.Slowness, due: w.Due, sought: w.Sought}
+	kind := emptyKind{total: w.Total, slow: w.Slowness, due: w.MaintenanceDue, sought: w.Sought}
 	if len(w.Labels) > 1 {
 		kind.label = w.Labels[0]
 	}
@@ -468,7 +468,7 @@
 		score += scoreSought
 	}
 	score += scoreSlow * max(0, w.Slowness-1)
-	if s.Step.LongRunning && w.Due {
+	if s.Step.LongRunning && w.MaintenanceDue {
 		score += scoreDue
 	}
 	if s.Step.LongRunning && w.LongRunning == 0 {
--- a/policy/taskplan/taskplan_test.go
+++ b/policy/taskplan/taskplan_test.go
@@ -54,7 +54,7 @@
 	apart := spec(1000)
 	apart.AntiAffinity = 1
 	dueSoon := worker("a", 1000)
-	dueSoon.Due, dueSoon.LongRunning = true, 3
+	dueSoon.MaintenanceDue, dueSoon.LongRunning = true, 3
 	lasting := spec(1000)
 	lasting.LongRunning = true
 	sought := worker("a", 1000)
