--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -248,7 +248,7 @@
 		w.snapshot(&snaps[i], now)
 		snap := &snaps[i]
 		snap.Closed = snap.Closed || doubt
-		snap.Sought = c.seeks(w.info.Labels, now)
+		snap.LabelInDemand = c.seeks(w.info.Labels, now)
 		if hazards {
 			snap.Fresh = c.freshOn(w, now)
 		}
--- a/policy/taskplan/index_test.go
+++ b/policy/taskplan/index_test.go
@@ -39,7 +39,7 @@
 			w.Total = work.Resources{MilliCPU: 8000, MemoryMB: w.Free.MemoryMB}
 			w.Labels = []string{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "kind"), rapid.SampledFrom([]string{"r1", "r2", "r3"}).Draw(t, "rack")}
 			w.Rack = w.Labels[1]
-			w.MaintenanceDue, w.Sought = rapid.Bool().Draw(t, "due"), rapid.Bool().Draw(t, "sought")
+			w.MaintenanceDue, w.LabelInDemand = rapid.Bool().Draw(t, "due"), rapid.Bool().Draw(t, "sought")
 			w.Slowness = rapid.SampledFrom([]float64{1, 1, 1.5}).Draw(t, "slow")
 			if rapid.Bool().Draw(t, "in use") {
 				w.Tasks, w.Free.MilliCPU = 2, rapid.Int64Range(0, 7000).Draw(t, "free")
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -31,7 +31,7 @@
 	BestEffort     int     // fill tasks there
 	Slowness       float64 // duration of its tasks against its peers'; 1 is usual
 	MaintenanceDue bool    // its VM's maintenance is to come
-	Sought         bool    // has a label that other work asks for
+	LabelInDemand  bool    // has a label that other work asks for
 	Tasks          int     // all tasks there
 	// Fresh is the job whose hazardous tasks have just begun there; empty: none.
 	Fresh work.JobID
@@ -125,7 +125,7 @@
 	if w.Tasks > 0 || w.Limit >= 0 || w.Free != w.Total || len(w.Labels) > 2 {
 		return emptyKind{}, false
 	}
-	kind := emptyKind{total: w.Total, slow: w.Slowness, due: w.MaintenanceDue, sought: w.Sought}
+	kind := emptyKind{total: w.Total, slow: w.Slowness, due: w.MaintenanceDue, sought: w.LabelInDemand}
 	if len(w.Labels) > 1 {
 		kind.label = w.Labels[0]
 	}
@@ -464,7 +464,7 @@
 	if s.Step.DataRack != "" && !w.has(s.Step.DataRack) {
 		score += scoreFar
 	}
-	if w.Sought && s.Step.Requires == "" {
+	if w.LabelInDemand && s.Step.Requires == "" {
 		score += scoreSought
 	}
 	score += scoreSlow * max(0, w.Slowness-1)
--- a/policy/taskplan/taskplan_test.go
+++ b/policy/taskplan/taskplan_test.go
@@ -58,7 +58,7 @@
 	lasting := spec(1000)
 	lasting.LongRunning = true
 	sought := worker("a", 1000)
-	sought.Sought = true
+	sought.LabelInDemand = true
 	ticketed := step("j", 2, spec(1000))
 	ticketed.Permitted = map[work.WorkerID]bool{"b": true}
 
