--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -250,7 +250,7 @@
 		snap.Closed = snap.Closed || doubt
 		snap.LabelInDemand = c.seeks(w.info.Labels, now)
 		if hazards {
-			snap.Fresh = c.freshOn(w, now)
+			snap.HazardousJob = c.freshOn(w, now)
 		}
 		out[i] = snap
 	}
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -33,8 +33,8 @@
 	MaintenanceDue bool    // its VM's maintenance is to come
 	LabelInDemand  bool    // has a label that other work asks for
 	Tasks          int     // all tasks there
-	// Fresh is the job whose hazardous tasks have just begun there; empty: none.
-	Fresh work.JobID
+	// HazardousJob is the job whose hazardous tasks have just begun there; empty: none.
+	HazardousJob work.JobID
 
 	trial *Step // whose suspects were placed there in this plan; nothing else goes beside them
 }
@@ -360,7 +360,7 @@
 		w.BestEffort += n
 	}
 	if s.Hazardous {
-		w.Fresh = s.Ref.Job
+		w.HazardousJob = s.Ref.Job
 	}
 }
 
@@ -455,7 +455,7 @@
 	if s.Hazardous && w.LongRunning > 0 {
 		score += scoreExposed
 	}
-	if s.Hazardous && w.Fresh != "" && w.Fresh != s.Ref.Job {
+	if s.Hazardous && w.HazardousJob != "" && w.HazardousJob != s.Ref.Job {
 		score += scoreFresh
 	}
 	if t.Suspect && w.trial == nil {
