--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -183,7 +183,7 @@
 	}
 	planner := taskplan.NewPlanner(workers)
 	if slices.ContainsFunc(ws, func(w waiting) bool { return w.step.suspects() > 0 }) {
-		planner.Trials = c.trialRoom(now)
+		planner.TrialWorkersLeft = c.trialRoom(now)
 	}
 	for _, v := range ws {
 		if len(out.Starts) >= c.mayStart {
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -89,14 +89,14 @@
 	empty map[emptyKind][]*Worker
 	kinds []emptyKind
 	most  work.Resources // see MostFree
-	// Trials is on how many more workers suspects may be placed.
-	Trials int
+	// TrialWorkersLeft is on how many more workers suspects may be placed.
+	TrialWorkersLeft int
 }
 
 // NewPlanner returns a planner over the workers, which are changed as they fill.
 func NewPlanner(workers []*Worker) *Planner {
 	open := Open(workers)
-	p := &Planner{open: open, empty: make(map[emptyKind][]*Worker), most: MostFree(open), Trials: math.MaxInt}
+	p := &Planner{open: open, empty: make(map[emptyKind][]*Worker), most: MostFree(open), TrialWorkersLeft: math.MaxInt}
 	for _, w := range open {
 		kind, interchangeable := kindOf(w)
 		if !interchangeable {
@@ -226,7 +226,7 @@
 // try places a suspect, beside those of its step if it can.
 func (p *Planner) try(s *Step, t Task) []Placement {
 	open := p.open
-	if p.Trials <= 0 {
+	if p.TrialWorkersLeft <= 0 {
 		open = slices.DeleteFunc(slices.Clone(open), func(w *Worker) bool { return !s.shares(w, t) })
 	}
 	w := choose(open, s, t)
@@ -235,7 +235,7 @@
 	}
 	if w.trial == nil {
 		w.trial = s
-		p.Trials--
+		p.TrialWorkersLeft--
 	}
 	p.occupied(w)
 	take(w, s)
--- a/policy/taskplan/taskplan_test.go
+++ b/policy/taskplan/taskplan_test.go
@@ -179,7 +179,7 @@
 		steps = append(steps, s)
 	}
 	p := NewPlanner([]*Worker{worker("a", 8000), worker("b", 8000), worker("c", 8000)})
-	p.Trials = 1
+	p.TrialWorkersLeft = 1
 	var got []Placement
 	for _, s := range steps {
 		got = append(got, p.Place(s)...)
