--- a/policy/taskplan/index_test.go
+++ b/policy/taskplan/index_test.go
@@ -64,7 +64,7 @@
 			}
 			placed := p.Place(a)
 			for i, task := range b.Tasks {
-				best := choose(Open(second), b, task)
+				best := choose(OpenWorkers(second), b, task)
 				if best == nil {
 					assert.Equal(t, len(placed), i)
 					break
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -95,7 +95,7 @@
 
 // NewPlanner returns a planner over the workers, which are changed as they fill.
 func NewPlanner(workers []*Worker) *Planner {
-	open := Open(workers)
+	open := OpenWorkers(workers)
 	p := &Planner{open: open, empty: make(map[emptyKind][]*Worker), most: MostFree(open), TrialWorkersLeft: math.MaxInt}
 	for _, w := range open {
 		kind, interchangeable := kindOf(w)
@@ -242,8 +242,8 @@
 	return []Placement{{Step: s, Index: t.Index, Worker: w.ID}}
 }
 
-// Open returns the workers that take tasks at all.
-func Open(workers []*Worker) []*Worker {
+// OpenWorkers returns the workers that take tasks at all.
+func OpenWorkers(workers []*Worker) []*Worker {
 	out := make([]*Worker, 0, len(workers))
 	for _, w := range workers {
 		if !w.Closed && w.Limit != 0 {
