--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -96,7 +96,7 @@
 // NewPlanner returns a planner over the workers, which are changed as they fill.
 func NewPlanner(workers []*Worker) *Planner {
 	open := OpenWorkers(workers)
-	p := &Planner{open: open, empty: make(map[emptyKind][]*Worker), most: MostFree(open), TrialWorkersLeft: math.MaxInt}
+	p := &Planner{open: open, empty: make(map[emptyKind][]*Worker), most: MaxFree(open), TrialWorkersLeft: math.MaxInt}
 	for _, w := range open {
 		kind, interchangeable := kindOf(w)
 		if !interchangeable {
@@ -190,7 +190,7 @@
 		for _, placed := range out {
 			p.occupied(p.worker(placed.Worker))
 		}
-		p.most = MostFree(p.open)
+		p.most = MaxFree(p.open)
 		return out
 	}
 	var out []Placement
@@ -205,7 +205,7 @@
 		}
 		w := choose(from, s, t)
 		if w == nil {
-			p.most = MostFree(p.open)
+			p.most = MaxFree(p.open)
 			break // its other tasks are of the same size
 		}
 		if w.Tasks == 0 || len(t.Avoid) > 0 {
@@ -253,9 +253,9 @@
 	return out
 }
 
-// MostFree returns, for each kind of resource by itself, the most that any of the
+// MaxFree returns, for each kind of resource by itself, the most that any of the
 // workers has free. What exceeds it fits nowhere.
-func MostFree(workers []*Worker) work.Resources {
+func MaxFree(workers []*Worker) work.Resources {
 	var most work.Resources
 	for _, w := range workers {
 		most = most.Max(w.Free)
