--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -244,7 +244,7 @@
 	}
 	before := a.wanted
 	a.wanted = before.Plus(size)
-	if room := pool.Room(); !a.wanted.Fits(room) {
+	if room := pool.FreeCapacity(); !a.wanted.Fits(room) {
 		a.wanted, a.filled = before.Max(a.wanted.Min(room)), true
 	}
 }
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -171,8 +171,8 @@
 // is full hundreds of steps wait; they are passed over without a look at every worker.
 func (p *Planner) MayFit(s *work.Step) bool { return Reserved(s).Fits(p.most) }
 
-// Room is what all workers together have free.
-func (p *Planner) Room() work.Resources {
+// FreeCapacity is what all workers together have free.
+func (p *Planner) FreeCapacity() work.Resources {
 	var room work.Resources
 	for _, w := range p.open {
 		room = room.Plus(w.Free)
