--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -138,7 +138,7 @@
 		return out
 	}
 	if ps := c.planStep(s, workers, now); ps != nil {
-		out.Waits = taskplan.Binding(workers, ps)
+		out.Waits = taskplan.CountRejections(workers, ps)
 		out.Limit = c.explainLimit(s, len(ps.Tasks), now)
 	}
 	return out
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -232,7 +232,7 @@
 	}
 	c.explained = now
 	c.log.Info("work waits", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
-		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.Binding(workers, s))
+		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.CountRejections(workers, s))
 }
 
 func (c *Core) snapshots(now time.Duration) []*taskplan.Worker {
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -417,8 +417,8 @@
 
 func feasible(w *Worker, s *Step) bool { return why(w, s) == ReasonNone }
 
-// Binding counts the workers by what keeps the step's tasks from them.
-func Binding(workers []*Worker, s *Step) map[Reason]int {
+// CountRejections counts the workers by what keeps the step's tasks from them.
+func CountRejections(workers []*Worker, s *Step) map[Reason]int {
 	out := make(map[Reason]int)
 	for _, w := range workers {
 		out[why(w, s)]++
--- a/policy/taskplan/taskplan_test.go
+++ b/policy/taskplan/taskplan_test.go
@@ -140,7 +140,7 @@
 	closed.Closed = true
 	needs := spec(1000)
 	needs.Requires = "gpu"
-	got := Binding([]*Worker{closed, worker("b", 100), worker("c", 8000)}, step("j", 1, needs))
+	got := CountRejections([]*Worker{closed, worker("b", 100), worker("c", 8000)}, step("j", 1, needs))
 	assert.DeepEqual(t, got, map[Reason]int{ReasonClosed: 1, ReasonRoom: 1, ReasonLabel: 1})
 }
 
