--- a/cmd/pumicestage/explain_test.go
+++ b/cmd/pumicestage/explain_test.go
@@ -39,7 +39,7 @@
 		State: work.Running, Queue: "weights", Token: 412, Config: 7, Age: 1500 * time.Millisecond, Objective: 4 * time.Second,
 		Left: 2 * time.Second, Tier: "in time", Restored: true,
 		Steps: []engine.StepExplanation{{
-			Step: "5c0e7a21d94b36f8.0.0", Tasks: map[string]int{"running": 1, "waiting": 2}, Waits: map[taskplan.Reason]int{taskplan.ReasonRoom: 3},
+			Step: "5c0e7a21d94b36f8.0.0", Tasks: map[string]int{"running": 1, "waiting": 2}, Waits: map[taskplan.Reason]int{taskplan.ReasonCapacity: 3},
 			Limit: &engine.LimitExplanation{
 				Workspace: "red", Limit: work.Resources{MilliCPU: 8000, MemoryMB: 64000}, Used: work.Resources{MilliCPU: 1500, MemoryMB: 9000},
 				May: work.Resources{MilliCPU: 2000, MemoryMB: 16000}, Holds: true, Others: map[string]workspace.Parts{"tabulation": 7500},
--- a/internal/engine/explain_test.go
+++ b/internal/engine/explain_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, e.State, work.Running)
 	assert.Equal(t, e.Tier, "in time")
 	assert.DeepEqual(t, e.Steps[0].Tasks, map[string]int{"running": 4, "waiting": 2})
-	assert.DeepEqual(t, e.Steps[0].Waits, map[taskplan.Reason]int{taskplan.ReasonRoom: 1})
+	assert.DeepEqual(t, e.Steps[0].Waits, map[taskplan.Reason]int{taskplan.ReasonCapacity: 1})
 	assert.Equal(t, len(e.Steps[0].Runs), 4)
 	assert.DeepEqual(t, e.Steps[1].After, []int{0})
 	_, known = b.core.Explain("j2", b.now)
--- a/policy/taskplan/taskplan_test.go
+++ b/policy/taskplan/taskplan_test.go
@@ -141,7 +141,7 @@
 	needs := spec(1000)
 	needs.Requires = "gpu"
 	got := CountRejections([]*Worker{closed, worker("b", 100), worker("c", 8000)}, step("j", 1, needs))
-	assert.DeepEqual(t, got, map[Reason]int{ReasonClosed: 1, ReasonRoom: 1, ReasonLabel: 1})
+	assert.DeepEqual(t, got, map[Reason]int{ReasonClosed: 1, ReasonCapacity: 1, ReasonLabel: 1})
 }
 
 // Sound work is lost again and again with a task that crashes its workers: it is placed beside
