--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -390,12 +390,12 @@
 
 // The reasons, in the order in which they are looked at.
 const (
-	ReasonNone     Reason = ""
-	ReasonClosed   Reason = "closed"
-	ReasonCapacity Reason = "no room"
-	ReasonLabel    Reason = "label"
-	ReasonApart    Reason = "anti-affinity"
-	ReasonAdvisor  Reason = "no ticket"
+	ReasonNone         Reason = ""
+	ReasonClosed       Reason = "closed"
+	ReasonCapacity     Reason = "no room"
+	ReasonLabel        Reason = "label"
+	ReasonAntiAffinity Reason = "anti-affinity"
+	ReasonAdvisor      Reason = "no ticket"
 )
 
 // why returns what keeps the step's tasks from the worker.
@@ -408,7 +408,7 @@
 	case s.Step.Requires != "" && !w.has(s.Step.Requires):
 		return ReasonLabel
 	case s.Step.AntiAffinity > 0 && s.OnWorker[w.ID] >= s.Step.AntiAffinity:
-		return ReasonApart
+		return ReasonAntiAffinity
 	case s.Permitted != nil && !s.Permitted[w.ID]:
 		return ReasonAdvisor
 	}
