--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -395,7 +395,7 @@
 	ReasonCapacity     Reason = "no room"
 	ReasonLabel        Reason = "label"
 	ReasonAntiAffinity Reason = "anti-affinity"
-	ReasonAdvisor      Reason = "no ticket"
+	ReasonNoTicket     Reason = "no ticket"
 )
 
 // why returns what keeps the step's tasks from the worker.
@@ -410,7 +410,7 @@
 	case s.Step.AntiAffinity > 0 && s.OnWorker[w.ID] >= s.Step.AntiAffinity:
 		return ReasonAntiAffinity
 	case s.Permitted != nil && !s.Permitted[w.ID]:
-		return ReasonAdvisor
+		return ReasonNoTicket
 	}
 	return ReasonNone
 }
