--- a/internal/engine/lives_test.go
+++ b/internal/engine/lives_test.go
@@ -276,7 +276,7 @@
 	b := lifeRig(t)
 	start := b.startOn("j1", OutcomeUnknown)
 	b.look("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
-	b.now += crashes.Settle
+	b.now += crashes.CorrelationWindow
 	b.core.judgeCrashes(b.now)
 	assert.Equal(t, len(b.core.find(start.Start.Task).crashes), 0)
 }
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -141,7 +141,7 @@
 	c.fellSilent(w, now)
 	at := w.silentAt(now)
 	for _, l := range lost {
-		l.task.notBefore = max(l.task.notBefore, at+crashes.Settle)
+		l.task.notBefore = max(l.task.notBefore, at+crashes.CorrelationWindow)
 	}
 	c.unjudged = append(c.unjudged, crash{worker: w, at: at, lost: lost, tried: w.tries((*task).suspect)})
 	c.judgeCrashes(now)
@@ -152,7 +152,7 @@
 func (c *Core) judgeCrashes(now time.Duration) {
 	var wait []crash
 	for _, cr := range c.unjudged {
-		if now < cr.at+crashes.Settle {
+		if now < cr.at+crashes.CorrelationWindow {
 			wait = append(wait, cr)
 			continue
 		}
--- a/policy/crashes/common.go
+++ b/policy/crashes/common.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// Settle is for how long after a worker fell silent others are waited for that may have
+	// CorrelationWindow is for how long after a worker fell silent others are waited for that may have
 	// fallen silent with it: a rack, a zone or a switch is not lost by what one task does.
-	Settle = 100 * time.Millisecond
+	CorrelationWindow = 100 * time.Millisecond
 	// leastCommon is how many others make a common cause, at the least; in a smaller pool, all
 	// of them.
 	leastCommon = 3
@@ -33,14 +33,14 @@
 func (s *Silences) Rate(at time.Duration, workers int) float64 {
 	around := 0
 	for _, other := range s.seen {
-		if other >= at-Settle && other <= at+Settle {
+		if other >= at-CorrelationWindow && other <= at+CorrelationWindow {
 			around++
 		}
 	}
 	others := float64(around - 1)
-	usual := float64(len(s.seen)-around) * float64(2*Settle) / float64(rateWindow)
+	usual := float64(len(s.seen)-around) * float64(2*CorrelationWindow) / float64(rateWindow)
 	if others < 1 || others < float64(min(leastCommon, workers-1)) || others < unusual*usual {
 		return 0
 	}
-	return others / float64(max(1, workers)) / (2 * Settle).Seconds()
+	return others / float64(max(1, workers)) / (2 * CorrelationWindow).Seconds()
 }
