--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -65,7 +65,7 @@
 	crashRate        crashes.Rate  // of workers, by themselves
 	kinds            map[kindKey]*crashes.Kind
 	unjudged         []crash
-	silences         crashes.Silences
+	silences         crashes.CorrelatedLosses
 	trials           crashes.Trials
 	othersWaited     time.Duration // when short work other than suspects last waited
 	onsets           crashes.Onsets
--- a/policy/crashes/common.go
+++ b/policy/crashes/common.go
@@ -13,14 +13,14 @@
 	unusual = 3
 )
 
-// Silences tells workers that fell silent together from those that did so one by one. The zero
+// CorrelatedLosses tells workers that fell silent together from those that did so one by one. The zero
 // value has seen none.
-type Silences struct {
+type CorrelatedLosses struct {
 	seen []time.Duration
 }
 
 // Fell notes that a worker fell silent then.
-func (s *Silences) Fell(at, now time.Duration) {
+func (s *CorrelatedLosses) Fell(at, now time.Duration) {
 	for len(s.seen) > 0 && now > s.seen[0]+rateWindow {
 		s.seen = s.seen[1:]
 	}
@@ -30,7 +30,7 @@
 // Rate is how often one worker of so many crashes by a cause common to several around that
 // moment, a second: 0 unless several fell silent then, and far more than of late. What many
 // tasks that begin at the same moment do still stands out against it.
-func (s *Silences) Rate(at time.Duration, workers int) float64 {
+func (s *CorrelatedLosses) Rate(at time.Duration, workers int) float64 {
 	around := 0
 	for _, other := range s.seen {
 		if other >= at-CorrelationWindow && other <= at+CorrelationWindow {
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -213,7 +213,7 @@
 // A rack that is lost makes suspects of all that had just begun on its workers.
 func TestWorkersLostTogetherAreToldFromThoseLostToTasks(t *testing.T) {
 	const rack = time.Minute
-	var s crashes.Silences
+	var s crashes.CorrelatedLosses
 	for i := range 5 {
 		s.Fell(time.Duration(i)*400*time.Millisecond+rack-3*time.Second, rack)
 	}
@@ -232,13 +232,13 @@
 
 // All workers of a small pool are lost at once, and what had just begun there is given up.
 func TestAllWorkersOfASmallPoolAreLostTogether(t *testing.T) {
-	var s crashes.Silences
+	var s crashes.CorrelatedLosses
 	for range 3 {
 		s.Fell(time.Minute, time.Minute)
 	}
 	assert.Check(t, s.Rate(time.Minute, 3) > 1)
 	assert.Equal(t, s.Rate(time.Minute, 12), 0.0, "a part of a larger one")
-	var one crashes.Silences
+	var one crashes.CorrelatedLosses
 	one.Fell(time.Minute, time.Minute)
 	assert.Equal(t, one.Rate(time.Minute, 1), 0.0)
 }
