--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -110,7 +110,7 @@
 func (c *Core) fellSilent(w *worker, now time.Duration) {
 	if w.silentSince == 0 {
 		w.silentSince = now
-		c.silences.Fell(now, now)
+		c.silences.Record(now, now)
 	}
 }
 
--- a/policy/crashes/common.go
+++ b/policy/crashes/common.go
@@ -19,8 +19,8 @@
 	seen []time.Duration
 }
 
-// Fell notes that a worker fell silent then.
-func (s *CorrelatedLosses) Fell(at, now time.Duration) {
+// Record notes that a worker fell silent then.
+func (s *CorrelatedLosses) Record(at, now time.Duration) {
 	for len(s.seen) > 0 && now > s.seen[0]+rateWindow {
 		s.seen = s.seen[1:]
 	}
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -215,11 +215,11 @@
 	const rack = time.Minute
 	var s crashes.CorrelatedLosses
 	for i := range 5 {
-		s.Fell(time.Duration(i)*400*time.Millisecond+rack-3*time.Second, rack)
+		s.Record(time.Duration(i)*400*time.Millisecond+rack-3*time.Second, rack)
 	}
 	assert.Equal(t, s.Rate(rack-3*time.Second, 8), 0.0)
 	for i := range 4 {
-		s.Fell(rack+time.Duration(i)*10*time.Millisecond, rack)
+		s.Record(rack+time.Duration(i)*10*time.Millisecond, rack)
 	}
 	assert.Check(t, s.Rate(rack, 8) > 0.5)
 	common := s.Rate(rack+30*time.Millisecond, 8)
@@ -234,12 +234,12 @@
 func TestAllWorkersOfASmallPoolAreLostTogether(t *testing.T) {
 	var s crashes.CorrelatedLosses
 	for range 3 {
-		s.Fell(time.Minute, time.Minute)
+		s.Record(time.Minute, time.Minute)
 	}
 	assert.Check(t, s.Rate(time.Minute, 3) > 1)
 	assert.Equal(t, s.Rate(time.Minute, 12), 0.0, "a part of a larger one")
 	var one crashes.CorrelatedLosses
-	one.Fell(time.Minute, time.Minute)
+	one.Record(time.Minute, time.Minute)
 	assert.Equal(t, one.Rate(time.Minute, 1), 0.0)
 }
 
