--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -92,7 +92,7 @@
 	l := lostRun{task: t, run: t.run, ran: w.seenRunning(t), unsent: t.answered == 0 && t.left == 0}
 	if !t.shown && t.state != taskActive {
 		l.before = max(0, t.left-w.clockAt)
-		l.unseen = l.before > crashes.Trial
+		l.unseen = l.before > crashes.MaxTrialDuration
 	}
 	silent := w.silentAt(now)
 	switch {
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// Trial is how long a run is seen to go on until it is taken not to crash its worker by
+	// MaxTrialDuration is how long a run is seen to go on until it is taken not to crash its worker by
 	// being started.
-	Trial = 500 * time.Millisecond
+	MaxTrialDuration = 500 * time.Millisecond
 	// Cleared is how long a lasting task is seen to go on until earlier crashes say nothing
 	// of it any more. It runs for weeks, and many workers crash by themselves meanwhile.
 	Cleared = 3 * time.Second
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -201,13 +201,13 @@
 // A trial lasts as long where tasks crash their workers at once as where they do so late.
 func TestATrialLastsAsLongAsCrashesTake(t *testing.T) {
 	var o crashes.Onsets
-	assert.Equal(t, o.Trial(), crashes.Trial)
+	assert.Equal(t, o.Trial(), crashes.MaxTrialDuration)
 	for range 4 {
 		o.Saw(crashes.Record{{Run: 1, Within: 30 * time.Millisecond}})
 	}
 	assert.Equal(t, o.Trial(), 120*time.Millisecond)
 	o.Saw(crashes.Record{{Run: 1, Within: 400 * time.Millisecond}})
-	assert.Equal(t, o.Trial(), crashes.Trial)
+	assert.Equal(t, o.Trial(), crashes.MaxTrialDuration)
 }
 
 // A rack that is lost makes suspects of all that had just begun on its workers.
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -102,7 +102,7 @@
 // being started.
 func (o *Onsets) Trial() time.Duration {
 	if len(o.seen) < leastOnsets {
-		return Trial
+		return MaxTrialDuration
 	}
-	return min(Trial, max(leastTrial, onsetMargin*slices.Max(o.seen)))
+	return min(MaxTrialDuration, max(leastTrial, onsetMargin*slices.Max(o.seen)))
 }
