--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -252,7 +252,7 @@
 		c.attach(t, w, r.Run, taskActive, now)
 		t.stopsOver = now + c.bounds.StopGrace + expirySlack
 		if t.step.spec.LongRunning && r.Percent >= fullPercent {
-			t.ranBefore = crashes.Cleared
+			t.ranBefore = crashes.ClearedAfter
 		}
 	}
 	if t.where != w || t.run != r.Run {
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -19,9 +19,9 @@
 	// MaxTrialDuration is how long a run is seen to go on until it is taken not to crash its worker by
 	// being started.
 	MaxTrialDuration = 500 * time.Millisecond
-	// Cleared is how long a lasting task is seen to go on until earlier crashes say nothing
+	// ClearedAfter is how long a lasting task is seen to go on until earlier crashes say nothing
 	// of it any more. It runs for weeks, and many workers crash by themselves meanwhile.
-	Cleared = 3 * time.Second
+	ClearedAfter = 3 * time.Second
 )
 
 const (
@@ -194,7 +194,7 @@
 }
 
 // Clear reports whether the run shows that its task does not crash its workers.
-func (v *LostRun) Clear() bool { return v.Lasting && v.Ran >= Cleared }
+func (v *LostRun) Clear() bool { return v.Lasting && v.Ran >= ClearedAfter }
 
 // density is how likely the run is to crash its worker at that moment if its task is one
 // that does, a second: the mean over the time in which it may have happened, with that
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -115,7 +115,7 @@
 }
 
 func TestACrashBlamesThoseThatMayHaveCausedIt(t *testing.T) {
-	const fresh, older, old = 20 * time.Millisecond, 600 * time.Millisecond, crashes.Cleared
+	const fresh, older, old = 20 * time.Millisecond, 600 * time.Millisecond, crashes.ClearedAfter
 	known := under(0, usual, calm, 1)
 	for _, c := range []struct {
 		name     string
