--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -56,8 +56,8 @@
 
 // Crash is one run of a task that ended with a crash of its worker.
 type Crash struct {
-	Run  int    `json:"run"`
-	Life string `json:"life,omitempty"` // of the worker
+	Run         int    `json:"run"`
+	Incarnation string `json:"life,omitempty"` // of the worker
 	// Factor is how many times likelier the crash is if the task causes it than if not.
 	Factor float64 `json:"factor,omitempty"`
 	// Within is how long the run had gone on at the most.
@@ -151,8 +151,8 @@
 func (r Record) Lives() []string {
 	var out []string
 	for _, c := range r {
-		if c.Life != "" {
-			out = append(out, c.Life)
+		if c.Incarnation != "" {
+			out = append(out, c.Incarnation)
 		}
 	}
 	return out
@@ -162,7 +162,7 @@
 func (r Record) Acquit(lives []string) (Record, bool) {
 	out, changed := slices.Clone(r), false
 	for i := range out {
-		if c := &out[i]; c.Life != "" && !c.Acquitted && slices.Contains(lives, c.Life) {
+		if c := &out[i]; c.Incarnation != "" && !c.Acquitted && slices.Contains(lives, c.Incarnation) {
 			c.Acquitted, changed = true, true
 		}
 	}
