--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -60,8 +60,8 @@
 	Incarnation string `json:"life,omitempty"` // of the worker
 	// Factor is how many times likelier the crash is if the task causes it than if not.
 	Factor float64 `json:"factor,omitempty"`
-	// Within is how long the run had gone on at the most.
-	Within time.Duration `json:"within_ns,omitempty"`
+	// MaxRunTime is how long the run had gone on at the most.
+	MaxRunTime time.Duration `json:"within_ns,omitempty"`
 	// Presumed: it is not known whether the worker lived to see the run.
 	Presumed bool `json:"presumed,omitempty"`
 	// Acquitted: another task, known for what it is, explains the crash.
@@ -241,7 +241,7 @@
 		case v.Unseen:
 			out.Blamed[i] = Crash{Presumed: true, Factor: presumedFactor}
 		case factor >= leastFactor:
-			out.Blamed[i] = Crash{Factor: factor, Within: v.Most}
+			out.Blamed[i] = Crash{Factor: factor, MaxRunTime: v.Most}
 		}
 		if !counted[v.Job] {
 			counted[v.Job] = true
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -82,8 +82,8 @@
 // Saw notes the crashes under a task that was given up.
 func (o *Onsets) Saw(r Record) {
 	for _, c := range r {
-		if c.Within > 0 {
-			o.seen = append(o.seen, c.Within)
+		if c.MaxRunTime > 0 {
+			o.seen = append(o.seen, c.MaxRunTime)
 		}
 	}
 	o.seen = o.seen[max(0, len(o.seen)-onsetsKept):]
