--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -64,13 +64,13 @@
 	MaxRunTime time.Duration `json:"within_ns,omitempty"`
 	// Presumed: it is not known whether the worker lived to see the run.
 	Presumed bool `json:"presumed,omitempty"`
-	// Acquitted: another task, known for what it is, explains the crash.
-	Acquitted bool `json:"acquitted,omitempty"`
+	// ExplainedByOther: another task, known for what it is, explains the crash.
+	ExplainedByOther bool `json:"acquitted,omitempty"`
 }
 
 func (c Crash) factor() float64 {
 	switch {
-	case c.Acquitted:
+	case c.ExplainedByOther:
 		return 1
 	case c.Presumed:
 		return presumedFactor
@@ -117,7 +117,7 @@
 	return r.count(Crash.certain) >= certainCrashes && r.odds(prior) >= poisonOdds
 }
 
-func (c Crash) counts() bool { return !c.Acquitted }
+func (c Crash) counts() bool { return !c.ExplainedByOther }
 
 func (c Crash) certain() bool { return c.counts() && !c.Presumed }
 
@@ -162,8 +162,8 @@
 func (r Record) Acquit(lives []string) (Record, bool) {
 	out, changed := slices.Clone(r), false
 	for i := range out {
-		if c := &out[i]; c.Incarnation != "" && !c.Acquitted && slices.Contains(lives, c.Incarnation) {
-			c.Acquitted, changed = true, true
+		if c := &out[i]; c.Incarnation != "" && !c.ExplainedByOther && slices.Contains(lives, c.Incarnation) {
+			c.ExplainedByOther, changed = true, true
 		}
 	}
 	return out, changed
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -148,7 +148,7 @@
 	beside := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20}, {Run: 2, Incarnation: "w9", Factor: 5}}
 	left, changed := beside.Acquit(bad.Lives())
 	assert.Assert(t, changed)
-	assert.DeepEqual(t, left, crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20, Acquitted: true}, {Run: 2, Incarnation: "w9", Factor: 5}})
+	assert.DeepEqual(t, left, crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20, ExplainedByOther: true}, {Run: 2, Incarnation: "w9", Factor: 5}})
 	assert.Assert(t, !left.Suspect(0.02))
 	_, changed = left.Acquit(bad.Lives())
 	assert.Assert(t, !changed)
