--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -147,8 +147,8 @@
 	return slices.DeleteFunc(slices.Clone(r), func(c Crash) bool { return c.Run == run })
 }
 
-// Lives returns the lives of workers that ended so.
-func (r Record) Lives() []string {
+// Incarnations returns the lives of workers that ended so.
+func (r Record) Incarnations() []string {
 	var out []string
 	for _, c := range r {
 		if c.Incarnation != "" {
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -146,11 +146,11 @@
 func TestWhatAnotherTaskExplainsIsTakenBack(t *testing.T) {
 	bad := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 900}, {Run: 2, Incarnation: "w2", Factor: 900}}
 	beside := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20}, {Run: 2, Incarnation: "w9", Factor: 5}}
-	left, changed := beside.Acquit(bad.Lives())
+	left, changed := beside.Acquit(bad.Incarnations())
 	assert.Assert(t, changed)
 	assert.DeepEqual(t, left, crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20, ExplainedByOther: true}, {Run: 2, Incarnation: "w9", Factor: 5}})
 	assert.Assert(t, !left.Suspect(0.02))
-	_, changed = left.Acquit(bad.Lives())
+	_, changed = left.Acquit(bad.Incarnations())
 	assert.Assert(t, !changed)
 }
 
