--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -282,7 +282,7 @@
 	lives := poison.crashes.Incarnations()
 	for _, j := range c.open {
 		j.eachTask(func(t *task) {
-			if left, changed := t.crashes.Acquit(lives); changed {
+			if left, changed := t.crashes.MarkExplained(lives); changed {
 				t.crashes = left
 				c.judgeRecord(t, now)
 				c.touch(j)
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -158,8 +158,8 @@
 	return out
 }
 
-// Acquit takes the crashes of those lives as explained, and reports whether that changes any.
-func (r Record) Acquit(lives []string) (Record, bool) {
+// MarkExplained takes the crashes of those lives as explained, and reports whether that changes any.
+func (r Record) MarkExplained(lives []string) (Record, bool) {
 	out, changed := slices.Clone(r), false
 	for i := range out {
 		if c := &out[i]; c.Incarnation != "" && !c.ExplainedByOther && slices.Contains(lives, c.Incarnation) {
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -146,11 +146,11 @@
 func TestWhatAnotherTaskExplainsIsTakenBack(t *testing.T) {
 	bad := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 900}, {Run: 2, Incarnation: "w2", Factor: 900}}
 	beside := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20}, {Run: 2, Incarnation: "w9", Factor: 5}}
-	left, changed := beside.Acquit(bad.Incarnations())
+	left, changed := beside.MarkExplained(bad.Incarnations())
 	assert.Assert(t, changed)
 	assert.DeepEqual(t, left, crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20, ExplainedByOther: true}, {Run: 2, Incarnation: "w9", Factor: 5}})
 	assert.Assert(t, !left.Suspect(0.02))
-	_, changed = left.Acquit(bad.Incarnations())
+	_, changed = left.MarkExplained(bad.Incarnations())
 	assert.Assert(t, !changed)
 }
 
@@ -158,12 +158,12 @@
 // off the other: that one was started three times more than the platform allows.
 func TestTheBoundOnCrashesCountsThoseThatAnotherExplains(t *testing.T) {
 	r := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 3}, {Run: 2, Incarnation: "w2", Factor: 30}, {Run: 3, Incarnation: "w3", Factor: 6}}
-	r, _ = r.Acquit([]string{"w1", "w2"})
+	r, _ = r.MarkExplained([]string{"w1", "w2"})
 	r = r.With(crashes.Crash{Run: 4, Incarnation: "w4", Factor: 5})
 	assert.Assert(t, !r.Poison(0.1))
 	r = r.With(crashes.Crash{Run: 5, Incarnation: "w5", Factor: 27})
 	assert.Assert(t, r.Poison(0.1))
-	sound, _ := r.Acquit([]string{"w3", "w4", "w5"})
+	sound, _ := r.MarkExplained([]string{"w3", "w4", "w5"})
 	assert.Assert(t, !sound.Poison(0.1), "all were another's doing")
 }
 
