--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -345,7 +345,7 @@
 // caused: its worker tells of a run of the task that is later than those under which workers
 // crashed.
 func (c *Core) clearPresumed(t *task, run int) {
-	if t.presumed == 0 || run <= t.crashes.Without(t.presumed).Latest() {
+	if t.presumed == 0 || run <= t.crashes.Without(t.presumed).LatestRun() {
 		return
 	}
 	t.crashes = t.crashes.Without(t.presumed)
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -169,8 +169,8 @@
 	return out, changed
 }
 
-// Latest returns the highest run in the record.
-func (r Record) Latest() int {
+// LatestRun returns the highest run in the record.
+func (r Record) LatestRun() int {
 	latest := 0
 	for _, c := range r {
 		latest = max(latest, c.Run)
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -247,7 +247,7 @@
 func TestARecordHoldsTheLatestCrashes(t *testing.T) {
 	r := under(0, hot, calm, 400)
 	assert.Equal(t, len(r), 5)
-	assert.Equal(t, r.Latest(), 400)
+	assert.Equal(t, r.LatestRun(), 400)
 	verdict := crashes.Judge([]crashes.LostRun{{Job: "j", Most: time.Millisecond, Record: r, Prior: hot}}, calm)
 	assert.Check(t, verdict.ByItself > 0 && verdict.ByItself < 1)
 }
