--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -181,8 +181,8 @@
 // LostRun is a run that ended with a crash of its worker.
 type LostRun struct {
 	Job string // whose run it is: a job is given up as a whole
-	// Ran and Most bound how long it had gone on: as last seen, and as the worker fell silent.
-	Ran, Most time.Duration
+	// MinRunTime and Most bound how long it had gone on: as last seen, and as the worker fell silent.
+	MinRunTime, Most time.Duration
 	// Before is how long before its start the worker may have crashed already; 0 where it
 	// answered the start.
 	Before time.Duration
@@ -194,7 +194,7 @@
 }
 
 // Clear reports whether the run shows that its task does not crash its workers.
-func (v *LostRun) Clear() bool { return v.Lasting && v.Ran >= ClearedAfter }
+func (v *LostRun) Clear() bool { return v.Lasting && v.MinRunTime >= ClearedAfter }
 
 // density is how likely the run is to crash its worker at that moment if its task is one
 // that does, a second: the mean over the time in which it may have happened, with that
@@ -203,7 +203,7 @@
 	if v.Clear() || v.Unseen {
 		return 0
 	}
-	from := max(v.Ran, shortestOnset)
+	from := max(v.MinRunTime, shortestOnset)
 	to := max(v.Most, from+timingSlack)
 	return math.Log(float64(to)/float64(from)) / math.Log(float64(longestOnset)/float64(shortestOnset)) / (v.Before + to - from).Seconds()
 }
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -20,7 +20,7 @@
 // alone, after it had run for so long.
 func under(ran time.Duration, prior, rate float64, crashed int) (r crashes.Record) {
 	for run := range crashed {
-		blamed := crashes.Judge([]crashes.LostRun{{Job: "j", Ran: ran, Most: ran + 10*time.Millisecond, Record: r, Prior: prior}}, rate).Blamed
+		blamed := crashes.Judge([]crashes.LostRun{{Job: "j", MinRunTime: ran, Most: ran + 10*time.Millisecond, Record: r, Prior: prior}}, rate).Blamed
 		blamed[0].Run = run + 1
 		if blamed[0].Factor > 0 {
 			r = r.With(blamed[0])
@@ -99,7 +99,7 @@
 	lost := []crashes.LostRun{began}
 	for i := range 12 {
 		ran := time.Duration(i+1) * 50 * time.Millisecond
-		lost = append(lost, crashes.LostRun{Job: string(rune('a' + i)), Ran: ran, Most: ran + 10*time.Millisecond, Prior: hot})
+		lost = append(lost, crashes.LostRun{Job: string(rune('a' + i)), MinRunTime: ran, Most: ran + 10*time.Millisecond, Prior: hot})
 	}
 	verdict := crashes.Judge(lost, calm)
 	blamed := verdict.Blamed
@@ -122,12 +122,12 @@
 		lostRuns []crashes.LostRun
 		blamed   []bool // by more than twofold odds
 	}{
-		{"a fresh run, an older one, a lasting one", []crashes.LostRun{{Job: "a", Most: fresh}, {Job: "b", Ran: older, Most: older}, {Job: "c", Ran: old, Most: old, Lasting: true}}, []bool{true, true, false}},
-		{"a suspect clears an older run", []crashes.LostRun{{Job: "a", Most: fresh, Record: known}, {Job: "b", Ran: older, Most: older}}, []bool{true, false}},
+		{"a fresh run, an older one, a lasting one", []crashes.LostRun{{Job: "a", Most: fresh}, {Job: "b", MinRunTime: older, Most: older}, {Job: "c", MinRunTime: old, Most: old, Lasting: true}}, []bool{true, true, false}},
+		{"a suspect clears an older run", []crashes.LostRun{{Job: "a", Most: fresh, Record: known}, {Job: "b", MinRunTime: older, Most: older}}, []bool{true, false}},
 		{"but not a fresh one altogether", []crashes.LostRun{{Job: "a", Most: fresh, Record: known}, {Job: "b", Most: fresh}}, []bool{true, true}},
-		{"a suspect that went on for long clears nobody", []crashes.LostRun{{Job: "a", Ran: 5 * time.Second, Most: 5 * time.Second, Record: known}, {Job: "b", Most: fresh}}, []bool{false, true}},
+		{"a suspect that went on for long clears nobody", []crashes.LostRun{{Job: "a", MinRunTime: 5 * time.Second, Most: 5 * time.Second, Record: known}, {Job: "b", Most: fresh}}, []bool{false, true}},
 		{"a run that the worker may not have seen", []crashes.LostRun{{Job: "a", Unseen: true}}, []bool{true}},
-		{"a lasting task that has just begun", []crashes.LostRun{{Job: "a", Ran: older, Most: older, Lasting: true}}, []bool{true}},
+		{"a lasting task that has just begun", []crashes.LostRun{{Job: "a", MinRunTime: older, Most: older, Lasting: true}}, []bool{true}},
 		{"runs of one job are blamed together", []crashes.LostRun{{Job: "a", Most: fresh}, {Job: "a", Most: fresh}}, []bool{true, true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
