--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -181,8 +181,8 @@
 // LostRun is a run that ended with a crash of its worker.
 type LostRun struct {
 	Job string // whose run it is: a job is given up as a whole
-	// MinRunTime and Most bound how long it had gone on: as last seen, and as the worker fell silent.
-	MinRunTime, Most time.Duration
+	// MinRunTime and MaxRunTime bound how long it had gone on: as last seen, and as the worker fell silent.
+	MinRunTime, MaxRunTime time.Duration
 	// Before is how long before its start the worker may have crashed already; 0 where it
 	// answered the start.
 	Before time.Duration
@@ -204,7 +204,7 @@
 		return 0
 	}
 	from := max(v.MinRunTime, shortestOnset)
-	to := max(v.Most, from+timingSlack)
+	to := max(v.MaxRunTime, from+timingSlack)
 	return math.Log(float64(to)/float64(from)) / math.Log(float64(longestOnset)/float64(shortestOnset)) / (v.Before + to - from).Seconds()
 }
 
@@ -241,7 +241,7 @@
 		case v.Unseen:
 			out.Blamed[i] = Crash{Presumed: true, Factor: presumedFactor}
 		case factor >= leastFactor:
-			out.Blamed[i] = Crash{Factor: factor, MaxRunTime: v.Most}
+			out.Blamed[i] = Crash{Factor: factor, MaxRunTime: v.MaxRunTime}
 		}
 		if !counted[v.Job] {
 			counted[v.Job] = true
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -20,7 +20,7 @@
 // alone, after it had run for so long.
 func under(ran time.Duration, prior, rate float64, crashed int) (r crashes.Record) {
 	for run := range crashed {
-		blamed := crashes.Judge([]crashes.LostRun{{Job: "j", MinRunTime: ran, Most: ran + 10*time.Millisecond, Record: r, Prior: prior}}, rate).Blamed
+		blamed := crashes.Judge([]crashes.LostRun{{Job: "j", MinRunTime: ran, MaxRunTime: ran + 10*time.Millisecond, Record: r, Prior: prior}}, rate).Blamed
 		blamed[0].Run = run + 1
 		if blamed[0].Factor > 0 {
 			r = r.With(blamed[0])
@@ -95,11 +95,11 @@
 // A whole pool is taken up with trying sound tasks apart, as each crash makes suspects of all
 // that ran there.
 func TestACrashBlamesWhatHadJustBegun(t *testing.T) {
-	began := crashes.LostRun{Job: "began", Most: 12 * time.Millisecond, Prior: hot}
+	began := crashes.LostRun{Job: "began", MaxRunTime: 12 * time.Millisecond, Prior: hot}
 	lost := []crashes.LostRun{began}
 	for i := range 12 {
 		ran := time.Duration(i+1) * 50 * time.Millisecond
-		lost = append(lost, crashes.LostRun{Job: string(rune('a' + i)), MinRunTime: ran, Most: ran + 10*time.Millisecond, Prior: hot})
+		lost = append(lost, crashes.LostRun{Job: string(rune('a' + i)), MinRunTime: ran, MaxRunTime: ran + 10*time.Millisecond, Prior: hot})
 	}
 	verdict := crashes.Judge(lost, calm)
 	blamed := verdict.Blamed
@@ -122,13 +122,13 @@
 		lostRuns []crashes.LostRun
 		blamed   []bool // by more than twofold odds
 	}{
-		{"a fresh run, an older one, a lasting one", []crashes.LostRun{{Job: "a", Most: fresh}, {Job: "b", MinRunTime: older, Most: older}, {Job: "c", MinRunTime: old, Most: old, Lasting: true}}, []bool{true, true, false}},
-		{"a suspect clears an older run", []crashes.LostRun{{Job: "a", Most: fresh, Record: known}, {Job: "b", MinRunTime: older, Most: older}}, []bool{true, false}},
-		{"but not a fresh one altogether", []crashes.LostRun{{Job: "a", Most: fresh, Record: known}, {Job: "b", Most: fresh}}, []bool{true, true}},
-		{"a suspect that went on for long clears nobody", []crashes.LostRun{{Job: "a", MinRunTime: 5 * time.Second, Most: 5 * time.Second, Record: known}, {Job: "b", Most: fresh}}, []bool{false, true}},
+		{"a fresh run, an older one, a lasting one", []crashes.LostRun{{Job: "a", MaxRunTime: fresh}, {Job: "b", MinRunTime: older, MaxRunTime: older}, {Job: "c", MinRunTime: old, MaxRunTime: old, Lasting: true}}, []bool{true, true, false}},
+		{"a suspect clears an older run", []crashes.LostRun{{Job: "a", MaxRunTime: fresh, Record: known}, {Job: "b", MinRunTime: older, MaxRunTime: older}}, []bool{true, false}},
+		{"but not a fresh one altogether", []crashes.LostRun{{Job: "a", MaxRunTime: fresh, Record: known}, {Job: "b", MaxRunTime: fresh}}, []bool{true, true}},
+		{"a suspect that went on for long clears nobody", []crashes.LostRun{{Job: "a", MinRunTime: 5 * time.Second, MaxRunTime: 5 * time.Second, Record: known}, {Job: "b", MaxRunTime: fresh}}, []bool{false, true}},
 		{"a run that the worker may not have seen", []crashes.LostRun{{Job: "a", Unseen: true}}, []bool{true}},
-		{"a lasting task that has just begun", []crashes.LostRun{{Job: "a", MinRunTime: older, Most: older, Lasting: true}}, []bool{true}},
-		{"runs of one job are blamed together", []crashes.LostRun{{Job: "a", Most: fresh}, {Job: "a", Most: fresh}}, []bool{true, true}},
+		{"a lasting task that has just begun", []crashes.LostRun{{Job: "a", MinRunTime: older, MaxRunTime: older, Lasting: true}}, []bool{true}},
+		{"runs of one job are blamed together", []crashes.LostRun{{Job: "a", MaxRunTime: fresh}, {Job: "a", MaxRunTime: fresh}}, []bool{true, true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for i := range c.lostRuns {
@@ -224,7 +224,7 @@
 	assert.Check(t, s.Rate(rack, 8) > 0.5)
 	common := s.Rate(rack+30*time.Millisecond, 8)
 	assert.Check(t, common > 0.5)
-	lost := []crashes.LostRun{{Job: "a", Most: 20 * time.Millisecond, Prior: usual}}
+	lost := []crashes.LostRun{{Job: "a", MaxRunTime: 20 * time.Millisecond, Prior: usual}}
 	blamed := crashes.Judge(lost, calm+common).Blamed[0]
 	assert.Equal(t, crashes.Record{blamed}.Suspect(usual), false)
 	assert.Equal(t, crashes.Record{crashes.Judge(lost, calm).Blamed[0]}.Suspect(usual), true)
@@ -248,7 +248,7 @@
 	r := under(0, hot, calm, 400)
 	assert.Equal(t, len(r), 5)
 	assert.Equal(t, r.LatestRun(), 400)
-	verdict := crashes.Judge([]crashes.LostRun{{Job: "j", Most: time.Millisecond, Record: r, Prior: hot}}, calm)
+	verdict := crashes.Judge([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, Record: r, Prior: hot}}, calm)
 	assert.Check(t, verdict.ByItself > 0 && verdict.ByItself < 1)
 }
 
@@ -256,7 +256,7 @@
 // worker had crashed right under it.
 func TestAStartThatMayHaveComeTooLateIsBlamedLess(t *testing.T) {
 	factor := func(before time.Duration) float64 {
-		return crashes.Judge([]crashes.LostRun{{Job: "j", Most: time.Millisecond, Before: before, Prior: 0.02}}, 0.01).Blamed[0].Factor
+		return crashes.Judge([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, Before: before, Prior: 0.02}}, 0.01).Blamed[0].Factor
 	}
 	assert.Assert(t, factor(300*time.Millisecond) < factor(0)/30)
 }
