--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -183,9 +183,9 @@
 	Job string // whose run it is: a job is given up as a whole
 	// MinRunTime and MaxRunTime bound how long it had gone on: as last seen, and as the worker fell silent.
 	MinRunTime, MaxRunTime time.Duration
-	// Before is how long before its start the worker may have crashed already; 0 where it
+	// SilentBeforeStart is how long before its start the worker may have crashed already; 0 where it
 	// answered the start.
-	Before time.Duration
+	SilentBeforeStart time.Duration
 	// Unseen: the worker did not answer the start, nor anything else for long before.
 	Unseen  bool
 	Lasting bool
@@ -205,7 +205,7 @@
 	}
 	from := max(v.MinRunTime, shortestOnset)
 	to := max(v.MaxRunTime, from+timingSlack)
-	return math.Log(float64(to)/float64(from)) / math.Log(float64(longestOnset)/float64(shortestOnset)) / (v.Before + to - from).Seconds()
+	return math.Log(float64(to)/float64(from)) / math.Log(float64(longestOnset)/float64(shortestOnset)) / (v.SilentBeforeStart + to - from).Seconds()
 }
 
 // Verdict is what the crash of one worker says.
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -256,7 +256,7 @@
 // worker had crashed right under it.
 func TestAStartThatMayHaveComeTooLateIsBlamedLess(t *testing.T) {
 	factor := func(before time.Duration) float64 {
-		return crashes.Judge([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, Before: before, Prior: 0.02}}, 0.01).Blamed[0].Factor
+		return crashes.Judge([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, SilentBeforeStart: before, Prior: 0.02}}, 0.01).Blamed[0].Factor
 	}
 	assert.Assert(t, factor(300*time.Millisecond) < factor(0)/30)
 }
