--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -184,7 +184,7 @@
 			job = l.task.ref.String() // it is judged for itself, as its job is never given up
 		}
 		lostRuns[i] = crashes.LostRun{
-			Job: job, MinRunTime: l.ran, MaxRunTime: l.most, SilentBeforeStart: l.before, Unseen: l.unseen, Lasting: l.task.step.spec.LongRunning,
+			Job: job, MinRunTime: l.ran, MaxRunTime: l.most, SilentBeforeStart: l.before, StartUnconfirmed: l.unseen, Lasting: l.task.step.spec.LongRunning,
 			Record: l.task.crashes, Prior: c.kindOf(j).Prior(now),
 		}
 	}
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -186,11 +186,11 @@
 	// SilentBeforeStart is how long before its start the worker may have crashed already; 0 where it
 	// answered the start.
 	SilentBeforeStart time.Duration
-	// Unseen: the worker did not answer the start, nor anything else for long before.
-	Unseen  bool
-	Lasting bool
-	Record  Record  // of its task before
-	Prior   float64 // the share of jobs of its kind that crash workers
+	// StartUnconfirmed: the worker did not answer the start, nor anything else for long before.
+	StartUnconfirmed bool
+	Lasting          bool
+	Record           Record  // of its task before
+	Prior            float64 // the share of jobs of its kind that crash workers
 }
 
 // Clear reports whether the run shows that its task does not crash its workers.
@@ -200,7 +200,7 @@
 // that does, a second: the mean over the time in which it may have happened, with that
 // before its start.
 func (v *LostRun) density() float64 {
-	if v.Clear() || v.Unseen {
+	if v.Clear() || v.StartUnconfirmed {
 		return 0
 	}
 	from := max(v.MinRunTime, shortestOnset)
@@ -238,7 +238,7 @@
 		others := all - byJob[v.Job]
 		factor := (v.density() + others) / others
 		switch {
-		case v.Unseen:
+		case v.StartUnconfirmed:
 			out.Blamed[i] = Crash{Presumed: true, Factor: presumedFactor}
 		case factor >= leastFactor:
 			out.Blamed[i] = Crash{Factor: factor, MaxRunTime: v.MaxRunTime}
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -126,7 +126,7 @@
 		{"a suspect clears an older run", []crashes.LostRun{{Job: "a", MaxRunTime: fresh, Record: known}, {Job: "b", MinRunTime: older, MaxRunTime: older}}, []bool{true, false}},
 		{"but not a fresh one altogether", []crashes.LostRun{{Job: "a", MaxRunTime: fresh, Record: known}, {Job: "b", MaxRunTime: fresh}}, []bool{true, true}},
 		{"a suspect that went on for long clears nobody", []crashes.LostRun{{Job: "a", MinRunTime: 5 * time.Second, MaxRunTime: 5 * time.Second, Record: known}, {Job: "b", MaxRunTime: fresh}}, []bool{false, true}},
-		{"a run that the worker may not have seen", []crashes.LostRun{{Job: "a", Unseen: true}}, []bool{true}},
+		{"a run that the worker may not have seen", []crashes.LostRun{{Job: "a", StartUnconfirmed: true}}, []bool{true}},
 		{"a lasting task that has just begun", []crashes.LostRun{{Job: "a", MinRunTime: older, MaxRunTime: older, Lasting: true}}, []bool{true}},
 		{"runs of one job are blamed together", []crashes.LostRun{{Job: "a", MaxRunTime: fresh}, {Job: "a", MaxRunTime: fresh}}, []bool{true, true}},
 	} {
