--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -184,7 +184,7 @@
 			job = l.task.ref.String() // it is judged for itself, as its job is never given up
 		}
 		lostRuns[i] = crashes.LostRun{
-			Job: job, MinRunTime: l.ran, MaxRunTime: l.most, SilentBeforeStart: l.before, StartUnconfirmed: l.unseen, Lasting: l.task.step.spec.LongRunning,
+			Job: job, MinRunTime: l.ran, MaxRunTime: l.most, SilentBeforeStart: l.before, StartUnconfirmed: l.unseen, LongRunning: l.task.step.spec.LongRunning,
 			Record: l.task.crashes, Prior: c.kindOf(j).Prior(now),
 		}
 	}
@@ -318,7 +318,7 @@
 	if t.where == nil || len(t.crashes) == 0 {
 		return
 	}
-	run := crashes.LostRun{MinRunTime: t.where.seenRunning(t), Lasting: t.step.spec.LongRunning}
+	run := crashes.LostRun{MinRunTime: t.where.seenRunning(t), LongRunning: t.step.spec.LongRunning}
 	if run.Clear() {
 		t.crashes, t.crashedAt, t.suspected = nil, nil, false
 		c.touch(t.step.job)
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -188,13 +188,13 @@
 	SilentBeforeStart time.Duration
 	// StartUnconfirmed: the worker did not answer the start, nor anything else for long before.
 	StartUnconfirmed bool
-	Lasting          bool
+	LongRunning      bool
 	Record           Record  // of its task before
 	Prior            float64 // the share of jobs of its kind that crash workers
 }
 
 // Clear reports whether the run shows that its task does not crash its workers.
-func (v *LostRun) Clear() bool { return v.Lasting && v.MinRunTime >= ClearedAfter }
+func (v *LostRun) Clear() bool { return v.LongRunning && v.MinRunTime >= ClearedAfter }
 
 // density is how likely the run is to crash its worker at that moment if its task is one
 // that does, a second: the mean over the time in which it may have happened, with that
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -122,12 +122,12 @@
 		lostRuns []crashes.LostRun
 		blamed   []bool // by more than twofold odds
 	}{
-		{"a fresh run, an older one, a lasting one", []crashes.LostRun{{Job: "a", MaxRunTime: fresh}, {Job: "b", MinRunTime: older, MaxRunTime: older}, {Job: "c", MinRunTime: old, MaxRunTime: old, Lasting: true}}, []bool{true, true, false}},
+		{"a fresh run, an older one, a lasting one", []crashes.LostRun{{Job: "a", MaxRunTime: fresh}, {Job: "b", MinRunTime: older, MaxRunTime: older}, {Job: "c", MinRunTime: old, MaxRunTime: old, LongRunning: true}}, []bool{true, true, false}},
 		{"a suspect clears an older run", []crashes.LostRun{{Job: "a", MaxRunTime: fresh, Record: known}, {Job: "b", MinRunTime: older, MaxRunTime: older}}, []bool{true, false}},
 		{"but not a fresh one altogether", []crashes.LostRun{{Job: "a", MaxRunTime: fresh, Record: known}, {Job: "b", MaxRunTime: fresh}}, []bool{true, true}},
 		{"a suspect that went on for long clears nobody", []crashes.LostRun{{Job: "a", MinRunTime: 5 * time.Second, MaxRunTime: 5 * time.Second, Record: known}, {Job: "b", MaxRunTime: fresh}}, []bool{false, true}},
 		{"a run that the worker may not have seen", []crashes.LostRun{{Job: "a", StartUnconfirmed: true}}, []bool{true}},
-		{"a lasting task that has just begun", []crashes.LostRun{{Job: "a", MinRunTime: older, MaxRunTime: older, Lasting: true}}, []bool{true}},
+		{"a lasting task that has just begun", []crashes.LostRun{{Job: "a", MinRunTime: older, MaxRunTime: older, LongRunning: true}}, []bool{true}},
 		{"runs of one job are blamed together", []crashes.LostRun{{Job: "a", MaxRunTime: fresh}, {Job: "a", MaxRunTime: fresh}}, []bool{true, true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
