--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -319,7 +319,7 @@
 		return
 	}
 	run := crashes.LostRun{MinRunTime: t.where.seenRunning(t), LongRunning: t.step.spec.LongRunning}
-	if run.Clear() {
+	if run.ProvenSound() {
 		t.crashes, t.crashedAt, t.suspected = nil, nil, false
 		c.touch(t.step.job)
 	}
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -193,14 +193,14 @@
 	Prior            float64 // the share of jobs of its kind that crash workers
 }
 
-// Clear reports whether the run shows that its task does not crash its workers.
-func (v *LostRun) Clear() bool { return v.LongRunning && v.MinRunTime >= ClearedAfter }
+// ProvenSound reports whether the run shows that its task does not crash its workers.
+func (v *LostRun) ProvenSound() bool { return v.LongRunning && v.MinRunTime >= ClearedAfter }
 
 // density is how likely the run is to crash its worker at that moment if its task is one
 // that does, a second: the mean over the time in which it may have happened, with that
 // before its start.
 func (v *LostRun) density() float64 {
-	if v.Clear() || v.StartUnconfirmed {
+	if v.ProvenSound() || v.StartUnconfirmed {
 		return 0
 	}
 	from := max(v.MinRunTime, shortestOnset)
