--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -203,7 +203,7 @@
 		}
 	}
 	for i, l := range cr.lost {
-		c.kindOf(l.task.step.job).Crashed(verdict.First[i], now)
+		c.kindOf(l.task.step.job).Crashed(verdict.FirstCrash[i], now)
 	}
 	for _, l := range cr.lost {
 		c.giveUpPoison(l.task, now)
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -212,9 +212,9 @@
 type Verdict struct {
 	// Blamed are the crashes to be noted of the runs, in their order; with factor 0 none is.
 	Blamed []Crash
-	// First is, by run, how likely it is that its job caused this crash and none before; of
+	// FirstCrash is, by run, how likely it is that its job caused this crash and none before; of
 	// the runs of one job the first bears it.
-	First []float64
+	FirstCrash []float64
 	// ByItself is how likely it is that none of the runs caused it.
 	ByItself float64
 }
@@ -231,7 +231,7 @@
 	for _, d := range byJob {
 		all += d
 	}
-	out := Verdict{Blamed: make([]Crash, len(lostRuns)), First: make([]float64, len(lostRuns)), ByItself: rate / all}
+	out := Verdict{Blamed: make([]Crash, len(lostRuns)), FirstCrash: make([]float64, len(lostRuns)), ByItself: rate / all}
 	counted := make(map[string]bool)
 	for i := range lostRuns {
 		v := &lostRuns[i]
@@ -245,7 +245,7 @@
 		}
 		if !counted[v.Job] {
 			counted[v.Job] = true
-			out.First[i] = byJob[v.Job] / all * (1 - v.Record.chance(v.Prior))
+			out.FirstCrash[i] = byJob[v.Job] / all * (1 - v.Record.chance(v.Prior))
 		}
 	}
 	return out
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -104,7 +104,7 @@
 	verdict := crashes.Judge(lost, calm)
 	blamed := verdict.Blamed
 	assert.Check(t, verdict.ByItself < 0.05)
-	assert.Check(t, verdict.First[0] > 0.7)
+	assert.Check(t, verdict.FirstCrash[0] > 0.7)
 	for i := range blamed {
 		record := crashes.Record{}
 		if blamed[i].Factor > 0 {
