--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -191,7 +191,7 @@
 	verdict := crashes.Judge(lostRuns, rate)
 	// What ran on a worker that was never heard is not known.
 	if w.heard {
-		c.crashRate.Crashed(verdict.ByItself, len(c.workers), now)
+		c.crashRate.Crashed(verdict.Spontaneous, len(c.workers), now)
 	}
 	if cr.tried {
 		c.trials.Lost(w.info.Address, now)
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -215,8 +215,8 @@
 	// FirstCrash is, by run, how likely it is that its job caused this crash and none before; of
 	// the runs of one job the first bears it.
 	FirstCrash []float64
-	// ByItself is how likely it is that none of the runs caused it.
-	ByItself float64
+	// Spontaneous is how likely it is that none of the runs caused it.
+	Spontaneous float64
 }
 
 // Judge says what the crash of one worker says of each of the runs there, where workers crash
@@ -231,7 +231,7 @@
 	for _, d := range byJob {
 		all += d
 	}
-	out := Verdict{Blamed: make([]Crash, len(lostRuns)), FirstCrash: make([]float64, len(lostRuns)), ByItself: rate / all}
+	out := Verdict{Blamed: make([]Crash, len(lostRuns)), FirstCrash: make([]float64, len(lostRuns)), Spontaneous: rate / all}
 	counted := make(map[string]bool)
 	for i := range lostRuns {
 		v := &lostRuns[i]
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -103,7 +103,7 @@
 	}
 	verdict := crashes.Judge(lost, calm)
 	blamed := verdict.Blamed
-	assert.Check(t, verdict.ByItself < 0.05)
+	assert.Check(t, verdict.Spontaneous < 0.05)
 	assert.Check(t, verdict.FirstCrash[0] > 0.7)
 	for i := range blamed {
 		record := crashes.Record{}
@@ -249,7 +249,7 @@
 	assert.Equal(t, len(r), 5)
 	assert.Equal(t, r.LatestRun(), 400)
 	verdict := crashes.Judge([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, Record: r, Prior: hot}}, calm)
-	assert.Check(t, verdict.ByItself > 0 && verdict.ByItself < 1)
+	assert.Check(t, verdict.Spontaneous > 0 && verdict.Spontaneous < 1)
 }
 
 // A worker crashes by itself, the next start there finds no connection, and is blamed as if the
