--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -208,8 +208,8 @@
 	return math.Log(float64(to)/float64(from)) / math.Log(float64(longestOnset)/float64(shortestOnset)) / (v.SilentBeforeStart + to - from).Seconds()
 }
 
-// Verdict is what the crash of one worker says.
-type Verdict struct {
+// Attribution is what the crash of one worker says.
+type Attribution struct {
 	// Blamed are the crashes to be noted of the runs, in their order; with factor 0 none is.
 	Blamed []Crash
 	// FirstCrash is, by run, how likely it is that its job caused this crash and none before; of
@@ -221,7 +221,7 @@
 
 // Judge says what the crash of one worker says of each of the runs there, where workers crash
 // by themselves so often a second each.
-func Judge(lostRuns []LostRun, rate float64) Verdict {
+func Judge(lostRuns []LostRun, rate float64) Attribution {
 	byJob := make(map[string]float64)
 	for i := range lostRuns {
 		v := &lostRuns[i]
@@ -231,7 +231,7 @@
 	for _, d := range byJob {
 		all += d
 	}
-	out := Verdict{Blamed: make([]Crash, len(lostRuns)), FirstCrash: make([]float64, len(lostRuns)), Spontaneous: rate / all}
+	out := Attribution{Blamed: make([]Crash, len(lostRuns)), FirstCrash: make([]float64, len(lostRuns)), Spontaneous: rate / all}
 	counted := make(map[string]bool)
 	for i := range lostRuns {
 		v := &lostRuns[i]
