--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -188,7 +188,7 @@
 			Record: l.task.crashes, Prior: c.kindOf(j).Prior(now),
 		}
 	}
-	verdict := crashes.Judge(lostRuns, rate)
+	verdict := crashes.Attribute(lostRuns, rate)
 	// What ran on a worker that was never heard is not known.
 	if w.heard {
 		c.crashRate.Crashed(verdict.Spontaneous, len(c.workers), now)
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -219,9 +219,9 @@
 	Spontaneous float64
 }
 
-// Judge says what the crash of one worker says of each of the runs there, where workers crash
+// Attribute says what the crash of one worker says of each of the runs there, where workers crash
 // by themselves so often a second each.
-func Judge(lostRuns []LostRun, rate float64) Attribution {
+func Attribute(lostRuns []LostRun, rate float64) Attribution {
 	byJob := make(map[string]float64)
 	for i := range lostRuns {
 		v := &lostRuns[i]
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -20,7 +20,7 @@
 // alone, after it had run for so long.
 func under(ran time.Duration, prior, rate float64, crashed int) (r crashes.Record) {
 	for run := range crashed {
-		blamed := crashes.Judge([]crashes.LostRun{{Job: "j", MinRunTime: ran, MaxRunTime: ran + 10*time.Millisecond, Record: r, Prior: prior}}, rate).Blamed
+		blamed := crashes.Attribute([]crashes.LostRun{{Job: "j", MinRunTime: ran, MaxRunTime: ran + 10*time.Millisecond, Record: r, Prior: prior}}, rate).Blamed
 		blamed[0].Run = run + 1
 		if blamed[0].Factor > 0 {
 			r = r.With(blamed[0])
@@ -101,7 +101,7 @@
 		ran := time.Duration(i+1) * 50 * time.Millisecond
 		lost = append(lost, crashes.LostRun{Job: string(rune('a' + i)), MinRunTime: ran, MaxRunTime: ran + 10*time.Millisecond, Prior: hot})
 	}
-	verdict := crashes.Judge(lost, calm)
+	verdict := crashes.Attribute(lost, calm)
 	blamed := verdict.Blamed
 	assert.Check(t, verdict.Spontaneous < 0.05)
 	assert.Check(t, verdict.FirstCrash[0] > 0.7)
@@ -134,7 +134,7 @@
 			for i := range c.lostRuns {
 				c.lostRuns[i].Prior = usual
 			}
-			blamed := crashes.Judge(c.lostRuns, calm).Blamed
+			blamed := crashes.Attribute(c.lostRuns, calm).Blamed
 			for i := range blamed {
 				assert.Equal(t, blamed[i].Factor > 2, c.blamed[i], "run %d: factor %f", i, blamed[i].Factor)
 			}
@@ -225,9 +225,9 @@
 	common := s.Rate(rack+30*time.Millisecond, 8)
 	assert.Check(t, common > 0.5)
 	lost := []crashes.LostRun{{Job: "a", MaxRunTime: 20 * time.Millisecond, Prior: usual}}
-	blamed := crashes.Judge(lost, calm+common).Blamed[0]
+	blamed := crashes.Attribute(lost, calm+common).Blamed[0]
 	assert.Equal(t, crashes.Record{blamed}.Suspect(usual), false)
-	assert.Equal(t, crashes.Record{crashes.Judge(lost, calm).Blamed[0]}.Suspect(usual), true)
+	assert.Equal(t, crashes.Record{crashes.Attribute(lost, calm).Blamed[0]}.Suspect(usual), true)
 }
 
 // All workers of a small pool are lost at once, and what had just begun there is given up.
@@ -248,7 +248,7 @@
 	r := under(0, hot, calm, 400)
 	assert.Equal(t, len(r), 5)
 	assert.Equal(t, r.LatestRun(), 400)
-	verdict := crashes.Judge([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, Record: r, Prior: hot}}, calm)
+	verdict := crashes.Attribute([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, Record: r, Prior: hot}}, calm)
 	assert.Check(t, verdict.Spontaneous > 0 && verdict.Spontaneous < 1)
 }
 
@@ -256,7 +256,7 @@
 // worker had crashed right under it.
 func TestAStartThatMayHaveComeTooLateIsBlamedLess(t *testing.T) {
 	factor := func(before time.Duration) float64 {
-		return crashes.Judge([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, SilentBeforeStart: before, Prior: 0.02}}, 0.01).Blamed[0].Factor
+		return crashes.Attribute([]crashes.LostRun{{Job: "j", MaxRunTime: time.Millisecond, SilentBeforeStart: before, Prior: 0.02}}, 0.01).Blamed[0].Factor
 	}
 	assert.Assert(t, factor(300*time.Millisecond) < factor(0)/30)
 }
