--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -307,7 +307,7 @@
 func (c *Core) planStep(s *step, workers []*taskplan.Worker, now time.Duration) *taskplan.Step {
 	ps := &taskplan.Step{
 		Ref: s.ref(), Step: s.spec, OnWorker: make(map[work.WorkerID]int),
-		Hazardous: !s.spec.LongRunning && c.kindOf(s.job).Hot(now),
+		Hazardous: !s.spec.LongRunning && c.kindOf(s.job).Hazardous(now),
 	}
 	for _, t := range s.tasks {
 		if c.isDue(t, now) && t.mayBeTried() {
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -79,7 +79,7 @@
 // hazards reports whether jobs of any kind crash many workers now.
 func (c *Core) hazards(now time.Duration) bool {
 	for _, k := range c.kinds {
-		if k.Hot(now) {
+		if k.Hazardous(now) {
 			return true
 		}
 	}
@@ -92,7 +92,7 @@
 	spacing := c.onsets.Spacing()
 	for _, t := range w.tasks {
 		begun := t.state == taskActive && now >= t.answered+spacing
-		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hot(now) {
+		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
 			return t.ref.Job
 		}
 	}
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -172,15 +172,15 @@
 func TestAKindIsJudgedByHowItsJobsEndedOfLate(t *testing.T) {
 	var k crashes.Kind
 	now := time.Hour
-	assert.Equal(t, k.Hot(now), false)
+	assert.Equal(t, k.Hazardous(now), false)
 	for range 3 {
 		k.Crashed(0.9, now)
 	}
-	assert.Check(t, k.Hot(now))
+	assert.Check(t, k.Hazardous(now))
 	for i := range 200 {
 		k.Completed(now + time.Duration(i)*time.Second)
 	}
-	assert.Equal(t, k.Hot(now+200*time.Second), false)
+	assert.Equal(t, k.Hazardous(now+200*time.Second), false)
 }
 
 // Workers are lost to suspects faster than they come back.
--- a/policy/crashes/kind.go
+++ b/policy/crashes/kind.go
@@ -48,6 +48,6 @@
 	return (usualPrior*priorWeight + k.poison) / (priorWeight + k.sound + k.poison)
 }
 
-// Hot reports whether so many jobs of the kind crash their workers that work that lasts is
+// Hazardous reports whether so many jobs of the kind crash their workers that work that lasts is
 // to be kept away from it.
-func (k *Kind) Hot(now time.Duration) bool { return k.Prior(now) >= hotPrior }
+func (k *Kind) Hazardous(now time.Duration) bool { return k.Prior(now) >= hotPrior }
