--- a/internal/engine/lives.go
+++ b/internal/engine/lives.go
@@ -116,7 +116,7 @@
 	}
 	c.workers[info.ID] = w
 	c.sorted = nil
-	c.trials.Back(info.Address)
+	c.trials.Returned(info.Address)
 	return w
 }
 
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -191,7 +191,7 @@
 	trials.Lost("a", 0)
 	trials.Lost("b", 0)
 	assert.Equal(t, trials.Room(22, 0, 0, 0), 0)
-	trials.Back("a")
+	trials.Returned("a")
 	assert.Equal(t, trials.Room(23, 0, 0, 0), 1)
 	assert.Equal(t, trials.Room(23, 0, 0, time.Minute), 1, "a worker that does not come back is not waited for")
 	assert.Equal(t, trials.Room(3, 0, 0, time.Minute), 1)
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -31,8 +31,8 @@
 	t.away[address] = now
 }
 
-// Back notes that a worker is there again.
-func (t *Trials) Back(address string) { delete(t.away, address) }
+// Returned notes that a worker is there again.
+func (t *Trials) Returned(address string) { delete(t.away, address) }
 
 // Room is on how many more workers suspects may be tried, of so many in the pool, while they are
 // tried on so many. So many are idle and nothing else waits for them.
