--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -62,7 +62,7 @@
 			trying++
 		}
 	}
-	return c.trials.Room(len(c.workers), idle, trying, now)
+	return c.trials.Available(len(c.workers), idle, trying, now)
 }
 
 // idle counts the workers that would take a task and have none.
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -186,16 +186,16 @@
 // Workers are lost to suspects faster than they come back.
 func TestSuspectsTakeDownAPartOfAPool(t *testing.T) {
 	var trials crashes.Trials
-	assert.Equal(t, trials.Room(24, 0, 0, 0), 2)
-	assert.Equal(t, trials.Room(24, 0, 1, 0), 1)
+	assert.Equal(t, trials.Available(24, 0, 0, 0), 2)
+	assert.Equal(t, trials.Available(24, 0, 1, 0), 1)
 	trials.Lost("a", 0)
 	trials.Lost("b", 0)
-	assert.Equal(t, trials.Room(22, 0, 0, 0), 0)
+	assert.Equal(t, trials.Available(22, 0, 0, 0), 0)
 	trials.Returned("a")
-	assert.Equal(t, trials.Room(23, 0, 0, 0), 1)
-	assert.Equal(t, trials.Room(23, 0, 0, time.Minute), 1, "a worker that does not come back is not waited for")
-	assert.Equal(t, trials.Room(3, 0, 0, time.Minute), 1)
-	assert.Equal(t, trials.Room(24, 10, 0, time.Minute), 5, "half of what nothing else needs")
+	assert.Equal(t, trials.Available(23, 0, 0, 0), 1)
+	assert.Equal(t, trials.Available(23, 0, 0, time.Minute), 1, "a worker that does not come back is not waited for")
+	assert.Equal(t, trials.Available(3, 0, 0, time.Minute), 1)
+	assert.Equal(t, trials.Available(24, 10, 0, time.Minute), 5, "half of what nothing else needs")
 }
 
 // A trial lasts as long where tasks crash their workers at once as where they do so late.
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -34,9 +34,9 @@
 // Returned notes that a worker is there again.
 func (t *Trials) Returned(address string) { delete(t.away, address) }
 
-// Room is on how many more workers suspects may be tried, of so many in the pool, while they are
+// Available is on how many more workers suspects may be tried, of so many in the pool, while they are
 // tried on so many. So many are idle and nothing else waits for them.
-func (t *Trials) Room(workers, idle, trying int, now time.Duration) int {
+func (t *Trials) Available(workers, idle, trying int, now time.Duration) int {
 	for address, at := range t.away {
 		if now > at+mostAway {
 			delete(t.away, address)
