--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	return crashes.WorkersFor(suspects)
+	return crashes.WorkersForSuspects(suspects)
 }
 
 // noteOthers notes whether, of the steps that waited before this plan, other short work than
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -53,8 +53,8 @@
 	triedWithin = 8 * time.Second
 )
 
-// WorkersFor is how many workers so many suspects need, if each takes one down.
-func WorkersFor(suspects int) int {
+// WorkersForSuspects is how many workers so many suspects need, if each takes one down.
+func WorkersForSuspects(suspects int) int {
 	return int(math.Ceil(float64(suspects) * usualAway.Seconds() / triedWithin.Seconds()))
 }
 
