--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -68,7 +68,7 @@
 	silences         crashes.CorrelatedLosses
 	trials           crashes.Trials
 	othersWaited     time.Duration // when short work other than suspects last waited
-	onsets           crashes.Onsets
+	onsets           crashes.TimesToCrash
 	lostUnheard      bool                     // a worker crashed that this owner never heard
 	presumedResolved bool                     // see resolvePresumed
 	alive            map[work.WorkerID]string // pools of the workers that it says are up
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -200,7 +200,7 @@
 
 // A trial lasts as long where tasks crash their workers at once as where they do so late.
 func TestATrialLastsAsLongAsCrashesTake(t *testing.T) {
-	var o crashes.Onsets
+	var o crashes.TimesToCrash
 	assert.Equal(t, o.Trial(), crashes.MaxTrialDuration)
 	for range 4 {
 		o.Saw(crashes.Record{{Run: 1, MaxRunTime: 30 * time.Millisecond}})
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -73,14 +73,14 @@
 	spacingMargin                           = 2
 )
 
-// Onsets learns how long after their starts tasks crash their workers, from those that were
+// TimesToCrash learns how long after their starts tasks crash their workers, from those that were
 // given up. The zero value has seen none.
-type Onsets struct {
+type TimesToCrash struct {
 	seen []time.Duration
 }
 
 // Saw notes the crashes under a task that was given up.
-func (o *Onsets) Saw(r Record) {
+func (o *TimesToCrash) Saw(r Record) {
 	for _, c := range r {
 		if c.MaxRunTime > 0 {
 			o.seen = append(o.seen, c.MaxRunTime)
@@ -91,7 +91,7 @@
 
 // Spacing is how long the tasks of one job run on a worker before those of another begin there,
 // for a crash to tell whose doing it was.
-func (o *Onsets) Spacing() time.Duration {
+func (o *TimesToCrash) Spacing() time.Duration {
 	if len(o.seen) < leastOnsets {
 		return usualSpacing
 	}
@@ -100,7 +100,7 @@
 
 // Trial is how long a suspect is seen to go on until it is taken not to crash its worker by
 // being started.
-func (o *Onsets) Trial() time.Duration {
+func (o *TimesToCrash) Trial() time.Duration {
 	if len(o.seen) < leastOnsets {
 		return MaxTrialDuration
 	}
