--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -269,7 +269,7 @@
 		return
 	}
 	if prior := c.kindOf(j).Prior(now); t.crashes.Poison(prior) {
-		c.onsets.Saw(t.crashes)
+		c.onsets.Add(t.crashes)
 		c.log.Info("task given up", "task", t.ref.String(), "crashes", len(t.crashes), "share of such jobs", prior)
 		c.finish(j, work.Failed)
 		c.acquitBeside(t, now)
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -203,10 +203,10 @@
 	var o crashes.TimesToCrash
 	assert.Equal(t, o.Trial(), crashes.MaxTrialDuration)
 	for range 4 {
-		o.Saw(crashes.Record{{Run: 1, MaxRunTime: 30 * time.Millisecond}})
+		o.Add(crashes.Record{{Run: 1, MaxRunTime: 30 * time.Millisecond}})
 	}
 	assert.Equal(t, o.Trial(), 120*time.Millisecond)
-	o.Saw(crashes.Record{{Run: 1, MaxRunTime: 400 * time.Millisecond}})
+	o.Add(crashes.Record{{Run: 1, MaxRunTime: 400 * time.Millisecond}})
 	assert.Equal(t, o.Trial(), crashes.MaxTrialDuration)
 }
 
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -79,8 +79,8 @@
 	seen []time.Duration
 }
 
-// Saw notes the crashes under a task that was given up.
-func (o *TimesToCrash) Saw(r Record) {
+// Add notes the crashes under a task that was given up.
+func (o *TimesToCrash) Add(r Record) {
 	for _, c := range r {
 		if c.MaxRunTime > 0 {
 			o.seen = append(o.seen, c.MaxRunTime)
