--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -89,7 +89,7 @@
 // freshOn is the job whose tasks have just begun on the worker, if its kind crashes many; empty
 // where none have.
 func (c *Core) freshOn(w *worker, now time.Duration) work.JobID {
-	spacing := c.onsets.Spacing()
+	spacing := c.onsets.JobSpacing()
 	for _, t := range w.tasks {
 		begun := t.state == taskActive && now >= t.answered+spacing
 		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -89,9 +89,9 @@
 	o.seen = o.seen[max(0, len(o.seen)-onsetsKept):]
 }
 
-// Spacing is how long the tasks of one job run on a worker before those of another begin there,
+// JobSpacing is how long the tasks of one job run on a worker before those of another begin there,
 // for a crash to tell whose doing it was.
-func (o *TimesToCrash) Spacing() time.Duration {
+func (o *TimesToCrash) JobSpacing() time.Duration {
 	if len(o.seen) < leastOnsets {
 		return usualSpacing
 	}
