--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -259,7 +259,7 @@
 	}
 	t.where, t.run = w, run
 	t.movedAt = now
-	t.trialLasts = c.onsets.Trial()
+	t.trialLasts = c.onsets.TrialDuration()
 	w.add(t)
 	t.step.set(t, state)
 	if state == taskActive {
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -201,13 +201,13 @@
 // A trial lasts as long where tasks crash their workers at once as where they do so late.
 func TestATrialLastsAsLongAsCrashesTake(t *testing.T) {
 	var o crashes.TimesToCrash
-	assert.Equal(t, o.Trial(), crashes.MaxTrialDuration)
+	assert.Equal(t, o.TrialDuration(), crashes.MaxTrialDuration)
 	for range 4 {
 		o.Add(crashes.Record{{Run: 1, MaxRunTime: 30 * time.Millisecond}})
 	}
-	assert.Equal(t, o.Trial(), 120*time.Millisecond)
+	assert.Equal(t, o.TrialDuration(), 120*time.Millisecond)
 	o.Add(crashes.Record{{Run: 1, MaxRunTime: 400 * time.Millisecond}})
-	assert.Equal(t, o.Trial(), crashes.MaxTrialDuration)
+	assert.Equal(t, o.TrialDuration(), crashes.MaxTrialDuration)
 }
 
 // A rack that is lost makes suspects of all that had just begun on its workers.
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -98,9 +98,9 @@
 	return min(mostSpacing, max(leastSpacing, spacingMargin*slices.Max(o.seen)))
 }
 
-// Trial is how long a suspect is seen to go on until it is taken not to crash its worker by
+// TrialDuration is how long a suspect is seen to go on until it is taken not to crash its worker by
 // being started.
-func (o *TimesToCrash) Trial() time.Duration {
+func (o *TimesToCrash) TrialDuration() time.Duration {
 	if len(o.seen) < leastOnsets {
 		return MaxTrialDuration
 	}
