--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -108,7 +108,7 @@
 func (p *pass) learn(ctx context.Context) error {
 	p.learnOutcomes()
 	most := max(1, int(maxQuarantine*float64(len(p.view.Load().VMs))))
-	for _, vm := range p.learned.Blame.Judge(p.now, most) {
+	for _, vm := range p.learned.Blame.UpdateQuarantine(p.now, most) {
 		p.log.Info("worker quarantined, it fails what runs elsewhere", "vm", vm)
 		p.learned.saved = time.Time{} // rare, and costly to learn anew
 	}
--- a/policy/blame/blame.go
+++ b/policy/blame/blame.go
@@ -231,11 +231,11 @@
 	suspicion float64
 }
 
-// Judge quarantines workers, the most suspect first, as long as no more than
+// UpdateQuarantine quarantines workers, the most suspect first, as long as no more than
 // most are in quarantine, and returns the newly quarantined. One whose
 // failures turn out to be the jobs', because they go on to fail elsewhere, is
 // released at once.
-func (b *Book) Judge(now time.Time, most int) []model.VMID {
+func (b *Book) UpdateQuarantine(now time.Time, most int) []model.VMID {
 	banned := 0
 	var suspects []suspect
 	for vm, w := range b.Workers {
--- a/policy/blame/blame_test.go
+++ b/policy/blame/blame_test.go
@@ -99,7 +99,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			b := healthy()
 			tc.play(b)
-			assert.DeepEqual(t, b.Judge(start, 100), tc.want)
+			assert.DeepEqual(t, b.UpdateQuarantine(start, 100), tc.want)
 		})
 	}
 }
@@ -109,15 +109,15 @@
 	for n := 20; n < 30; n++ {
 		b.fail(n, 8)
 	}
-	assert.Equal(t, len(b.Judge(start, 3)), 3)
-	assert.Equal(t, len(b.Judge(start, 3)), 0)
+	assert.Equal(t, len(b.UpdateQuarantine(start, 3)), 3)
+	assert.Equal(t, len(b.UpdateQuarantine(start, 3)), 0)
 	assert.Equal(t, b.Quarantined(), 3)
 }
 
 func TestProbingBack(t *testing.T) {
 	b := healthy()
 	b.fail(20, 3)
-	b.Judge(start, 10)
+	b.UpdateQuarantine(start, 10)
 	standing := func(at time.Time) string {
 		closed, probe := b.Standing(vm(20), at)
 		if probe {
@@ -131,7 +131,7 @@
 	assert.Equal(t, standing(start.Add(firstBan)), "quarantined until 08:03:00: it fails what runs elsewhere")
 	b.Record(Event{VM: vm(20), Kind: "k", Outcome: Survived, At: start.Add(4 * firstBan)})
 	assert.Equal(t, standing(start.Add(4*firstBan)), "")
-	assert.Equal(t, len(b.Judge(start, 10)), 0)
+	assert.Equal(t, len(b.UpdateQuarantine(start, 10)), 0)
 }
 
 func TestReleasedWhenTheJobsFailElsewhere(t *testing.T) {
@@ -140,11 +140,11 @@
 	// others, and it is released before its time.
 	b := healthy()
 	b.see(20, "k", FailedEarly, 8)
-	assert.DeepEqual(t, b.Judge(start, 10), []model.VMID{vm(20)})
+	assert.DeepEqual(t, b.UpdateQuarantine(start, 10), []model.VMID{vm(20)})
 	for n := range 8 {
 		b.see(n, "k", FailedEarly, 1)
 	}
-	assert.Equal(t, len(b.Judge(start, 10)), 0)
+	assert.Equal(t, len(b.UpdateQuarantine(start, 10)), 0)
 	assert.Equal(t, b.Quarantined(), 0)
 }
 
