--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -214,7 +214,7 @@
 func wronglyBanned(l *load) int {
 	n := 0
 	for vm := range l.nodes[0].learned.Blame.Workers {
-		closed, probe := l.nodes[0].learned.Blame.Standing(vm, l.clock.Now())
+		closed, probe := l.nodes[0].learned.Blame.WorkerStatus(vm, l.clock.Now())
 		var i int
 		_, _ = fmt.Sscanf(string(vm), "v%d", &i)
 		if (closed != "" || probe) && i%50 != 7 {
--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -50,7 +50,7 @@
 }
 
 func (l *learned) closed(vm model.VMID, now time.Time) (string, bool) {
-	return l.Blame.Standing(vm, now)
+	return l.Blame.WorkerStatus(vm, now)
 }
 
 func (l *learned) hopeless(failedOn []model.VMID) bool { return l.Blame.Hopeless(failedOn) }
--- a/policy/blame/blame.go
+++ b/policy/blame/blame.go
@@ -270,9 +270,9 @@
 	w.Bans++
 }
 
-// Standing says whether a worker is closed because of its failures, and
+// WorkerStatus says whether a worker is closed because of its failures, and
 // whether it is to be probed with one repeatable job.
-func (b *Book) Standing(vm model.VMID, now time.Time) (closed string, probe bool) {
+func (b *Book) WorkerStatus(vm model.VMID, now time.Time) (closed string, probe bool) {
 	w := b.Workers[vm]
 	if w == nil || w.Until.IsZero() {
 		return "", false
--- a/policy/blame/blame_test.go
+++ b/policy/blame/blame_test.go
@@ -119,7 +119,7 @@
 	b.fail(20, 3)
 	b.UpdateQuarantine(start, 10)
 	standing := func(at time.Time) string {
-		closed, probe := b.Standing(vm(20), at)
+		closed, probe := b.WorkerStatus(vm(20), at)
 		if probe {
 			return "probe"
 		}
