--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -53,7 +53,7 @@
 	return l.Blame.WorkerStatus(vm, now)
 }
 
-func (l *learned) hopeless(failedOn []model.VMID) bool { return l.Blame.Hopeless(failedOn) }
+func (l *learned) hopeless(failedOn []model.VMID) bool { return l.Blame.JobToBlame(failedOn) }
 
 // loadLearned reads once what an earlier holder learned.
 func (j *Jobs) loadLearned(ctx context.Context) error {
--- a/policy/blame/blame.go
+++ b/policy/blame/blame.go
@@ -294,9 +294,9 @@
 	return n
 }
 
-// Hopeless reports whether a job that failed on these workers is to blame: on
+// JobToBlame reports whether a job that failed on these workers is to blame: on
 // enough of them that are not suspect themselves.
-func (b *Book) Hopeless(failedOn []model.VMID) bool {
+func (b *Book) JobToBlame(failedOn []model.VMID) bool {
 	distinct := make(map[model.VMID]bool)
 	for _, vm := range failedOn {
 		if w := b.Workers[vm]; w != nil && (!w.Until.IsZero() || b.suspicion(vm) >= 1) {
--- a/policy/blame/blame_test.go
+++ b/policy/blame/blame_test.go
@@ -150,11 +150,11 @@
 
 func TestHopeless(t *testing.T) {
 	b := healthy()
-	assert.Assert(t, !b.Hopeless([]model.VMID{vm(1), vm(2)}))
-	assert.Assert(t, !b.Hopeless([]model.VMID{vm(1), vm(1), vm(1)}))
-	assert.Assert(t, b.Hopeless([]model.VMID{vm(1), vm(2), vm(3)}))
+	assert.Assert(t, !b.JobToBlame([]model.VMID{vm(1), vm(2)}))
+	assert.Assert(t, !b.JobToBlame([]model.VMID{vm(1), vm(1), vm(1)}))
+	assert.Assert(t, b.JobToBlame([]model.VMID{vm(1), vm(2), vm(3)}))
 	b.fail(20, 3)
-	assert.Assert(t, !b.Hopeless([]model.VMID{vm(1), vm(2), vm(20)}), "a suspect worker is no witness")
+	assert.Assert(t, !b.JobToBlame([]model.VMID{vm(1), vm(2), vm(20)}), "a suspect worker is no witness")
 }
 
 func TestStateIsBounded(t *testing.T) {
