--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -40,7 +40,7 @@
 // then, and may be a second old.
 func (c *Core) progressOf(t *task) straggler.Task {
 	return straggler.Task{
-		Estimate: c.learned.estimate(t.step), Running: t.listedAt - t.answered, Still: t.listedAt - t.movedAt, Percent: t.percent,
+		Estimate: c.learned.estimate(t.step), Running: t.listedAt - t.answered, SinceProgress: t.listedAt - t.movedAt, Percent: t.percent,
 	}
 }
 
--- a/policy/straggler/straggler.go
+++ b/policy/straggler/straggler.go
@@ -33,16 +33,16 @@
 
 // Task is a running task.
 type Task struct {
-	Estimate time.Duration // as learned
-	Running  time.Duration // since its start
-	Still    time.Duration // since its percentage last rose
-	Percent  int
+	Estimate      time.Duration // as learned
+	Running       time.Duration // since its start
+	SinceProgress time.Duration // since its percentage last rose
+	Percent       int
 }
 
 // StandsStill reports whether the task makes no progress.
 func StandsStill(t Task) bool {
 	limit := max(stillFor, time.Duration(stillShare*float64(t.Estimate)))
-	return t.Percent < 100 && t.Still >= limit
+	return t.Percent < 100 && t.SinceProgress >= limit
 }
 
 // Slowness is how much longer than estimated a worker's tasks take; 0 is unknown.
--- a/policy/straggler/straggler_test.go
+++ b/policy/straggler/straggler_test.go
@@ -14,10 +14,10 @@
 		task Task
 		want bool
 	}{
-		{"progress a moment ago", Task{Estimate: time.Second, Still: time.Second, Percent: 40}, false},
-		{"none over two looks", Task{Estimate: time.Second, Still: 2 * time.Second, Percent: 40}, true},
-		{"a long task's percent rises slowly", Task{Estimate: time.Minute, Still: 2 * time.Second, Percent: 40}, false},
-		{"at its end", Task{Estimate: time.Second, Still: time.Minute, Percent: 100}, false},
+		{"progress a moment ago", Task{Estimate: time.Second, SinceProgress: time.Second, Percent: 40}, false},
+		{"none over two looks", Task{Estimate: time.Second, SinceProgress: 2 * time.Second, Percent: 40}, true},
+		{"a long task's percent rises slowly", Task{Estimate: time.Minute, SinceProgress: 2 * time.Second, Percent: 40}, false},
+		{"at its end", Task{Estimate: time.Second, SinceProgress: time.Minute, Percent: 100}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) { assert.Equal(t, StandsStill(c.task), c.want) })
 	}
