--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -25,7 +25,7 @@
 
 func (c *Core) judge(w *worker, t *task, now time.Duration) {
 	run := c.progressOf(t)
-	if straggler.StandsStill(run) {
+	if straggler.Stalled(run) {
 		w.strikes.failure(t.ref.Job, now)
 		c.abandon(t, w, "stands still", run)
 		return
--- a/policy/straggler/straggler.go
+++ b/policy/straggler/straggler.go
@@ -39,8 +39,8 @@
 	Percent       int
 }
 
-// StandsStill reports whether the task makes no progress.
-func StandsStill(t Task) bool {
+// Stalled reports whether the task makes no progress.
+func Stalled(t Task) bool {
 	limit := max(stillFor, time.Duration(stillShare*float64(t.Estimate)))
 	return t.Percent < 100 && t.SinceProgress >= limit
 }
--- a/policy/straggler/straggler_test.go
+++ b/policy/straggler/straggler_test.go
@@ -19,7 +19,7 @@
 		{"a long task's percent rises slowly", Task{Estimate: time.Minute, SinceProgress: 2 * time.Second, Percent: 40}, false},
 		{"at its end", Task{Estimate: time.Second, SinceProgress: time.Minute, Percent: 100}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) { assert.Equal(t, StandsStill(c.task), c.want) })
+		t.Run(c.name, func(t *testing.T) { assert.Equal(t, Stalled(c.task), c.want) })
 	}
 }
 
