--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -30,7 +30,7 @@
 		c.abandon(t, w, "stands still", run)
 		return
 	}
-	if straggler.Crawls(run) && c.hasPlace(t, now) {
+	if straggler.RunsSlowly(run) && c.hasPlace(t, now) {
 		w.slowness = w.slowness.Ended(run.Running*fullPercent/time.Duration(max(1, run.Percent)), run.Estimate)
 		c.abandon(t, w, "crawls", run)
 	}
--- a/policy/straggler/straggler.go
+++ b/policy/straggler/straggler.go
@@ -68,9 +68,9 @@
 	return float64(s)
 }
 
-// Crawls reports whether a task is done sooner by a fresh run on a worker of
+// RunsSlowly reports whether a task is done sooner by a fresh run on a worker of
 // usual speed.
-func Crawls(t Task) bool {
+func RunsSlowly(t Task) bool {
 	if t.Running < crawlFrom || t.Percent >= 100 {
 		return false
 	}
--- a/policy/straggler/straggler_test.go
+++ b/policy/straggler/straggler_test.go
@@ -27,11 +27,11 @@
 // times its estimate must not be thrown away; one that needs seconds more must.
 func TestCrawlingIsJudgedBySecondsNotByEstimates(t *testing.T) {
 	off := Task{Estimate: 100 * time.Millisecond, Running: time.Second, Percent: 30}
-	assert.Assert(t, !Crawls(off))
+	assert.Assert(t, !RunsSlowly(off))
 	slow := Task{Estimate: time.Second, Running: 4 * time.Second, Percent: 30}
-	assert.Assert(t, Crawls(slow))
+	assert.Assert(t, RunsSlowly(slow))
 	nearlyDone := Task{Estimate: time.Second, Running: 4 * time.Second, Percent: 80}
-	assert.Assert(t, !Crawls(nearlyDone))
+	assert.Assert(t, !RunsSlowly(nearlyDone))
 }
 
 func TestAWorkerIsCalledSlowAfterSeveralSlowEnds(t *testing.T) {
