--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -340,7 +340,7 @@
 		return
 	}
 	if current {
-		w.slowness = w.slowness.Ended(now-t.answered, c.learned.estimate(t.step))
+		w.slowness = w.slowness.Observe(now-t.answered, c.learned.estimate(t.step))
 		c.learned.learn(t.step, now-t.answered)
 	}
 	if t.step.spec.Gang {
--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if straggler.RunsSlowly(run) && c.hasPlace(t, now) {
-		w.slowness = w.slowness.Ended(run.Running*fullPercent/time.Duration(max(1, run.Percent)), run.Estimate)
+		w.slowness = w.slowness.Observe(run.Running*fullPercent/time.Duration(max(1, run.Percent)), run.Estimate)
 		c.abandon(t, w, "crawls", run)
 	}
 }
--- a/policy/straggler/straggler.go
+++ b/policy/straggler/straggler.go
@@ -48,8 +48,8 @@
 // Slowness is how much longer than estimated a worker's tasks take; 0 is unknown.
 type Slowness float64
 
-// Ended takes the end of a task over.
-func (s Slowness) Ended(took, estimate time.Duration) Slowness {
+// Observe takes the end of a task over.
+func (s Slowness) Observe(took, estimate time.Duration) Slowness {
 	if estimate <= 0 {
 		return s
 	}
--- a/policy/straggler/straggler_test.go
+++ b/policy/straggler/straggler_test.go
@@ -37,12 +37,12 @@
 func TestAWorkerIsCalledSlowAfterSeveralSlowEnds(t *testing.T) {
 	var s Slowness
 	for range 10 {
-		s = s.Ended(time.Second, time.Second)
+		s = s.Observe(time.Second, time.Second)
 	}
-	s = s.Ended(4*time.Second, time.Second)
+	s = s.Observe(4*time.Second, time.Second)
 	assert.Equal(t, s.Factor(), 1.0, "one slow end proves nothing")
 	for range 5 {
-		s = s.Ended(6*time.Second, time.Second)
+		s = s.Observe(6*time.Second, time.Second)
 	}
 	assert.Assert(t, s.Factor() > 3)
 }
