--- a/policy/model/declaration.go
+++ b/policy/model/declaration.go
@@ -1,7 +1,7 @@
 package model
 
-// VMDecl declares one VM: what it is and which pool it starts in. Where it is
-// now, the VM's own key says.
+// VMDecl declares one VM: its properties and the pool that it starts in. The VM's own key
+// in the store tells which pool it is in now.
 type VMDecl struct {
 	ID       VMID
 	Zone     ZoneName
@@ -11,8 +11,8 @@
 	Capacity Resources
 }
 
-// Declaration is the whole configuration, as operators keep it in version
-// control. It is replaced as a whole; Generation only grows.
+// Declaration is the whole configuration, as operators keep it in version control. A change
+// replaces all of it and increases Generation.
 type Declaration struct {
 	Generation uint64
 	Change     ChangeID
@@ -26,7 +26,7 @@
 	Weights    Weights
 }
 
-// Service returns the declared service of the name, or nil.
+// Service returns the declared service of the given name, or nil if there is none.
 func (d *Declaration) Service(name ServiceName) *Service {
 	for i := range d.Services {
 		if d.Services[i].Name == name {
--- a/policy/model/model.go
+++ b/policy/model/model.go
@@ -1,12 +1,12 @@
-// Package model holds the plain nouns that decisions and their executors
-// share: VMs, pools, services, budgets, waves, jobs and teams. It has no
-// behaviour beyond small questions a value can answer about itself.
+// Package model holds the plain data types that policies and the code that carries them out
+// share: VMs, pools, services, budgets, waves, jobs and teams. Its methods only derive
+// values from the fields of their receiver.
 package model
 
 import "time"
 
-// Identifiers are strings with types of their own, so that a zone cannot be
-// passed where a rack is meant.
+// Identifiers have distinct string types, so that a zone can't be passed where a rack is
+// expected.
 type (
 	// ZoneName names an availability zone.
 	ZoneName string
@@ -26,25 +26,26 @@
 	JobID string
 	// EntryID identifies one entry VM (one daemon).
 	EntryID string
-	// ChangeID identifies one change an operator or reconciler asked for. A
-	// repeat with the same ChangeID is the same change.
+	// ChangeID identifies one change that an operator or a reconciler requested. A request
+	// that repeats a ChangeID is the same change.
 	ChangeID string
-	// AttemptID identifies one attempt at an outside effect; the platform
-	// treats a repeat of it as done.
+	// AttemptID identifies one attempt at an action outside the process. The platform doesn't
+	// carry out an attempt a second time.
 	AttemptID string
 )
 
-// Class orders work by urgency. Greater is more urgent.
+// Class is the urgency of work. A greater value is more urgent.
 type Class int8
 
-// The classes callers and jobs may have.
+// The classes of calls and jobs.
 const (
 	ClassDeferrable Class = iota
 	ClassNormal
 	ClassUrgent
 )
 
-// ParseClass turns the contract's word into a Class.
+// ParseClass returns the class that a name of the API stands for. It returns ClassNormal
+// and false for any other name.
 func ParseClass(s string) (Class, bool) {
 	switch s {
 	case "urgent":
@@ -57,7 +58,7 @@
 	return ClassNormal, false
 }
 
-// String returns the contract's word for the class.
+// String returns the name of the class in the API.
 func (c Class) String() string {
 	switch c {
 	case ClassUrgent:
@@ -68,9 +69,9 @@
 	return "normal"
 }
 
-// Resources are what a worker offers and a task uses.
+// Resources is an amount of each kind of resource: what a worker offers or a task uses.
 type Resources struct {
-	MilliCPU     int64 // thousandths of a processor
+	MilliCPU     int64 // thousandths of a core
 	MemoryMB     int64 // mebibytes
 	Accelerators int64 // whole devices
 }
@@ -85,17 +86,17 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether r fits into free in every dimension.
+// Fits reports whether r is at most free in every dimension.
 func (r Resources) Fits(free Resources) bool {
 	return r.MilliCPU <= free.MilliCPU && r.MemoryMB <= free.MemoryMB && r.Accelerators <= free.Accelerators
 }
 
-// VMState is where a VM stands in its life. It is one field of the one key
-// that also names the pool, so that a CAS on the key decides both.
+// VMState is the state of a VM in its lifecycle. It is stored in the key that also holds the
+// VM's pool, so that one compare-and-swap on the key changes both.
 type VMState string
 
-// The life of a VM: in-pool -> leaving -> empty -> rebooting -> probation ->
-// in-pool. A move takes leaving -> empty -> in-pool of the new pool.
+// The lifecycle of a VM under maintenance: in-pool -> leaving -> empty -> rebooting ->
+// probation -> in-pool. A move takes it through leaving -> empty -> in-pool of the new pool.
 const (
 	VMInPool    VMState = "in-pool"
 	VMLeaving   VMState = "leaving"
@@ -104,18 +105,18 @@
 	VMProbation VMState = "probation"
 )
 
-// Health is what is known of a VM's health. The zero value is unknown, which
-// every count treats as down.
+// Health is the known health of a VM. The zero value is HealthUnknown, which counts as
+// down in every count.
 type Health int8
 
-// What can be known of a VM's health.
+// The values of Health.
 const (
 	HealthUnknown Health = iota
 	HealthHealthy
 	HealthDown
 )
 
-// String returns the word operators see.
+// String returns the word that operators see.
 func (h Health) String() string {
 	switch h {
 	case HealthHealthy:
@@ -126,47 +127,47 @@
 	return "unknown"
 }
 
-// VM is one VM of the fleet as the platform's store holds it.
+// VM is one VM of the fleet, as it is kept in the platform's store.
 type VM struct {
 	ID       VMID
 	Zone     ZoneName
 	Rack     RackName
-	Pool     PoolName // the one pool the VM belongs to
-	Address  string   // host:port of the runner on it
+	Pool     PoolName // the only pool that the VM belongs to
+	Address  string   // host:port of the VM's runner
 	Capacity Resources
 	State    VMState
-	MoveTo   PoolName  // the pool it goes to once empty; empty if it stays
-	Holder   string    // what has claimed the VM: "wave spring", "order c-17"; empty if nothing
-	Attempt  AttemptID // the attempt at the outside effect in progress
-	Since    time.Time // when State was entered
+	MoveTo   PoolName  // the pool that the VM moves to once it is empty; empty if it isn't moving
+	Holder   string    // what has claimed the VM, such as "wave spring" or "order c-17"; empty if nothing
+	Attempt  AttemptID // the attempt at an action outside the process that is in progress
+	Since    time.Time // when the VM entered State
 	Change   ChangeID  // the change that wrote this state
-	Reason   string    // a sentence a person reads
-	Wave     WaveName  // the last wave that finished on this VM
+	Reason   string    // explanation for operators, a sentence
+	Wave     WaveName  // the last wave that was finished on this VM
 
-	Run        ChangeID      // the run of the wave that holds the VM or finished on it last
+	Run        ChangeID      // the run of the wave that holds the VM, or the last that was finished on it
 	Order      ChangeID      // the last order that took effect on this VM
-	ProofBoots int           // Machine.Boots from which the ordered reboot is proven; 0 where none was ordered
+	ProofBoots int           // min value of Machine.Boots that proves the ordered reboot; 0 if none was ordered
 	Out        time.Time     // when the VM was last taken out of its pool
-	Took       time.Duration // how long the last maintenance kept the VM out
-	Postponed  time.Time     // when a drain was last given up; zero if never
-	Cut        bool          // an order allowed to cut what still runs
-	Ledgers    []ServiceName // the services whose ledgers hold a stop of this VM
+	Took       time.Duration // how long the VM was out of its pool for the last maintenance
+	Postponed  time.Time     // when a drain of the VM was last given up; zero if never
+	Cut        bool          // an order allows ending what still runs on the VM
+	Ledgers    []ServiceName // the services whose ledgers record a stop of this VM
 }
 
-// Pool is a declared set of VMs that runs one service's requests or jobs.
+// Pool is a declared set of VMs that serves requests or runs jobs.
 type Pool struct {
 	Name PoolName
-	VMs  []VMID // declared members at the start; moves change the VM's key
+	VMs  []VMID // declared members at the start; a move changes the VM's key, not this list
 }
 
-// Quantity is a count or a share of the whole; exactly one of them is set.
+// Quantity is a number of VMs or a share of a pool's VMs. Only one of the two is set.
 type Quantity struct {
 	Count int     // number of VMs
-	Share float64 // 0..1 of the pool's VMs, used where Count is 0
+	Share float64 // 0..1 of the pool's VMs, used if Count is 0
 }
 
-// Of returns the number of VMs the quantity means out of total, rounded up:
-// a budget never promises less than it says.
+// Of returns the number of VMs that q stands for out of total. A share is rounded up, so
+// that a budget keeps at least as many VMs available as it promises.
 func (q Quantity) Of(total int) int {
 	if q.Count > 0 || q.Share <= 0 {
 		return q.Count
@@ -180,25 +181,26 @@
 
 // Budget is a service's availability budget.
 type Budget struct {
-	MinAvailable Quantity // least available VMs of the service
-	MinPerZone   Quantity // least available VMs in each zone the service has VMs in; zero for none
+	MinAvailable Quantity // min available VMs of the service
+	MinPerZone   Quantity // min available VMs in each zone in which the service has VMs; zero: no minimum
 }
 
-// Service is what callers reach by name.
+// Service is a service that callers reach by its name.
 type Service struct {
 	Name       ServiceName
-	Pools      []PoolName // pools whose VMs are its targets
+	Pools      []PoolName // pools whose VMs are the service's targets
 	Class      Class
-	Repeatable bool          // false: at most once, an Idempotency-Key is required
-	Timeout    time.Duration // how long an answer is of use if the caller does not say
-	Slots      int           // requests a runner works on at once
-	Conns      int           // connections a runner takes
-	Limit      int           // most requests in flight; 0 for what live slots allow
-	Remember   time.Duration // how long an Idempotency-Key is remembered
+	Repeatable bool          // false: a request runs at most once, and needs an Idempotency-Key
+	Timeout    time.Duration // time limit for an answer if the caller gives none
+	Slots      int           // max requests that a runner works on at a time
+	Conns      int           // max connections to a runner
+	Limit      int           // max requests in flight; 0: as many as the slots of live runners allow
+	Remember   time.Duration // how long an Idempotency-Key is kept
 	Budget     Budget
 }
 
-// Weights steer waves and placement by what a deployment values.
+// Weights are the relative weights of the goals of a deployment, which waves and placement
+// trade off against each other.
 type Weights struct {
 	RollOutTime float64
 	BufferCost  float64
@@ -209,30 +211,30 @@
 type Wave struct {
 	Name        WaveName
 	Pools       []PoolName // in the order they are visited
-	Canary      int        // VMs maintained alone first
-	MaxBatch    int        // most VMs out at once; 0 for what the budgets allow
-	MaxFailures int        // correlated failures that pause the wave
+	Canary      int        // number of VMs that are maintained first, before all others
+	MaxBatch    int        // max VMs out of their pools at a time; 0: as many as the budgets allow
+	MaxFailures int        // number of correlated failures that pauses the wave
 	Probation   time.Duration
-	Grace       time.Duration // how long a drain may take before it is postponed
+	Grace       time.Duration // time limit for a drain, after which it is postponed
 	Weights     Weights
 }
 
-// Team owns jobs and a guaranteed share of the workers.
+// Team is a team that owns jobs and has a guaranteed share of the workers.
 type Team struct {
 	Name       TeamName
 	Guaranteed Resources
 }
 
-// Job is work to be placed on a worker.
+// Job is a job to be placed on a worker.
 type Job struct {
 	ID           JobID
 	Team         TeamName
-	Kind         string // jobs of a kind share learned sizes
+	Kind         string // jobs of the same kind share learned sizes
 	Class        Class
-	Pool         PoolName // where it may run; empty for any pool
-	Zone         ZoneName // where it must run; empty for any zone
+	Pool         PoolName // the pool to run in; empty: any pool
+	Zone         ZoneName // the zone to run in; empty: any zone
 	Declared     Resources
-	RunTime      time.Duration // declared
+	RunTime      time.Duration // as declared by the caller
 	Repeatable   bool
 	Checkpoints  bool
 	SubmittedAt  time.Time
--- a/policy/model/model_test.go
+++ b/policy/model/model_test.go
@@ -13,11 +13,11 @@
 		total int
 		want  int
 	}{
-		{"nothing declared", Quantity{}, 10, 0},
+		{"zero value", Quantity{}, 10, 0},
 		{"count", Quantity{Count: 3}, 10, 3},
 		{"share rounds up", Quantity{Share: 0.75}, 10, 8},
 		{"exact share", Quantity{Share: 0.7}, 10, 7},
-		{"share of nothing", Quantity{Share: 0.7}, 0, 0},
+		{"share of an empty pool", Quantity{Share: 0.7}, 0, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
