--- a/policy/taskplan/index_test.go
+++ b/policy/taskplan/index_test.go
@@ -10,10 +10,10 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// An owner of a thousand workers looks at each of them for every task it places, and falls
-// behind its burst although nearly all of them are empty.
-func TestEmptyWorkersOfOneKindAreLookedAtOnce(t *testing.T) {
-	looked := func(empty int) int {
+// An owner that scored each of a thousand workers for every task would place a burst too
+// slowly, although nearly all of the workers are empty and interchangeable.
+func TestEmptyWorkersOfOneKindAreScoredOnce(t *testing.T) {
+	scored := func(empty int) int {
 		used := worker("used", 4000)
 		used.Tasks = 1
 		workers := []*Worker{used}
@@ -26,11 +26,12 @@
 		s.Step.DataRack = "r7"
 		return len(NewPlanner(workers).candidates(s, s.Tasks[0]))
 	}
-	assert.Equal(t, looked(100), 3)
-	assert.Equal(t, looked(2000), 3)
+	assert.Equal(t, scored(100), 3)
+	assert.Equal(t, scored(2000), 3)
 }
 
-// A task goes to a worse worker than the best there is, as that one was not looked at.
+// Guards against a task on a worse worker than the best one, because the best one was left out
+// of the candidates.
 func TestAPlanChoosesAsWellAsFromAllWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var first, second []*Worker
@@ -39,11 +40,11 @@
 			w.Total = work.Resources{MilliCPU: 8000, MemoryMB: w.Free.MemoryMB}
 			w.Labels = []string{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "kind"), rapid.SampledFrom([]string{"r1", "r2", "r3"}).Draw(t, "rack")}
 			w.Rack = w.Labels[1]
-			w.MaintenanceDue, w.LabelInDemand = rapid.Bool().Draw(t, "due"), rapid.Bool().Draw(t, "sought")
+			w.MaintenanceDue, w.LabelInDemand = rapid.Bool().Draw(t, "maintenance due"), rapid.Bool().Draw(t, "label in demand")
 			w.Slowness = rapid.SampledFrom([]float64{1, 1, 1.5}).Draw(t, "slow")
 			if rapid.Bool().Draw(t, "in use") {
 				w.Tasks, w.Free.MilliCPU = 2, rapid.Int64Range(0, 7000).Draw(t, "free")
-				w.LongRunning = rapid.IntRange(0, 2).Draw(t, "lasting")
+				w.LongRunning = rapid.IntRange(0, 2).Draw(t, "long-running tasks")
 			}
 			copied := *w
 			first, second = append(first, w), append(second, &copied)
@@ -52,9 +53,9 @@
 		for n := range rapid.IntRange(1, 4).Draw(t, "steps") {
 			spec := spec(rapid.Int64Range(500, 5000).Draw(t, "cpu"))
 			spec.DataRack = rapid.SampledFrom([]string{"", "r1", "r3"}).Draw(t, "data")
-			spec.LongRunning = rapid.Bool().Draw(t, "lasts")
-			spec.AntiAffinity = rapid.IntRange(0, 2).Draw(t, "apart")
-			if rapid.Bool().Draw(t, "asks") {
+			spec.LongRunning = rapid.Bool().Draw(t, "long-running")
+			spec.AntiAffinity = rapid.IntRange(0, 2).Draw(t, "anti-affinity")
+			if rapid.Bool().Draw(t, "requires label") {
 				spec.Requires = "b"
 			}
 			a, b := step(fmt.Sprintf("s%d", n), 5, spec), step(fmt.Sprintf("s%d", n), 5, spec)
@@ -71,7 +72,7 @@
 				}
 				chosen := second[indexOf(second, placed[i].Worker)]
 				assert.Equal(t, scoreOf(chosen, b, task), scoreOf(best, b, task))
-				take(chosen, b)
+				allocate(chosen, b)
 			}
 		}
 	})
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -1,12 +1,12 @@
-// Package taskplan chooses workers for tasks: a pure function from what is free
-// and what waits to placements.
+// Package taskplan chooses workers for waiting tasks. It is a pure function from free
+// capacity and waiting tasks to placements.
 //
-// Load pattern: many small tasks of a burst race for the room of a pool, among
-// them wide and long ones, tasks that last, gangs that work only together, and
-// tasks tied to a rack. Placing each where most is free spreads load over all
-// VMs: none is ever empty, so none can be maintained or moved without ending
-// work. Short tasks therefore go where least is left, and tasks that last share
-// VMs with others that last.
+// Load pattern: a burst of many small tasks competes for the free capacity of a pool with
+// large and long tasks, long-running tasks, gangs that make progress only together, and
+// tasks that are faster in one rack. Placing each task on the worker with the most free
+// capacity would spread load over all VMs: none would ever be empty, so none could be
+// maintained or moved without ending work. Short tasks are therefore packed where the least
+// capacity is free, and long-running tasks share VMs with other long-running tasks.
 package taskplan
 
 import (
@@ -17,60 +17,62 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Worker is one worker as the plan sees it.
+// Worker is the state of one worker that placement depends on. Planning updates it.
 type Worker struct {
 	ID             work.WorkerID
 	Total          work.Resources
-	Free           work.Resources // what no run, start or stop in progress holds
+	Free           work.Resources // not held by any run, nor by a start or stop in progress
 	Labels         []string
 	Rack           string
-	Closed         bool    // takes no new tasks: leaving, cordoned, unheard
-	Limit          int     // most tasks to place now; negative: any number
-	LongRunning    int     // lasting tasks there
-	Serving        int     // serving tasks there
-	BestEffort     int     // fill tasks there
-	Slowness       float64 // duration of its tasks against its peers'; 1 is usual
-	MaintenanceDue bool    // its VM's maintenance is to come
-	LabelInDemand  bool    // has a label that other work asks for
-	Tasks          int     // all tasks there
-	// HazardousJob is the job whose hazardous tasks have just begun there; empty: none.
+	Closed         bool    // accepts no new tasks: leaving, cordoned, or not heard from
+	Limit          int     // max tasks to place now; negative: any number
+	LongRunning    int     // long-running tasks on the worker
+	Serving        int     // serving tasks on the worker
+	BestEffort     int     // best-effort tasks on the worker
+	Slowness       float64 // duration of its tasks relative to its peers'; 1 is usual
+	MaintenanceDue bool    // maintenance of its VM is to come
+	LabelInDemand  bool    // has a label that other waiting work requires
+	Tasks          int     // all tasks on the worker
+	// HazardousJob is the job whose hazardous tasks have just started on the worker; empty if
+	// there is none.
 	HazardousJob work.JobID
 
-	trial *Step // whose suspects were placed there in this plan; nothing else goes beside them
+	trialStep *Step // step whose suspects this plan has placed on the worker; nothing else is placed beside them
 }
 
 func (w *Worker) has(label string) bool { return slices.Contains(w.Labels, label) }
 
-// Step is a step with tasks that wait.
+// Step is a step that has waiting tasks.
 type Step struct {
 	Ref       work.StepRef
 	Step      *work.Step
 	Tasks     []Task
-	OnWorker  map[work.WorkerID]int  // tasks of the step there now
-	Permitted map[work.WorkerID]bool // nil: every worker
-	// Hazardous: its tasks are short, and of a kind that crashes many workers. They keep away
-	// from tasks that last, and those of two jobs from beginning on one worker at the same time.
+	OnWorker  map[work.WorkerID]int  // number of the step's tasks on each worker now
+	Permitted map[work.WorkerID]bool // workers that the step may use; nil: all
+	// Hazardous: its tasks are short, and of a kind that crashes many workers. They are kept away
+	// from long-running tasks, and the hazardous tasks of two jobs don't start on one worker at the
+	// same time.
 	Hazardous bool
 }
 
-// Task is a task that waits.
+// Task is a waiting task.
 type Task struct {
 	Index int
-	Avoid []work.WorkerID // where it failed; taken only if nothing else is left
-	// Suspect: it may crash its worker. It goes where least would be lost, and nothing is
-	// placed beside it but suspects of its step, with which it is given up.
+	Avoid []work.WorkerID // workers on which it failed; used only if no other has capacity
+	// Suspect: the task may crash its worker. It is placed where the fewest tasks would be lost,
+	// and nothing is placed beside it except suspects of its step, with which it is given up.
 	Suspect bool
 }
 
-// Placement puts one task on a worker.
+// Placement assigns one task to a worker.
 type Placement struct {
 	Step   *Step
 	Index  int
 	Worker work.WorkerID
 }
 
-// Plan places what it can. Steps come in the order of their claim; a step that
-// does not fit lets later ones pass. Workers are changed as they fill.
+// Plan places as many tasks as it can, the steps in the given order. If a step doesn't fit,
+// later steps may still be placed. Plan updates the workers with what it places on them.
 func Plan(workers []*Worker, steps []*Step) []Placement {
 	var out []Placement
 	p := NewPlanner(workers)
@@ -83,20 +85,21 @@
 // Planner places steps one after the other.
 type Planner struct {
 	open []*Worker
-	// used are the open workers that differ from others by what runs there; empty are the
-	// rest, by what they are. A thousand empty workers of one kind are as good as the first.
-	used  []*Worker
-	empty map[emptyKind][]*Worker
-	kinds []emptyKind
-	most  work.Resources // see MostFree
-	// TrialWorkersLeft is on how many more workers suspects may be placed.
+	// used are the open workers that differ from all others by what runs on them; empty are
+	// the rest, grouped by their properties. Only the first worker of each group has to be scored,
+	// however many there are.
+	used    []*Worker
+	empty   map[emptyKind][]*Worker
+	kinds   []emptyKind
+	maxFree work.Resources // see MaxFree
+	// TrialWorkersLeft is the number of further workers on which suspects may be placed.
 	TrialWorkersLeft int
 }
 
-// NewPlanner returns a planner over the workers, which are changed as they fill.
+// NewPlanner returns a planner for the workers. Place updates them with what it places.
 func NewPlanner(workers []*Worker) *Planner {
 	open := OpenWorkers(workers)
-	p := &Planner{open: open, empty: make(map[emptyKind][]*Worker), most: MaxFree(open), TrialWorkersLeft: math.MaxInt}
+	p := &Planner{open: open, empty: make(map[emptyKind][]*Worker), maxFree: MaxFree(open), TrialWorkersLeft: math.MaxInt}
 	for _, w := range open {
 		kind, interchangeable := kindOf(w)
 		if !interchangeable {
@@ -111,30 +114,31 @@
 	return p
 }
 
-// emptyKind is what an empty worker is to a step that asks for no rack.
+// emptyKind holds the properties by which empty workers differ for a step without a data rack.
 type emptyKind struct {
-	total  work.Resources
-	label  string
-	slow   float64
-	due    bool
-	sought bool
+	total          work.Resources
+	label          string
+	slowness       float64
+	maintenanceDue bool
+	labelInDemand  bool
 }
 
-// kindOf returns the worker's kind; false where something there makes it differ from others.
+// kindOf returns the worker's kind. It reports false if the worker's state sets it apart from
+// other workers.
 func kindOf(w *Worker) (emptyKind, bool) {
 	if w.Tasks > 0 || w.Limit >= 0 || w.Free != w.Total || len(w.Labels) > 2 {
 		return emptyKind{}, false
 	}
-	kind := emptyKind{total: w.Total, slow: w.Slowness, due: w.MaintenanceDue, sought: w.LabelInDemand}
+	kind := emptyKind{total: w.Total, slowness: w.Slowness, maintenanceDue: w.MaintenanceDue, labelInDemand: w.LabelInDemand}
 	if len(w.Labels) > 1 {
 		kind.label = w.Labels[0]
 	}
 	return kind, true
 }
 
-// candidates are the workers to choose from for the task: those in use, and of each kind of
-// empty ones the first, and the first in the rack of the data. Steps that tell workers apart
-// by more choose from all.
+// candidates returns the workers to choose from for the task: all used ones, and of each kind
+// of empty ones the first, and the first in the rack of the data. All workers are candidates
+// if the step or task tells workers apart by more than their kind.
 func (p *Planner) candidates(s *Step, t Task) []*Worker {
 	if s.Permitted != nil || s.Step.Requires != "" || len(t.Avoid) > 0 {
 		return p.open
@@ -156,8 +160,8 @@
 	return out
 }
 
-// occupied takes the worker off the empty ones.
-func (p *Planner) occupied(w *Worker) {
+// markUsed moves the worker from the empty workers to the used ones.
+func (p *Planner) markUsed(w *Worker) {
 	for _, kind := range p.kinds {
 		if i := slices.Index(p.empty[kind], w); i >= 0 {
 			p.empty[kind] = slices.Delete(p.empty[kind], i, i+1)
@@ -167,20 +171,20 @@
 	}
 }
 
-// MayFit reports whether a worker may have room for a task of the step. While a pool
-// is full hundreds of steps wait; they are passed over without a look at every worker.
-func (p *Planner) MayFit(s *work.Step) bool { return Reserved(s).Fits(p.most) }
+// MayFit reports whether some worker may have the capacity for a task of the step. While a pool
+// is full hundreds of steps wait, and this check skips them without visiting every worker.
+func (p *Planner) MayFit(s *work.Step) bool { return Reserved(s).Fits(p.maxFree) }
 
-// FreeCapacity is what all workers together have free.
+// FreeCapacity returns the sum of the free resources of all open workers.
 func (p *Planner) FreeCapacity() work.Resources {
-	var room work.Resources
+	var free work.Resources
 	for _, w := range p.open {
-		room = room.Plus(w.Free)
+		free = free.Plus(w.Free)
 	}
-	return room
+	return free
 }
 
-// Place places what it can of the step.
+// Place places as many of the step's tasks as it can, and a gang only as a whole.
 func (p *Planner) Place(s *Step) []Placement {
 	if !p.MayFit(s.Step) {
 		return nil
@@ -188,16 +192,16 @@
 	if s.Step.Gang {
 		out := planGang(p.open, s)
 		for _, placed := range out {
-			p.occupied(p.worker(placed.Worker))
+			p.markUsed(p.worker(placed.Worker))
 		}
-		p.most = MaxFree(p.open)
+		p.maxFree = MaxFree(p.open)
 		return out
 	}
 	var out []Placement
 	var from []*Worker
 	for _, t := range s.Tasks {
 		if t.Suspect {
-			out = append(out, p.try(s, t)...)
+			out = append(out, p.placeSuspect(s, t)...)
 			continue
 		}
 		if from == nil || len(t.Avoid) > 0 {
@@ -205,14 +209,14 @@
 		}
 		w := choose(from, s, t)
 		if w == nil {
-			p.most = MaxFree(p.open)
-			break // its other tasks are of the same size
+			p.maxFree = MaxFree(p.open)
+			break // the step's other tasks have the same size
 		}
 		if w.Tasks == 0 || len(t.Avoid) > 0 {
-			p.occupied(w)
+			p.markUsed(w)
 			from = nil
 		}
-		take(w, s)
+		allocate(w, s)
 		out = append(out, Placement{Step: s, Index: t.Index, Worker: w.ID})
 	}
 	return out
@@ -223,26 +227,27 @@
 	return p.open[i]
 }
 
-// try places a suspect, beside those of its step if it can.
-func (p *Planner) try(s *Step, t Task) []Placement {
+// placeSuspect places a suspect, preferably on a worker that already has suspects of its step.
+// Once TrialWorkersLeft is used up, only such workers are tried.
+func (p *Planner) placeSuspect(s *Step, t Task) []Placement {
 	open := p.open
 	if p.TrialWorkersLeft <= 0 {
-		open = slices.DeleteFunc(slices.Clone(open), func(w *Worker) bool { return !s.shares(w, t) })
+		open = slices.DeleteFunc(slices.Clone(open), func(w *Worker) bool { return !s.sharesTrial(w, t) })
 	}
 	w := choose(open, s, t)
 	if w == nil {
 		return nil
 	}
-	if w.trial == nil {
-		w.trial = s
+	if w.trialStep == nil {
+		w.trialStep = s
 		p.TrialWorkersLeft--
 	}
-	p.occupied(w)
-	take(w, s)
+	p.markUsed(w)
+	allocate(w, s)
 	return []Placement{{Step: s, Index: t.Index, Worker: w.ID}}
 }
 
-// OpenWorkers returns the workers that take tasks at all.
+// OpenWorkers returns the workers that accept at least one more task.
 func OpenWorkers(workers []*Worker) []*Worker {
 	out := make([]*Worker, 0, len(workers))
 	for _, w := range workers {
@@ -253,28 +258,28 @@
 	return out
 }
 
-// MaxFree returns, for each kind of resource by itself, the most that any of the
-// workers has free. What exceeds it fits nowhere.
+// MaxFree returns, for each kind of resource separately, the largest amount that any of the
+// workers has free. A task that exceeds it fits nowhere.
 func MaxFree(workers []*Worker) work.Resources {
-	var most work.Resources
+	var largest work.Resources
 	for _, w := range workers {
-		most = most.Max(w.Free)
+		largest = largest.Max(w.Free)
 	}
-	return most
+	return largest
 }
 
-// planGang places all waiting tasks of the step or none: members that wait for
-// the rest hold room and do no work.
+// planGang places all waiting tasks of the step or none: members that wait for the others
+// would hold capacity without making progress.
 func planGang(workers []*Worker, s *Step) []Placement {
 	if s.Step.RackSensitive {
 		if out := gangInOneRack(workers, s); out != nil {
 			return out
 		}
 	}
-	return gangOn(workers, s)
+	return placeGangOn(workers, s)
 }
 
-// gangInOneRack tries the racks one by one, the fullest that suffices first.
+// gangInOneRack tries the racks one at a time, in ascending order of their free capacity.
 func gangInOneRack(workers []*Worker, s *Step) []Placement {
 	racks := make(map[string][]*Worker)
 	for _, w := range workers {
@@ -294,38 +299,38 @@
 		return cmp.Or(cmp.Compare(free(a), free(b)), cmp.Compare(a, b))
 	})
 	for _, name := range names {
-		if out := gangOn(racks[name], s); out != nil {
+		if out := placeGangOn(racks[name], s); out != nil {
 			return out
 		}
 	}
 	return nil
 }
 
-func gangOn(workers []*Worker, s *Step) []Placement {
+func placeGangOn(workers []*Worker, s *Step) []Placement {
 	var out []Placement
 	var taken []*Worker
 	for _, t := range s.Tasks {
 		w := choose(workers, s, t)
 		if w == nil {
 			for _, u := range taken {
-				give(u, s)
+				release(u, s)
 			}
 			return nil
 		}
-		take(w, s)
+		allocate(w, s)
 		taken = append(taken, w)
 		out = append(out, Placement{Step: s, Index: t.Index, Worker: w.ID})
 	}
-	// The members of a gang start or fail together: they are tried together.
+	// The members of a gang start and fail together, so a trial of one is a trial of all.
 	if slices.ContainsFunc(s.Tasks, func(t Task) bool { return t.Suspect }) {
 		for _, w := range taken {
-			w.trial = s
+			w.trialStep = s
 		}
 	}
 	return out
 }
 
-// Reserved returns what a task of the step holds of a worker's capacity.
+// Reserved returns the part of a worker's capacity that a task of the step holds.
 func Reserved(s *work.Step) work.Resources {
 	r := s.Size
 	if s.BestEffort {
@@ -334,17 +339,17 @@
 	return r
 }
 
-func take(w *Worker, s *Step) {
+func allocate(w *Worker, s *Step) {
 	w.Free = w.Free.Minus(Reserved(s.Step))
-	count(w, s, 1)
+	addTasks(w, s, 1)
 }
 
-func give(w *Worker, s *Step) {
+func release(w *Worker, s *Step) {
 	w.Free = w.Free.Plus(Reserved(s.Step))
-	count(w, s, -1)
+	addTasks(w, s, -1)
 }
 
-func count(w *Worker, s *Step, n int) {
+func addTasks(w *Worker, s *Step, n int) {
 	s.OnWorker[w.ID] += n
 	w.Tasks += n
 	if w.Limit >= 0 {
@@ -364,18 +369,19 @@
 	}
 }
 
-// shares reports whether the task may go beside the suspects on trial there: they are given up
-// together. A step that lasts is not, and each of its suspects is tried by itself.
-func (s *Step) shares(w *Worker, t Task) bool {
-	return w.trial == s && t.Suspect && !s.Step.LongRunning
+// sharesTrial reports whether the task may be placed beside the suspects on trial on the worker,
+// because they are given up together. A long-running step is never given up, so each of its
+// suspects is tried on a worker of its own.
+func (s *Step) sharesTrial(w *Worker, t Task) bool {
+	return w.trialStep == s && t.Suspect && !s.Step.LongRunning
 }
 
-// choose returns the worker with the lowest score, or nil.
+// choose returns the feasible worker with the lowest score, or nil if there is none.
 func choose(workers []*Worker, s *Step, t Task) *Worker {
 	var best *Worker
 	bestScore := math.Inf(1)
 	for _, w := range workers {
-		if !feasible(w, s) || w.trial != nil && !s.shares(w, t) {
+		if !feasible(w, s) || w.trialStep != nil && !s.sharesTrial(w, t) {
 			continue
 		}
 		if score := scoreOf(w, s, t); score < bestScore {
@@ -388,7 +394,7 @@
 // Reason says why a worker can't take a task.
 type Reason string
 
-// The reasons, in the order in which they are looked at.
+// The reasons, in the order in which they are checked.
 const (
 	ReasonNone         Reason = ""
 	ReasonClosed       Reason = "closed"
@@ -398,8 +404,9 @@
 	ReasonNoTicket     Reason = "no ticket"
 )
 
-// why returns what keeps the step's tasks from the worker.
-func why(w *Worker, s *Step) Reason {
+// rejectionReason returns the first reason why the worker can't take a task of the step, or
+// ReasonNone.
+func rejectionReason(w *Worker, s *Step) Reason {
 	switch {
 	case w.Closed || w.Limit == 0:
 		return ReasonClosed
@@ -415,34 +422,36 @@
 	return ReasonNone
 }
 
-func feasible(w *Worker, s *Step) bool { return why(w, s) == ReasonNone }
+func feasible(w *Worker, s *Step) bool { return rejectionReason(w, s) == ReasonNone }
 
-// CountRejections counts the workers by what keeps the step's tasks from them.
+// CountRejections returns the number of workers for each reason why they can't take a task of
+// the step. Those that can are counted under ReasonNone.
 func CountRejections(workers []*Worker, s *Step) map[Reason]int {
 	out := make(map[Reason]int)
 	for _, w := range workers {
-		out[why(w, s)]++
+		out[rejectionReason(w, s)]++
 	}
 	return out
 }
 
-// Parts of the score. A part outweighs all smaller ones together.
+// Parts of the score of a worker; the worker with the lowest score is chosen. Larger parts are
+// meant to take precedence over the smaller ones.
 const (
-	scoreAvoid     = 1000 // failed there before
-	scoreExposed   = 300  // hazardous tasks beside lasting ones
-	scoreBeside    = 180  // for each task, up to mostBeside, that a suspect would take along
-	scoreDisturbed = 100  // fill beside serving tasks or the reverse: they slow each other
-	scoreFar       = 30   // away from the data: 1.5 to 2 times as long
-	scoreSlow      = 20   // times how much slower than its peers it is
-	scoreSought    = 15   // work that asks for no label takes the room of work that can't go elsewhere
-	scoreFresh     = 25   // hazardous tasks beside ones of another job that have just begun
-	scoreDue       = 10   // a lasting task would have to move again for the VM's maintenance
-	scoreMixed     = 5    // tasks that last and short ones on one VM keep it from being emptied
-	scoreFill      = 1    // best fit
+	scoreAvoid            = 1000 // the task failed there before
+	scoreHazardous        = 300  // hazardous tasks beside long-running ones
+	scoreSuspectNeighbour = 180  // for each task, up to maxCountedNeighbours, that a crash caused by the suspect would end
+	scoreInterference     = 100  // best-effort beside serving tasks or the reverse: they slow each other down
+	scoreRemoteData       = 30   // away from the data's rack: the task takes 1.5 to 2 times as long
+	scoreSlow             = 20   // times the worker's slowness above 1
+	scoreLabelInDemand    = 15   // work that requires no label takes capacity from work that can't run elsewhere
+	scoreHazardousStart   = 25   // hazardous tasks beside those of another job that have just started
+	scoreMaintenanceDue   = 10   // a long-running task would have to move again for the VM's maintenance
+	scoreMixedDurations   = 5    // long-running and short tasks on one VM keep it from becoming empty
+	scoreBestFit          = 1    // times the free share of the worker's processors: prefers the fullest worker
 )
 
-// mostBeside bounds what is counted of the tasks beside a suspect.
-const mostBeside = 5
+// maxCountedNeighbours limits how many tasks beside a suspect count in the score.
+const maxCountedNeighbours = 5
 
 func scoreOf(w *Worker, s *Step, t Task) float64 {
 	score := 0.0
@@ -450,34 +459,34 @@
 		score += scoreAvoid
 	}
 	if s.Step.BestEffort && w.Serving > 0 || s.Step.Serving() && w.BestEffort > 0 {
-		score += scoreDisturbed
+		score += scoreInterference
 	}
 	if s.Hazardous && w.LongRunning > 0 {
-		score += scoreExposed
+		score += scoreHazardous
 	}
 	if s.Hazardous && w.HazardousJob != "" && w.HazardousJob != s.Ref.Job {
-		score += scoreFresh
+		score += scoreHazardousStart
 	}
-	if t.Suspect && w.trial == nil {
-		score += scoreBeside * float64(min(w.Tasks, mostBeside))
+	if t.Suspect && w.trialStep == nil {
+		score += scoreSuspectNeighbour * float64(min(w.Tasks, maxCountedNeighbours))
 	}
 	if s.Step.DataRack != "" && !w.has(s.Step.DataRack) {
-		score += scoreFar
+		score += scoreRemoteData
 	}
 	if w.LabelInDemand && s.Step.Requires == "" {
-		score += scoreSought
+		score += scoreLabelInDemand
 	}
 	score += scoreSlow * max(0, w.Slowness-1)
 	if s.Step.LongRunning && w.MaintenanceDue {
-		score += scoreDue
+		score += scoreMaintenanceDue
 	}
 	if s.Step.LongRunning && w.LongRunning == 0 {
-		score += scoreMixed
+		score += scoreMixedDurations
 	}
 	free := float64(w.Free.MilliCPU) / float64(max(1, w.Total.MilliCPU))
 	if s.Step.BestEffort {
-		// A fill task lives on what others leave: the emptier the better.
-		return score - scoreFill*free
+		// A best-effort task runs on processor time that others leave, so the emptiest worker is best.
+		return score - scoreBestFit*free
 	}
-	return score + scoreFill*free
+	return score + scoreBestFit*free
 }
