--- a/policy/crashes/common.go
+++ b/policy/crashes/common.go
@@ -3,43 +3,45 @@
 import "time"
 
 const (
-	// CorrelationWindow is for how long after a worker fell silent others are waited for that may have
-	// fallen silent with it: a rack, a zone or a switch is not lost by what one task does.
+	// CorrelationWindow is how long after the loss of a worker the blame for it is put off, to
+	// see whether others were lost with it. A rack, a zone or a switch isn't lost because of
+	// one task.
 	CorrelationWindow = 100 * time.Millisecond
-	// leastCommon is how many others make a common cause, at the least; in a smaller pool, all
-	// of them.
-	leastCommon = 3
-	// unusual is how many times more than usual they must be.
-	unusual = 3
+	// minCommon is the number of other workers that must be lost at the same time for a common
+	// cause. In a smaller pool it is all of them.
+	minCommon = 3
+	// unusualFactor is how many times more workers than usual must be lost for a common cause.
+	unusualFactor = 3
 )
 
-// CorrelatedLosses tells workers that fell silent together from those that did so one by one. The zero
-// value has seen none.
+// CorrelatedLosses detects workers that were lost together, by a common cause, among those
+// lost one at a time. The zero value is ready for use and has recorded no loss.
 type CorrelatedLosses struct {
-	seen []time.Duration
+	lostAt []time.Duration
 }
 
-// Record notes that a worker fell silent then.
+// Record records that a worker was lost (not heard from any more) at the given time.
 func (s *CorrelatedLosses) Record(at, now time.Duration) {
-	for len(s.seen) > 0 && now > s.seen[0]+rateWindow {
-		s.seen = s.seen[1:]
+	for len(s.lostAt) > 0 && now > s.lostAt[0]+rateWindow {
+		s.lostAt = s.lostAt[1:]
 	}
-	s.seen = append(s.seen, at)
+	s.lostAt = append(s.lostAt, at)
 }
 
-// Rate is how often one worker of so many crashes by a cause common to several around that
-// moment, a second: 0 unless several fell silent then, and far more than of late. What many
-// tasks that begin at the same moment do still stands out against it.
+// Rate returns how often a worker crashes by a cause common to several, in crashes per worker
+// and second, around the given time. It is 0 unless several of the given number of workers were
+// lost around then, and far more than in the rest of rateWindow. If the tasks of many starts at
+// one moment crash their workers, their likelihood still exceeds this rate.
 func (s *CorrelatedLosses) Rate(at time.Duration, workers int) float64 {
 	around := 0
-	for _, other := range s.seen {
+	for _, other := range s.lostAt {
 		if other >= at-CorrelationWindow && other <= at+CorrelationWindow {
 			around++
 		}
 	}
 	others := float64(around - 1)
-	usual := float64(len(s.seen)-around) * float64(2*CorrelationWindow) / float64(rateWindow)
-	if others < 1 || others < float64(min(leastCommon, workers-1)) || others < unusual*usual {
+	usual := float64(len(s.lostAt)-around) * float64(2*CorrelationWindow) / float64(rateWindow)
+	if others < 1 || others < float64(min(minCommon, workers-1)) || others < unusualFactor*usual {
 		return 0
 	}
 	return others / float64(max(1, workers)) / (2 * CorrelationWindow).Seconds()
--- a/policy/crashes/kind.go
+++ b/policy/crashes/kind.go
@@ -6,48 +6,51 @@
 )
 
 const (
-	// usualPrior is the share of jobs that crash their workers where nothing is known.
+	// usualPrior is the share of jobs that are assumed to crash their workers while nothing is
+	// known of the kind.
 	usualPrior = 0.001
-	// priorWeight is how many jobs must have ended to count as much as usualPrior.
+	// priorWeight is the number of ended jobs that count as much as usualPrior.
 	priorWeight = 20
-	// kindHalfLife is how fast it is forgotten how jobs of a kind ended: a mended release
-	// comes back to usual within minutes.
+	// kindHalfLife is the half-life of what is known of ended jobs. With it, a kind whose fault
+	// has been fixed by a release is back at the usual share within minutes.
 	kindHalfLife = 30 * time.Second
-	// hotPrior is the share from which on a kind is kept away from work that lasts.
-	hotPrior = 0.01
+	// hazardousPrior is the share of crashing jobs from which on a kind is kept away from
+	// long-running tasks.
+	hazardousPrior = 0.01
 )
 
-// Kind learns how many jobs of one kind crash their workers. The zero value has seen none.
+// Kind estimates how many jobs of one kind crash their workers. The zero value is ready for
+// use and has seen no job.
 type Kind struct {
 	sound, poison float64
 	at            time.Duration
 }
 
-// Crashed notes a crash of a worker, and how likely it is to be the doing of a job of the kind
-// that had crashed none before.
-func (k *Kind) Crashed(likely float64, now time.Duration) {
-	k.fade(now)
-	k.poison += likely
+// Crashed records the crash of a worker. probability is the probability that it was caused by a
+// job of the kind that had not crashed a worker before.
+func (k *Kind) Crashed(probability float64, now time.Duration) {
+	k.decay(now)
+	k.poison += probability
 }
 
-// Completed notes that a job was completed.
+// Completed records that a job of the kind was completed.
 func (k *Kind) Completed(now time.Duration) {
-	k.fade(now)
+	k.decay(now)
 	k.sound++
 }
 
-func (k *Kind) fade(now time.Duration) {
+func (k *Kind) decay(now time.Duration) {
 	now = max(now, k.at)
 	kept := math.Exp2(-float64(now-k.at) / float64(kindHalfLife))
 	k.sound, k.poison, k.at = k.sound*kept, k.poison*kept, now
 }
 
-// Prior is the share of jobs of the kind that crash their workers.
+// Prior returns the share of jobs of the kind that crash their workers.
 func (k *Kind) Prior(now time.Duration) float64 {
-	k.fade(now)
+	k.decay(now)
 	return (usualPrior*priorWeight + k.poison) / (priorWeight + k.sound + k.poison)
 }
 
-// Hazardous reports whether so many jobs of the kind crash their workers that work that lasts is
-// to be kept away from it.
-func (k *Kind) Hazardous(now time.Duration) bool { return k.Prior(now) >= hotPrior }
+// Hazardous reports whether so many jobs of the kind crash their workers that they are to be
+// kept away from long-running tasks.
+func (k *Kind) Hazardous(now time.Duration) bool { return k.Prior(now) >= hazardousPrior }
--- a/policy/crashes/rate.go
+++ b/policy/crashes/rate.go
@@ -3,28 +3,30 @@
 import "time"
 
 const (
-	// usualRate is how often one worker crashes by itself in a second where nothing is known.
-	// Workers of large fleets crash once in days; it is far above that, as crashes come in
-	// bursts.
-	usualRate = 0.01
-	// rateWindow is for how long crashes are remembered.
+	// baseRate is how often a worker is assumed to crash spontaneously, in crashes per second.
+	// Workers of large fleets crash only once in days; it is far above that because crashes come
+	// in bursts.
+	baseRate = 0.01
+	// rateWindow is how long crashes are remembered.
 	rateWindow = 10 * time.Second
 )
 
-// Rate estimates how often workers crash by themselves. The zero value has seen none.
+// Rate estimates how often workers crash spontaneously, that is, not because of a task. The
+// zero value is ready for use and has seen no crash.
 type Rate struct {
-	seen []ownCrash
+	seen []spontaneousCrash
 }
 
-type ownCrash struct {
+type spontaneousCrash struct {
 	at    time.Duration
-	share float64 // of a crash by itself, for each worker there was
+	share float64 // probability that the crash was spontaneous, divided by the number of workers
 }
 
-// Crashed notes a crash of one worker of so many, and how likely it was by itself.
-func (r *Rate) Crashed(byItself float64, among int, now time.Duration) {
+// Crashed records the crash of one of the given number of workers. spontaneous is the
+// probability that no task caused it.
+func (r *Rate) Crashed(spontaneous float64, workers int, now time.Duration) {
 	r.forget(now)
-	r.seen = append(r.seen, ownCrash{at: now, share: byItself / float64(max(1, among))})
+	r.seen = append(r.seen, spontaneousCrash{at: now, share: spontaneous / float64(max(1, workers))})
 }
 
 func (r *Rate) forget(now time.Duration) {
@@ -33,12 +35,12 @@
 	}
 }
 
-// PerWorker is the rate in crashes of one worker a second.
+// PerWorker returns the rate in crashes per worker and second.
 func (r *Rate) PerWorker(now time.Duration) float64 {
 	r.forget(now)
 	sum := 0.0
 	for _, c := range r.seen {
 		sum += c.share
 	}
-	return usualRate + sum/rateWindow.Seconds()
+	return baseRate + sum/rateWindow.Seconds()
 }
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// trialShare is the part of a pool that may be lost to suspects at a time: one worker in so
-	// many, and one at the least.
+	// trialShare limits the part of a pool that may be lost to suspects at a time: one worker in
+	// trialShare, and at least one.
 	trialShare = 12
-	// idleShare is the part of the workers that nothing else needs that suspects may have.
+	// idleShare limits the part of the idle workers that suspects may use: one in idleShare.
 	idleShare = 2
-	// mostAway is for how long a worker lost to a suspect is waited for: its VM may come back to
-	// another pool.
-	mostAway = 4 * time.Second
+	// maxAway is how long a worker that was lost to a suspect counts as away. It may never
+	// return, because its VM may join another pool.
+	maxAway = 4 * time.Second
 )
 
-// Trials bounds how much of a pool suspects may take down: while a worker that one of them
-// crashed is away, there is one less for the next. The zero value has lost none.
+// Trials limits how many workers of a pool suspects may take down. A worker that a suspect
+// crashed counts as used until it returns. The zero value is ready for use and has lost none.
 type Trials struct {
-	away map[string]time.Duration // when the worker at the address was lost
+	away map[string]time.Duration // when the worker at each address was lost
 }
 
-// Lost notes that a suspect on trial crashed the worker at the address.
+// Lost records that a suspect on trial crashed the worker at the address.
 func (t *Trials) Lost(address string, now time.Duration) {
 	if t.away == nil {
 		t.away = make(map[string]time.Duration)
@@ -31,78 +31,80 @@
 	t.away[address] = now
 }
 
-// Returned notes that a worker is there again.
+// Returned records that the worker at the address is available again.
 func (t *Trials) Returned(address string) { delete(t.away, address) }
 
-// Available is on how many more workers suspects may be tried, of so many in the pool, while they are
-// tried on so many. So many are idle and nothing else waits for them.
+// Available returns the number of further workers on which suspects may be tried. workers is
+// the size of the pool, idle the number of its workers that run nothing and that no other work
+// waits for, and trying the number on which suspects are tried now. The result may be negative.
 func (t *Trials) Available(workers, idle, trying int, now time.Duration) int {
 	for address, at := range t.away {
-		if now > at+mostAway {
+		if now > at+maxAway {
 			delete(t.away, address)
 		}
 	}
-	held := trying + len(t.away)
-	return max(1, (workers+len(t.away))/trialShare, (idle+held)/idleShare) - held
+	inUse := trying + len(t.away)
+	return max(1, (workers+len(t.away))/trialShare, (idle+inUse)/idleShare) - inUse
 }
 
 const (
-	// usualAway is how long a crashed worker's VM is away.
-	usualAway = 3 * time.Second
-	// triedWithin is the time within which what waits for a trial is to have had it.
-	triedWithin = 8 * time.Second
+	// typicalAway is how long the VM of a crashed worker is usually away.
+	typicalAway = 3 * time.Second
+	// trialDeadline is the time within which all waiting suspects are to have been tried.
+	trialDeadline = 8 * time.Second
 )
 
-// WorkersForSuspects is how many workers so many suspects need, if each takes one down.
+// WorkersForSuspects returns the number of workers needed to try the given number of suspects
+// within trialDeadline if each of them crashes one.
 func WorkersForSuspects(suspects int) int {
-	return int(math.Ceil(float64(suspects) * usualAway.Seconds() / triedWithin.Seconds()))
+	return int(math.Ceil(float64(suspects) * typicalAway.Seconds() / trialDeadline.Seconds()))
 }
 
 const (
-	// leastTrial is the shortest trial: an answer of the worker in between must be seen.
-	leastTrial = 50 * time.Millisecond
-	// onsetMargin is how much longer than the longest onset of late a trial lasts.
-	onsetMargin = 4
-	// onsetsKept is how many onsets are remembered; with fewer than leastOnsets nothing is
-	// concluded from them.
-	onsetsKept, leastOnsets = 8, 3
+	// minTrial is the shortest duration of a trial, which must include an answer of the worker.
+	minTrial = 50 * time.Millisecond
+	// trialMargin is the ratio of the duration of a trial to the longest recent time to crash.
+	trialMargin = 4
+	// timesKept is how many times to crash are remembered. With fewer than minTimes of them the
+	// usual values are used.
+	timesKept, minTimes = 8, 3
 
-	// Bounds of the spacing of jobs on a worker, and how much longer it is than the longest
-	// onset of late.
-	leastSpacing, usualSpacing, mostSpacing = 20 * time.Millisecond, 40 * time.Millisecond, 100 * time.Millisecond
-	spacingMargin                           = 2
+	// Bounds of the spacing between jobs on a worker, and its ratio to the longest recent time
+	// to crash.
+	minSpacing, usualSpacing, maxSpacing = 20 * time.Millisecond, 40 * time.Millisecond, 100 * time.Millisecond
+	spacingMargin                        = 2
 )
 
-// TimesToCrash learns how long after their starts tasks crash their workers, from those that were
-// given up. The zero value has seen none.
+// TimesToCrash keeps how long after their start tasks crashed their workers, from tasks that
+// were given up. The zero value is ready for use and holds none.
 type TimesToCrash struct {
 	seen []time.Duration
 }
 
-// Add notes the crashes under a task that was given up.
+// Add adds the crashes under a task that was given up.
 func (o *TimesToCrash) Add(r Record) {
 	for _, c := range r {
 		if c.MaxRunTime > 0 {
 			o.seen = append(o.seen, c.MaxRunTime)
 		}
 	}
-	o.seen = o.seen[max(0, len(o.seen)-onsetsKept):]
+	o.seen = o.seen[max(0, len(o.seen)-timesKept):]
 }
 
-// JobSpacing is how long the tasks of one job run on a worker before those of another begin there,
-// for a crash to tell whose doing it was.
+// JobSpacing returns how long the tasks of one job must have run on a worker before those of
+// another may start there, so that a crash can be attributed to one of the two.
 func (o *TimesToCrash) JobSpacing() time.Duration {
-	if len(o.seen) < leastOnsets {
+	if len(o.seen) < minTimes {
 		return usualSpacing
 	}
-	return min(mostSpacing, max(leastSpacing, spacingMargin*slices.Max(o.seen)))
+	return min(maxSpacing, max(minSpacing, spacingMargin*slices.Max(o.seen)))
 }
 
-// TrialDuration is how long a suspect is seen to go on until it is taken not to crash its worker by
-// being started.
+// TrialDuration returns how long a suspect must be seen running until its start is taken not to
+// crash the worker.
 func (o *TimesToCrash) TrialDuration() time.Duration {
-	if len(o.seen) < leastOnsets {
+	if len(o.seen) < minTimes {
 		return MaxTrialDuration
 	}
-	return min(MaxTrialDuration, max(leastTrial, onsetMargin*slices.Max(o.seen)))
+	return min(MaxTrialDuration, max(minTrial, trialMargin*slices.Max(o.seen)))
 }
