--- a/policy/straggler/straggler_test.go
+++ b/policy/straggler/straggler_test.go
@@ -7,15 +7,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// A worker reports good health and its tasks stand still: their jobs never end.
-func TestWhatStandsStillIsTold(t *testing.T) {
+// The jobs of tasks that stall on a worker with good health reports would never end.
+func TestStalledTasksAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		task Task
 		want bool
 	}{
 		{"progress a moment ago", Task{Estimate: time.Second, SinceProgress: time.Second, Percent: 40}, false},
-		{"none over two looks", Task{Estimate: time.Second, SinceProgress: 2 * time.Second, Percent: 40}, true},
+		{"none over two polls", Task{Estimate: time.Second, SinceProgress: 2 * time.Second, Percent: 40}, true},
 		{"a long task's percent rises slowly", Task{Estimate: time.Minute, SinceProgress: 2 * time.Second, Percent: 40}, false},
 		{"at its end", Task{Estimate: time.Second, SinceProgress: time.Minute, Percent: 100}, false},
 	} {
@@ -23,9 +23,9 @@
 	}
 }
 
-// Estimates of single tasks are off by any factor. A sound task that takes ten
-// times its estimate must not be thrown away; one that needs seconds more must.
-func TestCrawlingIsJudgedBySecondsNotByEstimates(t *testing.T) {
+// Estimates of single tasks are off by any factor. A sound task that takes ten times its
+// estimate must not be restarted elsewhere, but one that needs several more seconds must.
+func TestSlowRunsAreJudgedBySecondsNotByEstimates(t *testing.T) {
 	off := Task{Estimate: 100 * time.Millisecond, Running: time.Second, Percent: 30}
 	assert.Assert(t, !RunsSlowly(off))
 	slow := Task{Estimate: time.Second, Running: 4 * time.Second, Percent: 30}
@@ -40,7 +40,7 @@
 		s = s.Observe(time.Second, time.Second)
 	}
 	s = s.Observe(4*time.Second, time.Second)
-	assert.Equal(t, s.Factor(), 1.0, "one slow end proves nothing")
+	assert.Equal(t, s.Factor(), 1.0, "a single slow task does not make the worker slow")
 	for range 5 {
 		s = s.Observe(6*time.Second, time.Second)
 	}
