--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -198,7 +198,7 @@
 	}
 	for i, blamed := range verdict.Blamed {
 		if blamed.Factor > 0 {
-			blamed.Run, blamed.Incarnation = cr.lost[i].run, string(w.info.ID)
+			blamed.Run, blamed.Worker = cr.lost[i].run, string(w.info.ID)
 			c.crashedUnder(cr.lost[i], w, blamed, now)
 		}
 	}
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -59,8 +59,8 @@
 
 // Crash is one run of a task that ended with a crash of its worker.
 type Crash struct {
-	Run         int    `json:"run"`
-	Incarnation string `json:"life,omitempty"` // of the worker; empty if unknown
+	Run    int    `json:"run"`
+	Worker string `json:"life,omitempty"` // of the worker; empty if unknown
 	// Factor is the likelihood ratio: how many times likelier the crash is if the task causes
 	// crashes than if it doesn't. 0 stands for unratedFactor.
 	Factor float64 `json:"factor,omitempty"`
@@ -157,8 +157,8 @@
 func (r Record) Incarnations() []string {
 	var out []string
 	for _, c := range r {
-		if c.Incarnation != "" {
-			out = append(out, c.Incarnation)
+		if c.Worker != "" {
+			out = append(out, c.Worker)
 		}
 	}
 	return out
@@ -169,7 +169,7 @@
 func (r Record) MarkExplained(incarnations []string) (Record, bool) {
 	out, changed := slices.Clone(r), false
 	for i := range out {
-		if c := &out[i]; c.Incarnation != "" && !c.ExplainedByOther && slices.Contains(incarnations, c.Incarnation) {
+		if c := &out[i]; c.Worker != "" && !c.ExplainedByOther && slices.Contains(incarnations, c.Worker) {
 			c.ExplainedByOther, changed = true, true
 		}
 	}
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -145,11 +145,11 @@
 
 // Neighbours of a task that is given up would stay suspects for the crashes that it caused.
 func TestCrashesExplainedByAnotherTaskDontCount(t *testing.T) {
-	bad := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 900}, {Run: 2, Incarnation: "w2", Factor: 900}}
-	beside := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20}, {Run: 2, Incarnation: "w9", Factor: 5}}
+	bad := crashes.Record{{Run: 1, Worker: "w1", Factor: 900}, {Run: 2, Worker: "w2", Factor: 900}}
+	beside := crashes.Record{{Run: 1, Worker: "w1", Factor: 20}, {Run: 2, Worker: "w9", Factor: 5}}
 	left, changed := beside.MarkExplained(bad.Incarnations())
 	assert.Assert(t, changed)
-	assert.DeepEqual(t, left, crashes.Record{{Run: 1, Incarnation: "w1", Factor: 20, ExplainedByOther: true}, {Run: 2, Incarnation: "w9", Factor: 5}})
+	assert.DeepEqual(t, left, crashes.Record{{Run: 1, Worker: "w1", Factor: 20, ExplainedByOther: true}, {Run: 2, Worker: "w9", Factor: 5}})
 	assert.Assert(t, !left.Suspect(0.02))
 	_, changed = left.MarkExplained(bad.Incarnations())
 	assert.Assert(t, !changed)
@@ -159,11 +159,11 @@
 // marked as explained in the record of the other. If these no longer counted at all, the other
 // would be started three times more than the platform allows.
 func TestTheLimitOnCrashesCountsExplainedOnes(t *testing.T) {
-	r := crashes.Record{{Run: 1, Incarnation: "w1", Factor: 3}, {Run: 2, Incarnation: "w2", Factor: 30}, {Run: 3, Incarnation: "w3", Factor: 6}}
+	r := crashes.Record{{Run: 1, Worker: "w1", Factor: 3}, {Run: 2, Worker: "w2", Factor: 30}, {Run: 3, Worker: "w3", Factor: 6}}
 	r, _ = r.MarkExplained([]string{"w1", "w2"})
-	r = r.With(crashes.Crash{Run: 4, Incarnation: "w4", Factor: 5})
+	r = r.With(crashes.Crash{Run: 4, Worker: "w4", Factor: 5})
 	assert.Assert(t, !r.Poison(0.1))
-	r = r.With(crashes.Crash{Run: 5, Incarnation: "w5", Factor: 27})
+	r = r.With(crashes.Crash{Run: 5, Worker: "w5", Factor: 27})
 	assert.Assert(t, r.Poison(0.1))
 	sound, _ := r.MarkExplained([]string{"w3", "w4", "w5"})
 	assert.Assert(t, !sound.Poison(0.1), "another task explains all of its crashes")
