--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -279,7 +279,7 @@
 // acquitBeside takes back what was noted of other tasks for the crashes that the task, now
 // known for what it is, explains.
 func (c *Core) acquitBeside(poison *task, now time.Duration) {
-	lives := poison.crashes.Incarnations()
+	lives := poison.crashes.Workers()
 	for _, j := range c.open {
 		j.eachTask(func(t *task) {
 			if left, changed := t.crashes.MarkExplained(lives); changed {
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -153,8 +153,8 @@
 	return slices.DeleteFunc(slices.Clone(r), func(c Crash) bool { return c.Run == run })
 }
 
-// Incarnations returns the known incarnations of the workers that crashed.
-func (r Record) Incarnations() []string {
+// Workers returns the known incarnations of the workers that crashed.
+func (r Record) Workers() []string {
 	var out []string
 	for _, c := range r {
 		if c.Worker != "" {
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -147,11 +147,11 @@
 func TestCrashesExplainedByAnotherTaskDontCount(t *testing.T) {
 	bad := crashes.Record{{Run: 1, Worker: "w1", Factor: 900}, {Run: 2, Worker: "w2", Factor: 900}}
 	beside := crashes.Record{{Run: 1, Worker: "w1", Factor: 20}, {Run: 2, Worker: "w9", Factor: 5}}
-	left, changed := beside.MarkExplained(bad.Incarnations())
+	left, changed := beside.MarkExplained(bad.Workers())
 	assert.Assert(t, changed)
 	assert.DeepEqual(t, left, crashes.Record{{Run: 1, Worker: "w1", Factor: 20, ExplainedByOther: true}, {Run: 2, Worker: "w9", Factor: 5}})
 	assert.Assert(t, !left.Suspect(0.02))
-	_, changed = left.MarkExplained(bad.Incarnations())
+	_, changed = left.MarkExplained(bad.Workers())
 	assert.Assert(t, !changed)
 }
 
