--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -60,7 +60,7 @@
 // Crash is one run of a task that ended with a crash of its worker.
 type Crash struct {
 	Run    int    `json:"run"`
-	Worker string `json:"life,omitempty"` // of the worker; empty if unknown
+	Worker string `json:"life,omitempty"` // ID of the worker; empty if unknown. Later incarnations may have the same ID
 	// Factor is the likelihood ratio: how many times likelier the crash is if the task causes
 	// crashes than if it doesn't. 0 stands for unratedFactor.
 	Factor float64 `json:"factor,omitempty"`
@@ -153,7 +153,7 @@
 	return slices.DeleteFunc(slices.Clone(r), func(c Crash) bool { return c.Run == run })
 }
 
-// Workers returns the known incarnations of the workers that crashed.
+// Workers returns the known IDs of the workers that crashed.
 func (r Record) Workers() []string {
 	var out []string
 	for _, c := range r {
@@ -164,12 +164,12 @@
 	return out
 }
 
-// MarkExplained returns the record with the crashes of the given incarnations marked as
-// explained by another task, and reports whether that changed any of them.
-func (r Record) MarkExplained(incarnations []string) (Record, bool) {
+// MarkExplained returns the record with the crashes of the given workers marked as explained by
+// another task, and reports whether that changed any of them.
+func (r Record) MarkExplained(workers []string) (Record, bool) {
 	out, changed := slices.Clone(r), false
 	for i := range out {
-		if c := &out[i]; c.Worker != "" && !c.ExplainedByOther && slices.Contains(incarnations, c.Worker) {
+		if c := &out[i]; c.Worker != "" && !c.ExplainedByOther && slices.Contains(workers, c.Worker) {
 			c.ExplainedByOther, changed = true, true
 		}
 	}
