--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -181,9 +181,9 @@
 	defer f.mu.Unlock()
 	switch infra.KindOf(err) {
 	case infra.KindUnavailable, infra.KindUnknown, infra.KindRateLimited:
-		f.store.Failed(f.Clock.Now())
+		f.store.RecordFailure(f.Clock.Now())
 	default:
-		f.store.Succeeded()
+		f.store.RecordSuccess()
 	}
 	return err
 }
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -68,7 +68,7 @@
 // such a report is not stale for long.
 func (d *Dispatcher) unavailable(t *target, now time.Time) bool {
 	switch {
-	case !t.serving, t.unreachable, t.leaving.Out(now), t.health.Ejected(now):
+	case !t.serving, t.unreachable, t.leaving.Unready(now), t.health.Ejected(now):
 		return true
 	}
 	return d.cfg.Peers != nil && d.cfg.Peers.Leaving(t.id)
@@ -129,7 +129,7 @@
 	states := make([]TargetState, 0, len(d.sortedTargets))
 	for _, t := range d.sortedTargets {
 		states = append(states, TargetState{
-			VM: t.id, InFlight: t.inFlight, Limit: t.limit, Leaving: t.leaving.Says(),
+			VM: t.id, InFlight: t.inFlight, Limit: t.limit, Leaving: t.leaving.ReportsLeaving(),
 			Ejected: t.health.Ejected(now), Out: d.unavailable(t, now),
 		})
 	}
--- a/policy/dispatch/dispatch.go
+++ b/policy/dispatch/dispatch.go
@@ -155,7 +155,7 @@
 // that refused it is usable.
 func (d *Dispatcher) admit(svc *service, r Request, now time.Time) *Refusal {
 	if r.Avoid == "" {
-		svc.retries.Fresh()
+		svc.retries.RecordRequest()
 		return d.admissionRefusal(svc, r, now)
 	}
 	for _, t := range svc.targets {
@@ -239,10 +239,10 @@
 // attempt that was certainly not run.
 func (d *Dispatcher) Retry(t *Ticket, attempts int, replayable bool, now time.Time) retry.Verdict {
 	return t.svc.retries.Decide(retry.Attempt{
-		Number:     attempts,
-		Replayable: replayable,
-		Deadline:   t.Request.Deadline,
-		Typical:    t.svc.slotTime.Mean(),
+		Number:          attempts,
+		Replayable:      replayable,
+		Deadline:        t.Request.Deadline,
+		TypicalDuration: t.svc.slotTime.Mean(),
 	}, now)
 }
 
--- a/policy/dispatch/fleet.go
+++ b/policy/dispatch/fleet.go
@@ -103,7 +103,7 @@
 	}
 	entered := vm.Serving && !t.serving
 	if entered && (!unknown || len(d.services) > 0) {
-		t.health.Start(now)
+		t.health.BeginSlowStart(now)
 		t.latency = routing.LatencyEstimate{}
 	}
 	t.zone, t.address, t.serving = vm.Zone, vm.Address, vm.Serving
