--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	return crashes.WorkersFor(suspects)
+	return crashes.WorkersForSuspects(suspects)
 }
 
 // noteOthers notes whether, of the steps that waited before this plan, other short work than
@@ -62,7 +62,7 @@
 			trying++
 		}
 	}
-	return c.trials.Room(len(c.workers), idle, trying, now)
+	return c.trials.Available(len(c.workers), idle, trying, now)
 }
 
 // idle counts the workers that would take a task and have none.
@@ -79,7 +79,7 @@
 // hazards reports whether jobs of any kind crash many workers now.
 func (c *Core) hazards(now time.Duration) bool {
 	for _, k := range c.kinds {
-		if k.Hot(now) {
+		if k.Hazardous(now) {
 			return true
 		}
 	}
@@ -89,10 +89,10 @@
 // freshOn is the job whose tasks have just begun on the worker, if its kind crashes many; empty
 // where none have.
 func (c *Core) freshOn(w *worker, now time.Duration) work.JobID {
-	spacing := c.onsets.Spacing()
+	spacing := c.onsets.JobSpacing()
 	for _, t := range w.tasks {
 		begun := t.state == taskActive && now >= t.answered+spacing
-		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hot(now) {
+		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
 			return t.ref.Job
 		}
 	}
