--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -92,7 +92,7 @@
 	l := lostRun{task: t, run: t.run, ran: w.seenRunning(t), unsent: t.answered == 0 && t.left == 0}
 	if !t.shown && t.state != taskActive {
 		l.before = max(0, t.left-w.clockAt)
-		l.unseen = l.before > crashes.Trial
+		l.unseen = l.before > crashes.MaxTrialDuration
 	}
 	silent := w.silentAt(now)
 	switch {
@@ -110,7 +110,7 @@
 func (c *Core) fellSilent(w *worker, now time.Duration) {
 	if w.silentSince == 0 {
 		w.silentSince = now
-		c.silences.Fell(now, now)
+		c.silences.Record(now, now)
 	}
 }
 
@@ -141,7 +141,7 @@
 	c.fellSilent(w, now)
 	at := w.silentAt(now)
 	for _, l := range lost {
-		l.task.notBefore = max(l.task.notBefore, at+crashes.Settle)
+		l.task.notBefore = max(l.task.notBefore, at+crashes.CorrelationWindow)
 	}
 	c.unjudged = append(c.unjudged, crash{worker: w, at: at, lost: lost, tried: w.tries((*task).suspect)})
 	c.judgeCrashes(now)
@@ -152,7 +152,7 @@
 func (c *Core) judgeCrashes(now time.Duration) {
 	var wait []crash
 	for _, cr := range c.unjudged {
-		if now < cr.at+crashes.Settle {
+		if now < cr.at+crashes.CorrelationWindow {
 			wait = append(wait, cr)
 			continue
 		}
@@ -184,26 +184,26 @@
 			job = l.task.ref.String() // it is judged for itself, as its job is never given up
 		}
 		lostRuns[i] = crashes.LostRun{
-			Job: job, Ran: l.ran, Most: l.most, Before: l.before, Unseen: l.unseen, Lasting: l.task.step.spec.LongRunning,
+			Job: job, MinRunTime: l.ran, MaxRunTime: l.most, SilentBeforeStart: l.before, StartUnconfirmed: l.unseen, LongRunning: l.task.step.spec.LongRunning,
 			Record: l.task.crashes, Prior: c.kindOf(j).Prior(now),
 		}
 	}
-	verdict := crashes.Judge(lostRuns, rate)
+	verdict := crashes.Attribute(lostRuns, rate)
 	// What ran on a worker that was never heard is not known.
 	if w.heard {
-		c.crashRate.Crashed(verdict.ByItself, len(c.workers), now)
+		c.crashRate.Crashed(verdict.Spontaneous, len(c.workers), now)
 	}
 	if cr.tried {
 		c.trials.Lost(w.info.Address, now)
 	}
 	for i, blamed := range verdict.Blamed {
 		if blamed.Factor > 0 {
-			blamed.Run, blamed.Life = cr.lost[i].run, string(w.info.ID)
+			blamed.Run, blamed.Worker = cr.lost[i].run, string(w.info.ID)
 			c.crashedUnder(cr.lost[i], w, blamed, now)
 		}
 	}
 	for i, l := range cr.lost {
-		c.kindOf(l.task.step.job).Crashed(verdict.First[i], now)
+		c.kindOf(l.task.step.job).Crashed(verdict.FirstCrash[i], now)
 	}
 	for _, l := range cr.lost {
 		c.giveUpPoison(l.task, now)
@@ -269,7 +269,7 @@
 		return
 	}
 	if prior := c.kindOf(j).Prior(now); t.crashes.Poison(prior) {
-		c.onsets.Saw(t.crashes)
+		c.onsets.Add(t.crashes)
 		c.log.Info("task given up", "task", t.ref.String(), "crashes", len(t.crashes), "share of such jobs", prior)
 		c.finish(j, work.Failed)
 		c.acquitBeside(t, now)
@@ -279,10 +279,10 @@
 // acquitBeside takes back what was noted of other tasks for the crashes that the task, now
 // known for what it is, explains.
 func (c *Core) acquitBeside(poison *task, now time.Duration) {
-	lives := poison.crashes.Lives()
+	lives := poison.crashes.Workers()
 	for _, j := range c.open {
 		j.eachTask(func(t *task) {
-			if left, changed := t.crashes.Acquit(lives); changed {
+			if left, changed := t.crashes.MarkExplained(lives); changed {
 				t.crashes = left
 				c.judgeRecord(t, now)
 				c.touch(j)
@@ -318,8 +318,8 @@
 	if t.where == nil || len(t.crashes) == 0 {
 		return
 	}
-	run := crashes.LostRun{Ran: t.where.seenRunning(t), Lasting: t.step.spec.LongRunning}
-	if run.Clear() {
+	run := crashes.LostRun{MinRunTime: t.where.seenRunning(t), LongRunning: t.step.spec.LongRunning}
+	if run.ProvenSound() {
 		t.crashes, t.crashedAt, t.suspected = nil, nil, false
 		c.touch(t.step.job)
 	}
@@ -345,7 +345,7 @@
 // caused: its worker tells of a run of the task that is later than those under which workers
 // crashed.
 func (c *Core) clearPresumed(t *task, run int) {
-	if t.presumed == 0 || run <= t.crashes.Without(t.presumed).Latest() {
+	if t.presumed == 0 || run <= t.crashes.Without(t.presumed).LatestRun() {
 		return
 	}
 	t.crashes = t.crashes.Without(t.presumed)
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -117,7 +117,7 @@
 					c.sought[s.spec.Requires] = now
 				}
 				if rank == nil {
-					r := joborder.Of(c.orderOf(j, o, now))
+					r := joborder.RankOf(c.orderOf(j, o, now))
 					rank = &r
 					o.tier = r.Tier
 				}
@@ -131,13 +131,13 @@
 // orderOf describes a job to the order.
 func (c *Core) orderOf(j *job, o *occurrence, now time.Duration) joborder.Job {
 	out := joborder.Job{
-		Priority: j.queue.Priority,
-		Lasting:  j.LongRunning(),
-		Begun:    j.begun,
-		Waited:   now - o.due,
-		Size:     j.size,
-		MeanSize: c.size(j.Queue).mean(),
-		Beyond:   j.beyond,
+		Priority:    j.queue.Priority,
+		LongRunning: j.LongRunning(),
+		Started:     j.begun,
+		Age:         now - o.due,
+		TotalWork:   j.size,
+		MeanWork:    c.size(j.Queue).mean(),
+		OverShare:   j.beyond,
 	}
 	chains := make([]time.Duration, len(o.steps))
 	whole := make([]time.Duration, len(o.steps))
@@ -146,7 +146,7 @@
 		left := len(s.tasks) - s.done
 		if left > 0 {
 			chains[i] = est
-			out.Work += est.Seconds() * s.spec.Size.Cores() * float64(left)
+			out.RemainingWork += est.Seconds() * s.spec.Size.Cores() * float64(left)
 		}
 		whole[i] = est
 		var before, beforeWhole time.Duration
@@ -156,7 +156,7 @@
 		}
 		chains[i] += before
 		whole[i] += beforeWhole
-		out.Chain = max(out.Chain, chains[i])
+		out.CriticalPath = max(out.CriticalPath, chains[i])
 		out.Objective = max(out.Objective, whole[i])
 	}
 	out.Objective = time.Duration(float64(out.Objective)*max(1, j.queue.Stretch)) + j.queue.Slack
@@ -183,7 +183,7 @@
 	}
 	planner := taskplan.NewPlanner(workers)
 	if slices.ContainsFunc(ws, func(w waiting) bool { return w.step.suspects() > 0 }) {
-		planner.Trials = c.trialRoom(now)
+		planner.TrialWorkersLeft = c.trialRoom(now)
 	}
 	for _, v := range ws {
 		if len(out.Starts) >= c.mayStart {
@@ -232,7 +232,7 @@
 	}
 	c.explained = now
 	c.log.Info("work waits", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
-		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.Binding(workers, s))
+		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.CountRejections(workers, s))
 }
 
 func (c *Core) snapshots(now time.Duration) []*taskplan.Worker {
@@ -248,9 +248,9 @@
 		w.snapshot(&snaps[i], now)
 		snap := &snaps[i]
 		snap.Closed = snap.Closed || doubt
-		snap.Sought = c.seeks(w.info.Labels, now)
+		snap.LabelInDemand = c.seeks(w.info.Labels, now)
 		if hazards {
-			snap.Fresh = c.freshOn(w, now)
+			snap.HazardousJob = c.freshOn(w, now)
 		}
 		out[i] = snap
 	}
@@ -307,7 +307,7 @@
 func (c *Core) planStep(s *step, workers []*taskplan.Worker, now time.Duration) *taskplan.Step {
 	ps := &taskplan.Step{
 		Ref: s.ref(), Step: s.spec, OnWorker: make(map[work.WorkerID]int),
-		Hazardous: !s.spec.LongRunning && c.kindOf(s.job).Hot(now),
+		Hazardous: !s.spec.LongRunning && c.kindOf(s.job).Hazardous(now),
 	}
 	for _, t := range s.tasks {
 		if c.isDue(t, now) && t.mayBeTried() {
--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -25,13 +25,13 @@
 
 func (c *Core) judge(w *worker, t *task, now time.Duration) {
 	run := c.progressOf(t)
-	if straggler.StandsStill(run) {
+	if straggler.Stalled(run) {
 		w.strikes.failure(t.ref.Job, now)
 		c.abandon(t, w, "stands still", run)
 		return
 	}
-	if straggler.Crawls(run) && c.hasPlace(t, now) {
-		w.slowness = w.slowness.Ended(run.Running*fullPercent/time.Duration(max(1, run.Percent)), run.Estimate)
+	if straggler.RunsSlowly(run) && c.hasPlace(t, now) {
+		w.slowness = w.slowness.Observe(run.Running*fullPercent/time.Duration(max(1, run.Percent)), run.Estimate)
 		c.abandon(t, w, "crawls", run)
 	}
 }
@@ -40,7 +40,7 @@
 // then, and may be a second old.
 func (c *Core) progressOf(t *task) straggler.Task {
 	return straggler.Task{
-		Estimate: c.learned.estimate(t.step), Running: t.listedAt - t.answered, Still: t.listedAt - t.movedAt, Percent: t.percent,
+		Estimate: c.learned.estimate(t.step), Running: t.listedAt - t.answered, SinceProgress: t.listedAt - t.movedAt, Percent: t.percent,
 	}
 }
 
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -209,10 +209,10 @@
 		Closed: w.closed(now),
 		Limit:  -1,
 
-		Lasting: w.load.lasting, Serving: w.load.serving, Filling: w.load.filling,
-		Slowness: w.slowness.Factor(),
-		Due:      w.cordon.Kind == Due,
-		Tasks:    len(w.tasks),
+		LongRunning: w.load.lasting, Serving: w.load.serving, BestEffort: w.load.filling,
+		Slowness:       w.slowness.Factor(),
+		MaintenanceDue: w.cordon.Kind == Due,
+		Tasks:          len(w.tasks),
 	}
 	if n := len(w.info.Labels); n > 0 {
 		out.Rack = w.info.Labels[n-1]
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -82,14 +82,14 @@
 // Leaving implements dispatch.Peers.
 func (p *peers) Leaving(vm model.VMID) bool { return p.loads.PeerSaysLeaving(vm) }
 
-// Messages implements dispatch.Peers.
-func (p *peers) Messages() []slots.PeerMessage {
+// LendingMessages implements dispatch.Peers.
+func (p *peers) LendingMessages() []slots.PeerMessage {
 	if p.digests == nil {
 		return nil
 	}
 	var all []slots.PeerMessage
 	for _, d := range p.digests.PeerDigests() {
-		all = append(all, slots.PeerMessage{Entry: d.Entry, Heard: d.Heard, Message: messageOf(d.Digest)})
+		all = append(all, slots.PeerMessage{Entry: d.Entry, ReceivedAt: d.Heard, Message: messageOf(d.Digest)})
 	}
 	return all
 }
@@ -97,13 +97,13 @@
 func messageOf(d peer.Digest) slots.Message {
 	var m slots.Message
 	for _, w := range d.Wants {
-		m.Wants = append(m.Wants, slots.Want{Service: w.Service, Slots: int(w.Slots)})
+		m.Demands = append(m.Demands, slots.Demand{Service: w.Service, Slots: int(w.Slots)})
 	}
 	for _, l := range d.Loans {
 		m.Loans = append(m.Loans, slots.Loan{VM: l.VM, To: l.To, Slots: int(l.Slots), Version: l.Version})
 	}
 	for _, b := range d.Borrowed {
-		m.Borrowed = append(m.Borrowed, slots.Borrow{VM: b.VM, From: b.From, Using: int(b.Using), Version: b.Version})
+		m.Borrowed = append(m.Borrowed, slots.Borrow{VM: b.VM, From: b.From, InUse: int(b.Using), Version: b.Version})
 	}
 	return m
 }
@@ -114,14 +114,14 @@
 	d.Queued = uint32(s.Queued())
 	m := s.dispatch.lending()
 	d.Wants, d.Loans, d.Borrowed = nil, nil, nil
-	for _, w := range m.Wants {
+	for _, w := range m.Demands {
 		d.Wants = append(d.Wants, peer.SlotWant{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
 	}
 	for _, l := range m.Loans {
 		d.Loans = append(d.Loans, peer.SlotLoan{VM: l.VM, To: l.To, Slots: uint8(min(l.Slots, math.MaxUint8)), Version: l.Version})
 	}
 	for _, b := range m.Borrowed {
-		d.Borrowed = append(d.Borrowed, peer.SlotBorrow{VM: b.VM, From: b.From, Using: uint8(min(b.Using, math.MaxUint8)), Version: b.Version})
+		d.Borrowed = append(d.Borrowed, peer.SlotBorrow{VM: b.VM, From: b.From, Using: uint8(min(b.InUse, math.MaxUint8)), Version: b.Version})
 	}
 }
 
--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -49,13 +49,13 @@
 		}
 		p := &pools.Pool{Name: name, Parked: s.Standby}
 		if c := f.cells[name]; c != nil {
-			p.Used, p.Backlog, p.Arriving, p.Short, p.Spare = c.Used, c.Backlog, c.Arriving, c.Short, c.Spare
-			p.Leftover, p.Bound = c.Leftover, boundOf(c.Bound)
+			p.Used, p.Backlog, p.ArrivalRate, p.MissingVMs, p.SpareDemand = c.Used, c.Backlog, c.Arriving, c.Short, c.Spare
+			p.LateBacklog, p.ByLabel = c.Leftover, boundOf(c.Bound)
 		}
-		if p.Backlog > 0 || p.Leftover > 0 {
+		if p.Backlog > 0 || p.LateBacklog > 0 {
 			f.lastBusy[name] = now
 		}
-		p.Quiet = now - f.lastBusy[name]
+		p.SinceBacklog = now - f.lastBusy[name]
 		byName[name] = p
 	}
 	ids := make([]string, 0, len(f.vms))
@@ -74,10 +74,10 @@
 	return out
 }
 
-func boundOf(loads map[string]engine.BoundLoad) map[string]pools.Bound {
-	out := make(map[string]pools.Bound, len(loads))
+func boundOf(loads map[string]engine.BoundLoad) map[string]pools.LabelDemand {
+	out := make(map[string]pools.LabelDemand, len(loads))
 	for label, l := range loads {
-		out[label] = pools.Bound{Used: l.Used, Backlog: l.Backlog, Leftover: l.Leftover}
+		out[label] = pools.LabelDemand{Used: l.Used, Backlog: l.Backlog, LateBacklog: l.Leftover}
 	}
 	return out
 }
@@ -87,7 +87,7 @@
 	out := pools.VM{ID: vm.ID, Cores: vm.Size.Cores(), Labels: vm.Labels}
 	if o := f.orderOf(vm.ID); o != nil {
 		if p := byName[o.pool]; p != nil {
-			p.Coming = append(p.Coming, out)
+			p.Incoming = append(p.Incoming, out)
 		}
 		return
 	}
@@ -98,7 +98,7 @@
 	w := f.worker(vm)
 	switch {
 	case vm.State == work.VMMoving || vm.State == work.VMUp && !p.Parked && (w == nil || !w.Heard):
-		p.Coming = append(p.Coming, out)
+		p.Incoming = append(p.Incoming, out)
 	case vm.State != work.VMUp:
 	case p.Parked:
 		out.Empty = !f.reserved(vm.ID)
@@ -106,7 +106,7 @@
 	case w.Cordon.Closes() || w.Draining:
 		// It takes nothing new: no capacity.
 	default:
-		out.Empty, out.Since = w.Tasks == 0, w.EmptyFor
+		out.Empty, out.EmptyFor = w.Tasks == 0, w.EmptyFor
 		p.VMs = append(p.VMs, out)
 	}
 }
@@ -129,10 +129,10 @@
 	out := make([]summary, 0, len(state))
 	for _, p := range state {
 		s := summary{
-			Pool: p.Name, VMs: len(p.VMs), Incoming: len(p.Coming), Used: int(p.Used),
-			Backlog: int(p.Backlog), Leftover: int(p.Leftover), Arriving: int(p.Arriving), Short: p.Short,
+			Pool: p.Name, VMs: len(p.VMs), Incoming: len(p.Incoming), Used: int(p.Used),
+			Backlog: int(p.Backlog), Leftover: int(p.LateBacklog), Arriving: int(p.ArrivalRate), Short: p.MissingVMs,
 		}
-		for _, b := range p.Bound {
+		for _, b := range p.ByLabel {
 			s.Labels += int(b.Backlog)
 		}
 		for _, vm := range p.VMs {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -95,7 +95,7 @@
 	}
 	w.refreshLocked()
 	if r.choices == nil || r.version != w.version {
-		r.choices, r.version = forwarding.Choices(string(to.ID), to.Zone, w.Self, w.members), w.version
+		r.choices, r.version = forwarding.Candidates(string(to.ID), to.Zone, w.Self, w.members), w.version
 	}
 	for i, name := range r.choices {
 		if i >= r.past && now >= w.avoid[name] {
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	if want := forwarding.Wanted(len(w.workers), w.active); want != w.active {
+	if want := forwarding.ShouldForward(len(w.workers), w.active); want != w.active {
 		w.active = want
 		w.Log.Info("calls to workers are forwarded", "on", want, "workers", len(w.workers))
 	}
--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -30,7 +30,7 @@
 // learned is what was learned of kinds of jobs and of workers, kept in one key
 // of the store for whoever takes the work over.
 type learned struct {
-	Sizes *sizing.Book
+	Sizes *sizing.UsageHistory
 	Blame *blame.Book
 
 	loaded   bool
@@ -44,16 +44,16 @@
 
 func newLearned() *learned {
 	return &learned{
-		Sizes: sizing.NewBook(), Blame: blame.NewBook(),
+		Sizes: sizing.NewUsageHistory(), Blame: blame.NewBook(),
 		judged: make(map[model.AttemptID]blame.Outcome), reported: make(map[model.AttemptID]time.Time),
 	}
 }
 
 func (l *learned) closed(vm model.VMID, now time.Time) (string, bool) {
-	return l.Blame.Standing(vm, now)
+	return l.Blame.WorkerStatus(vm, now)
 }
 
-func (l *learned) hopeless(failedOn []model.VMID) bool { return l.Blame.Hopeless(failedOn) }
+func (l *learned) hopeless(failedOn []model.VMID) bool { return l.Blame.JobToBlame(failedOn) }
 
 // loadLearned reads once what an earlier holder learned.
 func (j *Jobs) loadLearned(ctx context.Context) error {
@@ -71,7 +71,7 @@
 	}
 	if err := json.Unmarshal(kv.Value, l); err != nil {
 		j.log.Error(err, "what was learned can't be read and is learned anew")
-		l.Sizes, l.Blame = sizing.NewBook(), blame.NewBook()
+		l.Sizes, l.Blame = sizing.NewUsageHistory(), blame.NewBook()
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 func (p *pass) learn(ctx context.Context) error {
 	p.learnOutcomes()
 	most := max(1, int(maxQuarantine*float64(len(p.view.Load().VMs))))
-	for _, vm := range p.learned.Blame.Judge(p.now, most) {
+	for _, vm := range p.learned.Blame.UpdateQuarantine(p.now, most) {
 		p.log.Info("worker quarantined, it fails what runs elsewhere", "vm", vm)
 		p.learned.saved = time.Time{} // rare, and costly to learn anew
 	}
@@ -186,7 +186,7 @@
 // restrain acts on a task over its memory by its class.
 func (p *pass) restrain(ctx context.Context, r *Record, u infra.Usage, inUse model.Resources) error {
 	short := inUse.MemoryMB > p.view.Load().VMs[u.VM].Capacity.MemoryMB
-	switch sizing.Overrun(&r.Job, r.Size, u.Used, short) {
+	switch sizing.OverrunAction(&r.Job, r.Size, u.Used, short) {
 	case sizing.Throttle:
 		return fault("throttle task", "", p.machines.ThrottleTask(ctx, u.Attempt, max(r.Size.MilliCPU/throttleTo, 1)))
 	case sizing.Checkpoint:
