--- a/policy/dispatch/bench_test.go
+++ b/policy/dispatch/bench_test.go
@@ -96,6 +96,8 @@
 	}}
 }
 
+// BenchmarkSaturation offers twice the capacity and compares how each routing
+// strategy uses the capacity and serves urgent requests.
 func BenchmarkSaturation(b *testing.B) {
 	const span = 30 * time.Second
 	unloaded := run(overloadScenario(0.1, 10*span))
@@ -130,6 +132,8 @@
 	return sc
 }
 
+// BenchmarkSlowTarget compares the routing strategies by how much latency grows
+// when one of ten targets becomes ten times slower.
 func BenchmarkSlowTarget(b *testing.B) {
 	const span = 60 * time.Second
 	for _, way := range strategies {
@@ -161,6 +165,7 @@
 	return sc
 }
 
+// lightStats returns the sum over all callers but the heavy one.
 func lightStats(r *simResult) simStats {
 	var sum simStats
 	for name, s := range r.callers {
@@ -174,6 +179,8 @@
 	return sum
 }
 
+// BenchmarkHeavyCaller compares how light callers are served alone and beside a
+// caller that asks for one and a half times the capacity.
 func BenchmarkHeavyCaller(b *testing.B) {
 	const span = 60 * time.Second
 	for b.Loop() {
@@ -189,6 +196,8 @@
 	}
 }
 
+// BenchmarkLongAmongShort compares the routing strategies by the latency of a
+// load in which one request in fifty takes 2 s.
 func BenchmarkLongAmongShort(b *testing.B) {
 	const span = 60 * time.Second
 	for _, way := range strategies {
@@ -216,6 +225,8 @@
 	return sc
 }
 
+// BenchmarkRetryUnderOutage reports the retries per request, and the shares of
+// useful and failed requests, for three kinds of fault at half of the targets.
 func BenchmarkRetryUnderOutage(b *testing.B) {
 	const span = 40 * time.Second
 	for _, o := range []struct {
@@ -250,6 +261,9 @@
 	return sc
 }
 
+// BenchmarkSlots compares ways to divide the slots of targets among entry VMs,
+// with requests spread evenly over the entry VMs and with half of them sent to
+// a single one. The number in a load's name is its multiple of the capacity.
 func BenchmarkSlots(b *testing.B) {
 	const span = 40 * time.Second
 	for _, load := range []struct {
