--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -102,7 +102,9 @@
 	return mean / time.Duration(slots)
 }
 
-// slotCapacity returns the free and the usable slots of available targets.
+// slotCapacity returns how many requests this entry VM may send to available
+// targets now (free), and how many it may have there at once (total): its shares
+// of the targets' slots, with loans.
 func slotCapacity(ts []routing.Target) (free, total int) {
 	for i := range ts {
 		if !ts[i].Unavailable {
