--- a/policy/dispatch/fleet.go
+++ b/policy/dispatch/fleet.go
@@ -152,7 +152,8 @@
 // assignShare sets the target's slots, this entry VM's share of them, and
 // whether this entry VM probes the target. Share and prober are hashed over all
 // entry VMs, so they are recomputed only if an input changed: with thousands of
-// VMs, a new Fleet that differs in a single VM may come every second.
+// VMs, a new Fleet that differs in a single VM may come every second. It changes t
+// in place and returns it.
 func (d *Dispatcher) assignShare(t *target, decl model.Service) *target {
 	n := decl.Slots
 	if n <= 0 {
