--- a/policy/forwarding/forwarding.go
+++ b/policy/forwarding/forwarding.go
@@ -91,7 +91,8 @@
 	return out
 }
 
-// maxWeightByZone returns the largest weight in each zone, without the owner.
+// maxWeightByZone returns the largest Member.Weight in each zone, leaving out the
+// owner. A zone without other entry VMs has no entry in the map.
 func maxWeightByZone(owner string, members []Member) map[string]float64 {
 	out := make(map[string]float64)
 	for _, m := range members {
