--- a/policy/routing/routing.go
+++ b/policy/routing/routing.go
@@ -104,9 +104,9 @@
 	return c.pickAmong(false, typical)
 }
 
-// pickAmong picks two different eligible targets at random, from the own zone
-// or from the others, and returns the better one. It returns -1 if there is
-// none.
+// pickAmong picks two different eligible targets at random, from the own zone if
+// local is set, else from the others, and returns the index of the better one.
+// It returns -1 if there is none. typical is the result of TypicalLatency.
 func (c *Choice) pickAmong(local bool, typical time.Duration) int {
 	n := 0
 	for i := range c.Targets {
@@ -146,7 +146,11 @@
 	return w > 0 && w < 1 && c.Rand(resolution) >= int(w*resolution)
 }
 
-// eligible reports whether the target has a free slot and is not too slow.
+// eligible reports whether target i may get the request: it is in the own zone
+// if local is set, else in another one, isn't the target to avoid, has a free
+// slot, and is not slow compared with typical, the result of TypicalLatency. A
+// slow target is eligible if it would still complete the request sooner than the
+// next free slot of another.
 func (c *Choice) eligible(i int, local bool, typical time.Duration) bool {
 	t := &c.Targets[i]
 	if t.Local != local || t.ID == c.Avoid || t.Free() == 0 {
@@ -156,8 +160,9 @@
 	return latency < SlowFactor*typical || latency < c.Wait+typical
 }
 
-// nthEligible returns the index of the k-th eligible target, counted from 0, or
-// -1.
+// nthEligible returns the index in Targets of the k-th target, counted from 0,
+// for which eligible holds with the same local and typical, or -1 if there are
+// fewer.
 func (c *Choice) nthEligible(k int, local bool, typical time.Duration) int {
 	for i := range c.Targets {
 		if !c.eligible(i, local, typical) {
