--- a/policy/routing/routing_test.go
+++ b/policy/routing/routing_test.go
@@ -76,7 +76,10 @@
 	assert.Assert(t, n > 50 && n < 150, "picked %d times of 1000, expected about 100", n)
 }
 
-func TestLatency(t *testing.T) {
+// TestLatencyEstimate checks that a single long sample doesn't make a target look
+// slow, that a target slow for all requests does, and that without samples the
+// estimate returns to the typical latency, so that the target is tried again.
+func TestLatencyEstimate(t *testing.T) {
 	now := time.Unix(0, 0)
 	feed := func(samples ...time.Duration) *LatencyEstimate {
 		l := &LatencyEstimate{}
