--- a/policy/shift/shift_test.go
+++ b/policy/shift/shift_test.go
@@ -9,8 +9,9 @@
 
 const ms = time.Millisecond
 
-// runSteps calls Step ten times a second for the span and returns the last
-// share.
+// runSteps calls Step ten times a second for the span, with constant latencies of
+// the own zone and of the others, and returns the last share of work that prefers
+// other zones. It advances now by the span.
 func runSteps(s *Shifter, local, remote, span time.Duration, now *time.Time) float64 {
 	share := 0.0
 	for range int(span / (100 * ms)) {
