--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -95,12 +95,16 @@
 	now       time.Time
 }
 
+// clusterShare is each entry VM's own share of the target's slots.
 const clusterShare = 2
 
+// entry returns a randomly drawn entry VM. rapid prints the label with the value if
+// a check fails.
 func (w *cluster) entry(label string) model.EntryID {
 	return rapid.SampledFrom(w.ids).Draw(w.t, label)
 }
 
+// limit returns how many requests the entry VM may have at the target now.
 func (w *cluster) limit(e model.EntryID) int { return w.ledgers[e].Limit("v", clusterShare, w.now) }
 
 // send puts an entry VM's message in transit to another.
