--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -43,8 +43,10 @@
 }
 
 // CannotMeetDeadline reports whether a request that has waited should be refused
-// instead of sent, because less than the margin is left: the wait predicted on
-// its arrival was too short, and other requests wait for the slot.
+// instead of sent, because the time left until its deadline is less than its work
+// may need: highQuantile, the 95th percentile of the time that requests hold a
+// slot, but at most half of the caller's timeout. The wait predicted on its arrival
+// was then too short, and other requests wait for the slot.
 func CannotMeetDeadline(r Request, highQuantile time.Duration, now time.Time) bool {
 	return now.After(r.Arrived) && r.Deadline.Sub(now) < r.margin(highQuantile)
 }
