--- a/policy/overload/governor.go
+++ b/policy/overload/governor.go
@@ -3,11 +3,13 @@
 import "time"
 
 const (
-	// highDelay is the minimum scheduling delay above which load is shed. A call waits for the
-	// processor about three times, to be sent, read and processed, so a short task loses an
-	// eighth of a second at this delay.
+	// highDelay is the threshold above which load is shed. It is compared with Meter.MinDelay,
+	// the shortest scheduling delay of the last 150 ms. A call waits for the processor about
+	// three times, to be sent, read and processed, so a short task loses an eighth of a second at
+	// this delay.
 	highDelay = 40 * time.Millisecond
-	// lowDelay is the minimum scheduling delay below which load is restored.
+	// lowDelay is the threshold for Meter.MinDelay below which load is restored. Between the two
+	// thresholds the overload level stays, so that it does not oscillate.
 	lowDelay = highDelay / 2
 	// adjustInterval is the time between two changes of the overload level. The effect of a
 	// change shows only after what was queued before it has run.
@@ -17,28 +19,30 @@
 	// too much a moment ago is restored carefully.
 	increaseFactor = 1.5
 	decreaseFactor = 0.8
-	// maxLevel leaves each worker two polls a second, and a few starts under way at a time.
+	// maxLevel bounds the overload level. It leaves each worker two polls a second, and a few
+	// starts under way at a time.
 	maxLevel = 16.0
 	// maxPollInterval bounds the time between two polls of a worker. A worker's lease of several
 	// seconds is then still extended in time, even after the time that an answer may take.
 	maxPollInterval = 500 * time.Millisecond
-	// MaxStarts is how many starts may be unanswered at level 1. Each takes half a millisecond
+	// MaxStarts is how many starts may be unanswered at overload level 1. Each takes half a millisecond
 	// of processor time, which makes a queue of a tenth of a second; where answers come within
 	// milliseconds, ten thousand starts a second are possible.
 	MaxStarts = 200
-	// minStarts is how many starts may be unanswered at any level, so that work goes on.
+	// minStarts is how many starts may be unanswered at any overload level, so that work goes on.
 	minStarts = 8
 )
 
 // Governor sheds the load of an overloaded owner: it tells which part of the usual polls and
 // starts remains, by multiplicative decrease and increase. The zero value sheds nothing.
 type Governor struct {
-	level      float64 // 1 or less: nothing is shed
-	adjustedAt time.Duration
+	level      float64       // the overload level, see Level; 1 or less: nothing is shed
+	adjustedAt time.Duration // when Adjust last took a delay into account
 }
 
-// Adjust follows the minimum scheduling delay. It may be called at any rate and changes the
-// level at most once in adjustInterval.
+// Adjust raises or lowers the overload level according to minDelay, the result of Meter.MinDelay.
+// now is the time since a fixed origin, the same in all calls. Adjust may be called at any rate and
+// changes the level at most once in adjustInterval.
 func (g *Governor) Adjust(minDelay, now time.Duration) {
 	if now < g.adjustedAt+adjustInterval {
 		return
