--- a/policy/workspace/keys.go
+++ b/policy/workspace/keys.go
@@ -6,7 +6,8 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Digest is the digest of a key. The key itself is not kept, so that the memory, a log or a
+// Digest is the digest of a key: the secret that a caller sends with a call to show for which
+// workspace it works. The key itself is not kept, so that the memory, a log or a
 // message between entry VMs reveals none. Empty: no key.
 type Digest string
 
@@ -14,7 +15,7 @@
 // timing: it compares digests, whose first bytes a caller can't choose.
 type Keys map[Digest]work.WorkspaceName
 
-// Verdict is the decision on a call by its key.
+// Verdict is the decision whether a call is admitted, given the workspace key that it was sent with.
 type Verdict int8
 
 // The verdicts.
