--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -155,8 +155,9 @@
 	return Settlement{Ledger: out, Allocated: allocated, Usable: usable}
 }
 
-// HasSurplus reports whether the cell has more than its even share and at least claimStep more
-// than it would claim, so that it may give some back.
+// HasSurplus reports whether the claim's cell may give some of the workspace's limit back: it has
+// more than its even share, and at least claimStep more than Settle would give it if other cells
+// needed no more than they have.
 func (l *Ledger) HasSurplus(c Claim) bool {
 	has, even := l.Of(c.Cell, len(c.Cells)), EvenShare(len(c.Cells))
 	return has > even && max(even, roundUp(c.Need+c.Need/surplusDivisor)) <= has-claimStep
