--- a/policy/workspace/ledger_test.go
+++ b/policy/workspace/ledger_test.go
@@ -25,9 +25,9 @@
 	assert.Assert(t, s.Ledger.Empty())
 }
 
-// A workspace has a burst in one of five cells. That cell gets the unallocated parts at once, and
-// those of idle cells as their owners learn of its need: more than half of the limit, even if one
-// of the others gives nothing.
+// A workspace has a burst in one of five cells. That cell gets the parts of the workspace's limit
+// that no cell has at once, and those of idle cells as their owners learn of its need: more than
+// half of the limit, even if one of the others gives nothing.
 func TestACellThatBurstsGetsWhatTheOthersLend(t *testing.T) {
 	burst := Claim{Cell: "a", Cells: cells, Need: Whole}
 	s := new(Ledger).Settle(burst)
@@ -64,8 +64,9 @@
 	assert.Assert(t, !later.Ledger.Contended(all))
 }
 
-// A service is removed and another declared while work of the first still runs. The parts of its
-// cell must not be allocated again before its owner gives them back.
+// A service is removed and another declared while work of the first still runs. The parts of the
+// workspace's limit that the first one's cell has must not be allocated to others before the
+// cell's owner gives them back.
 func TestACellThatIsNoLongerDeclaredKeepsWhatItHas(t *testing.T) {
 	l := Ledger{Allocated: map[string]Parts{"old": 6000}}
 	s := l.Settle(Claim{Cell: "a", Cells: []string{"a", "b"}, Need: Whole})
