--- a/policy/wave/planner.go
+++ b/policy/wave/planner.go
@@ -48,8 +48,9 @@
 	return model.WaveName(strings.TrimPrefix(holder, holderPrefix))
 }
 
-// HeldByWave reports whether the VM with this holder is held by a wave, and not
-// by an operator's order or by nothing.
+// HeldByWave reports whether holder, the value of a VM.Holder, says that a wave
+// has claimed the VM for maintenance. It is false if an operator's order has
+// claimed the VM, and if nothing has.
 func HeldByWave(holder string) bool { return strings.HasPrefix(holder, holderPrefix) }
 
 // classify counts a VM as out, done or remaining. It ignores VMs whose pool
