--- a/policy/wave/tally.go
+++ b/policy/wave/tally.go
@@ -177,7 +177,9 @@
 	return up >= t.Required
 }
 
-// survivesLossOfRacks is survivesLossOfZones for racks.
+// survivesLossOfRacks reports whether the service would still meet its budget if
+// m's rack and all racks in which waves have VMs out failed together. The reason
+// is that of survivesLossOfZones.
 func (t *Tally) survivesLossOfRacks(m budget.Member) bool {
 	up := t.Up - t.Racks[m.Rack].Up
 	for r := range t.racksOut {
