--- a/policy/wave/wave.go
+++ b/policy/wave/wave.go
@@ -118,8 +118,9 @@
 
 func (s *Snapshot) weights() model.Weights { return Weights(s.Declaration, &s.Wave) }
 
-// Weights returns the weights that apply to w: its own if it declares any, else
-// those of the deployment. A nil w gets the weights of the deployment.
+// Weights returns how a short roll-out, few spare VMs and few moves of jobs are
+// weighed against each other in w: as w declares, if it declares any weights, else
+// as the deployment does. A nil w gets the weights of the deployment.
 func Weights(d *model.Declaration, w *model.Wave) model.Weights {
 	if w != nil && w.Weights != (model.Weights{}) {
 		return w.Weights
