--- a/policy/wave/wave_test.go
+++ b/policy/wave/wave_test.go
@@ -165,6 +165,8 @@
 	}
 }
 
+// The estimate of the time until the wave ends must get shorter as VMs return. With
+// one VM left it is the mean duration of the stops so far.
 func TestForecastDropsAsVMsReturn(t *testing.T) {
 	s := newSnapshot(1, 10, 4, 5, preferRollOutTime)
 	before := MakePlan(s).Forecast
