--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -14,22 +14,23 @@
 // Parameters of the order.
 const (
 	// baseValue, workValue and maxValue define the value of a job as the
-	// deployments do: 0.3 plus 0.7 times its total work over the mean of its
-	// queue's jobs, at most 4. The value grows with the work, but a small job
-	// has more value per core-second.
+	// deployments that use this order rate it: 0.3 plus 0.7 times its total work
+	// over the mean of its queue's jobs, at most 4. The value grows with the work,
+	// but a small job has more value per core-second.
 	baseValue = 0.3
 	workValue = 0.7
 	maxValue  = 4.0
 
 	// startedFactor scales the remaining cost of a started job. The work done on
 	// it is of no use to its caller while it waits, so it is finished first
-	// unless another is clearly cheaper. 0.7 does as well as 0.5 and better
-	// than 1 without faults.
+	// unless another is clearly cheaper per unit of value. Without faults,
+	// the order with a factor of 0.7 is as good as with 0.5 and better than
+	// with 1, which gives started jobs no advantage.
 	startedFactor = 0.7
 
 	// expiredAfter is the time after a job's acceptance, as a multiple of its
-	// objective, after which its result is of no use. Until then the deployments
-	// count the job as late.
+	// objective, after which its result is of no use. Between the objective and
+	// then, deployments count the job as late.
 	expiredAfter = 3.0
 )
 
@@ -85,11 +86,15 @@
 	return r.Cost < o.Cost
 }
 
-// RankOf returns the rank of the job.
+// RankOf returns the job's position in the order: by its tier, whether its
+// workspace exceeds its share, its queue's priority, and the cost of the work left
+// per unit of the job's value, in this order.
 func RankOf(j Job) Rank {
 	return Rank{Tier: tier(j), OverShare: j.OverShare, Priority: j.Priority, Cost: cost(j)}
 }
 
+// tier returns the urgency of the job if it ran from now on without waiting: a
+// job that isn't long-running finishes after the run time of its critical path.
 func tier(j Job) Tier {
 	if j.LongRunning {
 		return TierLongRunning
@@ -104,6 +109,8 @@
 	return TierExpired
 }
 
+// cost returns the core-seconds still to do per unit of the job's value, times
+// startedFactor for a started job.
 func cost(j Job) float64 {
 	work := j.RemainingWork
 	if j.Started {
@@ -112,6 +119,8 @@
 	return work / value(j)
 }
 
+// value returns the value of the job, without unit; 1 if the mean work of its
+// queue is unknown.
 func value(j Job) float64 {
 	if j.MeanWork <= 0 {
 		return 1
