--- a/policy/placement/index.go
+++ b/policy/placement/index.go
@@ -73,9 +73,10 @@
 	ix.insert(int32(i))
 }
 
-// eachFeasible calls visit for feasible workers: those to be probed first, then
-// from the fullest bucket on. Unless all is set, it stops after maxCandidates
-// workers that come from the buckets.
+// eachFeasible calls visit for workers that can run the request: first for those
+// marked with Worker.Probe, then for those with the fewest free processors that
+// suffice, and so on upward, bucket by bucket. Unless all is set, it stops after
+// maxCandidates visits, not counting those to the first group.
 func (ix *index) eachFeasible(r *Request, all bool, visit func(*Worker)) {
 	for _, i := range ix.probes {
 		if w := &ix.workers[i]; feasible(r, w) {
