--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -124,6 +124,8 @@
 	return all
 }
 
+// queuesOf returns a sorted queue for each team with waiting requests, ordered by
+// team name.
 func queuesOf(waiting []Request) []*queue {
 	byTeam := make(map[model.TeamName]*queue)
 	var queues []*queue
@@ -176,6 +178,11 @@
 	}
 }
 
+// nextTeam returns the index in p.queues of the team whose request is tried next:
+// of the teams with a request left, the one with the smallest fraction of its
+// guarantee in use; -1 if no request is left. In the pass of urgentRank only urgent
+// requests count. nextIndex holds, for each queue, the index of its first request
+// not yet tried in this pass.
 func (p *planner) nextTeam(k rank, nextIndex []int) int {
 	best, minShare := -1, 0.0
 	for i, q := range p.queues {
