--- a/policy/placement/score.go
+++ b/policy/placement/score.go
@@ -55,6 +55,8 @@
 	return best
 }
 
+// score rates how well the worker suits the request; the highest score is best. It
+// is the sum of the terms of Weights, and of probeBonus for a worker to be probed.
 func (p *planner) score(r *Request, w *Worker) float64 {
 	score := p.weights.Pack * fullness(w, r.Size)
 	if w.MaintenanceSoon {
