--- a/policy/dispatch/fleet.go
+++ b/policy/dispatch/fleet.go
@@ -84,6 +84,7 @@
 	}
 }
 
+// withSelf returns the entry VMs, with self added if it is missing.
 func withSelf(entries []slots.Entry, self slots.Entry) []slots.Entry {
 	if slices.ContainsFunc(entries, func(e slots.Entry) bool { return e.ID == self.ID }) {
 		return entries
@@ -128,6 +129,9 @@
 	}
 }
 
+// updateService applies a service's declaration, sets its targets to those in its
+// pools (byPool holds the targets of each pool), and returns it. Queue and
+// estimates of a service that is already known stay.
 func (d *Dispatcher) updateService(decl model.Service, byPool map[model.PoolName][]*target) *service {
 	svc := d.services[decl.Name]
 	if svc == nil {
