--- a/policy/slots/slots_test.go
+++ b/policy/slots/slots_test.go
@@ -130,6 +130,8 @@
 	w.ledgers[to].Receive(peers, w.now)
 }
 
+// step performs one random action of an entry VM: it starts or ends a request,
+// lends or recalls a slot, or sends or receives a message.
 func (w *cluster) step() {
 	a, b := w.entry("a"), w.entry("b")
 	switch rapid.IntRange(0, 6).Draw(w.t, "do") {
