--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -52,6 +52,8 @@
 	return max(partsFor(amount.MilliCPU, limit.MilliCPU), partsFor(amount.MemoryMB, limit.MemoryMB), partsFor(amount.GPU, limit.GPU))
 }
 
+// partsFor is PartsFor for one kind of resource. It rounds up, and returns 0 for a kind without a
+// limit.
 func partsFor(amount, limit int64) Parts {
 	if limit <= 0 || amount <= 0 {
 		return 0
@@ -67,6 +69,8 @@
 	return int(min(n, fitting(size.GPU, left.GPU, limit.GPU, int64(maxTasks))))
 }
 
+// fitting is Fitting for one kind of resource. It returns maxTasks if the kind has no limit or the
+// tasks use none of it.
 func fitting(size, left, limit, maxTasks int64) int64 {
 	if limit <= 0 || size <= 0 {
 		return maxTasks
