--- a/policy/placement/score.go
+++ b/policy/placement/score.go
@@ -14,6 +14,7 @@
 // spread counts the tasks of each kind in each rack and in each zone.
 type spread map[spreadKey]int
 
+// add counts a task of the job on the worker, if the job asks to be spread.
 func (s spread) add(j *model.Job, w *Worker) {
 	if !j.SpreadByRack {
 		return
@@ -101,6 +102,7 @@
 	return full - imbalance/2
 }
 
+// share returns used as a fraction of a capacity, and 1 for a capacity of 0.
 func share(used, of int64) float64 {
 	if of <= 0 {
 		return 1
