--- a/policy/placement/plan.go
+++ b/policy/placement/plan.go
@@ -229,6 +229,9 @@
 	return true
 }
 
+// assign adds the placement of the request on the worker to the plan and reserves
+// the worker's capacity for the rest of the plan. A worker to be probed takes no
+// further task.
 func (p *planner) assign(r *Request, w *Worker) {
 	p.index.allocate(w, r.Size)
 	if w.Probe {
