--- a/policy/wave/wave_test.go
+++ b/policy/wave/wave_test.go
@@ -59,7 +59,8 @@
 	return s
 }
 
-// markHeld makes v a VM that the wave holds since now.
+// markHeld makes v a VM that the wave has claimed and taken out of service at now,
+// and sets its state.
 func markHeld(v *VM, state model.VMState) {
 	v.Holder, v.State, v.Up, v.Run, v.Since = "wave spring", state, false, "r1", now
 }
@@ -289,6 +290,7 @@
 	})
 }
 
+// countServices returns the availability count of each service.
 func countServices(s *Snapshot) map[model.ServiceName]*budget.Tally {
 	all := make(map[model.ServiceName]*budget.Tally)
 	for i := range s.Declaration.Services {
@@ -306,6 +308,7 @@
 	return all
 }
 
+// allUp reports whether every service has all of its VMs up.
 func allUp(c map[model.ServiceName]*budget.Tally) bool {
 	for _, t := range c {
 		if t.Up < t.Total {
