--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -65,10 +65,10 @@
 	crashRate        crashes.Rate  // of workers, by themselves
 	kinds            map[kindKey]*crashes.Kind
 	unjudged         []crash
-	silences         crashes.Silences
+	silences         crashes.CorrelatedLosses
 	trials           crashes.Trials
 	othersWaited     time.Duration // when short work other than suspects last waited
-	onsets           crashes.Onsets
+	onsets           crashes.TimesToCrash
 	lostUnheard      bool                     // a worker crashed that this owner never heard
 	presumedResolved bool                     // see resolvePresumed
 	alive            map[work.WorkerID]string // pools of the workers that it says are up
@@ -259,7 +259,7 @@
 	}
 	t.where, t.run = w, run
 	t.movedAt = now
-	t.trialLasts = c.onsets.Trial()
+	t.trialLasts = c.onsets.TrialDuration()
 	w.add(t)
 	t.step.set(t, state)
 	if state == taskActive {
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -252,7 +252,7 @@
 		c.attach(t, w, r.Run, taskActive, now)
 		t.stopsOver = now + c.bounds.StopGrace + expirySlack
 		if t.step.spec.LongRunning && r.Percent >= fullPercent {
-			t.ranBefore = crashes.Cleared
+			t.ranBefore = crashes.ClearedAfter
 		}
 	}
 	if t.where != w || t.run != r.Run {
@@ -340,7 +340,7 @@
 		return
 	}
 	if current {
-		w.slowness = w.slowness.Ended(now-t.answered, c.learned.estimate(t.step))
+		w.slowness = w.slowness.Observe(now-t.answered, c.learned.estimate(t.step))
 		c.learned.learn(t.step, now-t.answered)
 	}
 	if t.step.spec.Gang {
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -183,7 +183,7 @@
 	}
 	planner := taskplan.NewPlanner(workers)
 	if slices.ContainsFunc(ws, func(w waiting) bool { return w.step.suspects() > 0 }) {
-		planner.Trials = c.trialRoom(now)
+		planner.TrialWorkersLeft = c.trialRoom(now)
 	}
 	for _, v := range ws {
 		if len(out.Starts) >= c.mayStart {
@@ -232,7 +232,7 @@
 	}
 	c.explained = now
 	c.log.Info("work waits", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
-		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.Binding(workers, s))
+		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.CountRejections(workers, s))
 }
 
 func (c *Core) snapshots(now time.Duration) []*taskplan.Worker {
@@ -248,9 +248,9 @@
 		w.snapshot(&snaps[i], now)
 		snap := &snaps[i]
 		snap.Closed = snap.Closed || doubt
-		snap.Sought = c.seeks(w.info.Labels, now)
+		snap.LabelInDemand = c.seeks(w.info.Labels, now)
 		if hazards {
-			snap.Fresh = c.freshOn(w, now)
+			snap.HazardousJob = c.freshOn(w, now)
 		}
 		out[i] = snap
 	}
@@ -307,7 +307,7 @@
 func (c *Core) planStep(s *step, workers []*taskplan.Worker, now time.Duration) *taskplan.Step {
 	ps := &taskplan.Step{
 		Ref: s.ref(), Step: s.spec, OnWorker: make(map[work.WorkerID]int),
-		Hazardous: !s.spec.LongRunning && c.kindOf(s.job).Hot(now),
+		Hazardous: !s.spec.LongRunning && c.kindOf(s.job).Hazardous(now),
 	}
 	for _, t := range s.tasks {
 		if c.isDue(t, now) && t.mayBeTried() {
