--- a/policy/workspace/ledger.go
+++ b/policy/workspace/ledger.go
@@ -52,6 +52,8 @@
 	return max(partsFor(amount.MilliCPU, limit.MilliCPU), partsFor(amount.MemoryMB, limit.MemoryMB), partsFor(amount.GPU, limit.GPU))
 }
 
+// partsFor is PartsFor for one kind of resource. It rounds up, and returns 0 for a kind without a
+// limit.
 func partsFor(amount, limit int64) Parts {
 	if limit <= 0 || amount <= 0 {
 		return 0
@@ -67,6 +69,8 @@
 	return int(min(n, fitting(size.GPU, left.GPU, limit.GPU, int64(maxTasks))))
 }
 
+// fitting is Fitting for one kind of resource. It returns maxTasks if the kind has no limit or the
+// tasks use none of it.
 func fitting(size, left, limit, maxTasks int64) int64 {
 	if limit <= 0 || size <= 0 {
 		return maxTasks
@@ -155,8 +159,9 @@
 	return Settlement{Ledger: out, Allocated: allocated, Usable: usable}
 }
 
-// HasSurplus reports whether the cell has more than its even share and at least claimStep more
-// than it would claim, so that it may give some back.
+// HasSurplus reports whether the claim's cell may give some of the workspace's limit back: it has
+// more than its even share, and at least claimStep more than Settle would give it if other cells
+// needed no more than they have.
 func (l *Ledger) HasSurplus(c Claim) bool {
 	has, even := l.Of(c.Cell, len(c.Cells)), EvenShare(len(c.Cells))
 	return has > even && max(even, roundUp(c.Need+c.Need/surplusDivisor)) <= has-claimStep
