--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -12,11 +12,11 @@
 // Lease times. A worker kills what it runs when its lease ends, and a task may
 // start elsewhere only once that is certain.
 const (
-	// LeaseAhead is how far each poll extends a worker's lease. Polls come
+	// LeaseExtension is how far each poll extends a worker's lease. Polls come
 	// every second at most, so at least three seconds are left when the owner
 	// dies; a successor has been measured to hold all workers two seconds
 	// after. Longer would delay the restart of what an unreachable worker ran.
-	LeaseAhead = 4500 * time.Millisecond
+	LeaseExtension = 4500 * time.Millisecond
 	// startAhead is the deadline of a start. Long enough for a slow answer,
 	// short as an order without an answer stays open until it has passed.
 	startAhead = 3 * time.Second
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -22,7 +22,7 @@
 // Times of the lease.
 const (
 	// TTL is how long the key outlives its holder's last renewal: a killed owner
-	// is missed for as long. Leases of tasks outlast that (see engine.LeaseAhead).
+	// is missed for as long. Leases of tasks outlast that (see engine.LeaseExtension).
 	// With 1.2 s a hundredth more or less was served, on days of kills and cuts and
 	// on those of a store that is slow and loses answers; the longer one is left for
 	// stores that are slower than any tried.
