--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -25,7 +25,7 @@
 	vm := &pressed{behind: time.Second}
 	e.Pressure = vm
 	e.Workers = silentWorkers{}
-	e.core.WorkerSeen(info("w1"))
+	e.core.WorkerRegistered(info("w1"))
 	e.core.AllowUntil(time.Hour)
 	s := newSession(e, "w1")
 	w := e.core.workers["w1"]
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -24,7 +24,7 @@
 		id := work.WorkerID(fmt.Sprintf("w%d", i))
 		w := info(id)
 		w.Capacity = work.Resources{MilliCPU: 32000, MemoryMB: 65536}
-		c.WorkerSeen(w)
+		c.WorkerRegistered(w)
 		c.HoldAnswered(id, Hold{}, Listing{Clock: now}, now, now)
 	}
 	for i := range jobs {
@@ -194,7 +194,7 @@
 		c.WorkerGone(id, "its VM has another life or none", now)
 		b.StopTimer()
 		fresh.Capacity = work.Resources{MilliCPU: 32000, MemoryMB: 65536}
-		c.WorkerSeen(fresh)
+		c.WorkerRegistered(fresh)
 		c.HoldAnswered(fresh.ID, Hold{}, Listing{Clock: now}, now, now)
 		now += time.Second
 		for _, s := range c.Plan(now, epoch).Starts {
--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -147,7 +147,7 @@
 	b := newRig(t)
 	claim := CellOrder{Kind: OrderClaim, Worker: "w1"}
 	assert.Assert(t, !b.core.obey(claim, token, b.now), "not registered here")
-	b.core.WorkerSeen(info("w1"))
+	b.core.WorkerRegistered(info("w1"))
 	assert.Assert(t, !b.core.obey(claim, token, b.now), "not heard yet")
 	b.look("w1", Listing{})
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -266,11 +266,11 @@
 	b.running(short(1), "w1")
 	odd := info("w1")
 	odd.Unreadable = true
-	b.core.WorkerSeen(odd)
+	b.core.WorkerRegistered(odd)
 	b.accept("j2", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
 	_, _, polled := b.core.HoldFor("w1", b.now)
 	assert.Assert(t, polled, "its running task keeps its lease")
-	b.core.WorkerSeen(info("w1"))
+	b.core.WorkerRegistered(info("w1"))
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -162,7 +162,7 @@
 		"draining": func(b *rig) {
 			i := info("w1")
 			i.Draining = true
-			b.core.WorkerSeen(i)
+			b.core.WorkerRegistered(i)
 			b.core.WorkerGone("w1", "test", b.now)
 		},
 		"vacated": func(b *rig) {
--- a/internal/engine/crashworld_test.go
+++ b/internal/engine/crashworld_test.go
@@ -99,7 +99,7 @@
 func (w *crashWorld) register(id work.WorkerID) {
 	i := info(id)
 	i.Address = w.lives[id].address
-	w.core.WorkerSeen(i)
+	w.core.WorkerRegistered(i)
 	w.poll(id)
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -328,7 +328,7 @@
 	}
 	var ask []work.WorkerID
 	for _, info := range e.Registry() {
-		if e.core.WorkerSeen(info) {
+		if e.core.WorkerRegistered(info) {
 			ask = append(ask, info.ID)
 		}
 		if e.sessions[info.ID] == nil && e.core.workers[info.ID] != nil {
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -51,7 +51,7 @@
 }
 
 func (b *rig) worker(id work.WorkerID) {
-	b.core.WorkerSeen(info(id))
+	b.core.WorkerRegistered(info(id))
 	b.look(id, Listing{})
 }
 
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -147,7 +147,7 @@
 	next.Inherit(r.now + inheritedFor())
 	next.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
 	r.core = next
-	next.WorkerSeen(info("w1"))
+	next.WorkerRegistered(info("w1"))
 	r.worker("w2")
 	r.acceptRed("j1", short(4))
 	assert.Equal(t, len(r.plan().Starts), 0, "three may run on w1, and three are the cell's")
@@ -207,7 +207,7 @@
 	r.ledger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
 	r.plan()
 	r.account().need = 0
-	r.core.WorkerSeen(info("w1"))
+	r.core.WorkerRegistered(info("w1"))
 	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
 	l := r.store(r.core.Claims(r.now))
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -9,11 +9,11 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// WorkerSeen takes a worker's registration over. The entry of a life that is
+// WorkerRegistered takes a worker's registration over. The entry of a life that is
 // over may stay for some seconds, beside that of another life at the same address:
 // which of them is over only the worker itself and the platform's list can say. ask reports
 // that the worker is to be polled to tell.
-func (c *Core) WorkerSeen(info WorkerInfo) (ask bool) {
+func (c *Core) WorkerRegistered(info WorkerInfo) (ask bool) {
 	if c.isOver(info.ID, info.Life) {
 		return false
 	}
--- a/internal/engine/lives_test.go
+++ b/internal/engine/lives_test.go
@@ -26,7 +26,7 @@
 // lifeRig has a worker that told its first life.
 func lifeRig(t *testing.T) *rig {
 	b := newRig(t)
-	b.core.WorkerSeen(infoOf("w1", firstLife))
+	b.core.WorkerRegistered(infoOf("w1", firstLife))
 	b.look("w1", Listing{Life: firstLife})
 	return b
 }
@@ -47,8 +47,8 @@
 	for name, tell := range map[string]func(b *rig){
 		"its list comes before its registration": func(*rig) {},
 		"its registration comes first": func(b *rig) {
-			assert.Equal(t, b.core.WorkerSeen(infoOf("w1", secondLife)), true, "it is asked")
-			assert.Equal(t, b.core.WorkerSeen(infoOf("w1", secondLife)), false, "once")
+			assert.Equal(t, b.core.WorkerRegistered(infoOf("w1", secondLife)), true, "it is asked")
+			assert.Equal(t, b.core.WorkerRegistered(infoOf("w1", secondLife)), false, "once")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 	first := b.startOn("j1", OutcomeOK)
 	b.look("w1", Listing{Life: firstLife, Ended: []RunEnd{ended(9, first, work.Done)}})
 	b.core.Flushed(b.core.TakeFlush(100), nil)
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	h := b.look("w1", Listing{Life: secondLife})
 	assert.Equal(t, h.AckedThrough, int64(9), "as of the life before")
 	second := b.startOn("j2", OutcomeOK)
@@ -93,7 +93,7 @@
 	b.core.workers["w2"].closedUntil = b.now + time.Hour
 	start := b.startOn("j1", OutcomeUnknown)
 	b.core.workers["w2"].closedUntil = 0
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.now += time.Second
 	b.look("w1", Listing{Life: secondLife})
 	o := b.plan()
@@ -112,7 +112,7 @@
 func TestAStartThatReachedTheNextLifeGoesOnThere(t *testing.T) {
 	b := lifeRig(t)
 	start := b.startOn("j1", OutcomeUnknown)
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.now += time.Second
 	b.look("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
 	task := b.core.find(start.Start.Task)
@@ -124,12 +124,12 @@
 // is started again beside itself.
 func TestALateWordOfAnEarlierLifeChangesNothing(t *testing.T) {
 	b := lifeRig(t)
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.look("w1", Listing{Life: secondLife})
 	start := b.startOn("j1", OutcomeOK)
 	b.look("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
 	b.look("w1", Listing{Life: firstLife})
-	assert.Equal(t, b.core.WorkerSeen(infoOf("w1", firstLife)), false)
+	assert.Equal(t, b.core.WorkerRegistered(infoOf("w1", firstLife)), false)
 	assert.Equal(t, b.core.find(start.Start.Task).state, taskActive)
 	assert.Equal(t, b.core.workers["w1"].info.Life, secondLife)
 }
@@ -138,8 +138,8 @@
 func TestTwoLivesBetweenTwoPolls(t *testing.T) {
 	b := lifeRig(t)
 	ref := b.startOn("j1", OutcomeOK).Start.Task
-	b.core.WorkerSeen(infoOf("w1", secondLife))
-	b.core.WorkerSeen(infoOf("w1", thirdLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", thirdLife))
 	b.now += time.Second
 	b.look("w1", Listing{Life: thirdLife})
 	assert.Equal(t, b.core.find(ref).state, taskPending)
@@ -156,9 +156,9 @@
 	assert.Equal(t, len(b.plan().Starts), 0)
 	small := infoOf("w1", secondLife)
 	small.Capacity.MilliCPU = 1000
-	b.core.WorkerSeen(small)
+	b.core.WorkerRegistered(small)
 	assert.Equal(t, len(b.plan().Starts), 0, "it has no room")
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
@@ -166,7 +166,7 @@
 func TestANewLifeStaysCordoned(t *testing.T) {
 	b := lifeRig(t)
 	b.core.obey(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.look("w1", Listing{Life: secondLife})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
@@ -176,9 +176,9 @@
 func TestAWorkerThatWasOverComesBackUnderItsID(t *testing.T) {
 	b := lifeRig(t)
 	b.core.WorkerGone("w1", "test", b.now)
-	b.core.WorkerSeen(infoOf("w1", firstLife))
+	b.core.WorkerRegistered(infoOf("w1", firstLife))
 	assert.Equal(t, len(b.core.workers), 0)
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.look("w1", Listing{Life: secondLife})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 1)
@@ -188,18 +188,18 @@
 func TestARegistrationOfALifeThatWasNeverHeardIsOver(t *testing.T) {
 	b := lifeRig(t)
 	b.look("w1", Listing{Life: thirdLife})
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.look("w1", Listing{Life: thirdLife})
-	b.core.WorkerSeen(infoOf("w1", thirdLife))
+	b.core.WorkerRegistered(infoOf("w1", thirdLife))
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 1)
-	assert.Equal(t, b.core.WorkerSeen(infoOf("w1", secondLife)), false)
+	assert.Equal(t, b.core.WorkerRegistered(infoOf("w1", secondLife)), false)
 }
 
 // A worker whose next life has registered already is lost to its cell as the one before ends.
 func TestARegisteredLifeFollowsOneThatIsOver(t *testing.T) {
 	b := lifeRig(t)
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.core.WorkerGone("w1", "test", b.now)
 	b.look("w1", Listing{Life: secondLife})
 	b.accept("j1", short(1))
@@ -212,7 +212,7 @@
 	b := lifeRig(t)
 	b.accept("j1", short(1))
 	start := b.plan().Starts[0]
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.look("w1", Listing{Life: secondLife})
 	assert.Equal(t, b.core.StartLeaves(start, b.now), false)
 	b.worker("w2")
@@ -245,7 +245,7 @@
 // had set, for the longest lease that it grants, and was not reached any more.
 func TestALeaseThatWasMeantForTheLifeBeforeIsWaitedFor(t *testing.T) {
 	b := lifeRig(t)
-	b.core.WorkerSeen(infoOf("w1", secondLife))
+	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.look("w1", Listing{Life: secondLife})
 	b.startOn("j1", OutcomeOK)
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -102,7 +102,7 @@
 	for i := range loadWorkers {
 		w := info(work.WorkerID(fmt.Sprintf("w%03d", i)))
 		w.Capacity = work.Resources{MilliCPU: loadRoom * 1000, MemoryMB: 1 << 20}
-		o.core.WorkerSeen(w)
+		o.core.WorkerRegistered(w)
 		o.look(w.ID, Listing{})
 		o.running[w.ID] = make(map[work.TaskRef]fakeRun)
 		o.every(w.ID)
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -49,7 +49,7 @@
 	delete(c.workers, w.info.ID)
 	c.sorted = nil
 	if w.next != nil {
-		c.WorkerSeen(*w.next)
+		c.WorkerRegistered(*w.next)
 	}
 }
 
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -175,7 +175,7 @@
 			continue
 		}
 		if !m.again || m.calm || m.chance(70) {
-			o.core.WorkerSeen(infoOf(w.id, w.life))
+			o.core.WorkerRegistered(infoOf(w.id, w.life))
 		}
 		vms = append(vms, vm("v-"+string(w.id), w.id))
 	}
--- a/internal/engine/poll_test.go
+++ b/internal/engine/poll_test.go
@@ -45,7 +45,7 @@
 	b.worker("w1")
 	leaving := info("w1")
 	leaving.Draining = true
-	b.core.WorkerSeen(leaving)
+	b.core.WorkerRegistered(leaving)
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
 	b.worker("w2")
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -135,7 +135,7 @@
 	}
 	e.core.Reaffirm(now, wall)
 	for _, info := range e.Registry() {
-		e.core.WorkerSeen(info)
+		e.core.WorkerRegistered(info)
 	}
 	if !first {
 		e.core.Inherit(now + inheritedFor())
--- a/internal/engine/room_test.go
+++ b/internal/engine/room_test.go
@@ -16,7 +16,7 @@
 	o := b.running(short(3), "w1") // 6 of 8 cores
 	less := info("w1")
 	less.Capacity.MilliCPU = 4000
-	b.core.WorkerSeen(less)
+	b.core.WorkerRegistered(less)
 	b.accept("j2", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0, "more runs than there is room for")
 
@@ -36,7 +36,7 @@
 	with := func(milliCPU int64) {
 		i := info("w1")
 		i.Capacity.MilliCPU = milliCPU
-		b.core.WorkerSeen(i)
+		b.core.WorkerRegistered(i)
 	}
 	with(1000)
 	b.accept("j1", short(2))
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -57,7 +57,7 @@
 	}
 	next.Reaffirm(b.now, b.wall)
 	for _, id := range workers {
-		next.WorkerSeen(info(id))
+		next.WorkerRegistered(info(id))
 	}
 	next.Inherit(b.now + inheritedFor())
 	b.core = next
@@ -101,7 +101,7 @@
 	b.accept("j1", short(1))
 	b.answer(b.plan(), OutcomeOK)
 	b.takeOver(8)
-	b.core.WorkerSeen(info("w3"))
+	b.core.WorkerRegistered(info("w3"))
 	b.look("w3", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 0, "the VM list was not read")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v3", "w3")})
@@ -135,19 +135,19 @@
 	b := newRig(t)
 	next := info("next")
 	next.Address = info("old").Address
-	b.core.WorkerSeen(info("old"))
-	b.core.WorkerSeen(next)
+	b.core.WorkerRegistered(info("old"))
+	b.core.WorkerRegistered(next)
 	b.look("next", Listing{})
 	b.accept("j1", short(1))
 	b.answer(b.plan(), OutcomeOK)
 	for range 3 {
-		b.core.WorkerSeen(info("old"))
-		b.core.WorkerSeen(next)
+		b.core.WorkerRegistered(info("old"))
+		b.core.WorkerRegistered(next)
 	}
 	assert.Equal(t, len(b.core.workers["next"].tasks), 1)
 
 	b.core.HoldFailed("old", OutcomeOtherLife, b.now)
-	b.core.WorkerSeen(info("old"))
+	b.core.WorkerRegistered(info("old"))
 	assert.Assert(t, b.core.workers["old"] == nil, "an ID that is over does not come back")
 }
 
@@ -185,7 +185,7 @@
 	assert.Equal(t, len(starts), 1)
 	assert.Equal(t, starts[0].Start.Task.Job, work.JobID("j2"))
 
-	b.core.WorkerSeen(info("late"))
+	b.core.WorkerRegistered(info("late"))
 	b.look("late", Listing{})
 	b.accept("j3", short(4))
 	b.accept("j4", short(4))
@@ -260,7 +260,7 @@
 		for _, s := range o.Starts {
 			r := run(s)
 			r.Percent = fullPercent
-			b.core.WorkerSeen(info(s.Worker.ID))
+			b.core.WorkerRegistered(info(s.Worker.ID))
 			b.look(s.Worker.ID, Listing{Running: []Run{r}})
 		}
 	}
