--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -59,7 +59,7 @@
 	// startsUntil: no orders beyond it, as the owner's lease is no longer
 	// certain and a successor may rely on our silence.
 	startsUntil      time.Duration
-	inherited        time.Duration // see Inherit
+	inherited        time.Duration // see InheritLeases
 	fleetKnown       bool          // the platform's list of VMs was read
 	roomKnown        time.Duration // see RoomKnown
 	crashRate        crashes.Rate  // of workers, by themselves
--- a/internal/engine/crashworld_test.go
+++ b/internal/engine/crashworld_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	w.core.Reaffirm(w.now, w.wall)
-	w.core.Inherit(w.now + inheritedFor())
+	w.core.InheritLeases(w.now + inheritedFor())
 	var vms []work.VM
 	for _, id := range w.alive() {
 		vms = append(vms, vm("v-"+string(id), id))
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -144,7 +144,7 @@
 	old := &JobRecord{Job: &work.Job{ID: "j0", Queue: queue, Workspace: redName, Steps: []work.Step{short(3)}, Accepted: r.wall}}
 	next := r.limitedCore(token+1, 8)
 	next.Restore(old, nil, r.now, r.wall)
-	next.Inherit(r.now + inheritedFor())
+	next.InheritLeases(r.now + inheritedFor())
 	next.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
 	r.core = next
 	next.WorkerRegistered(info("w1"))
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -33,10 +33,10 @@
 	return ask
 }
 
-// Inherit says until when, on our clock, an earlier owner may have extended the
+// InheritLeases says until when, on our clock, an earlier owner may have extended the
 // leases of workers. It also holds for workers that register later: the entry of
 // one that lives may have lapsed while the store was away.
-func (c *Core) Inherit(until time.Duration) {
+func (c *Core) InheritLeases(until time.Duration) {
 	c.inherited = until
 	for _, w := range c.workers {
 		w.inherited = until
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -156,7 +156,7 @@
 	}
 	o.core.Reaffirm(m.now, epoch)
 	if !first {
-		o.core.Inherit(m.now + inheritedFor())
+		o.core.InheritLeases(m.now + inheritedFor())
 	}
 	for _, w := range m.workers {
 		if m.chance(25) && !first {
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -138,7 +138,7 @@
 		e.core.WorkerRegistered(info)
 	}
 	if !first {
-		e.core.Inherit(now + inheritedFor())
+		e.core.InheritLeases(now + inheritedFor())
 	}
 	return nil
 }
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -59,7 +59,7 @@
 	for _, id := range workers {
 		next.WorkerRegistered(info(id))
 	}
-	next.Inherit(b.now + inheritedFor())
+	next.InheritLeases(b.now + inheritedFor())
 	b.core = next
 }
 
@@ -220,7 +220,7 @@
 	b.look("w1", Listing{Running: []Run{run(o.Starts[0])}})
 	b.look("w2", Listing{})
 	inherited := b.now + 5*time.Second
-	b.core.Inherit(inherited)
+	b.core.InheritLeases(inherited)
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	for b.now < inherited-10*time.Millisecond {
 		assert.Equal(t, len(b.plan().Starts), 0)
