--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -172,7 +172,7 @@
 	for range 8 {
 		now += time.Millisecond
 		for _, s := range c.Plan(now, epoch).Starts {
-			c.StartLeaves(s, now)
+			c.StartSending(s, now)
 			c.StartAnswered(s, OutcomeOK, now, now)
 		}
 	}
@@ -198,7 +198,7 @@
 		c.HoldAnswered(fresh.ID, Hold{}, Listing{Clock: now}, now, now)
 		now += time.Second
 		for _, s := range c.Plan(now, epoch).Starts {
-			c.StartLeaves(s, now)
+			c.StartSending(s, now)
 			c.StartAnswered(s, OutcomeOK, now, now)
 		}
 		for id := range c.workers {
--- a/internal/engine/crashworld_test.go
+++ b/internal/engine/crashworld_test.go
@@ -246,7 +246,7 @@
 		w.core.StartAnswered(s, OutcomeNotSent, 0, w.now)
 		return
 	}
-	w.core.StartLeaves(s, w.now)
+	w.core.StartSending(s, w.now)
 	ref := s.Start.Task
 	w.starts[ref]++
 	l.runs[ref] = crashRun{run: s.Start.Run, from: w.now}
--- a/internal/engine/lives_test.go
+++ b/internal/engine/lives_test.go
@@ -214,10 +214,10 @@
 	start := b.plan().Starts[0]
 	b.core.WorkerRegistered(infoOf("w1", secondLife))
 	b.look("w1", Listing{Life: secondLife})
-	assert.Equal(t, b.core.StartLeaves(start, b.now), false)
+	assert.Equal(t, b.core.StartSending(start, b.now), false)
 	b.worker("w2")
 	next := b.startOn("j2", OutcomeOK)
-	assert.Equal(t, b.core.StartLeaves(next, b.now), true)
+	assert.Equal(t, b.core.StartSending(next, b.now), true)
 }
 
 // A task that was done runs again: its start had reached the next life and ended there, and a
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -235,7 +235,7 @@
 
 // start plays one start: lost before or after its effect, or carried out late.
 func (m *model) start(o *modelOwner, s StartOrder) {
-	if leaves := o.core.StartLeaves(s, m.now); m.again && !leaves {
+	if leaves := o.core.StartSending(s, m.now); m.again && !leaves {
 		o.core.StartAnswered(s, OutcomeNotSent, 0, m.now)
 		return
 	}
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -77,10 +77,10 @@
 	return 0
 }
 
-// StartLeaves notes that the start is about to be sent: until then it waits for a
+// StartSending notes that the start is about to be sent: until then it waits for a
 // connection to its worker. It reports false if the run was given up meanwhile: its worker may
 // have started again, and would begin what begins elsewhere.
-func (c *Core) StartLeaves(o StartOrder, now time.Duration) bool {
+func (c *Core) StartSending(o StartOrder, now time.Duration) bool {
 	t := c.find(o.Start.Task)
 	if t == nil || t.run != o.Start.Run || t.where == nil || t.where.info.ID != o.Worker.ID {
 		return false
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -63,7 +63,7 @@
 func (e *Engine) startLeaves(o StartOrder) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.core.StartLeaves(o, e.Clock.Now())
+	return e.core.StartSending(o, e.Clock.Now())
 }
 
 func (e *Engine) stop(ctx context.Context, o StopOrder) {
