--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -35,11 +35,11 @@
 		assert.Equal(t, s.poll(t.Context(), &worker, h), false)
 	}
 	poll()
-	assert.Equal(t, w.missed, 0)
-	assert.Equal(t, pauseAfter(e.missed("w1"), time.Second), time.Second, "polls without a pause would keep it behind")
+	assert.Equal(t, w.missedPolls, 0)
+	assert.Equal(t, pauseAfterMissed(e.missedPolls("w1"), time.Second), time.Second, "polls without a pause would keep it behind")
 	vm.behind = 0
 	poll()
-	assert.Equal(t, w.missed, 1, "one that keeps up knows that the worker did not answer")
+	assert.Equal(t, w.missedPolls, 1, "one that keeps up knows that the worker did not answer")
 }
 
 // silentWorkers do not answer. Who asks has given up at once, so that no test waits.
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -178,7 +178,7 @@
 	}
 	now += time.Minute
 	for id := range c.workers {
-		c.workers[id].clockSaid(now, now)
+		c.workers[id].observeClock(now, now)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -202,7 +202,7 @@
 			c.StartAnswered(s, OutcomeOK, now, now)
 		}
 		for id := range c.workers {
-			c.workers[id].clockSaid(now+time.Second, now+time.Second)
+			c.workers[id].observeClock(now+time.Second, now+time.Second)
 		}
 		now += time.Second
 		b.StartTimer()
--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -148,7 +148,7 @@
 		// what runs there. And ends that are not stored are known to the worker
 		// alone beside us: were its life to end, a successor would have done work
 		// done again.
-		if !w.heard || w.missed > 0 || len(w.tasks)+len(w.strays) > 0 || w.stored < w.seen {
+		if !w.contacted || w.missedPolls > 0 || len(w.tasks)+len(w.orphanedRuns) > 0 || w.stored < w.seen {
 			return false
 		}
 		c.setCordon(w, Cordon{Kind: Claimed, Token: token})
@@ -157,7 +157,7 @@
 	case OrderDue:
 		c.setCordon(w, Cordon{Kind: Due, Token: token})
 	case OrderGone:
-		c.lifeOver(w, "its VM is taken away", lossPlanned, now)
+		c.endIncarnation(w, "its VM is taken away", lossPlanned, now)
 	}
 	return true
 }
@@ -182,7 +182,7 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), Short: c.short(now), Spare: c.wantedForTrials(now), Serial: c.serialMoves(), Bound: make(map[string]BoundLoad)}
+	r := CellReport{Arriving: c.arrivalRate(now), Short: c.short(now), Spare: c.vmsForTrials(now), Serial: c.serialMoves(), Bound: make(map[string]BoundLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
@@ -208,7 +208,7 @@
 
 func (r *CellReport) addWorker(w *worker, now time.Duration) {
 	wr := WorkerReport{
-		ID: w.info.ID, Tasks: len(w.tasks) + len(w.strays), Lasting: w.load.lasting, Cordon: w.cordon, Draining: w.info.Draining, Heard: w.heard,
+		ID: w.info.ID, Tasks: len(w.tasks) + len(w.orphanedRuns), Lasting: w.load.longRunning, Cordon: w.cordon, Draining: w.info.Draining, Heard: w.contacted,
 	}
 	if wr.Tasks == 0 {
 		wr.EmptyFor = now - w.emptySince
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -103,7 +103,7 @@
 	assert.Assert(t, h.Deadline > 0)
 	b.worker("w2")
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
-	until := b.now + LeaseExtension + time.Duration(float64(LeaseExtension)*clockError)
+	until := b.now + LeaseExtension + time.Duration(float64(LeaseExtension)*maxClockDrift)
 	for b.now < until {
 		assert.Equal(t, len(b.plan().Starts), 0, "at %s", until-b.now)
 		if _, h, due := b.core.HoldFor("w1", b.now); due {
@@ -111,7 +111,7 @@
 		}
 		b.now += 50 * time.Millisecond
 	}
-	b.now += expirySlack
+	b.now += expiryMargin
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -403,7 +403,7 @@
 	b.worker("w1")
 	b.now += time.Second
 	b.core.SetFleet(nil)
-	b.core.endLives(b.now, b.now)
+	b.core.endUnlistedWorkers(b.now, b.now)
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
 	_, _, due := b.core.HoldFor("w1", b.now)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -124,7 +124,7 @@
 	storeKick chan struct{}
 	shareKick chan struct{}
 	writer    *writer
-	lives     *lives
+	lives     *incarnationWatcher
 	wg        sync.WaitGroup
 }
 
@@ -140,7 +140,7 @@
 	e.core = NewCore(o.Cell, o.Term.Token(), o.Bounds, o.Log.WithName("core"))
 	e.core.metrics = o.Metrics
 	e.writer = newWriter(e)
-	e.lives = &lives{engine: e}
+	e.lives = &incarnationWatcher{engine: e}
 	return e
 }
 
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -127,7 +127,7 @@
 		}
 		out.Runs = append(out.Runs, RunExplanation{
 			Task: t.ref.String(), Run: t.run, Worker: t.where.info.ID, State: taskStateNames[t.state], Percent: t.percent,
-			For: now - t.sent, Failures: len(t.failed), Silent: t.where.missed,
+			For: now - t.sent, Failures: len(t.failed), Silent: t.where.missedPolls,
 		})
 	}
 	if s.pending == 0 {
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -72,7 +72,7 @@
 // worker lists a run that is being stopped as it lists any other; a new owner that
 // took it to be at work stopped a second one beside it.
 func (t *task) atWork() bool {
-	return t.state == taskActive && t.percent >= fullPercent && t.where.missed == 0 && t.where.listedAt >= t.stopsOver
+	return t.state == taskActive && t.percent >= fullPercent && t.where.missedPolls == 0 && t.where.listedAt >= t.stopsOver
 }
 
 // fullPercent is what a worker lists for a lasting task once it is at work.
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -158,7 +158,7 @@
 func (c *Core) strayUse() map[work.WorkspaceName]work.Resources {
 	out := make(map[work.WorkspaceName]work.Resources)
 	for _, w := range c.workers {
-		for ref := range w.strays {
+		for ref := range w.orphanedRuns {
 			if t := c.find(ref); t != nil && t.where != w {
 				name := t.step.job.Workspace
 				out[name] = out[name].Plus(t.step.spec.Size)
@@ -202,7 +202,7 @@
 		}
 	}
 	for _, w := range c.workers {
-		if !w.heard {
+		if !w.contacted {
 			room = room.Plus(w.info.Capacity)
 		}
 	}
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -41,7 +41,7 @@
 
 // mayBeInForce is how long an older limit may still be gone by: until a newer one has to be in
 // force, and from an order until the worker's deadline for it.
-const mayBeInForce = configWithin + startAhead
+const mayBeInForce = configWithin + startValidity
 
 // limitedStep has small tasks, many of which a worker holds.
 func limitedStep(count int) work.Step {
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -169,7 +169,7 @@
 	assert.Equal(t, len(r.plan().Starts), 0)
 	r.look("w1", Listing{Running: []Run{run(o.Starts[0])}, Ended: []RunEnd{ended(1, o.Starts[1], work.Stopped), ended(2, o.Starts[2], work.Stopped)}})
 	assert.Equal(t, len(r.plan().Starts), 2)
-	r.core.workers["w1"].strayed(o.Starts[1].Start.Task, 1)
+	r.core.workers["w1"].markOrphaned(o.Starts[1].Start.Task, 1)
 	r.core.openAccounts(r.now)
 	assert.Equal(t, r.account().left.MilliCPU, short(1).Size.MilliCPU*36/10-4*short(1).Size.MilliCPU)
 }
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -14,21 +14,21 @@
 // which of them is over only the worker itself and the platform's list can say. ask reports
 // that the worker is to be polled to tell.
 func (c *Core) WorkerRegistered(info WorkerInfo) (ask bool) {
-	if c.isOver(info.ID, info.Life) {
+	if c.hasEnded(info.ID, info.Life) {
 		return false
 	}
 	w := c.workers[info.ID]
 	switch {
 	case w == nil:
-		c.join(info)
+		c.addWorker(info)
 	case info.Life == 0 || w.info.Life == 0 || info.Life == w.info.Life:
 		if info.Life == 0 {
 			info.Life = w.info.Life
 		}
-		w.info, w.unregistered, w.next = info, false, nil
+		w.info, w.unregistered, w.nextIncarnation = info, false, nil
 	default:
-		ask = w.next == nil
-		w.next = &info
+		ask = w.nextIncarnation == nil
+		w.nextIncarnation = &info
 	}
 	return ask
 }
@@ -39,13 +39,13 @@
 func (c *Core) InheritLeases(until time.Duration) {
 	c.inherited = until
 	for _, w := range c.workers {
-		w.inherited = until
+		w.inheritedUntil = until
 	}
 }
 
-// ranOut handles the end of a run that did no work to its end.
-func (c *Core) ranOut(t *task, now time.Duration) {
-	c.clearCrashes(t)
+// handleIncompleteRun handles the end of a run that did no work to its end.
+func (c *Core) handleIncompleteRun(t *task, now time.Duration) {
+	c.clearDisprovenCrashes(t)
 	t.trial = 0
 	if t.step.job.final != "" {
 		c.release(t)
@@ -61,17 +61,17 @@
 	if w == nil || w.gone || now > c.startsUntil {
 		return WorkerInfo{}, Hold{}, false
 	}
-	if w.heard && len(w.tasks) == 0 && len(w.strays) == 0 && w.acked >= w.seen && w.missed == 0 && !w.unlisted && w.next == nil {
+	if w.contacted && len(w.tasks) == 0 && len(w.orphanedRuns) == 0 && w.acked >= w.seen && w.missedPolls == 0 && !w.unlisted && w.nextIncarnation == nil {
 		return WorkerInfo{}, Hold{}, false
 	}
 	h := Hold{Token: c.token}
-	if !w.mayReachNext() {
+	if !w.mayReachNextIncarnation() {
 		h.AckedThrough = w.stored
 	}
-	if w.next != nil {
-		h.next = w.next.Life
+	if w.nextIncarnation != nil {
+		h.next = w.nextIncarnation.Life
 	}
-	if !w.heard {
+	if !w.contacted {
 		return w.info, h, true
 	}
 	if len(w.tasks) > 0 {
@@ -79,40 +79,40 @@
 	}
 	// After a lost answer the next is to tell at once whether the worker lives: until then
 	// nothing starts there.
-	if w.missed > 0 {
-		h.Wait = min(h.Wait, pollSoon)
+	if w.missedPolls > 0 {
+		h.Wait = min(h.Wait, pollWaitMin)
 	}
 	// A worker that did not answer gets no further extension: what it runs
 	// must be certain to end, so that it can start elsewhere.
-	if len(w.tasks) > 0 && w.missed == 0 {
+	if len(w.tasks) > 0 && w.missedPolls == 0 {
 		h.Deadline = w.clockNow(now) + min(LeaseExtension, c.bounds.MaxHold)
 		w.deadline = max(w.deadline, h.Deadline)
 	}
 	// These waits mean that the list is to settle or to pace something.
-	h.Brief = polling.Brief(now-w.listedAt, h.Wait == pollSoon || h.Wait == serveWait || w.missed > 0)
+	h.Brief = polling.Brief(now-w.listedAt, h.Wait == pollWaitMin || h.Wait == pollWaitServing || w.missedPolls > 0)
 	return w.info, h, true
 }
 
 func (w *worker) wait() time.Duration {
-	serving, filling, short := false, false, false
-	if len(w.strays) > 0 {
-		return pollSoon
+	serving, bestEffort, short := false, false, false
+	if len(w.orphanedRuns) > 0 {
+		return pollWaitMin
 	}
 	for _, t := range w.tasks {
 		if t.state == taskDoubtful || t.state == taskStopping {
-			return pollSoon
+			return pollWaitMin
 		}
 		serving = serving || t.step.spec.Serving()
-		filling = filling || t.step.spec.BestEffort
+		bestEffort = bestEffort || t.step.spec.BestEffort
 		short = short || !t.step.spec.LongRunning
 	}
 	switch {
-	case w.tries((*task).suspect):
-		return pollSoon
-	case serving && filling:
-		return serveWait
+	case w.runsTrial((*task).suspect):
+		return pollWaitMin
+	case serving && bestEffort:
+		return pollWaitServing
 	case short:
-		return pollWaitShort
+		return pollWaitShortTasks
 	}
 	return pollWait
 }
@@ -136,9 +136,9 @@
 		c.WorkerGone(id, "another life answers", now)
 		return
 	}
-	w.missed++
-	c.fellSilent(w, now)
-	if w.missed == 1 && len(w.tasks) > 0 {
+	w.missedPolls++
+	c.markSilent(w, now)
+	if w.missedPolls == 1 && len(w.tasks) > 0 {
 		c.log.Info("worker does not answer", "worker", id, "tasks", len(w.tasks), "outcome", o.String())
 	}
 	c.Expire(now)
@@ -150,7 +150,7 @@
 		return
 	}
 	for _, w := range c.workers {
-		if w.missed > 0 && len(w.tasks)+len(w.strays) > 0 && w.expired(now) {
+		if w.missedPolls > 0 && len(w.tasks)+len(w.orphanedRuns) > 0 && w.expired(now) {
 			c.log.Info("leases of an unreachable worker have run out", "worker", w.info.ID, "tasks", len(w.tasks))
 			c.dropTasks(w, lossLease, now)
 		}
@@ -167,96 +167,96 @@
 	c.now = now
 	if l.Life != 0 && l.Life != w.info.Life {
 		switch {
-		case c.isOver(id, l.Life):
+		case c.hasEnded(id, l.Life):
 			return
 		case w.info.Life == 0:
 			w.info.Life = l.Life
 		default:
-			w = c.startedAgain(w, l.Life, now)
+			w = c.workerRestarted(w, l.Life, now)
 			h.AckedThrough = 0 // counts the ends of the life before
 		}
 	}
 	// The registration was there before this answer was asked for: its life was an earlier one.
-	if w.next != nil && l.Life == w.info.Life && h.next == w.next.Life {
-		c.over[id] = append(c.over[id], w.next.Life)
-		w.next = nil
+	if w.nextIncarnation != nil && l.Life == w.info.Life && h.next == w.nextIncarnation.Life {
+		c.over[id] = append(c.over[id], w.nextIncarnation.Life)
+		w.nextIncarnation = nil
 	}
-	w.clockSaid(l.Clock, now)
+	w.observeClock(l.Clock, now)
 	w.acked = max(w.acked, h.AckedThrough)
-	if !w.heard {
+	if !w.contacted {
 		c.log.Info("worker heard", "worker", id, "service", w.info.Service, "running", len(l.Running), "ended", len(l.Ended))
-	} else if w.missed > 0 {
-		c.log.Info("worker answers again", "worker", id, "missed", w.missed)
+	} else if w.missedPolls > 0 {
+		c.log.Info("worker answers again", "worker", id, "missed", w.missedPolls)
 	}
-	if !w.heard {
+	if !w.contacted {
 		w.emptySince = now
 	}
-	w.lapsed = nil
-	w.unsure = (w.unsure || !w.heard) && !c.certain
-	w.heard, w.unlisted = true, false
-	w.missed, w.silentSince = 0, 0
+	w.expiredRuns = nil
+	w.ownershipUncertain = (w.ownershipUncertain || !w.contacted) && !c.certain
+	w.contacted, w.unlisted = true, false
+	w.missedPolls, w.silentSince = 0, 0
 	for i := range l.Ended {
 		if e := &l.Ended[i]; e.Seq > w.seen {
 			w.seen = e.Seq
-			c.ended(w, e, now)
+			c.handleEnd(w, e, now)
 		}
 	}
 	if !l.Brief {
 		w.listedAt = sent
-		c.listed(w, l.Running, sent, now)
+		c.reconcileRunning(w, l.Running, sent, now)
 	}
 }
 
-// listed compares what runs with what should.
-func (c *Core) listed(w *worker, running []Run, sent, now time.Duration) {
+// reconcileRunning compares what runs with what should.
+func (c *Core) reconcileRunning(w *worker, running []Run, sent, now time.Duration) {
 	present := make(map[work.TaskRef]int, len(running))
 	for i := range running {
 		present[running[i].Task] = running[i].Run
-		c.runs(w, &running[i], now)
+		c.observeRun(w, &running[i], now)
 	}
 	for ref, t := range w.tasks {
 		if present[ref] != t.run {
-			c.notListed(t, sent, now)
+			c.handleUnlistedTask(t, sent, now)
 		}
 	}
-	for ref, s := range w.strays {
+	for ref, s := range w.orphanedRuns {
 		if _, runs := present[ref]; !runs && s.stopOK != 0 && s.stopOK < sent {
-			delete(w.strays, ref)
+			delete(w.orphanedRuns, ref)
 		}
 	}
 }
 
-// runs takes one listed run over.
-func (c *Core) runs(w *worker, r *Run, now time.Duration) {
+// observeRun takes one listed run over.
+func (c *Core) observeRun(w *worker, r *Run, now time.Duration) {
 	t := c.find(r.Task)
 	if t == nil || t.state == taskDone {
-		w.strayed(r.Task, r.Run)
+		w.markOrphaned(r.Task, r.Run)
 		return
 	}
 	if t.where == nil && t.run <= r.Run || t.where != nil && t.where != w && t.run < r.Run {
 		if t.step.job.final != "" {
-			w.strayed(r.Task, r.Run)
+			w.markOrphaned(r.Task, r.Run)
 			return
 		}
 		// An earlier owner's run, or one that was thought lost. Of two, the
 		// higher: it was ordered after the other had been settled.
 		if t.where != nil {
-			t.where.strayed(t.ref, t.run)
+			t.where.markOrphaned(t.ref, t.run)
 		}
 		c.clearPresumed(t, r.Run)
 		if t.suspect() {
-			c.askTrial(t) // it goes on, and may crash the worker yet
+			c.requestTrial(t) // it goes on, and may crash the worker yet
 		}
 		c.log.Info("run adopted", "task", r.Task.String(), "run", r.Run, "worker", w.info.ID)
-		delete(w.strays, r.Task)
+		delete(w.orphanedRuns, r.Task)
 		c.attach(t, w, r.Run, taskActive, now)
-		t.stopsOver = now + c.bounds.StopGrace + expirySlack
+		t.stopsOver = now + c.bounds.StopGrace + expiryMargin
 		if t.step.spec.LongRunning && r.Percent >= fullPercent {
 			t.ranBefore = crashes.ClearedAfter
 		}
 	}
 	if t.where != w || t.run != r.Run {
-		w.strayed(r.Task, r.Run)
+		w.markOrphaned(r.Task, r.Run)
 		return
 	}
 	if t.state == taskStarting || t.state == taskDoubtful {
@@ -266,7 +266,7 @@
 	if r.Checkpoint != "" {
 		t.checkpoint, t.savedRun = r.Checkpoint, r.Run
 	}
-	c.clearCrashes(t)
+	c.clearDisprovenCrashes(t)
 	t.listedAt = now
 	if r.Percent != t.percent {
 		t.percent, t.movedAt = r.Percent, now
@@ -274,15 +274,15 @@
 	t.gauge = r.Gauge
 }
 
-// notListed handles a task that should be there by our books and is neither
+// handleUnlistedTask handles a task that should be there by our books and is neither
 // listed as running nor as ended. A poll that left before the worker answered
 // the start proves nothing: answers overtake each other.
-func (c *Core) notListed(t *task, sent, now time.Duration) {
+func (c *Core) handleUnlistedTask(t *task, sent, now time.Duration) {
 	switch t.state {
 	case taskActive:
 		if t.answered < sent {
 			c.log.Info("run vanished", "task", t.ref.String(), "run", t.run)
-			c.ranOut(t, now)
+			c.handleIncompleteRun(t, now)
 		}
 	case taskDoubtful:
 		// It may yet start: the stop makes the worker reject it.
@@ -292,15 +292,15 @@
 	case taskStopping:
 		// Not at the stop's answer: a run goes on for a while after it.
 		if t.stopOK != 0 && t.stopOK < sent {
-			c.ranOut(t, now)
+			c.handleIncompleteRun(t, now)
 		}
 	}
 }
 
-// ended takes one end over. Its effect must be stored before it is acknowledged.
-func (c *Core) ended(w *worker, e *RunEnd, now time.Duration) {
-	if s := w.strays[e.Task]; s != nil && s.run <= e.Run {
-		delete(w.strays, e.Task)
+// handleEnd takes one end over. Its effect must be stored before it is acknowledged.
+func (c *Core) handleEnd(w *worker, e *RunEnd, now time.Duration) {
+	if s := w.orphanedRuns[e.Task]; s != nil && s.run <= e.Run {
+		delete(w.orphanedRuns, e.Task)
 	}
 	c.endings++
 	w.unstored = append(w.unstored, endMark{seq: e.Seq, at: c.endings})
@@ -323,19 +323,19 @@
 	default:
 		if current {
 			c.log.V(1).Info("run ended", "task", t.ref.String(), "run", e.Run, "how", e.How, "worker", w.info.ID)
-			c.ranOut(t, now)
+			c.handleIncompleteRun(t, now)
 		}
 	}
 }
 
 func (c *Core) taskDone(w *worker, t *task, e *RunEnd, current bool, now time.Duration) {
-	w.strikes.success()
+	w.failures.recordSuccess()
 	if t.state == taskDone {
 		return
 	}
 	if t.step.spec.LongRunning {
 		if current {
-			c.ranOut(t, now)
+			c.handleIncompleteRun(t, now)
 		}
 		return
 	}
@@ -362,7 +362,7 @@
 		return
 	}
 	if t.where != nil && t.run != endedRun {
-		t.where.strayed(t.ref, t.run)
+		t.where.markOrphaned(t.ref, t.run)
 	}
 	c.release(t)
 	t.step.set(t, taskDone)
@@ -388,8 +388,8 @@
 
 // Pauses between starts of a lasting task that fails again and again.
 const (
-	firstPause = 50 * time.Millisecond
-	mostPause  = 800 * time.Millisecond
+	initialRestartPause = 50 * time.Millisecond
+	maxRestartPause     = 800 * time.Millisecond
 )
 
 func (c *Core) taskFailed(w *worker, t *task, e *RunEnd, current bool, now time.Duration) {
@@ -397,11 +397,11 @@
 		return
 	}
 	c.log.Info("run failed", "task", t.ref.String(), "run", e.Run, "worker", w.info.ID, "failures", len(t.failed)+1)
-	w.strikes.failure(t.ref.Job, now)
+	w.failures.recordFailure(t.ref.Job, now)
 	t.failed = append(t.failed, e.Run)
 	t.avoid = append(t.avoid, w.info.ID)
 	if current {
-		c.ranOut(t, now)
+		c.handleIncompleteRun(t, now)
 	}
 	j := t.step.job
 	if j.final != "" || t.state == taskDone {
@@ -409,7 +409,7 @@
 	}
 	c.touch(j)
 	if t.step.spec.LongRunning {
-		t.notBefore = now + min(mostPause, firstPause<<min(len(t.failed), 4))
+		t.notBefore = now + min(maxRestartPause, initialRestartPause<<min(len(t.failed), 4))
 		return
 	}
 	if j.queue.MaxAttempts > 0 && len(t.failed) >= j.queue.MaxAttempts {
--- a/internal/engine/lives_test.go
+++ b/internal/engine/lives_test.go
@@ -235,7 +235,7 @@
 		return h.AckedThrough
 	}
 	assert.Equal(t, acked(), int64(0), "it is under way")
-	b.core.StartAnswered(start, OutcomeOK, clockAnew/2, b.now)
+	b.core.StartAnswered(start, OutcomeOK, maxInitialClock/2, b.now)
 	assert.Equal(t, acked(), int64(0), "a clock that began anew answered")
 	b.look("w1", Listing{Life: firstLife, Running: []Run{run(start)}})
 	assert.Equal(t, acked(), int64(1), "it runs in this life")
@@ -252,7 +252,7 @@
 	b.now += rigBounds.MaxHold
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	assert.Equal(t, len(b.core.workers["w1"].tasks), 1)
-	b.now += b.core.strayLease()
+	b.now += b.core.maxLateRunDuration()
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	assert.Equal(t, len(b.core.workers["w1"].tasks), 0)
 }
@@ -277,6 +277,6 @@
 	start := b.startOn("j1", OutcomeUnknown)
 	b.look("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
 	b.now += crashes.CorrelationWindow
-	b.core.judgeCrashes(b.now)
+	b.core.attributeDueCrashes(b.now)
 	assert.Equal(t, len(b.core.find(start.Start.Task).crashes), 0)
 }
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -284,7 +284,7 @@
 		o.core.HoldUnread()
 	default:
 		o.core.HoldFailed(id, OutcomeUnknown, o.now)
-		pause = pauseAfter(o.core.workers[id].missed, pause)
+		pause = pauseAfterMissed(o.core.workers[id].missedPolls, pause)
 	}
 	o.finish()
 	o.kick()
@@ -374,5 +374,5 @@
 	o.runUntil(from + 18*time.Second)
 	assert.Assert(t, o.goodput(slowFrom+time.Second, slowUntil) >= 0.5*loadJobsMost/5, "while slow")
 	assert.Assert(t, o.goodput(slowUntil+time.Second, from+14*time.Second) >= 0.9*rate, "after")
-	assert.Equal(t, o.core.anyMissed(), false)
+	assert.Equal(t, o.core.anyPollMissed(), false)
 }
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func (m *Metrics) lost(cause loss) {
+func (m *Metrics) lost(cause lossCause) {
 	if m != nil {
 		m.Lost.Add(string(cause), 1)
 	}
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -180,7 +180,7 @@
 		vms = append(vms, vm("v-"+string(w.id), w.id))
 	}
 	o.core.SetFleet(vms)
-	o.core.endLives(m.now, m.now)
+	o.core.endUnlistedWorkers(m.now, m.now)
 }
 
 // step is one event of the world.
@@ -251,7 +251,7 @@
 		if m.chance(50) {
 			sent := m.now
 			o.orders = append(o.orders, func() {
-				if !m.again || m.now < sent+lateOrders {
+				if !m.again || m.now < sent+maxOrderDelay {
 					m.beginLate(o, w, s)
 				}
 			})
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -7,25 +7,25 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// stopAgain is after how long a stop without an answer is sent again.
-const stopAgain = 400 * time.Millisecond
+// stopRetryInterval is after how long a stop without an answer is sent again.
+const stopRetryInterval = 400 * time.Millisecond
 
 // planStops sends the stops that are due: of tasks that must end, and of runs
 // that nobody wants.
 func (c *Core) planStops(now time.Duration, out *Orders) {
 	for _, w := range c.workers {
-		if w.gone || !w.heard {
+		if w.gone || !w.contacted {
 			continue
 		}
 		for _, t := range w.tasks {
-			if t.state != taskStopping || t.stopOK != 0 || t.stopSent != 0 && now < t.stopSent+stopAgain {
+			if t.state != taskStopping || t.stopOK != 0 || t.stopSent != 0 && now < t.stopSent+stopRetryInterval {
 				continue
 			}
 			t.stopSent = now
 			out.Stops = append(out.Stops, StopOrder{Worker: w.info, Task: t.ref, Run: t.run})
 		}
-		for ref, s := range w.strays {
-			if s.stopOK != 0 || s.sent != 0 && now < s.sent+stopAgain {
+		for ref, s := range w.orphanedRuns {
+			if s.stopOK != 0 || s.sent != 0 && now < s.sent+stopRetryInterval {
 				continue
 			}
 			s.sent = now
@@ -34,14 +34,14 @@
 	}
 }
 
-// order books the placement and makes its start.
-func (c *Core) order(p taskplan.Placement, now time.Duration, out *Orders) {
+// issueStart books the placement and makes its start.
+func (c *Core) issueStart(p taskplan.Placement, now time.Duration, out *Orders) {
 	w := c.workers[p.Worker]
 	t := c.find(work.TaskRef{StepRef: p.Step.Ref, Index: p.Index})
 	run := c.nextRun(t, out)
 	c.attach(t, w, run, taskStarting, now)
 	t.sent, t.left, t.answered, t.ranBefore, t.shown = now, 0, 0, 0, false
-	t.deadline = w.clockNow(now) + min(startAhead, c.bounds.MaxHold)
+	t.deadline = w.clockNow(now) + min(startValidity, c.bounds.MaxHold)
 	w.deadline = max(w.deadline, t.deadline)
 	j := t.step.job
 	c.log.V(1).Info("start", "task", t.ref.String(), "run", run, "worker", w.info.ID, "waited", (now - j.accepted).String(),
@@ -92,14 +92,14 @@
 // StartAnswered takes over what became of a start.
 func (c *Core) StartAnswered(o StartOrder, out Outcome, clock, now time.Duration) {
 	w := c.workers[o.Worker.ID]
-	same := w != nil && w.sameLife(clock, now)
+	same := w != nil && w.sameIncarnation(clock, now)
 	if w != nil {
 		if same {
-			w.clockSaid(clock, now)
+			w.observeClock(clock, now)
 		}
 		switch out {
 		case OutcomeUnknown, OutcomeNotSent:
-			c.fellSilent(w, now)
+			c.markSilent(w, now)
 		case OutcomeOK:
 			w.silentSince = 0
 		}
@@ -154,7 +154,7 @@
 	switch out {
 	case OutcomeNoRoom:
 		w.full = true
-		w.closedUntil = now + pollSoon
+		w.closedUntil = now + pollWaitMin
 	case OutcomeRefused, OutcomeNotSent:
 		w.closedUntil = now + refusedPause
 	case OutcomeLate:
@@ -162,7 +162,7 @@
 	case OutcomeNoTicket:
 		delete(t.step.tickets, w.info.ID)
 	}
-	c.ranOut(t, now)
+	c.handleIncompleteRun(t, now)
 }
 
 // StopAnswered takes over what became of a stop.
@@ -177,7 +177,7 @@
 	}
 	answered := out == OutcomeOK || out == OutcomeOld
 	if w := c.workers[o.Worker.ID]; w != nil && answered {
-		if s := w.strays[o.Task]; s != nil && s.run <= o.Run {
+		if s := w.orphanedRuns[o.Task]; s != nil && s.run <= o.Run {
 			s.stopOK = now
 		}
 	}
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -6,19 +6,19 @@
 	"github.com/pumicestage/pumicestage/policy/pacing"
 )
 
-// planPaces slows fill tasks where serving ones beside them are over target.
-func (c *Core) planPaces(now time.Duration, out *Orders) {
+// planPacing slows fill tasks where serving ones beside them are over target.
+func (c *Core) planPacing(now time.Duration, out *Orders) {
 	for _, w := range c.workers {
-		if w.gone || w.missed > 0 {
+		if w.gone || w.missedPolls > 0 {
 			continue
 		}
-		load, filling := pacingLoad(w)
-		if len(filling) == 0 {
+		load, bestEffort := pacingLoad(w)
+		if len(bestEffort) == 0 {
 			continue
 		}
-		for _, t := range filling {
+		for _, t := range bestEffort {
 			want := pacing.Next(t.pace, load)
-			if want == t.pace || t.paceSent != 0 && now < t.paceSent+c.paceEvery(want < t.pace) {
+			if want == t.pace || t.paceSent != 0 && now < t.paceSent+c.minPaceInterval(want < t.pace) {
 				continue
 			}
 			t.pace, t.paceSent = want, now
@@ -27,31 +27,31 @@
 	}
 }
 
-// paceEvery is the least time between changes of one task's pace: a worker's
+// minPaceInterval is the least time between changes of one task's pace: a worker's
 // gauge covers half a second, and a change shows after the deployment's delay.
-func (c *Core) paceEvery(down bool) time.Duration {
+func (c *Core) minPaceInterval(down bool) time.Duration {
 	if down {
-		return gaugeSpan + c.bounds.PaceDelay
+		return gaugeWindow + c.bounds.PaceDelay
 	}
-	return 2 * (gaugeSpan + c.bounds.PaceDelay)
+	return 2 * (gaugeWindow + c.bounds.PaceDelay)
 }
 
-// gaugeSpan is what a worker's gauge is taken over.
-const gaugeSpan = 500 * time.Millisecond
+// gaugeWindow is what a worker's gauge is taken over.
+const gaugeWindow = 500 * time.Millisecond
 
 func pacingLoad(w *worker) (pacing.Load, []*task) {
 	var load pacing.Load
-	var filling []*task
+	var bestEffort []*task
 	for _, t := range w.tasks {
 		if t.state != taskActive {
 			continue
 		}
 		if t.step.spec.BestEffort {
-			filling = append(filling, t)
+			bestEffort = append(bestEffort, t)
 		} else if t.step.spec.Serving() && t.atWork() {
 			tail := time.Duration(t.gauge) * time.Millisecond
 			load.WorstTailRatio = max(load.WorstTailRatio, float64(tail)/float64(t.step.spec.TargetTail))
 		}
 	}
-	return load, filling
+	return load, bestEffort
 }
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -59,13 +59,13 @@
 		return out
 	}
 	c.forgetEnded(now)
-	c.judgeCrashes(now)
+	c.attributeDueCrashes(now)
 	c.openOccurrences(now, wall)
 	c.Expire(now)
 	if now >= c.judged+judgeEvery {
 		c.judged = now
 		c.stragglers(now)
-		c.planPaces(now, &out)
+		c.planPacing(now, &out)
 	}
 	c.vacate(now)
 	c.planStops(now, &out)
@@ -183,7 +183,7 @@
 	}
 	planner := taskplan.NewPlanner(workers)
 	if slices.ContainsFunc(ws, func(w waiting) bool { return w.step.suspects() > 0 }) {
-		planner.TrialWorkersLeft = c.trialRoom(now)
+		planner.TrialWorkersLeft = c.trialCapacity(now)
 	}
 	for _, v := range ws {
 		if len(out.Starts) >= c.mayStart {
@@ -195,7 +195,7 @@
 		if !planner.MayFit(v.step.spec) || v.step.exhausted(planner) {
 			continue
 		}
-		c.askTrials(v.step, now)
+		c.requestTrials(v.step, now)
 		s := c.planStep(v.step, workers, now)
 		if s == nil {
 			continue
@@ -208,11 +208,11 @@
 			v.step.askAdvice(workers, s.Permitted, now, out)
 		}
 		for _, p := range planner.Place(s) {
-			c.order(p, now, out)
+			c.issueStart(p, now, out)
 			v.step.spend()
 		}
 	}
-	c.noteOthers(ws, now)
+	c.recordOtherWaiting(ws, now)
 	c.explain(ws, workers, now)
 }
 
@@ -240,7 +240,7 @@
 	snaps := make([]taskplan.Worker, len(ordered))
 	out := make([]*taskplan.Worker, len(ordered))
 	c.busy = 0
-	doubt, hazards := c.roomInDoubt(now), c.hazards(now)
+	doubt, hazards := c.roomInDoubt(now), c.anyHazardousKind(now)
 	for i, w := range ordered {
 		if len(w.tasks) > 0 {
 			c.busy++
@@ -250,7 +250,7 @@
 		snap.Closed = snap.Closed || doubt
 		snap.LabelInDemand = c.seeks(w.info.Labels, now)
 		if hazards {
-			snap.HazardousJob = c.freshOn(w, now)
+			snap.HazardousJob = c.recentHazardousJob(w, now)
 		}
 		out[i] = snap
 	}
@@ -292,7 +292,7 @@
 func (c *Core) findStrays() {
 	clear(c.astray)
 	for _, w := range c.workers {
-		for ref := range w.strays {
+		for ref := range w.orphanedRuns {
 			c.astray[ref] = true
 		}
 	}
--- a/internal/engine/poll_test.go
+++ b/internal/engine/poll_test.go
@@ -17,12 +17,12 @@
 	b.running(short(1), "w1")
 	_, h, due := b.core.HoldFor("w1", b.now)
 	assert.Assert(t, due)
-	assert.Equal(t, h.Wait, pollWaitShort)
+	assert.Equal(t, h.Wait, pollWaitShortTasks)
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
-	assert.Equal(t, pauseAfter(b.core.workers["w1"].missed, pollSoon), time.Duration(0))
+	assert.Equal(t, pauseAfterMissed(b.core.workers["w1"].missedPolls, pollWaitMin), time.Duration(0))
 	_, h, due = b.core.HoldFor("w1", b.now)
 	assert.Assert(t, due)
-	assert.Assert(t, h.Wait <= pollSoon)
+	assert.Assert(t, h.Wait <= pollWaitMin)
 	assert.Equal(t, h.Deadline, time.Duration(0), "a worker that may be silent gets no more time")
 	b.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
 	assert.Assert(t, !b.core.workers["w1"].closed(b.now), "one that lives takes tasks again")
@@ -35,8 +35,8 @@
 	b.running(lasting(1), "w1")
 	_, h, _ := b.core.HoldFor("w1", b.now)
 	assert.Equal(t, h.Wait, pollWait)
-	assert.Equal(t, pauseAfter(2, 0), failedPause)
-	assert.Equal(t, pauseAfter(100, 0), mostFailedPause)
+	assert.Equal(t, pauseAfterMissed(2, 0), initialMissedPause)
+	assert.Equal(t, pauseAfterMissed(100, 0), maxMissedPause)
 }
 
 // A worker says that it leaves and is given a task, which dies with it.
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -211,7 +211,7 @@
 	var acknowledge []work.WorkerID
 	mark := c.storedMark()
 	for id, w := range c.workers {
-		if w.storedBefore(mark) && len(w.tasks) == 0 {
+		if w.advanceStored(mark) && len(w.tasks) == 0 {
 			acknowledge = append(acknowledge, id)
 		}
 	}
@@ -288,7 +288,7 @@
 		j.baseRun = restoredRuns
 	}
 	c.add(j)
-	j.eachTask(func(t *task) { c.judgeRecord(t, now) })
+	j.eachTask(func(t *task) { c.updateSuspected(t, now) })
 }
 
 // restoredRuns is added to the run numbers of restored tasks. An earlier owner
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -23,8 +23,8 @@
 // inheritedFor is how long after a take-over an earlier owner's leases may
 // last on a worker that was not heard.
 func inheritedFor() time.Duration {
-	lease := time.Duration(float64(LeaseExtension) * (1 + clockError))
-	return OwnerGrace + lease + expirySlack
+	lease := time.Duration(float64(LeaseExtension) * (1 + maxClockDrift))
+	return OwnerGrace + lease + expiryMargin
 }
 
 // seizeTimeout ends one try at writing the commit keys.
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -11,7 +11,7 @@
 	for i := range o.Starts {
 		if s := e.session(o.Starts[i].Worker.ID); s != nil {
 			e.starts.Add(1)
-			s.do(ctx, func() {
+			s.runOrder(ctx, func() {
 				e.start(ctx, o.Starts[i])
 				e.starts.Add(-1)
 			})
@@ -19,12 +19,12 @@
 	}
 	for i := range o.Stops {
 		if s := e.session(o.Stops[i].Worker.ID); s != nil {
-			s.do(ctx, func() { e.stop(ctx, o.Stops[i]) })
+			s.runOrder(ctx, func() { e.stop(ctx, o.Stops[i]) })
 		}
 	}
 	for i := range o.Paces {
 		if s := e.session(o.Paces[i].Worker.ID); s != nil {
-			s.do(ctx, func() { e.pace(ctx, o.Paces[i]) })
+			s.runOrder(ctx, func() { e.pace(ctx, o.Paces[i]) })
 		}
 	}
 	for i := range o.Advice {
@@ -38,13 +38,13 @@
 // start was lost is begun again within half a second and can still be in time.
 const orderTimeout = 300 * time.Millisecond
 
-// allowed is asked right before an order leaves: a VM that was suspended
+// ordersAllowed is asked right before an order leaves: a VM that was suspended
 // between planning and sending may have a successor.
-func (e *Engine) allowed() bool { return e.Clock.Now() <= e.Term.AllowedUntil() }
+func (e *Engine) ordersAllowed() bool { return e.Clock.Now() <= e.Term.AllowedUntil() }
 
 func (e *Engine) start(ctx context.Context, o StartOrder) {
 	out, clock := OutcomeNotSent, time.Duration(0)
-	if e.allowed() && e.startLeaves(o) {
+	if e.ordersAllowed() && e.startSending(o) {
 		call, cancel := e.within(ctx, orderTimeout)
 		out, clock = e.Workers.Start(call, &o.Worker, o.Start)
 		cancel()
@@ -60,14 +60,14 @@
 	}
 }
 
-func (e *Engine) startLeaves(o StartOrder) bool {
+func (e *Engine) startSending(o StartOrder) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.core.StartSending(o, e.Clock.Now())
 }
 
 func (e *Engine) stop(ctx context.Context, o StopOrder) {
-	if !e.allowed() {
+	if !e.ordersAllowed() {
 		return
 	}
 	call, cancel := e.within(ctx, orderTimeout)
@@ -82,7 +82,7 @@
 }
 
 func (e *Engine) pace(ctx context.Context, o PaceOrder) {
-	if !e.allowed() {
+	if !e.ordersAllowed() {
 		return
 	}
 	call, cancel := e.within(ctx, orderTimeout)
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -11,7 +11,7 @@
 
 // Connections to one worker: one for polls, which occupy theirs while they
 // wait, and some for orders. New connections are dear at one deployment.
-const orderSlots = 3
+const maxConcurrentOrders = 3
 
 // session is the conversation with one worker.
 type session struct {
@@ -23,7 +23,7 @@
 }
 
 func newSession(e *Engine, id work.WorkerID) *session {
-	return &session{engine: e, id: id, kick: make(chan struct{}, 1), orders: make(chan struct{}, orderSlots)}
+	return &session{engine: e, id: id, kick: make(chan struct{}, 1), orders: make(chan struct{}, maxConcurrentOrders)}
 }
 
 func (e *Engine) session(id work.WorkerID) *session {
@@ -51,8 +51,8 @@
 	}
 }
 
-// do runs an order in one of the worker's slots.
-func (s *session) do(ctx context.Context, f func()) {
+// runOrder runs an order in one of the worker's slots.
+func (s *session) runOrder(ctx context.Context, f func()) {
 	s.engine.wg.Go(func() {
 		select {
 		case s.orders <- struct{}{}:
@@ -66,22 +66,22 @@
 // Pauses between polls of a worker that does not answer. One that stays silent costs a
 // connection each time.
 const (
-	failedPause     = 150 * time.Millisecond
-	mostFailedPause = 600 * time.Millisecond
+	initialMissedPause = 150 * time.Millisecond
+	maxMissedPause     = 600 * time.Millisecond
 )
 
-// pauseAfter is the pause after so many polls that a worker did not answer. The first is
+// pauseAfterMissed is the pause after so many polls that a worker did not answer. The first is
 // repeated at once, as a single answer may be lost. A poll that says nothing of the worker,
 // as this owner was behind or might not poll, is followed by the usual pause: without one
 // the polls themselves would keep it behind.
-func pauseAfter(missed int, usual time.Duration) time.Duration {
+func pauseAfterMissed(missed int, usual time.Duration) time.Duration {
 	switch missed {
 	case 0:
 		return usual
 	case 1:
 		return 0
 	}
-	return min(mostFailedPause, failedPause<<min(missed-2, 4))
+	return min(maxMissedPause, initialMissedPause<<min(missed-2, 4))
 }
 
 // run polls the worker for as long as something is or may be there.
@@ -105,18 +105,18 @@
 			continue
 		}
 		if !s.poll(ctx, &info, h) {
-			pause = pauseAfter(e.missed(s.id), pause)
+			pause = pauseAfterMissed(e.missedPolls(s.id), pause)
 		}
 		sleep.For(ctx, pause)
 	}
 }
 
-// idleEvery checks again whether there is something to do, should a wake-up
+// idleCheckInterval checks again whether there is something to do, should a wake-up
 // have been missed while orders were not allowed.
-const idleEvery = 1 * time.Second
+const idleCheckInterval = 1 * time.Second
 
 func (s *session) idle(ctx context.Context) {
-	t := time.NewTimer(idleEvery)
+	t := time.NewTimer(idleCheckInterval)
 	defer t.Stop()
 	select {
 	case <-s.kick:
@@ -125,19 +125,19 @@
 	}
 }
 
-// missed is how many polls of the worker were not answered since the last that was.
-func (e *Engine) missed(id work.WorkerID) int {
+// missedPolls is how many polls of the worker were not answered since the last that was.
+func (e *Engine) missedPolls(id work.WorkerID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if w := e.core.workers[id]; w != nil {
-		return w.missed
+		return w.missedPolls
 	}
 	return 0
 }
 
 func (s *session) poll(ctx context.Context, info *WorkerInfo, h Hold) bool {
 	e := s.engine
-	if !e.allowed() {
+	if !e.ordersAllowed() {
 		return false
 	}
 	sent := e.Clock.Now()
@@ -160,7 +160,7 @@
 	}
 	e.mu.Unlock()
 	// An answer that came because its time was up brings nothing to plan on.
-	if out != OutcomeOK || len(l.Ended) > 0 || h.Wait <= pollSoon {
+	if out != OutcomeOK || len(l.Ended) > 0 || h.Wait <= pollWaitMin {
 		kick(e.planKick)
 	}
 	return out == OutcomeOK
--- a/internal/engine/settled.go
+++ b/internal/engine/settled.go
@@ -21,12 +21,12 @@
 		if pool != c.cell || c.workers[id] == nil && len(c.over[id]) > 0 {
 			continue
 		}
-		if w := c.workers[id]; w == nil || !w.heard {
+		if w := c.workers[id]; w == nil || !w.contacted {
 			return false
 		}
 	}
 	for _, w := range c.workers {
-		if !w.heard {
+		if !w.contacted {
 			return false
 		}
 	}
--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -9,7 +9,7 @@
 // stragglers stops what stands still or crawls, so that it starts elsewhere.
 func (c *Core) stragglers(now time.Duration) {
 	for _, w := range c.workers {
-		if w.gone || w.missed > 0 {
+		if w.gone || w.missedPolls > 0 {
 			continue
 		}
 		for _, t := range w.tasks {
@@ -26,7 +26,7 @@
 func (c *Core) judge(w *worker, t *task, now time.Duration) {
 	run := c.progressOf(t)
 	if straggler.Stalled(run) {
-		w.strikes.failure(t.ref.Job, now)
+		w.failures.recordFailure(t.ref.Job, now)
 		c.abandon(t, w, "stands still", run)
 		return
 	}
--- a/internal/engine/summary.go
+++ b/internal/engine/summary.go
@@ -82,7 +82,7 @@
 		if len(w.tasks) > 0 {
 			s.Busy++
 		}
-		if w.missed > 0 {
+		if w.missedPolls > 0 {
 			s.Silent++
 		}
 	}
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -226,7 +226,7 @@
 		assert.Equal(t, len(b.plan().Starts), 0)
 		b.now += 50 * time.Millisecond
 	}
-	b.now = inherited + expirySlack
+	b.now = inherited + expiryMargin
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
@@ -239,9 +239,9 @@
 	b.look("w1", Listing{})
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	b.core.SetFleet(nil)
-	b.core.endLives(asked, b.now)
+	b.core.endUnlistedWorkers(asked, b.now)
 	assert.Assert(t, b.core.workers["w1"] != nil)
-	b.core.endLives(b.now+time.Millisecond, b.now+time.Millisecond)
+	b.core.endUnlistedWorkers(b.now+time.Millisecond, b.now+time.Millisecond)
 	assert.Assert(t, b.core.workers["w1"] == nil, "a list since then ends it")
 }
 
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -19,14 +19,14 @@
 	return n
 }
 
-// othersWaitedFor is for how long after other short work waited suspects get no more workers than
+// otherWorkHoldoff is for how long after other short work waited suspects get no more workers than
 // they always do: bursts come with pauses of a moment.
-const othersWaitedFor = 3 * time.Second
+const otherWorkHoldoff = 3 * time.Second
 
-// wantedForTrials is how many VMs suspects could use. As a backlog they would draw VMs that other
+// vmsForTrials is how many VMs suspects could use. As a backlog they would draw VMs that other
 // pools need; while other work waits here they wait.
-func (c *Core) wantedForTrials(now time.Duration) int {
-	if now < c.othersWaited+othersWaitedFor {
+func (c *Core) vmsForTrials(now time.Duration) int {
+	if now < c.othersWaited+otherWorkHoldoff {
 		return 0
 	}
 	suspects := 0
@@ -42,27 +42,27 @@
 	return crashes.WorkersForSuspects(suspects)
 }
 
-// noteOthers notes whether, of the steps that waited before this plan, other short work than
+// recordOtherWaiting notes whether, of the steps that waited before this plan, other short work than
 // suspects still does.
-func (c *Core) noteOthers(ws []waiting, now time.Duration) {
+func (c *Core) recordOtherWaiting(ws []waiting, now time.Duration) {
 	if slices.ContainsFunc(ws, func(w waiting) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
 		c.othersWaited = now
 	}
 }
 
-// trialRoom is on how many more workers suspects may be tried.
-func (c *Core) trialRoom(now time.Duration) int {
+// trialCapacity is on how many more workers suspects may be tried.
+func (c *Core) trialCapacity(now time.Duration) int {
 	idle := 0
-	if now >= c.othersWaited+othersWaitedFor {
+	if now >= c.othersWaited+otherWorkHoldoff {
 		idle = c.idle(now)
 	}
-	trying := 0
+	inTrial := 0
 	for _, w := range c.workers {
-		if w.tries((*task).suspect) {
-			trying++
+		if w.runsTrial((*task).suspect) {
+			inTrial++
 		}
 	}
-	return c.trials.Available(len(c.workers), idle, trying, now)
+	return c.trials.Available(len(c.workers), idle, inTrial, now)
 }
 
 // idle counts the workers that would take a task and have none.
@@ -76,8 +76,8 @@
 	return n
 }
 
-// hazards reports whether jobs of any kind crash many workers now.
-func (c *Core) hazards(now time.Duration) bool {
+// anyHazardousKind reports whether jobs of any kind crash many workers now.
+func (c *Core) anyHazardousKind(now time.Duration) bool {
 	for _, k := range c.kinds {
 		if k.Hazardous(now) {
 			return true
@@ -86,23 +86,23 @@
 	return false
 }
 
-// freshOn is the job whose tasks have just begun on the worker, if its kind crashes many; empty
+// recentHazardousJob is the job whose tasks have just begun on the worker, if its kind crashes many; empty
 // where none have.
-func (c *Core) freshOn(w *worker, now time.Duration) work.JobID {
+func (c *Core) recentHazardousJob(w *worker, now time.Duration) work.JobID {
 	spacing := c.onsets.JobSpacing()
 	for _, t := range w.tasks {
-		begun := t.state == taskActive && now >= t.answered+spacing
-		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
+		settledIn := t.state == taskActive && now >= t.answered+spacing
+		if !settledIn && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
 			return t.ref.Job
 		}
 	}
 	return ""
 }
 
-// tries reports whether one of those tasks is on trial there.
-func (w *worker) tries(of func(*task) bool) bool {
+// runsTrial reports whether one of those tasks is on trial there.
+func (w *worker) runsTrial(of func(*task) bool) bool {
 	for _, t := range w.tasks {
-		if of(t) && w.seenRunning(t) < t.trialLasts {
+		if of(t) && w.observedRunTime(t) < t.trialLasts {
 			return true
 		}
 	}
@@ -114,21 +114,21 @@
 // onTrial reports whether it is on its way to the store, or stored, that the task may crash a
 // worker, and no run of it has shown otherwise since.
 func (t *task) onTrial() bool {
-	return t.trial != 0 && (t.where == nil || t.where.seenRunning(t) < t.trialLasts)
+	return t.trial != 0 && (t.where == nil || t.where.observedRunTime(t) < t.trialLasts)
 }
 
-// askTrials has it stored, of the suspects of the step that may start now, that a start of
+// requestTrials has it stored, of the suspects of the step that may start now, that a start of
 // them may crash a worker. The owner may be lost beside that worker: were the crash known to
 // that owner alone, the task would be started once more by each.
-func (c *Core) askTrials(s *step, now time.Duration) {
+func (c *Core) requestTrials(s *step, now time.Duration) {
 	for _, t := range s.tasks {
 		if t.suspect() && t.trial == 0 && c.isDue(t, now) {
-			c.askTrial(t)
+			c.requestTrial(t)
 		}
 	}
 }
 
-func (c *Core) askTrial(t *task) {
+func (c *Core) requestTrial(t *task) {
 	j := t.step.job
 	j.evidence++
 	t.trial = j.evidence
--- a/internal/engine/vacate.go
+++ b/internal/engine/vacate.go
@@ -8,7 +8,7 @@
 // start elsewhere, as far as each step's limit on unavailable tasks allows.
 func (c *Core) vacate(now time.Duration) {
 	for _, w := range c.workers {
-		if w.gone || w.missed > 0 || w.cordon.Kind != Vacated && !w.info.Draining {
+		if w.gone || w.missedPolls > 0 || w.cordon.Kind != Vacated && !w.info.Draining {
 			continue
 		}
 		for _, t := range w.tasks {
@@ -62,7 +62,7 @@
 		if s.spec.AntiAffinity > 0 && on[w] >= s.spec.AntiAffinity {
 			continue
 		}
-		if t.reserved().Fits(w.info.Capacity.Minus(w.load.forLong)) {
+		if t.reserved().Fits(w.info.Capacity.Minus(w.load.longRunningReserved)) {
 			return true
 		}
 	}
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -17,15 +17,15 @@
 	// dies; a successor has been measured to hold all workers two seconds
 	// after. Longer would delay the restart of what an unreachable worker ran.
 	LeaseExtension = 4500 * time.Millisecond
-	// startAhead is the deadline of a start. Long enough for a slow answer,
+	// startValidity is the deadline of a start. Long enough for a slow answer,
 	// short as an order without an answer stays open until it has passed.
-	startAhead = 3 * time.Second
-	// clockError bounds how far a worker's clock may be slow against ours, as
+	startValidity = 3 * time.Second
+	// maxClockDrift bounds how far a worker's clock may be slow against ours, as
 	// the platform promises.
-	clockError = 0.02
-	// expirySlack covers the rounding of clocks to milliseconds and the end
+	maxClockDrift = 0.02
+	// expiryMargin covers the rounding of clocks to milliseconds and the end
 	// of what is being killed.
-	expirySlack = 100 * time.Millisecond
+	expiryMargin = 100 * time.Millisecond
 )
 
 // Pace of polls.
@@ -33,15 +33,15 @@
 	// pollWait is how long a worker may hold an answer back for an end. It is
 	// also the longest time between extensions of a lease.
 	pollWait = 1 * time.Second
-	// pollWaitShort replaces pollWait where short tasks run: an answer that is lost costs
+	// pollWaitShortTasks replaces pollWait where short tasks run: an answer that is lost costs
 	// the wait, and until it is missed no end there is known and nothing starts.
-	pollWaitShort = 300 * time.Millisecond
-	// pollSoon is how long an answer may wait where something is in doubt or
+	pollWaitShortTasks = 300 * time.Millisecond
+	// pollWaitMin is how long an answer may wait where something is in doubt or
 	// being stopped.
-	pollSoon = 30 * time.Millisecond
-	// serveWait replaces pollWait where fill tasks run beside serving ones, so
+	pollWaitMin = 30 * time.Millisecond
+	// pollWaitServing replaces pollWait where fill tasks run beside serving ones, so
 	// that pacing follows within a second.
-	serveWait = 400 * time.Millisecond
+	pollWaitServing = 400 * time.Millisecond
 	// pollTimeout is how long an answer may take beyond the wait asked for. Workers answer
 	// in a few milliseconds; the poll after one that was lost shows that they live.
 	pollTimeout = 300 * time.Millisecond
@@ -49,17 +49,17 @@
 
 // worker is one worker of ours.
 type worker struct {
-	info  WorkerInfo
-	heard bool // it answered a poll that carried our token
-	// unsure: it was first heard while a later owner could exist, which does
+	info      WorkerInfo
+	contacted bool // it answered a poll that carried our token
+	// ownershipUncertain: it was first heard while a later owner could exist, which does
 	// not count it among the workers that may run something of ours.
-	unsure bool
+	ownershipUncertain bool
 	// unlisted: the list of VMs does not show this life, and it has answered nothing since.
 	unlisted bool
 	gone     bool // certain: this life is over
-	// next is the registration of another life under this one's ID: which of them lives the
+	// nextIncarnation is the registration of another life under this one's ID: which of them lives the
 	// worker is asked. nil: none.
-	next *WorkerInfo
+	nextIncarnation *WorkerInfo
 	// unregistered: this life answered before it registered, and may be of another kind than
 	// the one before.
 	unregistered bool
@@ -67,43 +67,43 @@
 	clock    time.Duration // the worker's clock ...
 	clockAt  time.Duration // ... when we got the answer that told it; 0: never
 	deadline time.Duration // latest that any order of ours may have set
-	// inherited bounds, on our clock, until when an earlier owner may have
+	// inheritedUntil bounds, on our clock, until when an earlier owner may have
 	// extended the worker's lease.
-	inherited time.Duration
+	inheritedUntil time.Duration
 
 	tasks      map[work.TaskRef]*task // changed by add and remove alone
 	load       load                   // of these tasks
 	emptySince time.Duration          // when its last task left, or it was first heard
-	// strays are runs there that must not go on. A task does not start anywhere
+	// orphanedRuns are runs there that must not go on. A task does not start anywhere
 	// while one of its runs is a stray somewhere.
-	strays map[work.TaskRef]*stray
+	orphanedRuns map[work.TaskRef]*orphanedRun
 
 	listedAt            time.Duration // when it last told what runs, as of the poll's sending
 	seen, stored, acked int64         // ends taken in, stored, acknowledged
 	unstored            []endMark     // of the ends between seen and stored
-	missed              int           // polls without an answer since the last
+	missedPolls         int           // polls without an answer since the last
 	silentSince         time.Duration // first call without an answer since; 0: none
 	closedUntil         time.Duration
-	strikes             strikes
+	failures            consecutiveFailures
 	slowness            straggler.Slowness
 	cordon              Cordon
 	full                bool      // it refused for want of room since its last end
-	lapsed              []lostRun // ran there until its leases ran out unreached; none once it answers
+	expiredRuns         []lostRun // ran there until its leases ran out unreached; none once it answers
 }
 
-// stray is a run that is to be stopped and is no task's present run.
-type stray struct {
+// orphanedRun is a run that is to be stopped and is no task's present run.
+type orphanedRun struct {
 	run    int
 	sent   time.Duration // last stop; 0: none yet
 	stopOK time.Duration // when a stop was answered; 0: not yet
 }
 
-// strayed notes a run that must not go on.
-func (w *worker) strayed(ref work.TaskRef, run int) {
-	if s := w.strays[ref]; s != nil && s.run >= run {
+// markOrphaned notes a run that must not go on.
+func (w *worker) markOrphaned(ref work.TaskRef, run int) {
+	if s := w.orphanedRuns[ref]; s != nil && s.run >= run {
 		return
 	}
-	w.strays[ref] = &stray{run: run}
+	w.orphanedRuns[ref] = &orphanedRun{run: run}
 }
 
 // endMark places an end of the worker among those of all workers.
@@ -112,9 +112,9 @@
 	at  int64 // of all ends taken in
 }
 
-// storedBefore notes that all ends taken in before the mark are stored; it reports
+// advanceStored notes that all ends taken in before the mark are stored; it reports
 // whether any of this worker's are that were not.
-func (w *worker) storedBefore(mark int64) bool {
+func (w *worker) advanceStored(mark int64) bool {
 	before := w.stored
 	for len(w.unstored) > 0 && w.unstored[0].at < mark {
 		w.stored = w.unstored[0].seq
@@ -123,20 +123,20 @@
 	return w.stored > before
 }
 
-// strikes counts ends that speak against a worker.
-type strikes struct {
-	failed int // in a row
-	jobs   []work.JobID
-	until  time.Duration // no new tasks before
-	probe  bool          // one task at a time until one is done
+// consecutiveFailures counts ends that speak against a worker.
+type consecutiveFailures struct {
+	count int // in a row
+	jobs  []work.JobID
+	until time.Duration // no new tasks before
+	probe bool          // one task at a time until one is done
 }
 
 // clockNow estimates the worker's clock from below.
 func (w *worker) clockNow(now time.Duration) time.Duration {
-	return w.clock + time.Duration(float64(now-w.clockAt)*(1-clockError))
+	return w.clock + time.Duration(float64(now-w.clockAt)*(1-maxClockDrift))
 }
 
-func (w *worker) clockSaid(clock, now time.Duration) {
+func (w *worker) observeClock(clock, now time.Duration) {
 	if clock <= 0 {
 		return
 	}
@@ -146,38 +146,38 @@
 // expired reports whether everything the worker may have run under leases of
 // ours or an earlier owner's is certain to have been killed.
 func (w *worker) expired(now time.Duration) bool {
-	if now < w.inherited {
+	if now < w.inheritedUntil {
 		return false
 	}
 	if w.deadline == 0 {
 		return true
 	}
-	left := time.Duration(float64(w.deadline-w.clock) * (1 + clockError))
-	return now >= w.clockAt+left+expirySlack
+	left := time.Duration(float64(w.deadline-w.clock) * (1 + maxClockDrift))
+	return now >= w.clockAt+left+expiryMargin
 }
 
 // load is what the tasks of a worker hold and are. It is kept as they come and go:
 // added up anew for each plan it took an eighth of a large cell's planning.
 type load struct {
-	reserved work.Resources // by all
-	forLong  work.Resources // of these, by lasting ones
-	lasting  int
-	serving  int
-	filling  int
+	reserved            work.Resources // by all
+	longRunningReserved work.Resources // of these, by lasting ones
+	longRunning         int
+	serving             int
+	bestEffort          int
 }
 
 func (l *load) count(s *step, n int64) {
 	held := s.reserved().Times(n)
 	l.reserved = l.reserved.Plus(held)
 	if s.spec.LongRunning {
-		l.forLong = l.forLong.Plus(held)
-		l.lasting += int(n)
+		l.longRunningReserved = l.longRunningReserved.Plus(held)
+		l.longRunning += int(n)
 	}
 	if s.spec.Serving() {
 		l.serving += int(n)
 	}
 	if s.spec.BestEffort {
-		l.filling += int(n)
+		l.bestEffort += int(n)
 	}
 }
 
@@ -209,7 +209,7 @@
 		Closed: w.closed(now),
 		Limit:  -1,
 
-		LongRunning: w.load.lasting, Serving: w.load.serving, BestEffort: w.load.filling,
+		LongRunning: w.load.longRunning, Serving: w.load.serving, BestEffort: w.load.bestEffort,
 		Slowness:       w.slowness.Factor(),
 		MaintenanceDue: w.cordon.Kind == Due,
 		Tasks:          len(w.tasks),
@@ -217,49 +217,49 @@
 	if n := len(w.info.Labels); n > 0 {
 		out.Rack = w.info.Labels[n-1]
 	}
-	if w.strikes.probe {
+	if w.failures.probe {
 		out.Limit = max(0, 1-len(w.tasks))
 	}
 }
 
-// doubtLimit is how many starts without an answer close a worker until a poll is
+// maxUnansweredStarts is how many starts without an answer close a worker until a poll is
 // answered. One may be lost on the way; more, and the worker has stopped
 // answering: what else is sent to it waits for a timeout each.
-const doubtLimit = 2
+const maxUnansweredStarts = 2
 
-func (w *worker) doubted() bool {
+func (w *worker) tooManyUnansweredStarts() bool {
 	n := 0
 	for _, t := range w.tasks {
 		if t.state == taskDoubtful {
 			n++
 		}
 	}
-	return n >= doubtLimit
+	return n >= maxUnansweredStarts
 }
 
 func (w *worker) closed(now time.Duration) bool {
-	return w.doubted() || w.unsure || w.next != nil || w.unregistered || !w.heard || w.unlisted || w.gone || w.info.Draining || w.info.Unreadable || w.cordon.Closes() || w.missed > 0 ||
-		w.full || now < w.closedUntil || now < w.strikes.until || len(w.strays) > 0 || w.tries((*task).suspect)
+	return w.tooManyUnansweredStarts() || w.ownershipUncertain || w.nextIncarnation != nil || w.unregistered || !w.contacted || w.unlisted || w.gone || w.info.Draining || w.info.Unreadable || w.cordon.Closes() || w.missedPolls > 0 ||
+		w.full || now < w.closedUntil || now < w.failures.until || len(w.orphanedRuns) > 0 || w.runsTrial((*task).suspect)
 }
 
 // Strikes against a worker. A worker that fails what it starts looks idle and
 // would draw every waiting task of the pool: each failure costs a job one of
 // its few attempts.
 const (
-	strikeLimit = 3 // failures in a row, with nothing done between
-	strikeJobs  = 2 // of so many jobs at least: one job that always fails proves nothing
-	strikePause = 3 * time.Second
+	minFailuresToPause   = 3 // failures in a row, with nothing done between
+	minFailedJobsToPause = 2 // of so many jobs at least: one job that always fails proves nothing
+	workerFailurePause   = 3 * time.Second
 )
 
-func (s *strikes) failure(id work.JobID, now time.Duration) {
-	s.failed++
+func (s *consecutiveFailures) recordFailure(id work.JobID, now time.Duration) {
+	s.count++
 	if !slices.Contains(s.jobs, id) {
 		s.jobs = append(s.jobs, id)
 	}
-	if s.probe || s.failed >= strikeLimit && len(s.jobs) >= strikeJobs {
-		s.until = now + strikePause
+	if s.probe || s.count >= minFailuresToPause && len(s.jobs) >= minFailedJobsToPause {
+		s.until = now + workerFailurePause
 		s.probe = true
 	}
 }
 
-func (s *strikes) success() { *s = strikes{} }
+func (s *consecutiveFailures) recordSuccess() { *s = consecutiveFailures{} }
