--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -10,25 +10,25 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// A task that crashes each worker that starts it takes the pool down one worker after the
-// other, for as long as its job is open.
+// Guards against a task that crashes every worker that starts it, one after the other, for as
+// long as its job is open.
 func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
-	w := newCrashWorld(t, 8)
-	w.faulty(crashTick, "bad")
+	w := newCrashSim(t, 8)
+	w.setFaulty(simTick, "bad")
 	w.submit("bad", short(4))
 	w.run(30 * time.Second)
 	assertGivenUp(t, w, "bad")
 	e, known := w.core.Explain("bad", w.now)
 	assert.Equal(t, known, true)
-	assert.Equal(t, e.Steps[0].Crashed[0].Crashes, w.under[work.TaskRef{StepRef: work.StepRef{Job: "bad"}}])
+	assert.Equal(t, e.Steps[0].Crashed[0].Crashes, w.crashesUnder[work.TaskRef{StepRef: work.StepRef{Job: "bad"}}])
 	assert.Equal(t, e.State, work.Failed)
 }
 
-// Crashes that an owner counted are forgotten by the next, and a task that crashes its
-// workers goes on under each.
+// Guards against a new owner that forgets the crashes its predecessor counted, so that a task
+// crashes more workers under each owner.
 func TestCrashesAreCountedThroughTakeOvers(t *testing.T) {
-	w := newCrashWorld(t, 8)
-	w.faulty(crashTick, "bad")
+	w := newCrashSim(t, 8)
+	w.setFaulty(simTick, "bad")
 	w.submit("bad", short(1))
 	for range 20 {
 		w.run(500 * time.Millisecond)
@@ -38,12 +38,12 @@
 	assertGivenUp(t, w, "bad")
 }
 
-// The owner is lost together with the worker, before or after it knew of the crash, and the
-// next one starts the task as if nothing had happened.
+// Guards against a task that is started as if nothing had happened, because its owner was lost
+// together with the worker, before or after it knew of the crash.
 func TestCrashesAreCountedAsOwnersAreLostBesideWorkers(t *testing.T) {
 	for seed := range uint64(*crashSeeds) {
-		w := seededCrashWorld(t, 8, seed)
-		w.faulty(crashTick, "bad", "worse")
+		w := newSeededCrashSim(t, 8, seed)
+		w.setFaulty(simTick, "bad", "worse")
 		w.submit("bad", short(1))
 		w.submit("worse", short(3))
 		for range 300 {
@@ -58,11 +58,12 @@
 	}
 }
 
-// Sound jobs are given up together with a faulty one, as they lost the same workers.
+// Guards against giving up sound jobs together with a faulty one because they lost the same
+// workers.
 func TestSoundWorkBesideACrashingTaskIsDone(t *testing.T) {
-	w := newCrashWorld(t, 8)
-	w.faulty(crashTick, "bad")
-	w.takes = func(ref work.TaskRef) time.Duration {
+	w := newCrashSim(t, 8)
+	w.setFaulty(simTick, "bad")
+	w.workTime = func(ref work.TaskRef) time.Duration {
 		if ref.Job == "lasts" {
 			return 0
 		}
@@ -81,40 +82,43 @@
 	assert.Equal(t, w.ended["lasts"], work.State(""))
 }
 
-// A task that crashes its workers only after it has worked for a while passes for sound.
+// Guards against taking a task for sound that crashes its workers only after it has worked for
+// a while.
 func TestATaskThatCrashesItsWorkersLateIsGivenUp(t *testing.T) {
 	for _, after := range []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second} {
-		w := newCrashWorld(t, 8)
-		w.takes = func(work.TaskRef) time.Duration { return 3 * time.Second }
-		w.faulty(after, "bad")
+		w := newCrashSim(t, 8)
+		w.workTime = func(work.TaskRef) time.Duration { return 3 * time.Second }
+		w.setFaulty(after, "bad")
 		w.submit("bad", short(2))
 		w.run(40 * time.Second)
 		assertGivenUp(t, w, "bad")
 	}
 }
 
-// A lasting task that crashes its workers as it begins takes one after the other, or its job
-// is shown as failed although callers are promised that it is restarted however it ends.
-func TestALastingTaskThatCrashesItsWorkersIsRestartedWithPauses(t *testing.T) {
-	w := newCrashWorld(t, 8)
-	w.takes = func(work.TaskRef) time.Duration { return 0 }
-	w.faulty(crashTick, "bad")
+// Guards against a long-running task that crashes one worker after the other as it begins, and
+// against showing its job as failed: callers are promised that it is restarted however it
+// ends.
+func TestALongRunningTaskThatCrashesItsWorkersIsRestartedWithPauses(t *testing.T) {
+	w := newCrashSim(t, 8)
+	w.workTime = func(work.TaskRef) time.Duration { return 0 }
+	w.setFaulty(simTick, "bad")
 	step := lasting(3)
 	step.AntiAffinity = 0
 	w.submit("bad", step)
 	w.run(40 * time.Second)
 	assert.Equal(t, w.ended["bad"], work.State(""))
-	most := w.most("bad")
+	most := w.maxStarts("bad")
 	assert.Check(t, most >= 10, "started %d times", most)
 	assert.Check(t, most <= 25, "started %d times", most)
-	beside := w.under[work.TaskRef{StepRef: work.StepRef{Job: "bad"}, Index: 1}]
+	beside := w.crashesUnder[work.TaskRef{StepRef: work.StepRef{Job: "bad"}, Index: 1}]
 	assert.Check(t, beside <= 5, "a sibling lost %d workers", beside)
 }
 
-// A gang of which one member crashes its worker takes a worker with each start of all.
+// Guards against a gang with one member that crashes its worker, which loses a worker with
+// each start of the gang.
 func TestAGangThatCrashesItsWorkersIsGivenUp(t *testing.T) {
-	w := newCrashWorld(t, 8)
-	w.faulty(crashTick, "bad")
+	w := newCrashSim(t, 8)
+	w.setFaulty(simTick, "bad")
 	step := short(5)
 	step.Gang = true
 	w.submit("bad", step)
@@ -122,33 +126,34 @@
 	assertGivenUp(t, w, "bad")
 }
 
-// A crash of a worker that was not reached before counts as nothing: its runs are taken for
-// ones whose lease ran out.
+// Guards against ignoring a crash of a worker that was unreachable before: its runs were taken
+// for ones whose leases ran out.
 func TestACrashThatShowsAfterTheLeasesRanOutCounts(t *testing.T) {
-	w := newCrashWorld(t, 8)
-	w.found = 6 * time.Second
-	w.faulty(crashTick, "bad")
+	w := newCrashSim(t, 8)
+	w.detectionDelay = 6 * time.Second
+	w.setFaulty(simTick, "bad")
 	w.submit("bad", short(1))
 	w.run(90 * time.Second)
 	assertGivenUp(t, w, "bad")
 }
 
-// While the store is away a crash is known to one owner, and each next one starts the task anew.
+// Guards against starting a task again under each new owner while the store is unavailable and
+// only one owner knows of the crash.
 func TestASuspectWaitsUntilTheStoreKnowsOfIt(t *testing.T) {
-	w := newCrashWorld(t, 8)
-	w.stores = false
-	w.faulty(crashTick, "bad")
+	w := newCrashSim(t, 8)
+	w.storeAvailable = false
+	w.setFaulty(simTick, "bad")
 	w.submit("bad", short(1))
 	w.run(5 * time.Second)
-	assert.Equal(t, w.most("bad"), 1, "the crash is not stored")
-	w.stores = true
+	assert.Equal(t, w.maxStarts("bad"), 1, "the crash is not stored")
+	w.storeAvailable = true
 	w.run(5 * time.Second)
 	assertGivenUp(t, w, "bad")
 }
 
-// A start that found another life at the worker's address began nothing there: its task had
-// no part in the end of the life before.
-func TestAStartThatFoundAnotherLifeIsNoCrashOfItsTask(t *testing.T) {
+// A start that was answered by another incarnation at the worker's address began nothing
+// there: its task had no part in the end of the previous incarnation.
+func TestAStartAnsweredByAnotherIncarnationIsNotBlamed(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	b.accept("j1", short(1))
@@ -156,8 +161,9 @@
 	assert.Equal(t, len(b.core.find(work.TaskRef{StepRef: work.StepRef{Job: "j1"}}).crashes), 0)
 }
 
-// Workers that are moved, maintained or leave count as crashed, and sound tasks are given up.
-func TestAWorkerThatLeftAsAnnouncedBlamesNobody(t *testing.T) {
+// Guards against counting workers that are moved, maintained or drained as crashed, and giving
+// up sound tasks for it.
+func TestAnAnnouncedDepartureBlamesNoTask(t *testing.T) {
 	leave := map[string]func(b *rig){
 		"draining": func(b *rig) {
 			i := info("w1")
@@ -182,18 +188,18 @@
 	}
 }
 
-// crashDay is a day on which a faulty job runs among sound ones, workers crash by themselves
-// so often a second each, and owners change.
-func crashDay(t testing.TB, seed uint64, self float64) *crashWorld {
-	w := seededCrashWorld(t, 12, seed)
-	w.self = self
-	w.takes = func(ref work.TaskRef) time.Duration {
+// runMixedJobs simulates a faulty job among sound ones while owners change and workers crash
+// by themselves, each with probability self per second.
+func runMixedJobs(t testing.TB, seed uint64, self float64) *crashSim {
+	w := newSeededCrashSim(t, 12, seed)
+	w.spontaneousRate = self
+	w.workTime = func(ref work.TaskRef) time.Duration {
 		if ref.Job == "lasts" {
 			return 0
 		}
 		return 600 * time.Millisecond
 	}
-	w.faulty(crashTick, "bad")
+	w.setFaulty(simTick, "bad")
 	w.submit("lasts", lasting(4))
 	for _, id := range soundJobs {
 		w.submit(id, short(4))
@@ -210,8 +216,8 @@
 
 var soundJobs = []work.JobID{"s1", "s2", "s3", "s4"}
 
-// soundLost counts the sound jobs that were given up.
-func (w *crashWorld) soundLost() int {
+// failedSoundJobs counts the sound jobs that were given up.
+func (w *crashSim) failedSoundJobs() int {
 	n := 0
 	for _, id := range append([]work.JobID{"lasts"}, soundJobs...) {
 		if w.ended[id] == work.Failed {
@@ -221,25 +227,26 @@
 	return n
 }
 
-// Sound jobs are given up as workers crash by themselves, one in twenty every three seconds,
-// beside a faulty job, or the faulty one goes on for ever.
-func TestSoundJobsOutliveWorkersThatCrashByThemselves(t *testing.T) {
+// One worker in twenty crashes by itself every three seconds. Guards against giving up sound
+// jobs for these crashes, and against a faulty job that goes on for ever.
+func TestSoundJobsSurviveSpontaneousCrashes(t *testing.T) {
 	for seed := range uint64(*crashSeeds) {
-		w := crashDay(t, seed, 0.05/3)
+		w := runMixedJobs(t, seed, 0.05/3)
 		assertGivenUp(t, w, "bad")
-		assert.Equal(t, w.soundLost(), 0, "seed %d", seed)
+		assert.Equal(t, w.failedSoundJobs(), 0, "seed %d", seed)
 	}
 }
 
-// crashBurst is a burst of sound jobs that fills the pool, with three faulty ones among them.
-func crashBurst(t testing.TB, seed uint64, self float64) *crashWorld {
-	w := seededCrashWorld(t, 12, seed)
-	w.self = self
-	w.takes = func(ref work.TaskRef) time.Duration {
+// runBurst simulates a burst of sound jobs that fills the pool, with three faulty ones among
+// them.
+func runBurst(t testing.TB, seed uint64, self float64) *crashSim {
+	w := newSeededCrashSim(t, 12, seed)
+	w.spontaneousRate = self
+	w.workTime = func(ref work.TaskRef) time.Duration {
 		return 400*time.Millisecond + time.Duration(ref.Index)*200*time.Millisecond
 	}
 	faulty := []work.JobID{"b0", "b1", "b2"}
-	w.faulty(crashTick, faulty...)
+	w.setFaulty(simTick, faulty...)
 	for i := range 60 {
 		id := work.JobID(fmt.Sprintf("s%d", i))
 		if i%20 == 3 {
@@ -252,8 +259,8 @@
 	return w
 }
 
-// soundIn counts the sound jobs of a burst that were completed, and that were given up.
-func (w *crashWorld) soundIn() (done, lost int) {
+// soundBurstJobs counts the sound jobs of a burst that were completed and that were given up.
+func (w *crashSim) soundBurstJobs() (done, lost int) {
 	for id := range w.records {
 		switch {
 		case id[0] == 'b':
@@ -266,32 +273,33 @@
 	return done, lost
 }
 
-// Sound jobs of a burst are given up, or held back for good, as faulty ones crash the workers
-// that they share.
-func TestABurstOutlivesFaultyJobs(t *testing.T) {
-	w := crashBurst(t, 1, 0)
+// Guards against giving up sound jobs of a burst, or holding them back for good, because
+// faulty ones crash the workers that they share.
+func TestSoundJobsOfABurstSurviveFaultyJobs(t *testing.T) {
+	w := runBurst(t, 1, 0)
 	for _, id := range []work.JobID{"b0", "b1", "b2"} {
 		assertGivenUp(t, w, id)
 	}
-	done, lost := w.soundIn()
+	done, lost := w.soundBurstJobs()
 	assert.Equal(t, lost, 0)
 	assert.Equal(t, done, 57)
 }
 
-// faultyShare is a burst of jobs of two steps that fills the pool beside lasting ones, of which one
-// in ten has a task that crashes its worker, as the share of sound jobs that are done in time.
-func faultyShare(t testing.TB, seed uint64, faulty bool) (inTime float64, w *crashWorld) {
+// runFaultyBurst simulates a burst of jobs of two steps that fills the pool beside
+// long-running ones. If faulty is set, one job in ten has a task that crashes its worker. It
+// returns the share of sound jobs that are completed in time.
+func runFaultyBurst(t testing.TB, seed uint64, faulty bool) (inTime float64, w *crashSim) {
 	const objective = 4 * time.Second
-	w = seededCrashWorld(t, 12, seed)
-	w.takes = func(ref work.TaskRef) time.Duration {
+	w = newSeededCrashSim(t, 12, seed)
+	w.workTime = func(ref work.TaskRef) time.Duration {
 		if ref.Job[0] == 'l' {
 			return 0
 		}
 		return 640 * time.Millisecond
 	}
-	w.crashes = func(ref work.TaskRef) time.Duration {
+	w.crashAfter = func(ref work.TaskRef) time.Duration {
 		if faulty && ref.Job[0] == 'b' && ref.Index == 0 {
-			return crashTick
+			return simTick
 		}
 		return 0
 	}
@@ -317,7 +325,7 @@
 		w.run(60 * time.Millisecond)
 	}
 	w.run(20 * time.Second)
-	for id, took := range w.took {
+	for id, took := range w.completionTimes {
 		if took <= objective && (id[0] == 's' || !faulty) {
 			inTime++
 		}
@@ -325,27 +333,28 @@
 	return inTime / float64(sound), w
 }
 
-// One job in ten that crashes its workers takes their pool down for the sound ones: every
-// crash makes suspects of all that ran there, and each is tried apart from others.
+// Guards against a pool that stops serving sound jobs because one job in ten crashes its
+// workers: every crash makes suspects of all tasks that ran there, and each is tried apart
+// from others.
 func TestSoundJobsOfABurstAreDoneBesideOneFaultyInTen(t *testing.T) {
 	seeds := max(1, *crashSeeds/5)
 	var before, after float64
 	for seed := range uint64(seeds) {
-		calm, _ := faultyShare(t, seed, false)
-		share, w := faultyShare(t, seed, true)
-		_, lost := w.soundIn()
+		calm, _ := runFaultyBurst(t, seed, false)
+		share, w := runFaultyBurst(t, seed, true)
+		_, lost := w.soundBurstJobs()
 		assert.Equal(t, lost, 0, "seed %d: sound jobs given up", seed)
-		assert.Check(t, w.ownFault <= 3*w.faultyJobs(), "seed %d: %d workers lost to %d faulty jobs", seed, w.ownFault, w.faultyJobs())
-		t.Logf("seed %d: in time %.3f, %.3f beside faulty ones; %d workers lost to %d faulty jobs", seed, calm, share, w.ownFault, w.faultyJobs())
+		assert.Check(t, w.taskCrashes <= 3*w.faultyBurstJobs(), "seed %d: %d workers lost to %d faulty jobs", seed, w.taskCrashes, w.faultyBurstJobs())
+		t.Logf("seed %d: in time %.3f, %.3f beside faulty ones; %d workers lost to %d faulty jobs", seed, calm, share, w.taskCrashes, w.faultyBurstJobs())
 		before, after = before+calm, after+share
 	}
-	// Workers that are away for three seconds after each of two crashes a faulty job are a
-	// quarter of the pool and more; the rest is to be served.
+	// Each faulty job takes two workers away for three seconds each, which is a quarter of the
+	// pool and more; the rest must serve sound jobs.
 	assert.Check(t, after >= 0.75*before, "in time %.3f, without faulty jobs %.3f", after/float64(seeds), before/float64(seeds))
 }
 
-// faultyJobs counts the faulty jobs of a burst.
-func (w *crashWorld) faultyJobs() int {
+// faultyBurstJobs counts the faulty jobs of a burst.
+func (w *crashSim) faultyBurstJobs() int {
 	n := 0
 	for id := range w.records {
 		if id[0] == 'b' {
@@ -355,17 +364,18 @@
 	return n
 }
 
-// BenchmarkCrashesInABurst reports what faulty jobs take along while the pool is full.
+// BenchmarkCrashesInABurst reports what faulty jobs cost the sound ones while the pool is
+// full.
 func BenchmarkCrashesInABurst(b *testing.B) {
 	lost, seed, runs := 0, uint64(0), 0
 	var waited time.Duration
 	for b.Loop() {
-		w := crashBurst(b, seed, 0)
+		w := runBurst(b, seed, 0)
 		seed++
-		_, l := w.soundIn()
+		_, l := w.soundBurstJobs()
 		lost += l
-		waited += w.waited
-		for ref, n := range w.under {
+		waited += w.totalCompletionTime
+		for ref, n := range w.crashesUnder {
 			if ref.Job[0] == 's' {
 				runs += n
 			}
@@ -376,18 +386,18 @@
 	b.ReportMetric(waited.Seconds()/float64(b.N), "sound-jobs-s/burst")
 }
 
-// BenchmarkCrashes reports, of days on which workers crash by themselves now and then, what a
-// faulty job takes along.
+// BenchmarkCrashes reports what a faulty job costs the sound ones while workers also crash by
+// themselves now and then.
 func BenchmarkCrashes(b *testing.B) {
 	for _, self := range []float64{0, 0.05 / 3, 0.4 / 3} {
 		b.Run(fmt.Sprintf("self=%.3f", self), func(b *testing.B) {
 			lost, workers, most, seed := 0, 0, 0, uint64(0)
 			for b.Loop() {
-				w := crashDay(b, seed, self)
+				w := runMixedJobs(b, seed, self)
 				seed++
-				lost += w.soundLost()
-				workers += w.ownFault
-				most = max(most, w.most("bad"))
+				lost += w.failedSoundJobs()
+				workers += w.taskCrashes
+				most = max(most, w.maxStarts("bad"))
 			}
 			b.ReportMetric(float64(lost)/float64(b.N), "sound-jobs-lost/day")
 			b.ReportMetric(float64(workers)/float64(b.N), "workers-crashed/day")
@@ -396,8 +406,8 @@
 	}
 }
 
-// What waits goes from one crashed worker to the next: nobody asks idle workers whether they
-// live, and an empty one looks best.
+// Guards against waiting tasks that go from one crashed worker to the next: idle workers are
+// not polled, and an empty worker ranks best for placement.
 func TestAnIdleWorkerThatIsNotListedTakesNothingUntilItAnswers(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -407,16 +417,16 @@
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
 	_, _, due := b.core.HoldFor("w1", b.now)
-	assert.Equal(t, due, true, "it is asked")
+	assert.Equal(t, due, true, "it is polled")
 	b.look("w1", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
-// An end that a worker still lists, of a run before the crashes, clears a task that crashed
-// its worker under an owner that was lost.
-func TestAnOlderEndDoesNotAcquitATask(t *testing.T) {
-	w := newCrashWorld(t, 4)
-	w.faulty(crashTick, "bad")
+// Guards against clearing a task that crashed its worker under a lost owner by an end that a
+// worker still lists, of a run before the crashes.
+func TestAnOlderEndDoesNotClearAPresumedCrash(t *testing.T) {
+	w := newCrashSim(t, 4)
+	w.setFaulty(simTick, "bad")
 	w.submit("bad", short(1))
 	w.run(215 * time.Millisecond)
 	w.takeOver()
@@ -429,10 +439,10 @@
 	assert.Equal(t, len(task.crashes), before-1)
 }
 
-// Sound jobs are given up as all their workers are lost at once, again and again.
-func TestSoundJobsOutliveWorkersThatAreLostTogether(t *testing.T) {
+// Guards against giving up sound jobs because all their workers are repeatedly lost at once.
+func TestSoundJobsSurviveCorrelatedCrashes(t *testing.T) {
 	for seed := range uint64(*crashSeeds) {
-		w := seededCrashWorld(t, 8, seed)
+		w := newSeededCrashSim(t, 8, seed)
 		for i := range 24 {
 			w.submit(work.JobID(fmt.Sprintf("s%d", i)), short(4))
 		}
@@ -443,7 +453,7 @@
 			}
 		}
 		w.run(40 * time.Second)
-		done, lost := w.soundIn()
+		done, lost := w.soundBurstJobs()
 		assert.Equal(t, lost, 0, "seed %d", seed)
 		assert.Equal(t, done, 24, "seed %d", seed)
 	}
--- a/internal/engine/crashworld_test.go
+++ b/internal/engine/crashworld_test.go
@@ -16,71 +16,71 @@
 
 var crashSeeds = flag.Int("crash-seeds", 15, "how many seeds the tests of crashing workers run")
 
-// crashWorld is a cell whose workers crash, under some tasks or by themselves, and are
-// back as another life after a while.
-type crashWorld struct {
+// crashSim simulates a cell whose workers crash, under some tasks or by themselves, and return
+// as another incarnation after a while.
+type crashSim struct {
 	rig
-	rng      *rand.Rand
-	lives    map[work.WorkerID]*crashLife
-	born     int
-	returns  []crashReturn
-	progress map[work.JobID]*Progress
-	records  map[work.JobID]*JobRecord
-	ended    map[work.JobID]work.State
-	found    time.Duration // from a crash until the list of VMs shows it
-	stores   bool          // the store takes changes
-
-	// self is the chance, each second, that a worker crashes by itself.
-	self     float64
-	crashes  func(work.TaskRef) time.Duration // how long after its start a task crashes its worker; 0: never
-	takes    func(work.TaskRef) time.Duration // how long a task works; 0: it lasts
-	starts   map[work.TaskRef]int
-	under    map[work.TaskRef]int // crashes under each task
-	ownFault int                  // workers that crashed under a task of crashes
-	took     map[work.JobID]time.Duration
-	waited   time.Duration // from the acceptance to the end of all completed jobs
+	rng            *rand.Rand
+	simWorkers     map[work.WorkerID]*simWorker
+	joined         int
+	returns        []vmReturn
+	progress       map[work.JobID]*Progress
+	records        map[work.JobID]*JobRecord
+	ended          map[work.JobID]work.State
+	detectionDelay time.Duration // from a crash until the list of VMs shows it
+	storeAvailable bool          // the store accepts changes
+
+	// spontaneousRate is the probability per second that a worker crashes by itself.
+	spontaneousRate     float64
+	crashAfter          func(work.TaskRef) time.Duration // how long after its start a task crashes its worker; 0: never
+	workTime            func(work.TaskRef) time.Duration // how long a task works; 0: it never ends
+	starts              map[work.TaskRef]int
+	crashesUnder        map[work.TaskRef]int // crashes under each task
+	taskCrashes         int                  // workers that were crashed by a task, see crashAfter
+	completionTimes     map[work.JobID]time.Duration
+	totalCompletionTime time.Duration // sum over all completed jobs, from acceptance to end
 }
 
-// crashReturn is a VM that is back with a new life.
-type crashReturn struct {
+// vmReturn is the return of a VM with a new worker.
+type vmReturn struct {
 	at      time.Duration
 	address string
 }
 
-// crashLife is one life of a worker.
-type crashLife struct {
-	address string
-	runs    map[work.TaskRef]crashRun
-	ends    []RunEnd
-	seq     int64
-	dead    bool
-	found   time.Duration // when the list of VMs shows that it is over
+// simWorker is one incarnation of a simulated worker.
+type simWorker struct {
+	address    string
+	runs       map[work.TaskRef]simRun
+	ends       []RunEnd
+	seq        int64
+	dead       bool
+	detectedAt time.Duration // when the list of VMs shows that it has ended
 }
 
-type crashRun struct {
+type simRun struct {
 	run  int
 	from time.Duration
 }
 
-// Times of the world.
+// Times of the simulation.
 const (
-	crashTick   = 10 * time.Millisecond
-	crashFound  = 170 * time.Millisecond
-	crashAway   = 3 * time.Second // from a crash until the VM is back
-	crashPolled = 100 * time.Millisecond
+	simTick           = 10 * time.Millisecond
+	simDetectionDelay = 170 * time.Millisecond
+	simVMAbsence      = 3 * time.Second // from a crash until the VM is back
+	simPollInterval   = 100 * time.Millisecond
 )
 
-func newCrashWorld(t testing.TB, workers int) *crashWorld { return seededCrashWorld(t, workers, 1) }
+func newCrashSim(t testing.TB, workers int) *crashSim { return newSeededCrashSim(t, workers, 1) }
 
-func seededCrashWorld(t testing.TB, workers int, seed uint64) *crashWorld {
-	w := &crashWorld{
+func newSeededCrashSim(t testing.TB, workers int, seed uint64) *crashSim {
+	w := &crashSim{
 		rig: rig{t: t, now: time.Hour, wall: epoch}, rng: rand.New(rand.NewPCG(seed, 1)),
-		lives: make(map[work.WorkerID]*crashLife), progress: make(map[work.JobID]*Progress), records: make(map[work.JobID]*JobRecord),
-		ended: make(map[work.JobID]work.State), stores: true, found: crashFound,
-		crashes: func(work.TaskRef) time.Duration { return 0 },
-		takes:   func(work.TaskRef) time.Duration { return time.Second },
-		starts:  make(map[work.TaskRef]int), under: make(map[work.TaskRef]int),
-		took: make(map[work.JobID]time.Duration),
+		simWorkers: make(map[work.WorkerID]*simWorker), progress: make(map[work.JobID]*Progress), records: make(map[work.JobID]*JobRecord),
+		ended: make(map[work.JobID]work.State), storeAvailable: true, detectionDelay: simDetectionDelay,
+		crashAfter: func(work.TaskRef) time.Duration { return 0 },
+		workTime:   func(work.TaskRef) time.Duration { return time.Second },
+		starts:     make(map[work.TaskRef]int), crashesUnder: make(map[work.TaskRef]int),
+		completionTimes: make(map[work.JobID]time.Duration),
 	}
 	w.core = w.successor(token)
 	for i := range workers {
@@ -89,29 +89,29 @@
 	return w
 }
 
-func (w *crashWorld) join(address string) {
-	w.born++
-	id := work.WorkerID(fmt.Sprintf("w%d", w.born))
-	w.lives[id] = &crashLife{address: address, runs: make(map[work.TaskRef]crashRun)}
+func (w *crashSim) join(address string) {
+	w.joined++
+	id := work.WorkerID(fmt.Sprintf("w%d", w.joined))
+	w.simWorkers[id] = &simWorker{address: address, runs: make(map[work.TaskRef]simRun)}
 	w.register(id)
 }
 
-func (w *crashWorld) register(id work.WorkerID) {
+func (w *crashSim) register(id work.WorkerID) {
 	i := info(id)
-	i.Address = w.lives[id].address
+	i.Address = w.simWorkers[id].address
 	w.core.WorkerRegistered(i)
 	w.poll(id)
 }
 
-// submit hands a job in; it is stored.
-func (w *crashWorld) submit(id work.JobID, steps ...work.Step) {
+// submit accepts a job and stores it.
+func (w *crashSim) submit(id work.JobID, steps ...work.Step) {
 	w.accept(id, steps...)
 	job := w.core.jobs[id].Job
 	w.records[id] = &JobRecord{Job: &job, Queue: w.core.declared.Queues[queue]}
 }
 
-// takeOver replaces the owner by one that knows what is stored.
-func (w *crashWorld) takeOver() {
+// takeOver replaces the owner by one that knows only what is stored.
+func (w *crashSim) takeOver() {
 	w.core = w.successor(w.core.token + 1)
 	for _, id := range sorted(w.records) {
 		if w.ended[id] == "" {
@@ -130,13 +130,13 @@
 	}
 }
 
-func (w *crashWorld) alive() []work.WorkerID { return w.among(false) }
+func (w *crashSim) alive() []work.WorkerID { return w.workerIDs(false) }
 
-func (w *crashWorld) dead() []work.WorkerID { return w.among(true) }
+func (w *crashSim) dead() []work.WorkerID { return w.workerIDs(true) }
 
-func (w *crashWorld) among(dead bool) []work.WorkerID {
+func (w *crashSim) workerIDs(dead bool) []work.WorkerID {
 	var out []work.WorkerID
-	for id, l := range w.lives {
+	for id, l := range w.simWorkers {
 		if l.dead == dead {
 			out = append(out, id)
 		}
@@ -145,15 +145,15 @@
 	return out
 }
 
-// run plays the world for so long.
-func (w *crashWorld) run(d time.Duration) {
+// run advances the simulation by d.
+func (w *crashSim) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
-		w.now += crashTick
-		w.age()
+		w.now += simTick
+		w.advance()
 		for _, s := range w.core.Plan(w.now, w.wall).Starts {
 			w.start(s)
 		}
-		if w.now%crashPolled < crashTick {
+		if w.now%simPollInterval < simTick {
 			for _, id := range w.alive() {
 				w.poll(id)
 			}
@@ -162,33 +162,33 @@
 	}
 }
 
-// age lets tasks end, workers crash under them, and VMs come back.
-func (w *crashWorld) age() {
+// advance ends tasks, crashes workers under them or by themselves, and lets VMs return.
+func (w *crashSim) advance() {
 	for _, id := range w.alive() {
-		l := w.lives[id]
+		l := w.simWorkers[id]
 		for _, ref := range l.tasks() {
 			lasted := w.now - l.runs[ref].from
-			if after := w.crashes(ref); after > 0 && lasted >= after {
-				w.ownFault++
+			if after := w.crashAfter(ref); after > 0 && lasted >= after {
+				w.taskCrashes++
 				w.crash(id)
 				break
 			}
-			if takes := w.takes(ref); takes > 0 && lasted >= takes {
+			if takes := w.workTime(ref); takes > 0 && lasted >= takes {
 				l.end(ref, work.Done)
 			}
 		}
 	}
 	for _, id := range w.alive() {
-		if w.rng.Float64() < w.self*crashTick.Seconds() {
+		if w.rng.Float64() < w.spontaneousRate*simTick.Seconds() {
 			w.crash(id)
 		}
 	}
 	for _, id := range w.dead() {
-		l := w.lives[id]
+		l := w.simWorkers[id]
 		switch {
-		case w.now >= l.found:
-			delete(w.lives, id)
-			w.core.WorkerGone(id, "its VM has another life or none", w.now)
+		case w.now >= l.detectedAt:
+			delete(w.simWorkers, id)
+			w.core.WorkerGone(id, "its VM runs another incarnation or none", w.now)
 		default:
 			w.core.HoldFailed(id, OutcomeNotSent, w.now)
 		}
@@ -200,7 +200,7 @@
 	}
 }
 
-func (l *crashLife) tasks() []work.TaskRef {
+func (l *simWorker) tasks() []work.TaskRef {
 	var out []work.TaskRef
 	for ref := range l.runs {
 		out = append(out, ref)
@@ -209,23 +209,23 @@
 	return out
 }
 
-// crash ends the worker's life, and with it all it runs.
-func (w *crashWorld) crash(id work.WorkerID) {
-	l := w.lives[id]
+// crash ends the worker's incarnation, and with it all its runs.
+func (w *crashSim) crash(id work.WorkerID) {
+	l := w.simWorkers[id]
 	for _, ref := range l.tasks() {
-		w.under[ref]++
+		w.crashesUnder[ref]++
 		if t := w.core.find(ref); t != nil && t.step.spec.Gang {
 			w.breakGang(ref.StepRef)
 		}
 	}
-	l.dead, l.found = true, w.now+w.found
-	w.returns = append(w.returns, crashReturn{at: w.now + crashAway, address: l.address})
+	l.dead, l.detectedAt = true, w.now+w.detectionDelay
+	w.returns = append(w.returns, vmReturn{at: w.now + simVMAbsence, address: l.address})
 }
 
 // breakGang ends the runs of a gang that lost a member.
-func (w *crashWorld) breakGang(step work.StepRef) {
+func (w *crashSim) breakGang(step work.StepRef) {
 	for _, id := range w.alive() {
-		l := w.lives[id]
+		l := w.simWorkers[id]
 		for _, ref := range l.tasks() {
 			if ref.StepRef == step {
 				l.end(ref, work.GangBroken)
@@ -234,14 +234,14 @@
 	}
 }
 
-func (l *crashLife) end(ref work.TaskRef, how work.End) {
+func (l *simWorker) end(ref work.TaskRef, how work.End) {
 	l.seq++
 	l.ends = append(l.ends, RunEnd{Seq: l.seq, Task: ref, Run: l.runs[ref].run, How: how})
 	delete(l.runs, ref)
 }
 
-func (w *crashWorld) start(s StartOrder) {
-	l := w.lives[s.Worker.ID]
+func (w *crashSim) start(s StartOrder) {
+	l := w.simWorkers[s.Worker.ID]
 	if l == nil || l.dead {
 		w.core.StartAnswered(s, OutcomeNotSent, 0, w.now)
 		return
@@ -249,12 +249,12 @@
 	w.core.StartSending(s, w.now)
 	ref := s.Start.Task
 	w.starts[ref]++
-	l.runs[ref] = crashRun{run: s.Start.Run, from: w.now}
+	l.runs[ref] = simRun{run: s.Start.Run, from: w.now}
 	w.core.StartAnswered(s, OutcomeOK, w.now, w.now)
 }
 
-func (w *crashWorld) poll(id work.WorkerID) {
-	l := w.lives[id]
+func (w *crashSim) poll(id work.WorkerID) {
+	l := w.simWorkers[id]
 	_, h, due := w.core.HoldFor(id, w.now)
 	if !due || l.dead {
 		return
@@ -266,8 +266,8 @@
 	w.core.HoldAnswered(id, h, listing, w.now, w.now)
 }
 
-func (w *crashWorld) store() {
-	if !w.stores {
+func (w *crashSim) store() {
+	if !w.storeAvailable {
 		return
 	}
 	f := w.core.TakeFlush(100)
@@ -275,8 +275,8 @@
 		if ch.Final != "" {
 			w.ended[ch.Job] = ch.Final
 			if ch.Final == work.Completed {
-				w.took[ch.Job] = w.now - w.core.jobs[ch.Job].accepted
-				w.waited += w.took[ch.Job]
+				w.completionTimes[ch.Job] = w.now - w.core.jobs[ch.Job].accepted
+				w.totalCompletionTime += w.completionTimes[ch.Job]
 			}
 			continue
 		}
@@ -285,8 +285,8 @@
 	w.core.Flushed(f, nil)
 }
 
-// most is the most starts of any task of the job.
-func (w *crashWorld) most(job work.JobID) int {
+// maxStarts returns the largest number of starts of any task of the job.
+func (w *crashSim) maxStarts(job work.JobID) int {
 	n := 0
 	for ref, starts := range w.starts {
 		if ref.Job == job {
@@ -296,9 +296,9 @@
 	return n
 }
 
-// faulty has the first task of each of the jobs crash its worker so long after its start.
-func (w *crashWorld) faulty(after time.Duration, jobs ...work.JobID) {
-	w.crashes = func(ref work.TaskRef) time.Duration {
+// setFaulty has the first task of each of the jobs crash its worker that long after its start.
+func (w *crashSim) setFaulty(after time.Duration, jobs ...work.JobID) {
+	w.crashAfter = func(ref work.TaskRef) time.Duration {
 		if ref.Index == 0 && slices.Contains(jobs, ref.Job) {
 			return after
 		}
@@ -306,12 +306,12 @@
 	}
 }
 
-// crashStartsAllowed is how often a task that crashes its workers may be started: three
-// crashes show it, and it must not be started three times more.
-const crashStartsAllowed = 5
+// maxStartsOfPoison is how often a task that crashes its workers may be started: three crashes
+// prove it, and it must not be started three times more.
+const maxStartsOfPoison = 5
 
-func assertGivenUp(t *testing.T, w *crashWorld, job work.JobID) {
+func assertGivenUp(t *testing.T, w *crashSim, job work.JobID) {
 	t.Helper()
-	assert.Assert(t, w.most(job) <= crashStartsAllowed, "%s: started %d times", job, w.most(job))
+	assert.Assert(t, w.maxStarts(job) <= maxStartsOfPoison, "%s: started %d times", job, w.maxStarts(job))
 	assert.Equal(t, w.ended[job], work.Failed)
 }
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -9,10 +9,10 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// WorkerRegistered takes a worker's registration over. The entry of a life that is
-// over may stay for some seconds, beside that of another life at the same address:
-// which of them is over only the worker itself and the platform's list can say. ask reports
-// that the worker is to be polled to tell.
+// WorkerRegistered records a worker's registration. The registration of an incarnation that
+// has ended may remain for some seconds, beside that of another one at the same address; only
+// the worker itself and the platform's list of VMs can tell which of them has ended. ask
+// reports that the worker is to be polled to find out.
 func (c *Core) WorkerRegistered(info WorkerInfo) (ask bool) {
 	if c.hasEnded(info.ID, info.Life) {
 		return false
@@ -33,9 +33,9 @@
 	return ask
 }
 
-// InheritLeases says until when, on our clock, an earlier owner may have extended the
-// leases of workers. It also holds for workers that register later: the entry of
-// one that lives may have lapsed while the store was away.
+// InheritLeases sets the time, on the owner's clock, until which an earlier owner may have
+// extended the leases of workers. It also applies to workers that register later: the
+// registration of a running worker may have expired while the store was unavailable.
 func (c *Core) InheritLeases(until time.Duration) {
 	c.inherited = until
 	for _, w := range c.workers {
@@ -43,7 +43,8 @@
 	}
 }
 
-// handleIncompleteRun handles the end of a run that did no work to its end.
+// handleIncompleteRun handles the end of a run that did not complete its task. The task is
+// queued again, unless its job has ended.
 func (c *Core) handleIncompleteRun(t *task, now time.Duration) {
 	c.clearDisprovenCrashes(t)
 	t.trial = 0
@@ -55,7 +56,7 @@
 	c.requeue(t)
 }
 
-// HoldFor returns the next poll of the worker, or false where none is needed.
+// HoldFor returns the next poll of the worker; false if none is needed.
 func (c *Core) HoldFor(id work.WorkerID, now time.Duration) (WorkerInfo, Hold, bool) {
 	w := c.workers[id]
 	if w == nil || w.gone || now > c.startsUntil {
@@ -77,18 +78,19 @@
 	if len(w.tasks) > 0 {
 		h.Wait = w.wait()
 	}
-	// After a lost answer the next is to tell at once whether the worker lives: until then
-	// nothing starts there.
+	// After a missed poll, the next one is to tell at once whether the worker is alive: until
+	// then nothing starts there.
 	if w.missedPolls > 0 {
 		h.Wait = min(h.Wait, pollWaitMin)
 	}
-	// A worker that did not answer gets no further extension: what it runs
-	// must be certain to end, so that it can start elsewhere.
+	// A worker that missed a poll gets no further extension: its runs must be certain to end,
+	// so that their tasks can start elsewhere.
 	if len(w.tasks) > 0 && w.missedPolls == 0 {
 		h.Deadline = w.clockNow(now) + min(LeaseExtension, c.bounds.MaxHold)
 		w.deadline = max(w.deadline, h.Deadline)
 	}
-	// These waits mean that the list is to settle or to pace something.
+	// With these waits the full listing is needed, to resolve the state of a run or for
+	// pacing.
 	h.Brief = polling.Brief(now-w.listedAt, h.Wait == pollWaitMin || h.Wait == pollWaitServing || w.missedPolls > 0)
 	return w.info, h, true
 }
@@ -117,12 +119,12 @@
 	return pollWait
 }
 
-// HoldUnread notes a poll whose answer did not come while this owner was behind its work:
-// it may lie here unread, and says nothing of the worker. Taken for silent, the worker
-// would not have its lease extended, and its work would end.
+// HoldUnread counts a poll that was not answered in time while this owner was overloaded. The
+// answer may have arrived and not been read, so nothing follows about the worker. Taken for
+// silent, the worker would not have its lease extended, and its runs would end.
 func (c *Core) HoldUnread() { c.unread++ }
 
-// HoldFailed notes a poll that was not answered.
+// HoldFailed records a poll that brought no listing, with its outcome o.
 func (c *Core) HoldFailed(id work.WorkerID, o Outcome, now time.Duration) {
 	w := c.workers[id]
 	if w == nil {
@@ -133,7 +135,7 @@
 		c.deposed = true
 		return
 	case OutcomeOtherLife:
-		c.WorkerGone(id, "another life answers", now)
+		c.WorkerGone(id, "another incarnation answers", now)
 		return
 	}
 	w.missedPolls++
@@ -144,7 +146,8 @@
 	c.Expire(now)
 }
 
-// Expire restarts what unreachable workers ran, once it is certain to be over.
+// Expire queues the tasks of unreachable workers again, once their leases are certain to have
+// ended.
 func (c *Core) Expire(now time.Duration) {
 	if !c.certain {
 		return
@@ -157,8 +160,7 @@
 	}
 }
 
-// HoldAnswered takes a worker's answer over. sent is when the poll was sent and
-// h what it carried.
+// HoldAnswered records a worker's answer l to the poll h, which was sent at sent.
 func (c *Core) HoldAnswered(id work.WorkerID, h Hold, l Listing, sent, now time.Duration) {
 	w := c.workers[id]
 	if w == nil {
@@ -173,10 +175,11 @@
 			w.info.Life = l.Life
 		default:
 			w = c.workerRestarted(w, l.Life, now)
-			h.AckedThrough = 0 // counts the ends of the life before
+			h.AckedThrough = 0 // it counts the ends of the previous incarnation
 		}
 	}
-	// The registration was there before this answer was asked for: its life was an earlier one.
+	// That registration was known before this poll was sent, so it is of an earlier
+	// incarnation.
 	if w.nextIncarnation != nil && l.Life == w.info.Life && h.next == w.nextIncarnation.Life {
 		c.over[id] = append(c.over[id], w.nextIncarnation.Life)
 		w.nextIncarnation = nil
@@ -184,7 +187,7 @@
 	w.observeClock(l.Clock, now)
 	w.acked = max(w.acked, h.AckedThrough)
 	if !w.contacted {
-		c.log.Info("worker heard", "worker", id, "service", w.info.Service, "running", len(l.Running), "ended", len(l.Ended))
+		c.log.Info("first answer from worker", "worker", id, "service", w.info.Service, "running", len(l.Running), "ended", len(l.Ended))
 	} else if w.missedPolls > 0 {
 		c.log.Info("worker answers again", "worker", id, "missed", w.missedPolls)
 	}
@@ -207,7 +210,7 @@
 	}
 }
 
-// reconcileRunning compares what runs with what should.
+// reconcileRunning compares the runs that a worker listed with those that it should have.
 func (c *Core) reconcileRunning(w *worker, running []Run, sent, now time.Duration) {
 	present := make(map[work.TaskRef]int, len(running))
 	for i := range running {
@@ -226,7 +229,7 @@
 	}
 }
 
-// observeRun takes one listed run over.
+// observeRun takes over one run that a worker listed.
 func (c *Core) observeRun(w *worker, r *Run, now time.Duration) {
 	t := c.find(r.Task)
 	if t == nil || t.state == taskDone {
@@ -238,14 +241,14 @@
 			w.markOrphaned(r.Task, r.Run)
 			return
 		}
-		// An earlier owner's run, or one that was thought lost. Of two, the
-		// higher: it was ordered after the other had been settled.
+		// An earlier owner started the run, or it was thought lost. Of two runs, the one with
+		// the higher number counts: it was started after the other had been settled.
 		if t.where != nil {
 			t.where.markOrphaned(t.ref, t.run)
 		}
 		c.clearPresumed(t, r.Run)
 		if t.suspect() {
-			c.requestTrial(t) // it goes on, and may crash the worker yet
+			c.requestTrial(t) // the run goes on, and may still crash the worker
 		}
 		c.log.Info("run adopted", "task", r.Task.String(), "run", r.Run, "worker", w.info.ID)
 		delete(w.orphanedRuns, r.Task)
@@ -274,30 +277,30 @@
 	t.gauge = r.Gauge
 }
 
-// handleUnlistedTask handles a task that should be there by our books and is neither
-// listed as running nor as ended. A poll that left before the worker answered
-// the start proves nothing: answers overtake each other.
+// handleUnlistedTask handles a task that is recorded on the worker, but is listed neither as
+// running nor as ended. A poll that was sent before the worker answered the start proves
+// nothing: answers may overtake each other.
 func (c *Core) handleUnlistedTask(t *task, sent, now time.Duration) {
 	switch t.state {
 	case taskActive:
 		if t.answered < sent {
-			c.log.Info("run vanished", "task", t.ref.String(), "run", t.run)
+			c.log.Info("run missing from its worker's listing", "task", t.ref.String(), "run", t.run)
 			c.handleIncompleteRun(t, now)
 		}
 	case taskDoubtful:
-		// It may yet start: the stop makes the worker reject it.
+		// It may still start: the stop makes the worker reject it.
 		if t.answered < sent {
 			t.step.set(t, taskStopping)
 		}
 	case taskStopping:
-		// Not at the stop's answer: a run goes on for a while after it.
+		// The answer to the stop is not enough: a run goes on for a while after it.
 		if t.stopOK != 0 && t.stopOK < sent {
 			c.handleIncompleteRun(t, now)
 		}
 	}
 }
 
-// handleEnd takes one end over. Its effect must be stored before it is acknowledged.
+// handleEnd processes the end of a run. Its effect must be stored before it is acknowledged.
 func (c *Core) handleEnd(w *worker, e *RunEnd, now time.Duration) {
 	if s := w.orphanedRuns[e.Task]; s != nil && s.run <= e.Run {
 		delete(w.orphanedRuns, e.Task)
@@ -344,7 +347,7 @@
 		c.learned.learn(t.step, now-t.answered)
 	}
 	if t.step.spec.Gang {
-		// One member's end stands for all of its run.
+		// The end of one member stands for the same run of all members.
 		for _, member := range t.step.tasks {
 			c.markDone(member, e.Run)
 		}
@@ -355,8 +358,8 @@
 	c.advance(t.step.job)
 }
 
-// markDone ends the task. Where a run other than the one that ended goes on, it
-// becomes a stray, which is stopped.
+// markDone marks the task as done. If a run other than the one that ended goes on, it becomes
+// an orphaned run, which is stopped.
 func (c *Core) markDone(t *task, endedRun int) {
 	if t.state == taskDone {
 		return
@@ -369,7 +372,7 @@
 	c.touch(t.step.job)
 }
 
-// advance ends occurrences and the job where all is done.
+// advance removes finished occurrences, and completes the job when none is left.
 func (c *Core) advance(j *job) {
 	if j.final != "" {
 		return
@@ -386,7 +389,7 @@
 	}
 }
 
-// Pauses between starts of a lasting task that fails again and again.
+// Pauses between starts of a long-running task that fails repeatedly.
 const (
 	initialRestartPause = 50 * time.Millisecond
 	maxRestartPause     = 800 * time.Millisecond
--- a/internal/engine/lives.go
+++ b/internal/engine/lives.go
@@ -10,19 +10,20 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// incarnationWatcher reads from the platform's list of VMs which workers are over: at the
-// take-over, and while a worker does not answer. A list is one priced call.
+// incarnationWatcher reads the platform's list of VMs to find out which incarnations of
+// workers have ended: at the take-over, and while a worker does not answer. Each call for the
+// list has a price.
 type incarnationWatcher struct {
 	engine *Engine
-	listed int // VMs of the last list
+	listed int // number of VMs in the last list
 }
 
 const (
-	// vmListInterval separates lists while there is reason to read them.
+	// vmListInterval is the shortest pause between two lists while they are needed.
 	vmListInterval = 400 * time.Millisecond
-	// vmListCheckInterval is how often it is asked whether there is reason.
+	// vmListCheckInterval is how often it is checked whether a list is needed.
 	vmListCheckInterval = 200 * time.Millisecond
-	// vmListTimeout ends a call to the platform's VM service.
+	// vmListTimeout is the timeout of a call to the platform's VM service.
 	vmListTimeout = 1 * time.Second
 )
 
@@ -37,8 +38,8 @@
 	}
 }
 
-// needsList reports whether the list could tell something: before the first, while
-// a worker does not answer, and while an earlier owner's work may be unknown.
+// needsList reports whether the list could tell something new: before the first one, while a
+// worker does not answer, and while runs of an earlier owner may be unknown.
 func (l *incarnationWatcher) needsList() bool {
 	e := l.engine
 	e.mu.Lock()
@@ -62,7 +63,7 @@
 	sent := e.Clock.Now()
 	vms, err := e.Machines.List(call)
 	if err != nil {
-		e.Log.Info("VMs not listed", "error", err.Error())
+		e.Log.Info("could not list VMs", "error", err.Error())
 		return
 	}
 	l.listed = len(vms)
@@ -74,16 +75,16 @@
 	kick(e.planKick)
 }
 
-// endUnlistedWorkers ends the workers that do not answer and whose VM has another life or
-// none. sent is when the list was asked for: it is older than any answer since. One that
-// had nothing to answer takes nothing new until it has: nobody asks an idle worker whether
-// it lives, and what waits would go from one that crashed to the next.
+// endUnlistedWorkers removes the workers that do not answer and whose VM runs another
+// incarnation or none. sent is when the list was requested: any answer since is newer. A
+// worker that had nothing to answer takes nothing new until it answers: idle workers are not
+// polled, and waiting tasks would go from one crashed worker to the next.
 func (c *Core) endUnlistedWorkers(sent, now time.Duration) {
 	for id, w := range c.workers {
 		_, up := c.alive[id]
 		w.unlisted = !up && w.clockAt < sent
 		if w.unlisted && w.missedPolls > 0 {
-			c.WorkerGone(id, "its VM has another life or none", now)
+			c.WorkerGone(id, "its VM runs another incarnation or none", now)
 		}
 	}
 }
@@ -103,12 +104,12 @@
 	}
 }
 
-// hasEnded reports whether that life of the worker is known to have ended.
+// hasEnded reports whether that incarnation of the worker is known to have ended.
 func (c *Core) hasEnded(id work.WorkerID, life work.Incarnation) bool {
 	return slices.Contains(c.over[id], life)
 }
 
-// addWorker adds a worker that was not known.
+// addWorker adds a worker that is not known yet, and returns it.
 func (c *Core) addWorker(info WorkerInfo) *worker {
 	w := &worker{
 		info: info, inheritedUntil: c.inherited,
@@ -120,18 +121,19 @@
 	return w
 }
 
-// maxInitialClock is the most that a worker's clock shows as its life begins.
+// maxInitialClock is the most that a worker's clock shows when an incarnation begins.
 const maxInitialClock = 2 * time.Second
 
-// sameIncarnation reports whether an answer with that clock is certainly of this life: that of one which
-// began since this one was last heard could not have come so far.
+// sameIncarnation reports whether an answer with that clock is certain to come from this
+// incarnation: the clock of one that began after this one's last answer could not be as far
+// yet.
 func (w *worker) sameIncarnation(clock, now time.Duration) bool {
 	return w.clockAt != 0 && clock > now-w.clockAt+maxInitialClock
 }
 
-// mayReachNextIncarnation reports whether a run may have begun in a life that follows this one unnoticed.
-// An acknowledgement counts the ends of this life; there it would take one along that nobody
-// has seen.
+// mayReachNextIncarnation reports whether a run may have begun, unnoticed, in an incarnation
+// that follows this one. An acknowledgement counts the ends of this incarnation; the next one
+// would take it for an acknowledgement of its own ends, which nobody has received.
 func (w *worker) mayReachNextIncarnation() bool {
 	for _, t := range w.tasks {
 		if !t.shown {
@@ -149,18 +151,20 @@
 // maxOrderDelay is how long after it was sent an order may still be carried out.
 const maxOrderDelay = 5 * time.Second
 
-// maxLateRunDuration is how long work may go on that an order keeps which was meant for the life
-// before: that life's clock was ahead, so that the worker grants its longest lease.
+// maxLateRunDuration is how long a run may go on that a late order keeps running which was
+// meant for the previous incarnation: the clock of that one was ahead, so the worker grants
+// its longest lease.
 func (c *Core) maxLateRunDuration() time.Duration {
 	return maxOrderDelay + time.Duration(float64(c.bounds.MaxHold)*(1+maxClockDrift)) + expiryMargin
 }
 
-// workerRestarted ends the worker's life, as another answered a poll under its ID, and returns
-// that one. Starts that were meant for the life before, and are not known to have reached it,
-// may have reached the new one or do so yet: the platform tells lives apart by ID. Their runs
-// are stopped there before their tasks start anywhere.
+// workerRestarted ends the worker's incarnation, as another one answered a poll under its ID,
+// and returns the new one. Starts that were meant for the previous incarnation, and are not
+// known to have reached it, may have reached the new one or may yet do so: the platform tells
+// incarnations apart by ID only. Their runs are stopped there before their tasks start
+// anywhere.
 func (c *Core) workerRestarted(old *worker, life work.Incarnation, now time.Duration) *worker {
-	lateRuns := make(map[work.TaskRef]int) // their runs
+	lateRuns := make(map[work.TaskRef]int) // the runs that these starts may begin
 	for ref, t := range old.tasks {
 		if !t.shown {
 			lateRuns[ref] = t.run
@@ -174,7 +178,7 @@
 		info, registered = *old.nextIncarnation, true
 	}
 	old.nextIncarnation = nil
-	c.WorkerGone(old.info.ID, "it started again", now)
+	c.WorkerGone(old.info.ID, "it restarted", now)
 	info.Life = life
 	w := c.addWorker(info)
 	w.cordon, w.unregistered = old.cordon, !registered
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -8,20 +8,20 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// lossCause says why runs ended without an end that their worker listed.
+// lossCause tells why runs were lost: they ended, and their worker did not list their end.
 type lossCause string
 
 // The causes of lost runs.
 const (
-	lossCrash   lossCause = "crash"   // the worker's life ended unannounced
+	lossCrash   lossCause = "crash"   // the worker's incarnation ended unannounced
 	lossPlanned lossCause = "planned" // it was leaving, or its VM was to be moved or maintained
-	lossLease   lossCause = "lease"   // it was not reached until its leases had run out
+	lossLease   lossCause = "lease"   // it was unreachable until its leases had run out
 )
 
-// departureAnnounced reports whether the end of the worker's life was announced.
+// departureAnnounced reports whether the end of the worker's incarnation was announced.
 func (w *worker) departureAnnounced() bool { return w.info.Draining || w.cordon.Closes() }
 
-// WorkerGone says that the worker's life is over, and with it all it ran.
+// WorkerGone records that the worker's incarnation has ended, and with it all its runs.
 func (c *Core) WorkerGone(id work.WorkerID, why string, now time.Duration) {
 	w := c.workers[id]
 	if w == nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// dropTasks takes everything off the worker: none of it runs any more.
+// dropTasks removes all tasks from the worker: none of them runs there any more.
 func (c *Core) dropTasks(w *worker, cause lossCause, now time.Duration) {
 	for _, t := range w.tasks {
 		t.losses++
@@ -68,8 +68,8 @@
 	clear(w.orphanedRuns)
 }
 
-// observedRunTime is how long the task had run there as the worker last answered; 0 where no
-// answer came since its start.
+// observedRunTime returns how long the task had run on the worker as of the worker's last
+// answer; 0 if no answer came since its start.
 func (w *worker) observedRunTime(t *task) time.Duration {
 	if t.answered == 0 || t.state == taskStarting || t.state == taskDoubtful {
 		return 0
@@ -81,11 +81,11 @@
 type lostRun struct {
 	task              *task
 	run               int
-	minRunTime        time.Duration // as last seen
-	maxRunTime        time.Duration // as its worker fell silent
-	unsent            bool          // its start had not been sent
-	silentBeforeStart time.Duration // as long before its start the worker may have crashed already
-	startUnconfirmed  bool          // that long that the crash says little
+	minRunTime        time.Duration // as of the worker's last answer
+	maxRunTime        time.Duration // until the worker fell silent
+	unsent            bool          // its start order had not been sent
+	silentBeforeStart time.Duration // how long before its start the worker may have crashed already
+	startUnconfirmed  bool          // silentBeforeStart is so long that the crash says little about the run
 }
 
 func (w *worker) lostRunOf(t *task, now time.Duration) lostRun {
@@ -106,7 +106,7 @@
 	return l
 }
 
-// markSilent notes that the worker did not answer, for the first time since it last did.
+// markSilent records when the worker first did not answer since its last answer.
 func (c *Core) markSilent(w *worker, now time.Duration) {
 	if w.silentSince == 0 {
 		w.silentSince = now
@@ -114,7 +114,7 @@
 	}
 }
 
-// silentFrom is when the worker fell silent; now, if it answered until now.
+// silentFrom returns when the worker fell silent; now, if it answered until now.
 func (w *worker) silentFrom(now time.Duration) time.Duration {
 	if w.silentSince != 0 {
 		return w.silentSince
@@ -122,7 +122,7 @@
 	return now
 }
 
-// crash is a crash of a worker that is still to be judged.
+// crash is a crash of a worker that has not been attributed yet.
 type crash struct {
 	worker      *worker
 	at          time.Duration // when it fell silent
@@ -130,8 +130,9 @@
 	duringTrial bool // a suspect was on trial there
 }
 
-// recordWorkerCrash notes that the worker recordWorkerCrash, with what ran there and what did until its leases ran
-// out unreached. That starts nowhere until the crash is judged.
+// recordWorkerCrash records a crash with the runs that the worker had and those that it had
+// until its leases ran out while it was unreachable. Their tasks start nowhere until the crash
+// is attributed.
 func (c *Core) recordWorkerCrash(w *worker, now time.Duration) {
 	lost := w.expiredRuns
 	for _, t := range w.tasks {
@@ -147,8 +148,8 @@
 	c.attributeDueCrashes(now)
 }
 
-// attributeDueCrashes blames tasks for the crashes of which it is known by now whether other workers
-// were lost with them.
+// attributeDueCrashes attributes the crashes of which it is known by now whether other workers
+// were lost at the same time.
 func (c *Core) attributeDueCrashes(now time.Duration) {
 	var wait []crash
 	for _, cr := range c.unjudged {
@@ -161,13 +162,13 @@
 	c.unjudged = wait
 }
 
-// continuedAfter reports whether the run was found in a life that followed the worker: its start had
-// reached that one.
+// continuedAfter reports whether the run was found in a later incarnation of the worker: its
+// start had reached that one.
 func (l *lostRun) continuedAfter(w *worker) bool {
 	return l.task.where != nil && l.task.where != w && l.task.run == l.run
 }
 
-// attributeCrash notes a crash against what may have caused it.
+// attributeCrash records a crash against the tasks that may have caused it.
 func (c *Core) attributeCrash(cr *crash, now time.Duration) {
 	w := cr.worker
 	cr.lost = slices.DeleteFunc(cr.lost, func(l lostRun) bool { return l.continuedAfter(w) })
@@ -181,7 +182,7 @@
 		j := l.task.step.job
 		job := string(j.ID)
 		if l.task.step.spec.LongRunning {
-			job = l.task.ref.String() // it is judged for itself, as its job is never given up
+			job = l.task.ref.String() // judged by task, as the job is never given up
 		}
 		lostRuns[i] = crashes.LostRun{
 			Job: job, MinRunTime: l.minRunTime, MaxRunTime: l.maxRunTime, SilentBeforeStart: l.silentBeforeStart, StartUnconfirmed: l.startUnconfirmed, LongRunning: l.task.step.spec.LongRunning,
@@ -189,7 +190,7 @@
 		}
 	}
 	verdict := crashes.Attribute(lostRuns, rate)
-	// What ran on a worker that was never heard is not known.
+	// The runs of a worker that never answered are not known.
 	if w.contacted {
 		c.crashRate.Crashed(verdict.Spontaneous, len(c.workers), now)
 	}
@@ -227,25 +228,25 @@
 	}
 	j.evidence++
 	c.touch(j)
-	c.log.Info("worker crashed under a task", "task", t.ref.String(), "run", l.run, "worker", w.info.ID, "factor", blamed.Factor, "presumed", blamed.Presumed,
+	c.log.Info("worker crash attributed to a task", "task", t.ref.String(), "run", l.run, "worker", w.info.ID, "factor", blamed.Factor, "presumed", blamed.Presumed,
 		"seen running for", l.minRunTime.String(), "at most", l.maxRunTime.String(), "crashes", len(t.crashes), "suspect", t.suspected)
 }
 
-// Pauses between starts of a lasting task under which workers crash. It is never given up,
-// as callers are promised that it is restarted however it ends, and it must not take one
-// worker after the other.
+// Pauses between starts of a long-running task under which workers crash. It is never given
+// up, as callers are promised that it is restarted however it ends, and it must not crash one
+// worker after another.
 const (
 	initialCrashPause = 100 * time.Millisecond
 	maxCrashPause     = 2 * time.Second
 )
 
-// kindKey names a kind of job: those that behave alike.
+// kindKey identifies a kind of jobs: those that behave alike.
 type kindKey struct {
 	queue       string
 	longRunning bool
 }
 
-// kindOf is what is known of jobs like this one.
+// kindOf returns what is known of the crashes of jobs of this kind.
 func (c *Core) kindOf(j *job) *crashes.Kind {
 	key := kindKey{queue: j.Queue, longRunning: j.LongRunning()}
 	k := c.kinds[key]
@@ -256,13 +257,13 @@
 	return k
 }
 
-// updateSuspected decides whether the task is a suspect, after a change of its record.
+// updateSuspected decides anew whether the task is a suspect, after its record changed.
 func (c *Core) updateSuspected(t *task, now time.Duration) {
 	t.suspected = t.crashes.Suspect(c.kindOf(t.step.job).Prior(now))
 }
 
-// failPoisonTask gives the task's job up when the crashes say that the task crashes whatever
-// starts it.
+// failPoisonTask fails the task's job if the crashes say that the task crashes every worker
+// that starts it.
 func (c *Core) failPoisonTask(t *task, now time.Duration) {
 	j := t.step.job
 	if j.final != "" || t.state == taskDone || t.step.spec.LongRunning {
@@ -270,14 +271,14 @@
 	}
 	if prior := c.kindOf(j).Prior(now); t.crashes.Poison(prior) {
 		c.onsets.Add(t.crashes)
-		c.log.Info("task given up", "task", t.ref.String(), "crashes", len(t.crashes), "share of such jobs", prior)
+		c.log.Info("job failed, as its task crashes workers", "task", t.ref.String(), "crashes", len(t.crashes), "share of such jobs", prior)
 		c.finish(j, work.Failed)
 		c.clearExplainedCrashes(t, now)
 	}
 }
 
-// clearExplainedCrashes takes back what was noted of other tasks for the crashes that the task, now
-// known for what it is, explains.
+// clearExplainedCrashes takes back the crashes recorded against other tasks that the poison
+// task explains.
 func (c *Core) clearExplainedCrashes(poison *task, now time.Duration) {
 	incarnations := poison.crashes.Workers()
 	for _, j := range c.open {
@@ -291,9 +292,9 @@
 	}
 }
 
-// resolvePresumed decides, once it is known what earlier owners left, what became of the
-// starts of suspects that they had noted and that nothing is known of: they crashed their
-// workers, unless all workers that were found registered live.
+// resolvePresumed decides, once it is known what earlier owners left, about the starts of
+// suspects that these owners recorded and whose outcome is unknown: they crashed their
+// workers, unless all workers that were found registered are alive.
 func (c *Core) resolvePresumed(now time.Duration) {
 	if c.presumedResolved {
 		return
@@ -312,8 +313,8 @@
 	}
 }
 
-// clearDisprovenCrashes forgets the crashes under a lasting task whose present run shows that it does not
-// cause them.
+// clearDisprovenCrashes forgets the crashes under a long-running task whose current run shows
+// that it does not cause them.
 func (c *Core) clearDisprovenCrashes(t *task) {
 	if t.where == nil || len(t.crashes) == 0 {
 		return
@@ -325,8 +326,8 @@
 	}
 }
 
-// avoided are the workers that the task goes to only if nothing else is left: it failed
-// there, or a life before crashed under it. A VM that crashes by itself again and again would
+// avoided returns the workers that the task goes to only if no other is left: it failed there,
+// or an earlier incarnation crashed under it. A VM that repeatedly crashes by itself would
 // make a sound task look like poison.
 func (t *task) avoided(workers map[work.WorkerID]*worker) []work.WorkerID {
 	out := t.avoid
@@ -341,8 +342,8 @@
 	return out
 }
 
-// clearPresumed takes back the crash that an earlier owner's start of the task was taken to have
-// caused: its worker tells of a run of the task that is later than those under which workers
+// clearPresumed takes back the crash that an earlier owner's start of the task was presumed to
+// have caused, if a worker reports a later run of the task than those under which workers
 // crashed.
 func (c *Core) clearPresumed(t *task, run int) {
 	if t.presumed == 0 || run <= t.crashes.Without(t.presumed).LatestRun() {
--- a/internal/engine/model_lives_test.go
+++ b/internal/engine/model_lives_test.go
@@ -11,10 +11,10 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// modelMaxHold is the longest lease that workers take, whatever they are told.
+// modelMaxHold is the longest lease that workers grant, whatever deadline they are given.
 const modelMaxHold = 10 * time.Second
 
-// crash ends the life, and another begins, under its ID or a new one.
+// crash ends the worker's incarnation; another begins, under the same ID or a new one.
 func (m *model) crash(w *modelWorker) {
 	w.dead = true
 	for task := range w.running {
@@ -27,24 +27,24 @@
 		m.crashed[task]++
 	}
 	if m.again && m.chance(60) {
-		m.begins(w.id)
+		m.addIncarnation(w.id)
 		return
 	}
-	m.newLife()
+	m.addNewWorker()
 }
 
-func (m *model) newLife() { m.begins(work.WorkerID(fmt.Sprintf("w%d", m.lives+1))) }
+func (m *model) addNewWorker() { m.addIncarnation(work.WorkerID(fmt.Sprintf("w%d", m.lives+1))) }
 
-// begins adds a life of the worker, which knows nothing of those before.
-func (m *model) begins(id work.WorkerID) {
+// addIncarnation adds an incarnation of the worker, which knows nothing of those before.
+func (m *model) addIncarnation(id work.WorkerID) {
 	m.lives++
 	m.workers = append(m.workers, &modelWorker{
-		id: id, life: firstLife + work.Incarnation(m.lives), slow: 0.98 + 0.02*m.rng.Float64(), born: m.now,
+		id: id, life: firstIncarnation + work.Incarnation(m.lives), slow: 0.98 + 0.02*m.rng.Float64(), born: m.now,
 		running: make(map[work.TaskRef]int), highest: make(map[work.TaskRef]int), inDoubt: make(map[work.TaskRef]bool),
 	})
 }
 
-// worker is the present life under the ID; nil: none.
+// worker returns the current incarnation under the ID; nil: none.
 func (m *model) worker(id work.WorkerID) *modelWorker {
 	i := slices.IndexFunc(m.workers, func(w *modelWorker) bool { return w.id == id && !w.dead })
 	if i < 0 {
@@ -53,19 +53,19 @@
 	return m.workers[i]
 }
 
-// beginLate carries a start out long after it was sent. It reaches the life that it was sent to,
-// or the next under its ID, where neither its owner nor a stop has settled it meanwhile: their
-// fences end with a life.
-func (m *model) beginLate(o *modelOwner, w *modelWorker, s StartOrder) {
+// startLate carries a start out long after it was sent. It reaches the incarnation that it was
+// sent to, or the next one under the same ID unless a successor of its owner or a stop has
+// settled it meanwhile: the fences of an incarnation end with it.
+func (m *model) startLate(o *modelOwner, w *modelWorker, s StartOrder) {
 	settled := o != m.current() || s.Start.Run <= w.highest[s.Start.Task]
-	if next := m.next(w); w.dead && next != nil && !settled {
+	if next := m.nextIncarnation(w); w.dead && next != nil && !settled {
 		w = next
 	}
 	m.begin(w, s)
 }
 
-// next is the life that followed under the worker's ID.
-func (m *model) next(w *modelWorker) *modelWorker {
+// nextIncarnation returns the incarnation that followed under the worker's ID.
+func (m *model) nextIncarnation(w *modelWorker) *modelWorker {
 	i := slices.IndexFunc(m.workers, func(o *modelWorker) bool { return o.id == w.id && o.life > w.life })
 	if i < 0 {
 		return nil
@@ -73,14 +73,14 @@
 	return m.workers[i]
 }
 
-// holds is until when a worker holds what it runs for that deadline.
-func (w *modelWorker) holds(deadline, now time.Duration) time.Duration {
+// leaseEnd returns until when a worker keeps its runs going for that deadline.
+func (w *modelWorker) leaseEnd(deadline, now time.Duration) time.Duration {
 	return max(w.deadline, min(deadline, w.clock(now)+modelMaxHold))
 }
 
-// cancel has the present owner cancel a job. Whatever becomes of that owner, an acknowledged
-// cancel holds.
-func (m *model) cancel() {
+// cancelRandomJob has the current owner cancel a job. Whatever happens to that owner, an
+// acknowledged cancel holds.
+func (m *model) cancelRandomJob() {
 	ids := sorted(m.jobs)
 	id := ids[m.rng.IntN(len(ids))]
 	m.current().core.Cancel(id, func(err error) {
@@ -90,10 +90,11 @@
 	})
 }
 
-// Workers start again under their IDs, their registrations come late, starts and polls meant for
-// one life reach the next, and jobs are cancelled meanwhile: a task runs twice, starts after its
-// job was cancelled, goes on for ever, or its job never ends.
-func TestNoTaskRunsTwiceThroughLivesUnderOneID(t *testing.T) {
+// Workers restart under their IDs, their registrations come late, starts and polls meant for
+// one incarnation reach the next, and jobs are cancelled meanwhile. Guards against tasks that
+// run twice, start after their job was cancelled or go on for ever, and against jobs that
+// never end.
+func TestNoTaskRunsTwiceAcrossRestartsUnderOneID(t *testing.T) {
 	for i := range *modelSeeds {
 		seed := *modelFirst + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -114,7 +114,7 @@
 		bounds: rigBounds,
 	}
 	for range modelWorkers {
-		m.newLife()
+		m.addNewWorker()
 	}
 	for i := range modelJobs {
 		id := work.JobID(fmt.Sprintf("j%d", i))
@@ -175,7 +175,7 @@
 			continue
 		}
 		if !m.again || m.calm || m.chance(70) {
-			o.core.WorkerRegistered(infoOf(w.id, w.life))
+			o.core.WorkerRegistered(infoWithIncarnation(w.id, w.life))
 		}
 		vms = append(vms, vm("v-"+string(w.id), w.id))
 	}
@@ -252,7 +252,7 @@
 			sent := m.now
 			o.orders = append(o.orders, func() {
 				if !m.again || m.now < sent+maxOrderDelay {
-					m.beginLate(o, w, s)
+					m.startLate(o, w, s)
 				}
 			})
 		}
@@ -281,7 +281,7 @@
 	case runs:
 		return OutcomeOK
 	}
-	w.token, w.deadline = st.Token, w.holds(st.Deadline, m.now)
+	w.token, w.deadline = st.Token, w.leaseEnd(st.Deadline, m.now)
 	m.began(w, st.Task, st.Run)
 	w.running[st.Task] = st.Run
 	if m.limited != nil {
@@ -359,7 +359,7 @@
 		o.core.HoldFailed(w.id, OutcomeFenced, m.now)
 		return
 	}
-	w.token, w.deadline = h.Token, w.holds(h.Deadline, m.now)
+	w.token, w.deadline = h.Token, w.leaseEnd(h.Deadline, m.now)
 	for len(w.ends) > 0 && w.ends[0].Seq <= h.AckedThrough {
 		if w.ends[0].How == work.Done && w.ends[0].Seq > w.lapsed {
 			m.doneAcked[w.ends[0].Task] = true
@@ -448,7 +448,7 @@
 		clear(m.current().cut)
 	case 4:
 		if m.again {
-			m.cancel()
+			m.cancelRandomJob()
 		}
 	}
 }
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -7,11 +7,10 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// stopRetryInterval is after how long a stop without an answer is sent again.
+// stopRetryInterval is how long after an unanswered stop the next one is sent.
 const stopRetryInterval = 400 * time.Millisecond
 
-// planStops sends the stops that are due: of tasks that must end, and of runs
-// that nobody wants.
+// planStops adds the stops that are due: of tasks that must end, and of orphaned runs.
 func (c *Core) planStops(now time.Duration, out *Orders) {
 	for _, w := range c.workers {
 		if w.gone || !w.contacted {
@@ -34,7 +33,7 @@
 	}
 }
 
-// issueStart books the placement and makes its start.
+// issueStart reserves the placement and adds its start order.
 func (c *Core) issueStart(p taskplan.Placement, now time.Duration, out *Orders) {
 	w := c.workers[p.Worker]
 	t := c.find(work.TaskRef{StepRef: p.Step.Ref, Index: p.Index})
@@ -52,7 +51,7 @@
 	}})
 }
 
-// nextRun numbers a start; the members of a gang share theirs.
+// nextRun returns the number of the task's next run; the members of a gang share one.
 func (c *Core) nextRun(t *task, out *Orders) int {
 	run := max(t.run, t.step.job.baseRun) + 1
 	if !t.step.spec.Gang {
@@ -67,7 +66,8 @@
 	return run
 }
 
-// gangRun returns the run that members of the gang were given in this plan.
+// gangRun returns the run number that members of the gang were given in this plan; 0 if none
+// was.
 func (c *Core) gangRun(t *task, out *Orders) int {
 	for i := range out.Starts {
 		if out.Starts[i].Start.Task.StepRef == t.ref.StepRef {
@@ -77,9 +77,9 @@
 	return 0
 }
 
-// StartSending notes that the start is about to be sent: until then it waits for a
-// connection to its worker. It reports false if the run was given up meanwhile: its worker may
-// have started again, and would begin what begins elsewhere.
+// StartSending records that the start is about to be sent; until then it waits for a
+// connection to its worker. It returns false if the run was given up meanwhile: its worker may
+// have restarted, and would start a task that starts elsewhere.
 func (c *Core) StartSending(o StartOrder, now time.Duration) bool {
 	t := c.find(o.Start.Task)
 	if t == nil || t.run != o.Start.Run || t.where == nil || t.where.info.ID != o.Worker.ID {
@@ -89,7 +89,7 @@
 	return true
 }
 
-// StartAnswered takes over what became of a start.
+// StartAnswered records the outcome of a start.
 func (c *Core) StartAnswered(o StartOrder, out Outcome, clock, now time.Duration) {
 	w := c.workers[o.Worker.ID]
 	same := w != nil && w.sameIncarnation(clock, now)
@@ -112,9 +112,10 @@
 		t.shown = t.shown || out == OutcomeOK && same
 		c.startAnswered(t, w, out, now)
 	}
-	// After the start: it did not begin there, and the life's end says nothing of its task.
+	// Only now: the start did not begin there, and the end of the incarnation says nothing
+	// about its task.
 	if out == OutcomeOtherLife {
-		c.WorkerGone(o.Worker.ID, "another life answers", now)
+		c.WorkerGone(o.Worker.ID, "another incarnation answers", now)
 	}
 }
 
@@ -142,15 +143,15 @@
 	t.step.job.begun = true
 }
 
-// Pauses of a worker after it refused a start.
+// How long a worker takes no tasks after it refused a start.
 const (
-	refusedPause = 500 * time.Millisecond // unhealthy: others first
-	latePause    = 20 * time.Millisecond  // its clock was misjudged; a poll corrects that
+	refusedPause = 500 * time.Millisecond // it is unhealthy: other workers are tried first
+	latePause    = 20 * time.Millisecond  // its clock was misjudged; the next poll corrects that
 )
 
-// notStarted handles a start that certainly did not happen.
+// notStarted handles a start that is certain not to have been carried out.
 func (c *Core) notStarted(t *task, w *worker, out Outcome, now time.Duration) {
-	c.log.Info("start refused", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "outcome", out.String())
+	c.log.Info("start not carried out", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "outcome", out.String())
 	switch out {
 	case OutcomeNoRoom:
 		w.full = true
@@ -165,14 +166,14 @@
 	c.handleIncompleteRun(t, now)
 }
 
-// StopAnswered takes over what became of a stop.
+// StopAnswered records the outcome of a stop.
 func (c *Core) StopAnswered(o StopOrder, out Outcome, now time.Duration) {
 	switch out {
 	case OutcomeFenced:
 		c.deposed = true
 		return
 	case OutcomeOtherLife:
-		c.WorkerGone(o.Worker.ID, "another life answers", now)
+		c.WorkerGone(o.Worker.ID, "another incarnation answers", now)
 		return
 	}
 	answered := out == OutcomeOK || out == OutcomeOld
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -6,7 +6,8 @@
 	"github.com/pumicestage/pumicestage/policy/pacing"
 )
 
-// planPacing slows fill tasks where serving ones beside them are over target.
+// planPacing slows best-effort tasks down where serving tasks beside them miss their latency
+// target.
 func (c *Core) planPacing(now time.Duration, out *Orders) {
 	for _, w := range c.workers {
 		if w.gone || w.missedPolls > 0 {
@@ -27,7 +28,7 @@
 	}
 }
 
-// minPaceInterval is the least time between changes of one task's pace: a worker's
+// minPaceInterval returns the minimum time between changes of one task's pace: a worker's
 // gauge covers half a second, and a change shows after the deployment's delay.
 func (c *Core) minPaceInterval(down bool) time.Duration {
 	if down {
@@ -36,7 +37,7 @@
 	return 2 * (gaugeWindow + c.bounds.PaceDelay)
 }
 
-// gaugeWindow is what a worker's gauge is taken over.
+// gaugeWindow is the time that a worker's gauge covers.
 const gaugeWindow = 500 * time.Millisecond
 
 func pacingLoad(w *worker) (pacing.Load, []*task) {
--- a/internal/engine/poll_test.go
+++ b/internal/engine/poll_test.go
@@ -9,10 +9,10 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Workers leave one order in twenty unanswered. A poll that waits for an end was missed
-// only after two seconds, and the next one waited as long again: two fifths of a busy cell
-// took no tasks, and jobs were late with workers free. The next poll is answered at once.
-func TestALostAnswerIsAskedForAgainAtOnce(t *testing.T) {
+// Workers leave one order in twenty unanswered. When a lost answer was noticed only after two
+// seconds, and the next poll waited as long again, two fifths of a busy cell took no tasks,
+// and jobs were late although workers were free. The next poll is answered at once.
+func TestAPollIsRepeatedAtOnceAfterALostAnswer(t *testing.T) {
 	b := newRig(t)
 	b.running(short(1), "w1")
 	_, h, due := b.core.HoldFor("w1", b.now)
@@ -23,14 +23,15 @@
 	_, h, due = b.core.HoldFor("w1", b.now)
 	assert.Assert(t, due)
 	assert.Assert(t, h.Wait <= pollWaitMin)
-	assert.Equal(t, h.Deadline, time.Duration(0), "a worker that may be silent gets no more time")
+	assert.Equal(t, h.Deadline, time.Duration(0), "a worker that may be silent gets no lease extension")
 	b.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
-	assert.Assert(t, !b.core.workers["w1"].closed(b.now), "one that lives takes tasks again")
+	assert.Assert(t, !b.core.workers["w1"].closed(b.now), "a worker that answers takes tasks again")
 }
 
-// What runs on for hours is looked at once a second, and a worker that stays silent less and
-// less often: each look has a price, each try of a silent worker a connection.
-func TestPollsOfLastingWorkAndOfSilentWorkersAreFew(t *testing.T) {
+// A worker with long-running tasks only is polled once a second, and a silent worker less and
+// less often: each poll has a price, and each attempt to reach a silent worker costs a
+// connection.
+func TestLongRunningWorkAndSilentWorkersArePolledRarely(t *testing.T) {
 	b := newRig(t)
 	b.running(lasting(1), "w1")
 	_, h, _ := b.core.HoldFor("w1", b.now)
@@ -39,7 +40,8 @@
 	assert.Equal(t, pauseAfterMissed(100, 0), maxMissedPause)
 }
 
-// A worker says that it leaves and is given a task, which dies with it.
+// Guards against giving a task to a worker that announced its departure: it would be lost with
+// the worker.
 func TestALeavingWorkerTakesNothingNew(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// send gives a plan's orders, each in a goroutine of its own and a slot of its worker's.
+// send sends a plan's orders, each in a goroutine of its own and one of its worker's slots,
+// and its requests for advice.
 func (e *Engine) send(ctx context.Context, o *Orders) {
 	for i := range o.Starts {
 		if s := e.session(o.Starts[i].Worker.ID); s != nil {
@@ -33,13 +34,13 @@
 	}
 }
 
-// orderTimeout ends a start or stop without an answer. Workers answer in a few
-// milliseconds, and what is later is settled by a list and a stop: a short task whose
-// start was lost is begun again within half a second and can still be in time.
+// orderTimeout is the timeout of an order to a worker. Workers answer in a few milliseconds,
+// and what takes longer is settled by a listing and a stop: a short task whose start was lost
+// starts again within half a second and can still be in time.
 const orderTimeout = 300 * time.Millisecond
 
-// ordersAllowed is asked right before an order leaves: a VM that was suspended
-// between planning and sending may have a successor.
+// ordersAllowed reports whether this owner may still send orders. It is checked right before
+// each one: a VM that was suspended between planning and sending may have a successor.
 func (e *Engine) ordersAllowed() bool { return e.Clock.Now() <= e.Term.AllowedUntil() }
 
 func (e *Engine) start(ctx context.Context, o StartOrder) {
@@ -88,18 +89,18 @@
 	call, cancel := e.within(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Pace(call, &o.Worker, o.Task, o.Run, o.Percent, e.Term.Token())
-	e.Log.Info("pace", "task", o.Task.String(), "worker", o.Worker.ID, "percent", o.Percent, "outcome", out.String())
+	e.Log.Info("pace order sent", "task", o.Task.String(), "worker", o.Worker.ID, "percent", o.Percent, "outcome", out.String())
 	if out != OutcomeOK {
 		e.mu.Lock()
 		if t := e.core.find(o.Task); t != nil && t.run == o.Run {
-			t.pace, t.paceSent = -1, e.Clock.Now() // unknown: set again
+			t.pace, t.paceSent = -1, e.Clock.Now() // unknown, so it is set again
 		}
 		e.mu.Unlock()
 	}
 }
 
-// adviceTimeout ends a call to the advisor: decisions take tens of
-// milliseconds and calls of one VM wait for each other.
+// adviceTimeout is the timeout of a call to the advisor: decisions take tens of milliseconds,
+// and calls of one VM wait for each other.
 const adviceTimeout = 1500 * time.Millisecond
 
 func (e *Engine) advise(ctx context.Context, o AdviceOrder) {
@@ -108,7 +109,7 @@
 	sent := e.Clock.Now()
 	tickets, validity, err := e.askAdvisor(call, o)
 	if err != nil {
-		e.Log.Info("no advice", "step", o.Step.String(), "workers", len(o.Workers), "error", err.Error())
+		e.Log.Info("could not get advice", "step", o.Step.String(), "workers", len(o.Workers), "error", err.Error())
 	}
 	e.mu.Lock()
 	e.core.Advised(o.Step, tickets, validity, sent)
@@ -116,9 +117,9 @@
 	kick(e.planKick)
 }
 
-// errNoAdvisor: the operator's queue needs advice and the deployment has nobody
-// to give it. The queue's jobs wait; the log says why at every try.
-var errNoAdvisor = errors.New("engine: the queue is advised and no advisor is set")
+// errNoAdvisor is returned if a queue requires advice and the deployment has no advisor. The
+// queue's jobs wait, and the error is logged at every attempt.
+var errNoAdvisor = errors.New("engine: the queue requires advice and no advisor is configured")
 
 func (e *Engine) askAdvisor(ctx context.Context, o AdviceOrder) ([]Ticket, time.Duration, error) {
 	if e.Advisor == nil {
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -9,16 +9,17 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Connections to one worker: one for polls, which occupy theirs while they
-// wait, and some for orders. New connections are dear at one deployment.
+// maxConcurrentOrders is the number of connections to one worker that orders may use. Polls
+// use one more, which they occupy while they wait. New connections are expensive in one
+// deployment.
 const maxConcurrentOrders = 3
 
-// session is the conversation with one worker.
+// session sends polls and orders to one worker.
 type session struct {
 	engine  *Engine
 	id      work.WorkerID
 	kick    chan struct{}
-	orders  chan struct{} // slots for orders in progress
+	orders  chan struct{} // semaphore of the orders in progress
 	started bool
 }
 
@@ -32,8 +33,8 @@
 	return e.sessions[id]
 }
 
-// startSessions starts the poll loops of new workers. The engine's context is
-// the one of its term.
+// startSessions starts the poll loops of new workers. The engine's context lasts for this
+// owner's term.
 func (e *Engine) startSessions() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// runOrder runs an order in one of the worker's slots.
+// runOrder runs f in one of the worker's slots for orders.
 func (s *session) runOrder(ctx context.Context, f func()) {
 	s.engine.wg.Go(func() {
 		select {
@@ -63,17 +64,17 @@
 	})
 }
 
-// Pauses between polls of a worker that does not answer. One that stays silent costs a
-// connection each time.
+// Pauses between polls of a worker that does not answer. Each poll of a silent worker costs a
+// connection.
 const (
 	initialMissedPause = 150 * time.Millisecond
 	maxMissedPause     = 600 * time.Millisecond
 )
 
-// pauseAfterMissed is the pause after so many polls that a worker did not answer. The first is
-// repeated at once, as a single answer may be lost. A poll that says nothing of the worker,
-// as this owner was behind or might not poll, is followed by the usual pause: without one
-// the polls themselves would keep it behind.
+// pauseAfterMissed returns the pause after that many missed polls in a row. The first is
+// repeated at once, as a single answer may be lost. With none missed, the poll failed because
+// this owner was overloaded or not allowed to poll; the usual pause follows, as polls without
+// one would keep the owner overloaded.
 func pauseAfterMissed(missed int, usual time.Duration) time.Duration {
 	switch missed {
 	case 0:
@@ -84,7 +85,7 @@
 	return min(maxMissedPause, initialMissedPause<<min(missed-2, 4))
 }
 
-// run polls the worker for as long as something is or may be there.
+// run polls the worker whenever a poll is due, until the worker is removed or ctx ends.
 func (s *session) run(ctx context.Context) {
 	e := s.engine
 	for ctx.Err() == nil {
@@ -111,8 +112,8 @@
 	}
 }
 
-// idleCheckInterval checks again whether there is something to do, should a wake-up
-// have been missed while orders were not allowed.
+// idleCheckInterval is how often an idle session checks whether a poll is due, in case a
+// wake-up was missed while orders were not allowed.
 const idleCheckInterval = 1 * time.Second
 
 func (s *session) idle(ctx context.Context) {
@@ -125,7 +126,7 @@
 	}
 }
 
-// missedPolls is how many polls of the worker were not answered since the last that was.
+// missedPolls returns how many polls of the worker were not answered since its last answer.
 func (e *Engine) missedPolls(id work.WorkerID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -159,7 +160,7 @@
 		e.core.HoldFailed(s.id, out, e.Clock.Now())
 	}
 	e.mu.Unlock()
-	// An answer that came because its time was up brings nothing to plan on.
+	// An answer that came only because its wait was over gives no reason to plan.
 	if out != OutcomeOK || len(l.Ended) > 0 || h.Wait <= pollWaitMin {
 		kick(e.planKick)
 	}
--- a/internal/engine/settled.go
+++ b/internal/engine/settled.go
@@ -6,10 +6,10 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// settled reports whether nothing that an earlier owner started can be running
-// unknown to us: every worker was heard, or the leases it may have are certain to
-// be over. Registrations alone don't tell which workers there are: they lapse
-// while the store is away, and the workers run on.
+// settled reports whether no run that an earlier owner started can be going on unknown to this
+// one: every worker has answered, or the leases that it may have are certain to have ended.
+// Registrations alone don't tell which workers exist: they expire while the store is
+// unavailable, and the workers run on.
 func (c *Core) settled(now time.Duration) bool {
 	if now >= c.inherited {
 		return true
@@ -33,7 +33,7 @@
 	return true
 }
 
-// SetFleet says which workers are alive by the platform's list of VMs.
+// SetFleet records which workers are alive according to the platform's list of VMs.
 func (c *Core) SetFleet(vms []work.VM) {
 	c.fleetKnown = true
 	c.alive = make(map[work.WorkerID]string, len(vms))
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -8,7 +8,7 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// suspects counts the step's tasks that wait for a trial.
+// suspects counts the step's pending tasks that are suspected of crashing workers.
 func (s *step) suspects() int {
 	n := 0
 	for _, t := range s.tasks {
@@ -19,12 +19,12 @@
 	return n
 }
 
-// otherWorkHoldoff is for how long after other short work waited suspects get no more workers than
-// they always do: bursts come with pauses of a moment.
+// otherWorkHoldoff is how long after other short work waited suspects still get no extra
+// workers for trials: bursts have short pauses.
 const otherWorkHoldoff = 3 * time.Second
 
-// vmsForTrials is how many VMs suspects could use. As a backlog they would draw VMs that other
-// pools need; while other work waits here they wait.
+// vmsForTrials returns how many VMs suspects could use. Counted as a backlog, they would
+// request VMs that other pools need; while other work waits here, they wait.
 func (c *Core) vmsForTrials(now time.Duration) int {
 	if now < c.othersWaited+otherWorkHoldoff {
 		return 0
@@ -42,15 +42,15 @@
 	return crashes.WorkersForSuspects(suspects)
 }
 
-// recordOtherWaiting notes whether, of the steps that waited before this plan, other short work than
-// suspects still does.
+// recordOtherWaiting records whether any of the steps that waited before this plan still has
+// short tasks waiting that are not suspects.
 func (c *Core) recordOtherWaiting(ws []waiting, now time.Duration) {
 	if slices.ContainsFunc(ws, func(w waiting) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
 		c.othersWaited = now
 	}
 }
 
-// trialCapacity is on how many more workers suspects may be tried.
+// trialCapacity returns on how many more workers suspects may be tried.
 func (c *Core) trialCapacity(now time.Duration) int {
 	idle := 0
 	if now >= c.othersWaited+otherWorkHoldoff {
@@ -65,7 +65,7 @@
 	return c.trials.Available(len(c.workers), idle, inTrial, now)
 }
 
-// idle counts the workers that would take a task and have none.
+// idle counts the workers that have no task and would take one.
 func (c *Core) idle(now time.Duration) int {
 	n := 0
 	for _, w := range c.workers {
@@ -76,7 +76,7 @@
 	return n
 }
 
-// anyHazardousKind reports whether jobs of any kind crash many workers now.
+// anyHazardousKind reports whether jobs of some kind crash many workers now.
 func (c *Core) anyHazardousKind(now time.Duration) bool {
 	for _, k := range c.kinds {
 		if k.Hazardous(now) {
@@ -86,8 +86,8 @@
 	return false
 }
 
-// recentHazardousJob is the job whose tasks have just begun on the worker, if its kind crashes many; empty
-// where none have.
+// recentHazardousJob returns the job whose tasks have just begun on the worker, if its kind
+// crashes many workers; empty if there is none.
 func (c *Core) recentHazardousJob(w *worker, now time.Duration) work.JobID {
 	spacing := c.onsets.JobSpacing()
 	for _, t := range w.tasks {
@@ -99,7 +99,7 @@
 	return ""
 }
 
-// runsTrial reports whether one of those tasks is on trial there.
+// runsTrial reports whether a task for which of is true is on trial on the worker.
 func (w *worker) runsTrial(of func(*task) bool) bool {
 	for _, t := range w.tasks {
 		if of(t) && w.observedRunTime(t) < t.trialLasts {
@@ -111,15 +111,15 @@
 
 func (t *task) suspect() bool { return t.suspected }
 
-// onTrial reports whether it is on its way to the store, or stored, that the task may crash a
+// onTrial reports whether it is stored, or on its way to the store, that the task may crash a
 // worker, and no run of it has shown otherwise since.
 func (t *task) onTrial() bool {
 	return t.trial != 0 && (t.where == nil || t.where.observedRunTime(t) < t.trialLasts)
 }
 
-// requestTrials has it stored, of the suspects of the step that may start now, that a start of
-// them may crash a worker. The owner may be lost beside that worker: were the crash known to
-// that owner alone, the task would be started once more by each.
+// requestTrials has it stored, for the suspects of the step that may start now, that their
+// start may crash a worker. The owner may be lost together with that worker: if that owner
+// alone knew of the crash, each successor would start the task once more.
 func (c *Core) requestTrials(s *step, now time.Duration) {
 	for _, t := range s.tasks {
 		if t.suspect() && t.trial == 0 && c.isDue(t, now) {
@@ -135,8 +135,8 @@
 	c.touch(j)
 }
 
-// mayBeTried reports whether what is known of the task is stored as far as its next start
-// needs it.
+// mayBeTried reports whether what is known of the task's crashes is stored as far as its next
+// start requires.
 func (t *task) mayBeTried() bool {
 	return !t.suspect() || t.trial != 0 && t.step.job.evidenceStored >= t.trial
 }
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -9,96 +9,99 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Lease times. A worker kills what it runs when its lease ends, and a task may
-// start elsewhere only once that is certain.
+// Lease times. A worker kills what it runs when its lease ends, and a task may start elsewhere
+// only once its earlier run is certain to have ended.
 const (
-	// LeaseExtension is how far each poll extends a worker's lease. Polls come
-	// every second at most, so at least three seconds are left when the owner
-	// dies; a successor has been measured to hold all workers two seconds
-	// after. Longer would delay the restart of what an unreachable worker ran.
+	// LeaseExtension is how far ahead each poll extends a worker's lease. Polls come at least
+	// once a second, so at least three seconds remain when the owner fails; its successor has
+	// polled all workers two seconds later. A longer lease would delay the restart of what an
+	// unreachable worker ran.
 	LeaseExtension = 4500 * time.Millisecond
-	// startValidity is the deadline of a start. Long enough for a slow answer,
-	// short as an order without an answer stays open until it has passed.
+	// startValidity is how long after planning a start order may be carried out. It allows for
+	// a slow answer, and is short because an unanswered order stays open until it has passed.
 	startValidity = 3 * time.Second
-	// maxClockDrift bounds how far a worker's clock may be slow against ours, as
-	// the platform promises.
+	// maxClockDrift bounds, as a fraction, how much slower a worker's clock may run than the
+	// owner's. The platform guarantees it.
 	maxClockDrift = 0.02
-	// expiryMargin covers the rounding of clocks to milliseconds and the end
-	// of what is being killed.
+	// expiryMargin covers the rounding of clocks to milliseconds and the time that killing a
+	// run takes.
 	expiryMargin = 100 * time.Millisecond
 )
 
-// Pace of polls.
+// Waits and timeouts of polls.
 const (
-	// pollWait is how long a worker may hold an answer back for an end. It is
-	// also the longest time between extensions of a lease.
+	// pollWait is how long a worker may delay its answer until a run ends. It is also the
+	// longest time between two extensions of its lease.
 	pollWait = 1 * time.Second
-	// pollWaitShortTasks replaces pollWait where short tasks run: an answer that is lost costs
-	// the wait, and until it is missed no end there is known and nothing starts.
+	// pollWaitShortTasks replaces pollWait where short tasks run. A lost answer is noticed
+	// only after the wait; until then no end on that worker is known and nothing starts there.
 	pollWaitShortTasks = 300 * time.Millisecond
-	// pollWaitMin is how long an answer may wait where something is in doubt or
-	// being stopped.
+	// pollWaitMin is the wait where the state of a run is in doubt or a run is being stopped.
 	pollWaitMin = 30 * time.Millisecond
-	// pollWaitServing replaces pollWait where fill tasks run beside serving ones, so
-	// that pacing follows within a second.
+	// pollWaitServing replaces pollWait where best-effort tasks run beside serving ones, so
+	// that pacing reacts within a second.
 	pollWaitServing = 400 * time.Millisecond
-	// pollTimeout is how long an answer may take beyond the wait asked for. Workers answer
-	// in a few milliseconds; the poll after one that was lost shows that they live.
+	// pollTimeout is how long an answer may take beyond the requested wait. Workers answer
+	// within a few milliseconds; after a lost answer, the next poll shows that the worker is
+	// alive.
 	pollTimeout = 300 * time.Millisecond
 )
 
-// worker is one worker of ours.
+// worker is what this owner knows of one incarnation of a worker in its cell.
 type worker struct {
 	info      WorkerInfo
-	contacted bool // it answered a poll that carried our token
-	// ownershipUncertain: it was first heard while a later owner could exist, which does
-	// not count it among the workers that may run something of ours.
+	contacted bool // it answered a poll that carried this owner's token
+	// ownershipUncertain: its first answer came while a later owner could exist, so it does
+	// not count among the workers that may run this owner's tasks. An answer that comes once
+	// no later owner can exist clears it.
 	ownershipUncertain bool
-	// unlisted: the list of VMs does not show this life, and it has answered nothing since.
+	// unlisted: the list of VMs does not show this incarnation, and it has answered nothing
+	// since.
 	unlisted bool
-	gone     bool // certain: this life is over
-	// nextIncarnation is the registration of another life under this one's ID: which of them lives the
-	// worker is asked. nil: none.
+	gone     bool // this incarnation is certain to have ended
+	// nextIncarnation is the registration of another incarnation under the same ID; a poll
+	// shows which of the two runs. nil: none.
 	nextIncarnation *WorkerInfo
-	// unregistered: this life answered before it registered, and may be of another kind than
-	// the one before.
+	// unregistered: this incarnation answered before it registered; its capacity and labels
+	// may differ from those of the one before.
 	unregistered bool
 
-	clock    time.Duration // the worker's clock ...
-	clockAt  time.Duration // ... when we got the answer that told it; 0: never
-	deadline time.Duration // latest that any order of ours may have set
-	// inheritedUntil bounds, on our clock, until when an earlier owner may have
-	// extended the worker's lease.
+	clock    time.Duration // the worker's clock as of clockAt
+	clockAt  time.Duration // when the answer that told clock arrived; 0: never
+	deadline time.Duration // latest lease end that an order of this owner may have set, on the worker's clock
+	// inheritedUntil is the latest time, on the owner's clock, to which an earlier owner may
+	// have extended the worker's lease.
 	inheritedUntil time.Duration
 
-	tasks      map[work.TaskRef]*task // changed by add and remove alone
-	load       load                   // of these tasks
-	emptySince time.Duration          // when its last task left, or it was first heard
-	// orphanedRuns are runs there that must not go on. A task does not start anywhere
-	// while one of its runs is a stray somewhere.
+	tasks      map[work.TaskRef]*task // changed only by add and remove
+	load       load                   // sums over tasks
+	emptySince time.Duration          // when its last task was removed, or it first answered
+	// orphanedRuns are runs on the worker that must be stopped. A task does not start anywhere
+	// while one of its runs is orphaned on some worker.
 	orphanedRuns map[work.TaskRef]*orphanedRun
 
-	listedAt            time.Duration // when it last told what runs, as of the poll's sending
-	seen, stored, acked int64         // ends taken in, stored, acknowledged
-	unstored            []endMark     // of the ends between seen and stored
-	missedPolls         int           // polls without an answer since the last
-	silentSince         time.Duration // first call without an answer since; 0: none
+	listedAt            time.Duration // when the last poll that it answered with all its runs was sent
+	seen, stored, acked int64         // the last ends received, stored and acknowledged, by their sequence numbers
+	unstored            []endMark     // ends received and not yet stored
+	missedPolls         int           // polls without an answer since the last answer
+	silentSince         time.Duration // first call without an answer since the last answer; 0: none
 	closedUntil         time.Duration
 	failures            consecutiveFailures
 	slowness            straggler.Slowness
 	cordon              Cordon
-	full                bool      // it refused for want of room since its last end
-	expiredRuns         []lostRun // ran there until its leases ran out unreached; none once it answers
+	full                bool      // it refused a start for lack of capacity since its last end
+	expiredRuns         []lostRun // lost as its leases ran out while it was unreachable; cleared once it answers
 }
 
-// orphanedRun is a run that is to be stopped and is no task's present run.
+// orphanedRun is a run that must be stopped and is not its task's current run.
 type orphanedRun struct {
 	run    int
-	sent   time.Duration // last stop; 0: none yet
+	sent   time.Duration // when the last stop was sent; 0: not yet
 	stopOK time.Duration // when a stop was answered; 0: not yet
 }
 
-// markOrphaned notes a run that must not go on.
+// markOrphaned records that the run must be stopped, unless the same or a later run of its
+// task is recorded already.
 func (w *worker) markOrphaned(ref work.TaskRef, run int) {
 	if s := w.orphanedRuns[ref]; s != nil && s.run >= run {
 		return
@@ -106,14 +109,14 @@
 	w.orphanedRuns[ref] = &orphanedRun{run: run}
 }
 
-// endMark places an end of the worker among those of all workers.
+// endMark relates an end of one worker to the ends of all workers.
 type endMark struct {
-	seq int64 // of the worker's ends
-	at  int64 // of all ends taken in
+	seq int64 // its number among the worker's ends
+	at  int64 // its number among all ends received
 }
 
-// advanceStored notes that all ends taken in before the mark are stored; it reports
-// whether any of this worker's are that were not.
+// advanceStored records that all ends received before the mark are stored. It reports whether
+// ends of this worker are among them that were not stored before.
 func (w *worker) advanceStored(mark int64) bool {
 	before := w.stored
 	for len(w.unstored) > 0 && w.unstored[0].at < mark {
@@ -123,15 +126,15 @@
 	return w.stored > before
 }
 
-// consecutiveFailures counts ends that speak against a worker.
+// consecutiveFailures counts a worker's failed runs since its last success.
 type consecutiveFailures struct {
-	count int // in a row
+	count int // since the last success
 	jobs  []work.JobID
-	until time.Duration // no new tasks before
+	until time.Duration // the worker takes no new tasks before
 	probe bool          // one task at a time until one is done
 }
 
-// clockNow estimates the worker's clock from below.
+// clockNow returns a lower bound of the worker's clock.
 func (w *worker) clockNow(now time.Duration) time.Duration {
 	return w.clock + time.Duration(float64(now-w.clockAt)*(1-maxClockDrift))
 }
@@ -143,8 +146,8 @@
 	w.clock, w.clockAt = clock, now
 }
 
-// expired reports whether everything the worker may have run under leases of
-// ours or an earlier owner's is certain to have been killed.
+// expired reports whether everything that the worker may have run under leases of this owner
+// or an earlier one is certain to have been killed.
 func (w *worker) expired(now time.Duration) bool {
 	if now < w.inheritedUntil {
 		return false
@@ -156,11 +159,11 @@
 	return now >= w.clockAt+left+expiryMargin
 }
 
-// load is what the tasks of a worker hold and are. It is kept as they come and go:
-// added up anew for each plan it took an eighth of a large cell's planning.
+// load sums up the tasks of a worker. It is updated as tasks come and go: computing it anew
+// for each plan took an eighth of the planning time of a large cell.
 type load struct {
-	reserved            work.Resources // by all
-	longRunningReserved work.Resources // of these, by lasting ones
+	reserved            work.Resources // by all tasks
+	longRunningReserved work.Resources // the part of reserved that long-running tasks hold
 	longRunning         int
 	serving             int
 	bestEffort          int
@@ -199,7 +202,7 @@
 	t.count(-1)
 }
 
-// snapshot describes the worker as a plan sees it.
+// snapshot writes the planner's description of the worker to out.
 func (w *worker) snapshot(out *taskplan.Worker, now time.Duration) {
 	*out = taskplan.Worker{
 		ID:     w.info.ID,
@@ -222,9 +225,9 @@
 	}
 }
 
-// maxUnansweredStarts is how many starts without an answer close a worker until a poll is
-// answered. One may be lost on the way; more, and the worker has stopped
-// answering: what else is sent to it waits for a timeout each.
+// maxUnansweredStarts is the number of unanswered starts that closes a worker until it answers
+// a poll. One answer may be lost on the way; with more, the worker has stopped answering, and
+// every further order to it waits for a timeout.
 const maxUnansweredStarts = 2
 
 func (w *worker) tooManyUnansweredStarts() bool {
@@ -242,12 +245,11 @@
 		w.full || now < w.closedUntil || now < w.failures.until || len(w.orphanedRuns) > 0 || w.runsTrial((*task).suspect)
 }
 
-// Strikes against a worker. A worker that fails what it starts looks idle and
-// would draw every waiting task of the pool: each failure costs a job one of
-// its few attempts.
+// Thresholds on consecutive failures. A worker that fails what it starts looks idle and would
+// get every waiting task of the pool, and each failure costs a job one of its few attempts.
 const (
-	minFailuresToPause   = 3 // failures in a row, with nothing done between
-	minFailedJobsToPause = 2 // of so many jobs at least: one job that always fails proves nothing
+	minFailuresToPause   = 3 // consecutive failures, without a success in between
+	minFailedJobsToPause = 2 // jobs that they must come from: one job that always fails proves nothing
 	workerFailurePause   = 3 * time.Second
 )
 
