--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -189,10 +189,10 @@
 }
 
 // runMixedJobs simulates a faulty job among sound ones while owners change and workers crash
-// by themselves, each with probability self per second.
-func runMixedJobs(t testing.TB, seed uint64, self float64) *crashSim {
+// by themselves, each with probability spontaneousRate per second.
+func runMixedJobs(t testing.TB, seed uint64, spontaneousRate float64) *crashSim {
 	w := newSeededCrashSim(t, 12, seed)
-	w.spontaneousRate = self
+	w.spontaneousRate = spontaneousRate
 	w.workTime = func(ref work.TaskRef) time.Duration {
 		if ref.Job == "lasts" {
 			return 0
@@ -239,9 +239,9 @@
 
 // runBurst simulates a burst of sound jobs that fills the pool, with three faulty ones among
 // them.
-func runBurst(t testing.TB, seed uint64, self float64) *crashSim {
+func runBurst(t testing.TB, seed uint64, spontaneousRate float64) *crashSim {
 	w := newSeededCrashSim(t, 12, seed)
-	w.spontaneousRate = self
+	w.spontaneousRate = spontaneousRate
 	w.workTime = func(ref work.TaskRef) time.Duration {
 		return 400*time.Millisecond + time.Duration(ref.Index)*200*time.Millisecond
 	}
@@ -306,10 +306,10 @@
 	small := work.Resources{MilliCPU: 500, MemoryMB: 200}
 	first, second := short(6), short(4)
 	first.Size, second.Size, second.After = small, small, []int{0}
-	lasts := lasting(5)
-	lasts.Size = small
+	longRunning := lasting(5)
+	longRunning.Size = small
 	for i := range 3 {
-		w.submit(work.JobID(fmt.Sprintf("l%d", i)), lasts)
+		w.submit(work.JobID(fmt.Sprintf("l%d", i)), longRunning)
 	}
 	w.run(4 * time.Second)
 	sound := 0
--- a/internal/engine/lives.go
+++ b/internal/engine/incarnations.go
@@ -105,8 +105,8 @@
 }
 
 // hasEnded reports whether that incarnation of the worker is known to have ended.
-func (c *Core) hasEnded(id work.WorkerID, life work.Incarnation) bool {
-	return slices.Contains(c.over[id], life)
+func (c *Core) hasEnded(id work.WorkerID, incarnation work.Incarnation) bool {
+	return slices.Contains(c.over[id], incarnation)
 }
 
 // addWorker adds a worker that is not known yet, and returns it.
@@ -163,7 +163,7 @@
 // known to have reached it, may have reached the new one or may yet do so: the platform tells
 // incarnations apart by ID only. Their runs are stopped there before their tasks start
 // anywhere.
-func (c *Core) workerRestarted(old *worker, life work.Incarnation, now time.Duration) *worker {
+func (c *Core) workerRestarted(old *worker, incarnation work.Incarnation, now time.Duration) *worker {
 	lateRuns := make(map[work.TaskRef]int) // the runs that these starts may begin
 	for ref, t := range old.tasks {
 		if !t.shown {
@@ -174,12 +174,12 @@
 		lateRuns[ref] = max(lateRuns[ref], s.run)
 	}
 	info, registered := old.info, false
-	if old.nextIncarnation != nil && old.nextIncarnation.Life == life {
+	if old.nextIncarnation != nil && old.nextIncarnation.Life == incarnation {
 		info, registered = *old.nextIncarnation, true
 	}
 	old.nextIncarnation = nil
 	c.WorkerGone(old.info.ID, "it restarted", now)
-	info.Life = life
+	info.Life = incarnation
 	w := c.addWorker(info)
 	w.cordon, w.unregistered = old.cordon, !registered
 	w.inheritedUntil = max(w.inheritedUntil, now+c.maxLateRunDuration())
--- a/internal/engine/lives_test.go
+++ b/internal/engine/incarnations_test.go
@@ -17,9 +17,9 @@
 	thirdIncarnation  = work.Incarnation(1_784_160_018_000)
 )
 
-func infoWithIncarnation(id work.WorkerID, life work.Incarnation) WorkerInfo {
+func infoWithIncarnation(id work.WorkerID, incarnation work.Incarnation) WorkerInfo {
 	i := info(id)
-	i.Life = life
+	i.Life = incarnation
 	return i
 }
 
