--- a/internal/ownerlink/workers.go
+++ b/internal/ownerlink/workers.go
@@ -66,41 +66,41 @@
 	Address string
 }
 
-// Reached tells whether the forwarding entry VM answered.
-type Reached uint8
+// ForwardResult tells whether the forwarding entry VM answered.
+type ForwardResult uint8
 
 // How far a forwarded call came.
 const (
-	ReachedNothing Reached = iota // certain not to have been sent
-	ReachedUnknown                // sent, and the entry VM did not answer
-	ReachedWorker                 // the entry VM answered with the outcome
+	ReachedNothing ForwardResult = iota // certain not to have been sent
+	ReachedUnknown                      // sent, and the entry VM did not answer
+	ReachedWorker                       // the entry VM answered with the outcome
 )
 
 // Start forwards a start.
-func (f Forwarded) Start(ctx context.Context, w *engine.WorkerInfo, s engine.Start) (engine.Outcome, time.Duration, Reached) {
+func (f Forwarded) Start(ctx context.Context, w *engine.WorkerInfo, s engine.Start) (engine.Outcome, time.Duration, ForwardResult) {
 	a, reached := f.call(ctx, w, workerCall{Kind: workerStart, Start: &s})
 	return a.Outcome, a.Clock, reached
 }
 
 // Stop forwards a stop.
-func (f Forwarded) Stop(ctx context.Context, w *engine.WorkerInfo, task work.TaskRef, run int, token int64) (engine.Outcome, Reached) {
+func (f Forwarded) Stop(ctx context.Context, w *engine.WorkerInfo, task work.TaskRef, run int, token int64) (engine.Outcome, ForwardResult) {
 	a, reached := f.call(ctx, w, workerCall{Kind: workerStop, Task: &task, Run: run, Token: token})
 	return a.Outcome, reached
 }
 
 // Hold forwards a poll.
-func (f Forwarded) Hold(ctx context.Context, w *engine.WorkerInfo, h engine.Hold) (engine.Listing, engine.Outcome, Reached) {
+func (f Forwarded) Hold(ctx context.Context, w *engine.WorkerInfo, h engine.Hold) (engine.Listing, engine.Outcome, ForwardResult) {
 	a, reached := f.call(ctx, w, workerCall{Kind: workerHold, Hold: &h})
 	return a.Listing, a.Outcome, reached
 }
 
 // Pace forwards a change of pace.
-func (f Forwarded) Pace(ctx context.Context, w *engine.WorkerInfo, task work.TaskRef, run, percent int, token int64) (engine.Outcome, Reached) {
+func (f Forwarded) Pace(ctx context.Context, w *engine.WorkerInfo, task work.TaskRef, run, percent int, token int64) (engine.Outcome, ForwardResult) {
 	a, reached := f.call(ctx, w, workerCall{Kind: workerPace, Task: &task, Run: run, Percent: percent, Token: token})
 	return a.Outcome, reached
 }
 
-func (f Forwarded) call(ctx context.Context, w *engine.WorkerInfo, c workerCall) (workerAnswer, Reached) {
+func (f Forwarded) call(ctx context.Context, w *engine.WorkerInfo, c workerCall) (workerAnswer, ForwardResult) {
 	c.Worker, c.Address = w.ID, w.Address
 	end, bounded := ctx.Deadline()
 	if !bounded {
