--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -184,7 +184,7 @@
 			return // the term is over; what the call came to says nothing of its path
 		}
 		w.came(to.ID, p, reached, out)
-		if reached != ownerlink.ReachedNothing {
+		if reached != ownerlink.ForwardNotSent {
 			return
 		}
 	}
--- a/internal/ownerlink/workers.go
+++ b/internal/ownerlink/workers.go
@@ -71,7 +71,7 @@
 
 // How far a forwarded call came.
 const (
-	ReachedNothing ForwardResult = iota // certain not to have been sent
+	ForwardNotSent ForwardResult = iota // certain not to have been sent
 	ReachedUnknown                      // sent, and the entry VM did not answer
 	ReachedWorker                       // the entry VM answered with the outcome
 )
@@ -110,16 +110,16 @@
 	raw, err := pack(&c)
 	if err != nil {
 		f.Link.Log.Error(err, "call to forward not encoded", "worker", w.ID)
-		return workerAnswer{Outcome: engine.OutcomeNotSent}, ReachedNothing
+		return workerAnswer{Outcome: engine.OutcomeNotSent}, ForwardNotSent
 	}
 	resp, err := f.Link.call(ctx, Peer{Address: f.Address}, &request{Kind: kindWorker, Worker: raw})
 	switch {
 	case errors.Is(err, ErrNotSent):
-		return workerAnswer{Outcome: engine.OutcomeNotSent}, ReachedNothing
+		return workerAnswer{Outcome: engine.OutcomeNotSent}, ForwardNotSent
 	case err != nil:
 		return workerAnswer{Outcome: engine.OutcomeUnknown}, ReachedUnknown
 	case resp.Result != resultOK:
-		return workerAnswer{Outcome: engine.OutcomeNotSent}, ReachedNothing
+		return workerAnswer{Outcome: engine.OutcomeNotSent}, ForwardNotSent
 	}
 	var a workerAnswer
 	if err := msgpack.Unmarshal(resp.Worker, &a); err != nil {
