--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -146,12 +146,12 @@
 func (w *Workers) came(to work.WorkerID, p Peer, reached ownerlink.ForwardResult, out engine.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if reached == ownerlink.ReachedUnknown && w.Behind != nil && overload.AnswerMayBeUnread(w.Behind()) {
+	if reached == ownerlink.ForwardUnanswered && w.Behind != nil && overload.AnswerMayBeUnread(w.Behind()) {
 		return // its answer may lie here unread
 	}
 	if reached != ownerlink.ReachedWorker {
 		if _, known := w.avoid[p.Name]; !known || w.avoid[p.Name] <= w.Clock.Now() {
-			w.Log.Info("entry VM does not forward", "entry", p.Name, "sent", reached == ownerlink.ReachedUnknown)
+			w.Log.Info("entry VM does not forward", "entry", p.Name, "sent", reached == ownerlink.ForwardUnanswered)
 		}
 		w.avoid[p.Name] = w.Clock.Now() + avoidFor
 		return
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -278,9 +278,9 @@
 	behind := time.Second
 	r.owner.Behind = func() time.Duration { return behind }
 	p, _ := r.owner.via(worker(i))
-	r.owner.came(worker(i).ID, p, ownerlink.ReachedUnknown, engine.OutcomeUnknown)
+	r.owner.came(worker(i).ID, p, ownerlink.ForwardUnanswered, engine.OutcomeUnknown)
 	assert.Equal(t, len(r.owner.avoid), 0)
 	behind = 0
-	r.owner.came(worker(i).ID, p, ownerlink.ReachedUnknown, engine.OutcomeUnknown)
+	r.owner.came(worker(i).ID, p, ownerlink.ForwardUnanswered, engine.OutcomeUnknown)
 	assert.Equal(t, len(r.owner.avoid), 1)
 }
--- a/internal/ownerlink/workers.go
+++ b/internal/ownerlink/workers.go
@@ -71,9 +71,9 @@
 
 // How far a forwarded call came.
 const (
-	ForwardNotSent ForwardResult = iota // certain not to have been sent
-	ReachedUnknown                      // sent, and the entry VM did not answer
-	ReachedWorker                       // the entry VM answered with the outcome
+	ForwardNotSent    ForwardResult = iota // certain not to have been sent
+	ForwardUnanswered                      // sent, and the entry VM did not answer
+	ReachedWorker                          // the entry VM answered with the outcome
 )
 
 // Start forwards a start.
@@ -117,14 +117,14 @@
 	case errors.Is(err, ErrNotSent):
 		return workerAnswer{Outcome: engine.OutcomeNotSent}, ForwardNotSent
 	case err != nil:
-		return workerAnswer{Outcome: engine.OutcomeUnknown}, ReachedUnknown
+		return workerAnswer{Outcome: engine.OutcomeUnknown}, ForwardUnanswered
 	case resp.Result != resultOK:
 		return workerAnswer{Outcome: engine.OutcomeNotSent}, ForwardNotSent
 	}
 	var a workerAnswer
 	if err := msgpack.Unmarshal(resp.Worker, &a); err != nil {
 		f.Link.Log.Error(err, "forwarded call's answer is malformed", "worker", w.ID, "address", f.Address)
-		return workerAnswer{Outcome: engine.OutcomeUnknown}, ReachedUnknown
+		return workerAnswer{Outcome: engine.OutcomeUnknown}, ForwardUnanswered
 	}
 	return a, ReachedWorker
 }
