--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -149,7 +149,7 @@
 	if reached == ownerlink.ForwardUnanswered && w.Behind != nil && overload.AnswerMayBeUnread(w.Behind()) {
 		return // its answer may lie here unread
 	}
-	if reached != ownerlink.ReachedWorker {
+	if reached != ownerlink.ForwardAnswered {
 		if _, known := w.avoid[p.Name]; !known || w.avoid[p.Name] <= w.Clock.Now() {
 			w.Log.Info("entry VM does not forward", "entry", p.Name, "sent", reached == ownerlink.ForwardUnanswered)
 		}
--- a/internal/ownerlink/workers.go
+++ b/internal/ownerlink/workers.go
@@ -73,7 +73,7 @@
 const (
 	ForwardNotSent    ForwardResult = iota // certain not to have been sent
 	ForwardUnanswered                      // sent, and the entry VM did not answer
-	ReachedWorker                          // the entry VM answered with the outcome
+	ForwardAnswered                        // the entry VM answered with the outcome
 )
 
 // Start forwards a start.
@@ -126,7 +126,7 @@
 		f.Link.Log.Error(err, "forwarded call's answer is malformed", "worker", w.ID, "address", f.Address)
 		return workerAnswer{Outcome: engine.OutcomeUnknown}, ForwardUnanswered
 	}
-	return a, ReachedWorker
+	return a, ForwardAnswered
 }
 
 // forward makes a call to a worker for an owner. The order carries all that makes
