--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -177,9 +177,9 @@
 // call makes a call by way of another entry VM, or itself where there is none or
 // where it is certain that nothing was sent. Both ways keep what they return for the
 // caller themselves.
-func (w *Workers) call(ctx context.Context, to *engine.WorkerInfo, forwarded func(f ownerlink.Forwarded) (engine.Outcome, ownerlink.ForwardResult), direct func() engine.Outcome) {
+func (w *Workers) call(ctx context.Context, to *engine.WorkerInfo, forwarded func(f ownerlink.ForwardingClient) (engine.Outcome, ownerlink.ForwardResult), direct func() engine.Outcome) {
 	if p, ok := w.via(to); ok {
-		out, reached := forwarded(ownerlink.Forwarded{Link: w.Link, Address: p.Address})
+		out, reached := forwarded(ownerlink.ForwardingClient{Link: w.Link, Address: p.Address})
 		if errors.Is(ctx.Err(), context.Canceled) {
 			return // the term is over; what the call came to says nothing of its path
 		}
@@ -193,7 +193,7 @@
 
 // Start implements engine.Workers.
 func (w *Workers) Start(ctx context.Context, to *engine.WorkerInfo, s engine.Start) (out engine.Outcome, clock time.Duration) {
-	w.call(ctx, to, func(f ownerlink.Forwarded) (o engine.Outcome, reached ownerlink.ForwardResult) {
+	w.call(ctx, to, func(f ownerlink.ForwardingClient) (o engine.Outcome, reached ownerlink.ForwardResult) {
 		out, clock, reached = f.Start(ctx, to, s)
 		return out, reached
 	}, func() engine.Outcome {
@@ -205,7 +205,7 @@
 
 // Stop implements engine.Workers.
 func (w *Workers) Stop(ctx context.Context, to *engine.WorkerInfo, task work.TaskRef, run int, token int64) (out engine.Outcome) {
-	w.call(ctx, to, func(f ownerlink.Forwarded) (o engine.Outcome, reached ownerlink.ForwardResult) {
+	w.call(ctx, to, func(f ownerlink.ForwardingClient) (o engine.Outcome, reached ownerlink.ForwardResult) {
 		out, reached = f.Stop(ctx, to, task, run, token)
 		return out, reached
 	}, func() engine.Outcome {
@@ -217,7 +217,7 @@
 
 // Hold implements engine.Workers.
 func (w *Workers) Hold(ctx context.Context, to *engine.WorkerInfo, h engine.Hold) (l engine.Listing, out engine.Outcome) {
-	w.call(ctx, to, func(f ownerlink.Forwarded) (o engine.Outcome, reached ownerlink.ForwardResult) {
+	w.call(ctx, to, func(f ownerlink.ForwardingClient) (o engine.Outcome, reached ownerlink.ForwardResult) {
 		l, out, reached = f.Hold(ctx, to, h)
 		return out, reached
 	}, func() engine.Outcome {
@@ -229,7 +229,7 @@
 
 // Pace implements engine.Workers.
 func (w *Workers) Pace(ctx context.Context, to *engine.WorkerInfo, task work.TaskRef, run, percent int, token int64) (out engine.Outcome) {
-	w.call(ctx, to, func(f ownerlink.Forwarded) (o engine.Outcome, reached ownerlink.ForwardResult) {
+	w.call(ctx, to, func(f ownerlink.ForwardingClient) (o engine.Outcome, reached ownerlink.ForwardResult) {
 		out, reached = f.Pace(ctx, to, task, run, percent, token)
 		return out, reached
 	}, func() engine.Outcome {
--- a/internal/ownerlink/workers.go
+++ b/internal/ownerlink/workers.go
@@ -60,8 +60,8 @@
 	return buf.Bytes(), err
 }
 
-// Forwarded calls workers by way of the entry VM at Address.
-type Forwarded struct {
+// ForwardingClient calls workers by way of the entry VM at Address.
+type ForwardingClient struct {
 	Link    *Client
 	Address string
 }
@@ -77,30 +77,30 @@
 )
 
 // Start forwards a start.
-func (f Forwarded) Start(ctx context.Context, w *engine.WorkerInfo, s engine.Start) (engine.Outcome, time.Duration, ForwardResult) {
+func (f ForwardingClient) Start(ctx context.Context, w *engine.WorkerInfo, s engine.Start) (engine.Outcome, time.Duration, ForwardResult) {
 	a, reached := f.call(ctx, w, workerCall{Kind: workerStart, Start: &s})
 	return a.Outcome, a.Clock, reached
 }
 
 // Stop forwards a stop.
-func (f Forwarded) Stop(ctx context.Context, w *engine.WorkerInfo, task work.TaskRef, run int, token int64) (engine.Outcome, ForwardResult) {
+func (f ForwardingClient) Stop(ctx context.Context, w *engine.WorkerInfo, task work.TaskRef, run int, token int64) (engine.Outcome, ForwardResult) {
 	a, reached := f.call(ctx, w, workerCall{Kind: workerStop, Task: &task, Run: run, Token: token})
 	return a.Outcome, reached
 }
 
 // Hold forwards a poll.
-func (f Forwarded) Hold(ctx context.Context, w *engine.WorkerInfo, h engine.Hold) (engine.Listing, engine.Outcome, ForwardResult) {
+func (f ForwardingClient) Hold(ctx context.Context, w *engine.WorkerInfo, h engine.Hold) (engine.Listing, engine.Outcome, ForwardResult) {
 	a, reached := f.call(ctx, w, workerCall{Kind: workerHold, Hold: &h})
 	return a.Listing, a.Outcome, reached
 }
 
 // Pace forwards a change of pace.
-func (f Forwarded) Pace(ctx context.Context, w *engine.WorkerInfo, task work.TaskRef, run, percent int, token int64) (engine.Outcome, ForwardResult) {
+func (f ForwardingClient) Pace(ctx context.Context, w *engine.WorkerInfo, task work.TaskRef, run, percent int, token int64) (engine.Outcome, ForwardResult) {
 	a, reached := f.call(ctx, w, workerCall{Kind: workerPace, Task: &task, Run: run, Percent: percent, Token: token})
 	return a.Outcome, reached
 }
 
-func (f Forwarded) call(ctx context.Context, w *engine.WorkerInfo, c workerCall) (workerAnswer, ForwardResult) {
+func (f ForwardingClient) call(ctx context.Context, w *engine.WorkerInfo, c workerCall) (workerAnswer, ForwardResult) {
 	c.Worker, c.Address = w.ID, w.Address
 	end, bounded := ctx.Deadline()
 	if !bounded {
