--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -129,13 +129,13 @@
 }
 
 // Standing implements ownerlink.Configs.
-func (o *operator) Standing() ownerlink.Standing {
+func (o *operator) Standing() ownerlink.ConfigStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil {
-		return ownerlink.Standing{}
+		return ownerlink.ConfigStatus{}
 	}
-	return ownerlink.Standing{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmed).Milliseconds() + 1}
+	return ownerlink.ConfigStatus{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmed).Milliseconds() + 1}
 }
 
 // Now implements ownerlink.Configs.
@@ -166,7 +166,7 @@
 }
 
 // Heard implements ownerlink.Configs.
-func (o *operator) Heard(s ownerlink.Standing, sent time.Duration) bool {
+func (o *operator) Heard(s ownerlink.ConfigStatus, sent time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil || s.Version > o.config.Version {
@@ -179,7 +179,7 @@
 }
 
 // Take implements ownerlink.Configs.
-func (o *operator) Take(packed []byte, s ownerlink.Standing, sent time.Duration) {
+func (o *operator) Take(packed []byte, s ownerlink.ConfigStatus, sent time.Duration) {
 	c := new(jobfront.Config)
 	if err := msgpack.Unmarshal(packed, c); err != nil {
 		o.log.Error(err, "another entry VM's configuration is malformed")
--- a/internal/ownerlink/configs.go
+++ b/internal/ownerlink/configs.go
@@ -7,32 +7,32 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// Standing is how an entry VM's configuration stands. It goes with every call and answer, so
+// ConfigStatus is how an entry VM's configuration stands. It goes with every call and answer, so
 // that an entry VM which the store turns away, or whose watch has gone silent, hears of a newer
 // configuration from those that it speaks with anyway.
-type Standing struct {
+type ConfigStatus struct {
 	Version int64 `msgpack:"v"`
 	// Age is how long ago it was known to be the newest, in milliseconds.
 	AgeMS int64 `msgpack:"a"`
 }
 
 // Age is how long ago the configuration was known to be the newest.
-func (s Standing) Age() time.Duration { return time.Duration(s.AgeMS) * time.Millisecond }
+func (s ConfigStatus) Age() time.Duration { return time.Duration(s.AgeMS) * time.Millisecond }
 
 // Configs is the configuration of this entry VM.
 type Configs interface {
-	Standing() Standing
+	Standing() ConfigStatus
 	// Packed returns the whole of it, for entry VMs that have an older one.
 	Packed() []byte
 	// Behind is told that another entry VM has a newer one. It does not wait.
 	Behind()
 	// Heard is told how another entry VM's stood at some time after sent, on this VM's clock.
 	// It returns true where that one is newer and is to be fetched.
-	Heard(s Standing, sent time.Duration) bool
+	Heard(s ConfigStatus, sent time.Duration) bool
 	// Now is that clock.
 	Now() time.Duration
 	// Take takes a configuration that was fetched, which stood as s at some time after sent.
-	Take(packed []byte, s Standing, sent time.Duration)
+	Take(packed []byte, s ConfigStatus, sent time.Duration)
 }
 
 const (
@@ -72,7 +72,7 @@
 
 // catchUp waits for the own watch to tell of the configuration that was heard of, and fetches it
 // where that does not.
-func (c *Client) catchUp(ctx context.Context, lead time.Duration, address string, heard Standing, heardAt time.Duration) {
+func (c *Client) catchUp(ctx context.Context, lead time.Duration, address string, heard ConfigStatus, heardAt time.Duration) {
 	for waited := time.Duration(0); waited < lead; waited += watchLook {
 		if !sleep.For(ctx, watchLook) || !c.Configs.Heard(heard, heardAt) {
 			return
@@ -83,7 +83,7 @@
 
 // fetch has one caller at a time ask for the configuration that was heard of at some time after
 // heardAt; those who waited find it there.
-func (c *Client) fetch(ctx context.Context, address string, heard Standing, heardAt time.Duration) {
+func (c *Client) fetch(ctx context.Context, address string, heard ConfigStatus, heardAt time.Duration) {
 	c.fetching.Lock()
 	defer c.fetching.Unlock()
 	if !c.Configs.Heard(heard, heardAt) {
--- a/internal/ownerlink/configs_test.go
+++ b/internal/ownerlink/configs_test.go
@@ -18,7 +18,7 @@
 // configs is an entry VM's configuration, of which only the version matters.
 type configs struct {
 	mu       sync.Mutex
-	standing Standing
+	standing ConfigStatus
 	behind   int
 	taken    int
 	packed   int           // times that it was fetched
@@ -26,7 +26,7 @@
 	changed  chan struct{} // told of each that is taken, unless nil
 }
 
-func (c *configs) Standing() Standing {
+func (c *configs) Standing() ConfigStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.standing
@@ -45,7 +45,7 @@
 	c.behind++
 }
 
-func (c *configs) Heard(s Standing, _ time.Duration) bool {
+func (c *configs) Heard(s ConfigStatus, _ time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.tellsIn == 1 {
@@ -57,7 +57,7 @@
 
 func (c *configs) Now() time.Duration { return time.Hour }
 
-func (c *configs) Take(packed []byte, s Standing, _ time.Duration) {
+func (c *configs) Take(packed []byte, s ConfigStatus, _ time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if string(packed) == "config" {
@@ -85,7 +85,7 @@
 // key's holder by what it last read; the owner turns the call down instead, and the entry VM
 // has the newer configuration by the time it decides again.
 func TestACallByAnOldConfigurationIsTurnedDownAndTheNewOneFetched(t *testing.T) {
-	newer, older := &configs{standing: Standing{Version: 8}}, &configs{standing: Standing{Version: 7}}
+	newer, older := &configs{standing: ConfigStatus{Version: 8}}, &configs{standing: ConfigStatus{Version: 7}}
 	o := &owner{}
 	p := serveConfigs(t, o, newer)
 	c := &Client{Log: logr.Discard(), Configs: older}
@@ -99,8 +99,8 @@
 // The store turns an entry VM away that owns nothing and gets no callers' answers: it still asks
 // others whether they live, and hears of the configuration by that.
 func TestAnAnswerOfAnyKindTellsOfANewerConfiguration(t *testing.T) {
-	older := &configs{standing: Standing{Version: 7}, changed: make(chan struct{}, 1)}
-	p := serveConfigs(t, &owner{}, &configs{standing: Standing{Version: 8}})
+	older := &configs{standing: ConfigStatus{Version: 7}, changed: make(chan struct{}, 1)}
+	p := serveConfigs(t, &owner{}, &configs{standing: ConfigStatus{Version: 8}})
 	c := &Client{Log: logr.Discard(), Configs: older}
 	assert.Assert(t, c.Ping(t.Context(), p.Address))
 	<-older.changed
@@ -112,8 +112,8 @@
 // else for a second; the own watch tells it first.
 func TestAConfigurationThatTheOwnWatchTellsIsNotFetched(t *testing.T) {
 	// The watch tells between the third and the fourth look.
-	older := &configs{standing: Standing{Version: 7}, tellsIn: 3}
-	newer := &configs{standing: Standing{Version: 8}}
+	older := &configs{standing: ConfigStatus{Version: 7}, tellsIn: 3}
+	newer := &configs{standing: ConfigStatus{Version: 8}}
 	c := &Client{Log: logr.Discard(), Configs: older}
 	p := serveConfigs(t, &owner{}, newer)
 	assert.Assert(t, errors.Is(c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}), engine.ErrBehind))
@@ -124,9 +124,9 @@
 // An owner's own watch is silent. A call by a newer configuration is carried out, and the owner
 // reads its own again.
 func TestAnOwnerThatIsBehindIsToldSo(t *testing.T) {
-	behind := &configs{standing: Standing{Version: 7}}
+	behind := &configs{standing: ConfigStatus{Version: 7}}
 	p := serveConfigs(t, &owner{}, behind)
-	c := &Client{Log: logr.Discard(), Configs: &configs{standing: Standing{Version: 8}}}
+	c := &Client{Log: logr.Discard(), Configs: &configs{standing: ConfigStatus{Version: 8}}}
 	assert.NilError(t, c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}))
 	assert.Equal(t, behind.behind, 1)
 }
--- a/internal/ownerlink/ownerlink.go
+++ b/internal/ownerlink/ownerlink.go
@@ -62,7 +62,7 @@
 	Name  string        `msgpack:"n,omitempty"` // of a queue
 
 	Workspace work.WorkspaceName `msgpack:"o,omitempty"` // of the caller
-	Config    Standing           `msgpack:"v,omitempty"` // of the entry VM that calls
+	Config    ConfigStatus       `msgpack:"v,omitempty"` // of the entry VM that calls
 
 	Lease int64 `msgpack:"l,omitempty"` // to be ended
 	// Workspaces are those whose limits another cell waits for, or gave back of.
@@ -87,12 +87,12 @@
 
 // response answers one call.
 type response struct {
-	ID     uint64     `msgpack:"i"`
-	Result result     `msgpack:"r"`
-	State  work.State `msgpack:"s,omitempty"`
-	Count  int        `msgpack:"c,omitempty"`
-	Config Standing   `msgpack:"v,omitempty"` // of the entry VM that answers
-	Packed []byte     `msgpack:"p,omitempty"` // a whole configuration
+	ID     uint64       `msgpack:"i"`
+	Result result       `msgpack:"r"`
+	State  work.State   `msgpack:"s,omitempty"`
+	Count  int          `msgpack:"c,omitempty"`
+	Config ConfigStatus `msgpack:"v,omitempty"` // of the entry VM that answers
+	Packed []byte       `msgpack:"p,omitempty"` // a whole configuration
 
 	Sync   *engine.CellAnswer `msgpack:"y,omitempty"`
 	Worker msgpack.RawMessage `msgpack:"w,omitempty"` // a packed workerAnswer
