--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Standing implements ownerlink.Configs.
-func (o *operator) Standing() ownerlink.ConfigStatus {
+// Status implements ownerlink.Configs.
+func (o *operator) Status() ownerlink.ConfigStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil {
--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -155,7 +155,7 @@
 func (c *Client) call(ctx context.Context, p Peer, req *request) (*response, error) {
 	var sent time.Duration
 	if c.Configs != nil {
-		req.Config = c.Configs.Standing()
+		req.Config = c.Configs.Status()
 		sent = c.Configs.Now()
 	}
 	resp, err := c.exchange(ctx, p, req)
--- a/internal/ownerlink/configs.go
+++ b/internal/ownerlink/configs.go
@@ -21,7 +21,7 @@
 
 // Configs is the configuration of this entry VM.
 type Configs interface {
-	Standing() ConfigStatus
+	Status() ConfigStatus
 	// Packed returns the whole of it, for entry VMs that have an older one.
 	Packed() []byte
 	// Behind is told that another entry VM has a newer one. It does not wait.
--- a/internal/ownerlink/configs_test.go
+++ b/internal/ownerlink/configs_test.go
@@ -26,7 +26,7 @@
 	changed  chan struct{} // told of each that is taken, unless nil
 }
 
-func (c *configs) Standing() ConfigStatus {
+func (c *configs) Status() ConfigStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.standing
@@ -91,7 +91,7 @@
 	c := &Client{Log: logr.Discard(), Configs: older}
 	err := c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{})
 	assert.Assert(t, errors.Is(err, engine.ErrBehind))
-	assert.Equal(t, older.Standing().Version, int64(8))
+	assert.Equal(t, older.Status().Version, int64(8))
 	assert.NilError(t, c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}))
 	assert.Equal(t, older.taken, 1)
 }
@@ -104,7 +104,7 @@
 	c := &Client{Log: logr.Discard(), Configs: older}
 	assert.Assert(t, c.Ping(t.Context(), p.Address))
 	<-older.changed
-	assert.Equal(t, older.Standing().Version, int64(8))
+	assert.Equal(t, older.Status().Version, int64(8))
 }
 
 // A configuration changes, and the owner's watch tells of it some milliseconds before those of a
@@ -117,7 +117,7 @@
 	c := &Client{Log: logr.Discard(), Configs: older}
 	p := serveConfigs(t, &owner{}, newer)
 	assert.Assert(t, errors.Is(c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}), engine.ErrBehind))
-	assert.Equal(t, older.Standing().Version, int64(8))
+	assert.Equal(t, older.Status().Version, int64(8))
 	assert.Equal(t, newer.packed, 0)
 }
 
--- a/internal/ownerlink/server.go
+++ b/internal/ownerlink/server.go
@@ -101,7 +101,7 @@
 func (s *Server) answer(ctx context.Context, req *request) *response {
 	resp := &response{ID: req.ID, Result: resultNotReady}
 	if s.Configs != nil {
-		resp.Config = s.Configs.Standing()
+		resp.Config = s.Configs.Status()
 		if req.Config.Version > resp.Config.Version {
 			s.Configs.Behind()
 		}
