--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -141,8 +141,8 @@
 // Now implements ownerlink.Configs.
 func (o *operator) Now() time.Duration { return o.clock.Now() }
 
-// Packed implements ownerlink.Configs.
-func (o *operator) Packed() []byte {
+// Encoded implements ownerlink.Configs.
+func (o *operator) Encoded() []byte {
 	c, _ := o.current()
 	raw, err := msgpack.Marshal(c)
 	if err != nil {
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -71,7 +71,7 @@
 	other.clock.now += time.Second
 	assert.NilError(t, other.Confirm(t.Context()))
 	assert.Assert(t, r.Heard(other.Status(), r.clock.now))
-	r.Take(other.Packed(), other.Status(), r.clock.now)
+	r.Take(other.Encoded(), other.Status(), r.clock.now)
 	assert.Assert(t, !r.knows("k1") && r.knows("k2"))
 	assert.Equal(t, r.declared().Workspaces["red"].Limit.MilliCPU, int64(1000))
 
--- a/internal/ownerlink/configs.go
+++ b/internal/ownerlink/configs.go
@@ -22,8 +22,8 @@
 // Configs is the configuration of this entry VM.
 type Configs interface {
 	Status() ConfigStatus
-	// Packed returns the whole of it, for entry VMs that have an older one.
-	Packed() []byte
+	// Encoded returns the whole of it, for entry VMs that have an older one.
+	Encoded() []byte
 	// Behind is told that another entry VM has a newer one. It does not wait.
 	Behind()
 	// Heard is told how another entry VM's stood at some time after sent, on this VM's clock.
--- a/internal/ownerlink/configs_test.go
+++ b/internal/ownerlink/configs_test.go
@@ -32,7 +32,7 @@
 	return c.standing
 }
 
-func (c *configs) Packed() []byte {
+func (c *configs) Encoded() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.packed++
--- a/internal/ownerlink/server.go
+++ b/internal/ownerlink/server.go
@@ -116,7 +116,7 @@
 		return resp
 	case kindConfig:
 		if s.Configs != nil {
-			resp.Packed = s.Configs.Packed()
+			resp.Packed = s.Configs.Encoded()
 			resp.Result = resultOK
 		}
 		return resp
