--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -152,8 +152,8 @@
 	return raw
 }
 
-// Behind implements ownerlink.Configs.
-func (o *operator) Behind() {
+// NotifyOutdated implements ownerlink.Configs.
+func (o *operator) NotifyOutdated() {
 	if !o.catchingUp.CompareAndSwap(false, true) {
 		return
 	}
--- a/internal/ownerlink/configs.go
+++ b/internal/ownerlink/configs.go
@@ -24,8 +24,8 @@
 	Status() ConfigStatus
 	// Encoded returns the whole of it, for entry VMs that have an older one.
 	Encoded() []byte
-	// Behind is told that another entry VM has a newer one. It does not wait.
-	Behind()
+	// NotifyOutdated is told that another entry VM has a newer one. It does not wait.
+	NotifyOutdated()
 	// Heard is told how another entry VM's stood at some time after sent, on this VM's clock.
 	// It returns true where that one is newer and is to be fetched.
 	Heard(s ConfigStatus, sent time.Duration) bool
--- a/internal/ownerlink/configs_test.go
+++ b/internal/ownerlink/configs_test.go
@@ -39,7 +39,7 @@
 	return []byte("config")
 }
 
-func (c *configs) Behind() {
+func (c *configs) NotifyOutdated() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.behind++
--- a/internal/ownerlink/server.go
+++ b/internal/ownerlink/server.go
@@ -103,7 +103,7 @@
 	if s.Configs != nil {
 		resp.Config = s.Configs.Status()
 		if req.Config.Version > resp.Config.Version {
-			s.Configs.Behind()
+			s.Configs.NotifyOutdated()
 		}
 	}
 	if req.Kind == kindWorker {
