--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -165,8 +165,8 @@
 	}()
 }
 
-// Heard implements ownerlink.Configs.
-func (o *operator) Heard(s ownerlink.ConfigStatus, sent time.Duration) bool {
+// Observe implements ownerlink.Configs.
+func (o *operator) Observe(s ownerlink.ConfigStatus, sent time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil || s.Version > o.config.Version {
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -70,7 +70,7 @@
 	other.declare(t, configTwo)
 	other.clock.now += time.Second
 	assert.NilError(t, other.Confirm(t.Context()))
-	assert.Assert(t, r.Heard(other.Status(), r.clock.now))
+	assert.Assert(t, r.Observe(other.Status(), r.clock.now))
 	r.Take(other.Encoded(), other.Status(), r.clock.now)
 	assert.Assert(t, !r.knows("k1") && r.knows("k2"))
 	assert.Equal(t, r.declared().Workspaces["red"].Limit.MilliCPU, int64(1000))
@@ -87,7 +87,7 @@
 	r, other := newOperatorRig(t), newOperatorRig(t)
 	other.clock.now += 3 * time.Second // since it read the store
 	r.clock.now += 10 * time.Second
-	assert.Assert(t, !r.Heard(other.Status(), r.clock.now))
+	assert.Assert(t, !r.Observe(other.Status(), r.clock.now))
 	assert.Assert(t, r.Age() >= 3*time.Second)
 	assert.Assert(t, r.Age() < 4*time.Second)
 }
--- a/internal/ownerlink/configs.go
+++ b/internal/ownerlink/configs.go
@@ -26,9 +26,9 @@
 	Encoded() []byte
 	// NotifyOutdated is told that another entry VM has a newer one. It does not wait.
 	NotifyOutdated()
-	// Heard is told how another entry VM's stood at some time after sent, on this VM's clock.
+	// Observe is told how another entry VM's stood at some time after sent, on this VM's clock.
 	// It returns true where that one is newer and is to be fetched.
-	Heard(s ConfigStatus, sent time.Duration) bool
+	Observe(s ConfigStatus, sent time.Duration) bool
 	// Now is that clock.
 	Now() time.Duration
 	// Take takes a configuration that was fetched, which stood as s at some time after sent.
@@ -55,7 +55,7 @@
 // it is newer and the own watch does not tell of it. A caller whose request was turned down for
 // that waits for it; for all others it goes on beside them.
 func (c *Client) compare(ctx context.Context, address string, resp *response, sent time.Duration) {
-	if c.Configs == nil || resp.Config.Version == 0 || !c.Configs.Heard(resp.Config, sent) {
+	if c.Configs == nil || resp.Config.Version == 0 || !c.Configs.Observe(resp.Config, sent) {
 		return
 	}
 	if resp.Result == resultBehind {
@@ -74,7 +74,7 @@
 // where that does not.
 func (c *Client) catchUp(ctx context.Context, lead time.Duration, address string, heard ConfigStatus, heardAt time.Duration) {
 	for waited := time.Duration(0); waited < lead; waited += watchLook {
-		if !sleep.For(ctx, watchLook) || !c.Configs.Heard(heard, heardAt) {
+		if !sleep.For(ctx, watchLook) || !c.Configs.Observe(heard, heardAt) {
 			return
 		}
 	}
@@ -86,7 +86,7 @@
 func (c *Client) fetch(ctx context.Context, address string, heard ConfigStatus, heardAt time.Duration) {
 	c.fetching.Lock()
 	defer c.fetching.Unlock()
-	if !c.Configs.Heard(heard, heardAt) {
+	if !c.Configs.Observe(heard, heardAt) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -97,7 +97,7 @@
 		c.Log.Info("newer configuration not fetched", "from", address, "error", err.Error())
 		return
 	}
-	if c.Configs.Heard(resp.Config, sent) {
+	if c.Configs.Observe(resp.Config, sent) {
 		c.Configs.Take(resp.Packed, resp.Config, sent)
 	}
 }
--- a/internal/ownerlink/configs_test.go
+++ b/internal/ownerlink/configs_test.go
@@ -45,7 +45,7 @@
 	c.behind++
 }
 
-func (c *configs) Heard(s ConfigStatus, _ time.Duration) bool {
+func (c *configs) Observe(s ConfigStatus, _ time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.tellsIn == 1 {
