--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -178,8 +178,8 @@
 	return false
 }
 
-// Take implements ownerlink.Configs.
-func (o *operator) Take(packed []byte, s ownerlink.ConfigStatus, sent time.Duration) {
+// Install implements ownerlink.Configs.
+func (o *operator) Install(packed []byte, s ownerlink.ConfigStatus, sent time.Duration) {
 	c := new(jobfront.Config)
 	if err := msgpack.Unmarshal(packed, c); err != nil {
 		o.log.Error(err, "another entry VM's configuration is malformed")
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -71,13 +71,13 @@
 	other.clock.now += time.Second
 	assert.NilError(t, other.Confirm(t.Context()))
 	assert.Assert(t, r.Observe(other.Status(), r.clock.now))
-	r.Take(other.Encoded(), other.Status(), r.clock.now)
+	r.Install(other.Encoded(), other.Status(), r.clock.now)
 	assert.Assert(t, !r.knows("k1") && r.knows("k2"))
 	assert.Equal(t, r.declared().Workspaces["red"].Limit.MilliCPU, int64(1000))
 
 	r.take(infra.KV{Key: platform.ConfigKey, Value: configOne, ModRevision: 1})
 	assert.Assert(t, !r.knows("k1"))
-	r.Take([]byte("no configuration"), other.Status(), r.clock.now)
+	r.Install([]byte("no configuration"), other.Status(), r.clock.now)
 	assert.Assert(t, r.knows("k2"), "one that can't be read leaves the last in force")
 }
 
--- a/internal/ownerlink/configs.go
+++ b/internal/ownerlink/configs.go
@@ -31,8 +31,8 @@
 	Observe(s ConfigStatus, sent time.Duration) bool
 	// Now is that clock.
 	Now() time.Duration
-	// Take takes a configuration that was fetched, which stood as s at some time after sent.
-	Take(packed []byte, s ConfigStatus, sent time.Duration)
+	// Install takes a configuration that was fetched, which stood as s at some time after sent.
+	Install(packed []byte, s ConfigStatus, sent time.Duration)
 }
 
 const (
@@ -98,6 +98,6 @@
 		return
 	}
 	if c.Configs.Observe(resp.Config, sent) {
-		c.Configs.Take(resp.Packed, resp.Config, sent)
+		c.Configs.Install(resp.Packed, resp.Config, sent)
 	}
 }
--- a/internal/ownerlink/configs_test.go
+++ b/internal/ownerlink/configs_test.go
@@ -57,7 +57,7 @@
 
 func (c *configs) Now() time.Duration { return time.Hour }
 
-func (c *configs) Take(packed []byte, s ConfigStatus, _ time.Duration) {
+func (c *configs) Install(packed []byte, s ConfigStatus, _ time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if string(packed) == "config" {
