--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -32,8 +32,8 @@
 // Client calls owners, over one connection to each address.
 type Client struct {
 	Log logr.Logger
-	// Behind is how long what is ready to run waits on this VM; nil: it does not.
-	Behind func() time.Duration
+	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
+	SchedulingDelay func() time.Duration
 	// Configs compares configurations with those who answer; nil: they are not compared.
 	Configs Configs
 
@@ -274,7 +274,9 @@
 }
 
 // behind reports whether an answer may lie here unread.
-func (c *Client) behind() bool { return c.Behind != nil && overload.AnswerMayBeUnread(c.Behind()) }
+func (c *Client) behind() bool {
+	return c.SchedulingDelay != nil && overload.AnswerMayBeUnread(c.SchedulingDelay())
+}
 
 // add notes a call; heard counts the answers that had come before it.
 func (l *link) add(req *request, answer chan *response) (heard uint64, ok bool) {
--- a/internal/ownerlink/link_test.go
+++ b/internal/ownerlink/link_test.go
@@ -203,7 +203,7 @@
 func TestAConnectionThatWasNotReadStays(t *testing.T) {
 	o := &owner{gate: make(chan struct{})}
 	p := serve(t, o)
-	c := &Client{Log: logr.Discard(), Behind: func() time.Duration { return time.Second }}
+	c := &Client{Log: logr.Discard(), SchedulingDelay: func() time.Duration { return time.Second }}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	_, err := c.State(ctx, p, "j1", "")
