--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -49,8 +49,8 @@
 	Self   string // own name
 	Clock  engine.Clock
 	Log    logr.Logger
-	// Behind is how long what is ready to run waits on this VM; nil: it does not.
-	Behind func() time.Duration
+	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
+	SchedulingDelay func() time.Duration
 }
 
 // Workers implements engine.Workers for one cell.
@@ -146,7 +146,7 @@
 func (w *Workers) came(to work.WorkerID, p Peer, reached ownerlink.ForwardResult, out engine.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if reached == ownerlink.ForwardUnanswered && w.Behind != nil && overload.AnswerMayBeUnread(w.Behind()) {
+	if reached == ownerlink.ForwardUnanswered && w.SchedulingDelay != nil && overload.AnswerMayBeUnread(w.SchedulingDelay()) {
 		return // its answer may lie here unread
 	}
 	if reached != ownerlink.ForwardAnswered {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -276,7 +276,7 @@
 	r := newRig(t)
 	i := r.large()
 	behind := time.Second
-	r.owner.Behind = func() time.Duration { return behind }
+	r.owner.SchedulingDelay = func() time.Duration { return behind }
 	p, _ := r.owner.via(worker(i))
 	r.owner.came(worker(i).ID, p, ownerlink.ForwardUnanswered, engine.OutcomeUnknown)
 	assert.Equal(t, len(r.owner.avoid), 0)
