--- a/internal/ownerlink/writer.go
+++ b/internal/ownerlink/writer.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// writeTimeout ends a write to a peer that does not read.
+	// writeTimeout bounds a write to a peer that does not read.
 	writeTimeout = 2 * time.Second
-	// maxPending bounds what waits for a peer that reads slowly: two seconds of
-	// the smallest link. Beyond it the connection is given up, and the calls on
-	// it are uncertain, as they would be at their timeouts.
+	// maxPending is how many bytes may wait for a peer that reads slowly: what the smallest
+	// link carries in two seconds. Beyond it the connection is closed, and the outcome of the
+	// calls on it is uncertain, as it would be at their timeouts.
 	maxPending = 2 << 20
 )
 
-var errBacklog = errors.New("ownerlink: the peer does not read")
+// errBacklog is returned by write once more than maxPending bytes would wait.
+var errBacklog = errors.New("ownerlink: send buffer is full: the peer reads too slowly or not at all")
 
-// frameWriter writes whole frames of several goroutines. Messages that come
-// together leave together: a burst makes a hundred calls in a millisecond, and
-// each write of its own would cost more than making the message does.
+// frameWriter writes whole frames for several goroutines. It combines messages that are
+// ready at the same time into one write: a burst makes a hundred calls in a millisecond, and
+// a separate write for each would cost more than encoding it.
 type frameWriter struct {
 	conn net.Conn
 
 	mu      sync.Mutex
 	pending []byte
-	spare   []byte // the buffer written last
+	spare   []byte // the buffer written last, for reuse
 	writing bool
 	err     error
 }
 
-// write sends the message, or leaves that to the goroutine that is writing. An
-// error of a later write shows at the connection alone.
+// write sends the message, or adds it to the pending bytes for the goroutine that is
+// writing. In the latter case a failure of the write closes the connection and is not
+// returned.
 func (w *frameWriter) write(msg any) error {
 	raw, err := frame(msg)
 	if err != nil {
@@ -52,7 +54,7 @@
 		return nil
 	}
 	w.writing = true
-	w.unlocked(runtime.Gosched) // others that have something to send add it
+	w.runUnlocked(runtime.Gosched) // lets other goroutines add their messages first
 	for len(w.pending) > 0 && w.err == nil {
 		w.flushLocked()
 	}
@@ -60,11 +62,12 @@
 	return w.err
 }
 
+// flushLocked writes the pending bytes. It releases the mutex during the write.
 func (w *frameWriter) flushLocked() {
 	out := w.pending
 	w.pending = w.spare[:0]
 	var err error
-	w.unlocked(func() { err = w.send(out) })
+	w.runUnlocked(func() { err = w.send(out) })
 	w.spare = out
 	if err != nil && w.err == nil {
 		w.err = err
@@ -72,6 +75,7 @@
 	}
 }
 
+// send writes the bytes to the connection, within writeTimeout.
 func (w *frameWriter) send(out []byte) error {
 	if err := w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -80,7 +84,8 @@
 	return err
 }
 
-func (w *frameWriter) unlocked(f func()) {
+// runUnlocked calls f with the mutex released.
+func (w *frameWriter) runUnlocked(f func()) {
 	w.mu.Unlock()
 	defer w.mu.Lock()
 	f()
--- a/internal/ownerlink/writer_test.go
+++ b/internal/ownerlink/writer_test.go
@@ -8,34 +8,34 @@
 	"gotest.tools/v3/assert"
 )
 
-// counted counts the writes to a connection, and tells of each.
-type counted struct {
+// countingConn sends a value to writes at each write to the connection.
+type countingConn struct {
 	net.Conn
 	writes chan struct{}
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	c.writes <- struct{}{}
 	return c.Conn.Write(b)
 }
 
-// blocked returns a writer whose first message is being written to a peer that
+// newBlockedWriter returns a writer whose first message is being written to a peer that
 // does not read yet.
-func blocked(t *testing.T) (w *frameWriter, c *counted, far net.Conn) {
+func newBlockedWriter(t *testing.T) (w *frameWriter, c *countingConn, far net.Conn) {
 	near, far := net.Pipe()
-	c = &counted{Conn: near, writes: make(chan struct{}, 10)}
+	c = &countingConn{Conn: near, writes: make(chan struct{}, 10)}
 	w = &frameWriter{conn: c}
 	var first sync.WaitGroup
-	first.Go(func() { w.write(&request{ID: 1}) }) // fails in the case that never reads
+	first.Go(func() { w.write(&request{ID: 1}) }) // fails in the test that never reads
 	t.Cleanup(func() { near.Close(); far.Close(); first.Wait() })
 	<-c.writes
 	return w, c, far
 }
 
-// A burst makes hundreds of calls at once; a write of its own for each would cost
-// more than making the messages. What comes while one is written leaves together.
+// A burst makes hundreds of calls at once, and a separate write for each would cost more than
+// encoding them. Messages that are ready while another is being written share the next write.
 func TestMessagesOfABurstShareAWrite(t *testing.T) {
-	w, c, far := blocked(t)
+	w, c, far := newBlockedWriter(t)
 	const messages = 200
 	for i := 2; i <= messages; i++ {
 		assert.NilError(t, w.write(&request{ID: uint64(i)}))
@@ -45,13 +45,13 @@
 		assert.NilError(t, readFrame(far, &req))
 		assert.Equal(t, req.ID, uint64(i))
 	}
-	assert.Equal(t, len(c.writes), 1, "one write beside the first")
+	assert.Equal(t, len(c.writes), 1, "one write after the first")
 }
 
-// A peer stops reading while orders go on: what waits for it must not grow until
-// the process runs out of memory.
+// A peer stops reading while calls to it continue. The bytes pending for it must be bounded, or
+// the process would run out of memory.
 func TestAPeerThatDoesNotReadIsGivenUp(t *testing.T) {
-	w, _, _ := blocked(t)
+	w, _, _ := newBlockedWriter(t)
 	big := &request{Name: string(make([]byte, maxFrame/2))}
 	for range maxPending / (maxFrame / 2) {
 		if err := w.write(big); err != nil {
@@ -59,5 +59,5 @@
 			return
 		}
 	}
-	t.Fatal("the backlog has no end")
+	t.Fatal("the pending bytes have no bound")
 }
