--- a/internal/ownerlink/workers.go
+++ b/internal/ownerlink/workers.go
@@ -12,12 +12,12 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// forwardMargin is how much sooner than the owner the forwarding entry VM gives a
-// call up: its answer, that the worker did not answer, must come before the owner
-// gives up the connection with all other calls on it.
+// forwardMargin is how much earlier than the owner the forwarding entry VM times out. Its
+// response that the worker did not answer must arrive before the owner times out and closes
+// the connection with all other calls on it.
 const forwardMargin = 80 * time.Millisecond
 
-// workerKind names a call to a worker.
+// workerKind is the method of the worker that a forwarded call calls.
 type workerKind uint8
 
 const (
@@ -27,13 +27,14 @@
 	workerPace
 )
 
-// workerCall is one call to a worker that another entry VM makes.
+// workerCall is a call to a worker that an owner asks another entry VM to make.
 type workerCall struct {
 	Kind    workerKind
 	Worker  work.WorkerID
 	Address string
-	Budget  time.Duration // how long the call may take
-	// Start is set for starts, Hold for polls; the others are of a run.
+	Budget  time.Duration // the timeout of the call to the worker
+	// Start is set for workerStart, Hold for workerHold. The fields below name a run, for
+	// workerStop and workerPace.
 	Start   *engine.Start
 	Hold    *engine.Hold
 	Task    *work.TaskRef
@@ -42,16 +43,16 @@
 	Token   int64
 }
 
-// workerAnswer is what became of it.
+// workerAnswer is the outcome of a workerCall.
 type workerAnswer struct {
 	Outcome engine.Outcome
-	Clock   time.Duration // the worker's own
+	Clock   time.Duration // the time on the worker's own clock
 	Listing engine.Listing
 }
 
-// pack encodes a call or its answer without the names of fields: a list of a busy
-// worker comes dozens of times a second. An entry VM of another version may not
-// understand it, and then says that it made no call.
+// pack encodes a call or its answer as arrays, without field names: the listing of a busy
+// worker is sent dozens of times a second. An entry VM of another version that can't decode a
+// call answers that it was not made.
 func pack(v any) (msgpack.RawMessage, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -60,18 +61,19 @@
 	return buf.Bytes(), err
 }
 
-// ForwardingClient calls workers by way of the entry VM at Address.
+// ForwardingClient calls workers through the entry VM at Address.
 type ForwardingClient struct {
 	Link    *Client
 	Address string
 }
 
-// ForwardResult tells whether the forwarding entry VM answered.
+// ForwardResult tells whether the forwarding entry VM answered. The outcome of the call at
+// the worker is a separate value.
 type ForwardResult uint8
 
-// How far a forwarded call came.
+// Results of a forwarded call.
 const (
-	ForwardNotSent    ForwardResult = iota // certain not to have been sent
+	ForwardNotSent    ForwardResult = iota // the worker was certainly not called
 	ForwardUnanswered                      // sent, and the entry VM did not answer
 	ForwardAnswered                        // the entry VM answered with the outcome
 )
@@ -109,7 +111,7 @@
 	c.Budget = time.Until(end) - forwardMargin
 	raw, err := pack(&c)
 	if err != nil {
-		f.Link.Log.Error(err, "call to forward not encoded", "worker", w.ID)
+		f.Link.Log.Error(err, "encoding a call to a worker for forwarding failed", "worker", w.ID)
 		return workerAnswer{Outcome: engine.OutcomeNotSent}, ForwardNotSent
 	}
 	resp, err := f.Link.call(ctx, Peer{Address: f.Address}, &request{Kind: kindWorker, Worker: raw})
@@ -123,19 +125,18 @@
 	}
 	var a workerAnswer
 	if err := msgpack.Unmarshal(resp.Worker, &a); err != nil {
-		f.Link.Log.Error(err, "forwarded call's answer is malformed", "worker", w.ID, "address", f.Address)
+		f.Link.Log.Error(err, "decoding the answer to a forwarded call failed", "worker", w.ID, "address", f.Address)
 		return workerAnswer{Outcome: engine.OutcomeUnknown}, ForwardUnanswered
 	}
 	return a, ForwardAnswered
 }
 
-// forward makes a call to a worker for an owner. The order carries all that makes
-// it harmless when it comes late: the fencing token, the run's number, and the
-// deadline on the worker's own clock.
+// forward calls a worker for an owner. A call that arrives late is harmless: it carries the
+// fencing token, the run's number, and the deadline on the worker's own clock.
 func (s *Server) forward(ctx context.Context, raw msgpack.RawMessage, resp *response) {
 	var c workerCall
 	if err := msgpack.Unmarshal(raw, &c); err != nil {
-		s.Log.Error(err, "call to forward is malformed")
+		s.Log.Error(err, "decoding a call to forward failed")
 		return
 	}
 	if s.Workers == nil {
@@ -145,17 +146,19 @@
 	defer cancel()
 	a, ok := s.callWorker(ctx, &c)
 	if !ok {
-		s.Log.Info("call to forward is of a kind not known here", "kind", c.Kind, "worker", c.Worker)
+		s.Log.Info("call to forward has an unknown kind or lacks its parameters", "kind", c.Kind, "worker", c.Worker)
 		return
 	}
 	packed, err := pack(a)
 	if err != nil {
-		// The call was made; without an answer the owner takes it as unknown.
-		s.Log.Error(err, "forwarded call's answer not encoded", "worker", c.Worker)
+		// The worker was called. The owner can't decode the empty answer and takes the
+		// outcome as unknown.
+		s.Log.Error(err, "encoding the answer to a forwarded call failed", "worker", c.Worker)
 	}
 	resp.Result, resp.Worker = resultOK, packed
 }
 
+// callWorker calls the worker; ok is false if the kind is unknown or a parameter is missing.
 func (s *Server) callWorker(ctx context.Context, c *workerCall) (a *workerAnswer, ok bool) {
 	to := &engine.WorkerInfo{ID: c.Worker, Address: c.Address}
 	a = &workerAnswer{}
