--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -17,47 +17,54 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// ErrNotSent: no connection to the owner was had; nothing was done.
-var ErrNotSent = errors.New("ownerlink: the owner can't be reached")
+// ErrNotSent is returned when there is no connection to the peer. The request certainly
+// did not leave, so it may be sent elsewhere.
+var ErrNotSent = errors.New("ownerlink: request not sent: no connection to the peer")
 
-// dialTimeout ends a connection attempt; a VM behind a cut does not answer.
+// dialTimeout bounds a connection attempt: a VM behind a network partition does not answer.
 const dialTimeout = 400 * time.Millisecond
 
-// Peer is the owner of a cell and where it is reached.
+// Peer is the entry VM that owns a cell, and its address. Cell is empty in calls that
+// concern the entry VM itself.
 type Peer struct {
 	Cell    string
 	Address string
 }
 
-// Client calls owners, over one connection to each address.
+// Client calls other entry VMs, with one connection for each address. Its methods return
+// ErrNotSent if the request did not leave, engine.ErrUncertain if it may have been carried
+// out without an answer, and otherwise the error of the called entry VM.
 type Client struct {
 	Log logr.Logger
-	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
+	// SchedulingDelay returns how long goroutines that are ready to run wait for a
+	// processor on this VM; nil stands for no delay.
 	SchedulingDelay func() time.Duration
-	// Configs compares configurations with those who answer; nil: they are not compared.
+	// Configs is compared with the configuration of the entry VMs that answer; nil turns
+	// the comparison off.
 	Configs Configs
 
-	fetching sync.Mutex  // held while a newer configuration is fetched
-	catching atomic.Bool // that is about to be done, and nobody waits for it
+	fetchMu        sync.Mutex  // held while a newer configuration is fetched
+	catchUpRunning atomic.Bool // a background goroutine waits for or fetches a newer configuration
 
-	mu    sync.Mutex
-	began time.Time
-	links map[string]*link            // by address
-	dials map[string]*breaker.Breaker // likewise
+	mu           sync.Mutex
+	startedAt    time.Time
+	links        map[string]*link            // by address
+	dialBreakers map[string]*breaker.Breaker // by address
 }
 
+// link is a connection to an entry VM, shared by all calls to it.
 type link struct {
 	conn net.Conn
 	out  *frameWriter
 
-	mu      sync.Mutex
-	nextID  uint64
-	waiting map[uint64]chan *response
-	heard   uint64 // answers so far
-	dead    bool
+	mu       sync.Mutex
+	nextID   uint64
+	waiting  map[uint64]chan *response // by request ID
+	answered uint64                    // responses received so far
+	dead     bool
 }
 
-// Submit hands a job to the owner.
+// Submit submits a job to the owner of the cell.
 func (c *Client) Submit(ctx context.Context, p Peer, j *work.Job, q engine.Queue) error {
 	resp, err := c.call(ctx, p, &request{Kind: kindSubmit, Job: j, Queue: &q})
 	if err != nil {
@@ -66,7 +73,7 @@
 	return resp.Result.err()
 }
 
-// State asks for a job's state, for a caller of the workspace.
+// State returns a job's state to a caller of the workspace.
 func (c *Client) State(ctx context.Context, p Peer, id work.JobID, by work.WorkspaceName) (work.State, error) {
 	resp, err := c.call(ctx, p, &request{Kind: kindState, JobID: id, Workspace: by})
 	if err != nil {
@@ -84,7 +91,7 @@
 	return resp.Result.err()
 }
 
-// Waiting asks how many jobs of the queue have not begun.
+// Waiting returns the number of jobs of the queue that have not started.
 func (c *Client) Waiting(ctx context.Context, p Peer, queue string) (int, error) {
 	resp, err := c.call(ctx, p, &request{Kind: kindWaiting, Name: queue})
 	if err != nil {
@@ -93,7 +100,8 @@
 	return resp.Count, resp.Result.err()
 }
 
-// Sync hands a cell's owner the orders of the fleet's and returns its report.
+// Sync gives a cell's owner the orders of the fleet's owner and returns the cell's report.
+// It returns engine.ErrNotReady if the answer lacks the report.
 func (c *Client) Sync(ctx context.Context, p Peer, s engine.CellSync) (engine.CellAnswer, error) {
 	resp, err := c.call(ctx, p, &request{Kind: kindSync, Sync: &s})
 	if err != nil {
@@ -105,7 +113,8 @@
 	return *resp.Sync, nil
 }
 
-// LookAtLimits tells a cell's owner that another cell waits for the workspaces' limits, or gave back.
+// LookAtLimits asks a cell's owner to check the limits of the workspaces again, since
+// another cell waits for a share of them or has returned one.
 func (c *Client) LookAtLimits(ctx context.Context, p Peer, names []work.WorkspaceName) error {
 	resp, err := c.call(ctx, p, &request{Kind: kindLookAtLimits, Workspaces: names})
 	if err != nil {
@@ -114,7 +123,8 @@
 	return resp.Result.err()
 }
 
-// Explain asks the owner where a job stands and why.
+// Explain returns the owner's explanation of a job's state. It returns engine.ErrNotReady if
+// the answer lacks the explanation.
 func (c *Client) Explain(ctx context.Context, p Peer, id work.JobID) (engine.Explanation, error) {
 	resp, err := c.call(ctx, p, &request{Kind: kindExplain, JobID: id})
 	if err != nil {
@@ -126,7 +136,8 @@
 	return *resp.Explanation, nil
 }
 
-// Summary asks the owner how its cell stands.
+// Summary returns the owner's summary of its cell. It returns engine.ErrNotReady if the
+// answer lacks the summary.
 func (c *Client) Summary(ctx context.Context, p Peer) (engine.Summary, error) {
 	resp, err := c.call(ctx, p, &request{Kind: kindSummary})
 	if err != nil {
@@ -150,8 +161,8 @@
 	return err
 }
 
-// call sends a request and waits for its answer, as exchange does, and compares configurations
-// with whoever answers.
+// call sends a request and waits for its answer, as exchange does, and compares this entry
+// VM's configuration with that of the entry VM that answers.
 func (c *Client) call(ctx context.Context, p Peer, req *request) (*response, error) {
 	var sent time.Duration
 	if c.Configs != nil {
@@ -165,11 +176,13 @@
 	return resp, err
 }
 
-// exchange sends a request and waits for its answer. ErrNotSent is certain; without an answer
-// the error is engine.ErrUncertain. A connection on which nothing came meanwhile is given
-// up: it may have gone silent for good while new ones work. One that brought other answers
-// stays, and so does one that this VM had no time to read: with it all calls on it would
-// be given up, and repeated by a VM that is behind as it is.
+// exchange sends a request and waits for its answer. It returns ErrNotSent if the request
+// certainly did not leave, and engine.ErrUncertain if no answer came.
+//
+// A connection on which nothing arrived until the timeout is closed: it may never work again
+// while a new one would. A connection that brought other answers stays open, and so does one
+// that this VM was too overloaded to read: closing it would abort all calls on it, and an
+// overloaded VM would have to repeat them.
 func (c *Client) exchange(ctx context.Context, p Peer, req *request) (*response, error) {
 	req.Cell = p.Cell
 	l, err := c.connect(ctx, p.Address)
@@ -177,7 +190,7 @@
 		return nil, err
 	}
 	answer := make(chan *response, 1)
-	heard, added := l.add(req, answer)
+	before, added := l.register(req, answer)
 	if !added {
 		return nil, ErrNotSent
 	}
@@ -192,18 +205,18 @@
 		}
 		return resp, nil
 	case <-ctx.Done():
-		// Whoever asked may have left; that says nothing of the connection, on which
-		// calls of others wait.
-		lives := l.forget(req.ID) > heard
-		if !lives && !errors.Is(ctx.Err(), context.Canceled) && !c.behind() {
+		// A canceled call says nothing about the connection, on which other calls wait.
+		receivedOther := l.unregister(req.ID) > before
+		if !receivedOther && !errors.Is(ctx.Err(), context.Canceled) && !c.answerMayBeUnread() {
 			l.close()
 		}
 		return nil, engine.ErrUncertain
 	}
 }
 
-// connect returns the connection to the address. Nobody waits for a VM that did
-// not answer a moment ago.
+// connect returns the connection to the address and dials it if there is none. It returns
+// ErrNotSent at once while the circuit breaker of the address is open, so that no call waits
+// for a VM that failed to answer a moment ago.
 func (c *Client) connect(ctx context.Context, address string) (*link, error) {
 	l, mayDial := c.existing(address)
 	if l != nil {
@@ -216,11 +229,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.dials[address].RecordFailure(time.Since(c.began))
-		c.Log.V(1).Info("owner can't be reached", "address", address, "error", err.Error())
+		c.dialBreakers[address].RecordFailure(time.Since(c.startedAt))
+		c.Log.V(1).Info("connecting to an entry VM failed", "address", address, "error", err.Error())
 		return nil, ErrNotSent
 	}
-	c.dials[address].RecordSuccess()
+	c.dialBreakers[address].RecordSuccess()
 	if other := c.links[address]; other != nil && !other.isDead() {
 		conn.Close()
 		return other, nil
@@ -231,8 +244,8 @@
 	return l, nil
 }
 
-// dial opens a connection that is reset when it is closed: what was given up
-// behind a cut must not be delivered as the cut heals, seconds later.
+// dial opens a connection that is reset when it is closed. Otherwise the kernel would deliver
+// abandoned requests seconds later, when a network partition heals.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -248,23 +261,24 @@
 	return conn, nil
 }
 
-// existing returns the connection to the address, or whether one may be tried.
+// existing returns the open connection to the address. If there is none, it returns nil and
+// whether the circuit breaker allows an attempt.
 func (c *Client) existing(address string) (l *link, mayDial bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.links == nil {
-		c.began = time.Now()
+		c.startedAt = time.Now()
 		c.links = make(map[string]*link)
-		c.dials = make(map[string]*breaker.Breaker)
+		c.dialBreakers = make(map[string]*breaker.Breaker)
 	}
 	if l := c.links[address]; l != nil && !l.isDead() {
 		return l, false
 	}
 	delete(c.links, address)
-	if c.dials[address] == nil {
-		c.dials[address] = new(breaker.Breaker)
+	if c.dialBreakers[address] == nil {
+		c.dialBreakers[address] = new(breaker.Breaker)
 	}
-	return nil, c.dials[address].Allow(time.Since(c.began))
+	return nil, c.dialBreakers[address].Allow(time.Since(c.startedAt))
 }
 
 func (l *link) isDead() bool {
@@ -273,13 +287,15 @@
 	return l.dead
 }
 
-// behind reports whether an answer may lie here unread.
-func (c *Client) behind() bool {
+// answerMayBeUnread reports whether this VM is so overloaded that it may have received an
+// answer and not read it yet.
+func (c *Client) answerMayBeUnread() bool {
 	return c.SchedulingDelay != nil && overload.AnswerMayBeUnread(c.SchedulingDelay())
 }
 
-// add notes a call; heard counts the answers that had come before it.
-func (l *link) add(req *request, answer chan *response) (heard uint64, ok bool) {
+// register assigns the request an ID and adds it to the calls that wait for an answer. It
+// returns the number of responses received so far, and false if the connection is closed.
+func (l *link) register(req *request, answer chan *response) (answered uint64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.dead {
@@ -288,18 +304,19 @@
 	l.nextID++
 	req.ID = l.nextID
 	l.waiting[req.ID] = answer
-	return l.heard, true
+	return l.answered, true
 }
 
-// forget drops a call that nobody waits for any more, and returns how many answers have
-// come so far.
-func (l *link) forget(id uint64) (heard uint64) {
+// unregister removes a call that nobody waits for any more, and returns the number of
+// responses received so far.
+func (l *link) unregister(id uint64) (answered uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.waiting, id)
-	return l.heard
+	return l.answered
 }
 
+// read delivers responses to the calls that wait for them until the connection fails.
 func (l *link) read() {
 	r := bufio.NewReader(l.conn)
 	for {
@@ -309,7 +326,7 @@
 			return
 		}
 		l.mu.Lock()
-		l.heard++
+		l.answered++
 		answer := l.waiting[resp.ID]
 		delete(l.waiting, resp.ID)
 		l.mu.Unlock()
@@ -319,7 +336,7 @@
 	}
 }
 
-// close ends the connection; calls without an answer become uncertain.
+// close closes the connection. The calls that wait for an answer return engine.ErrUncertain.
 func (l *link) close() {
 	l.conn.Close()
 	l.mu.Lock()
--- a/internal/ownerlink/configs.go
+++ b/internal/ownerlink/configs.go
@@ -7,86 +7,94 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// ConfigStatus is how an entry VM's configuration stands. It goes with every call and answer, so
-// that an entry VM which the store turns away, or whose watch has gone silent, hears of a newer
-// configuration from those that it speaks with anyway.
+// ConfigStatus tells how new an entry VM's configuration is. Every request and response carries
+// it, so that an entry VM that is refused by the store, or whose watch no longer delivers
+// anything, learns of a newer configuration from the entry VMs it communicates with anyway.
+// A Version of 0 means that the entry VM has no configuration.
 type ConfigStatus struct {
 	Version int64 `msgpack:"v"`
-	// Age is how long ago it was known to be the newest, in milliseconds.
+	// AgeMS is the time since the configuration was last known to be the newest, in
+	// milliseconds.
 	AgeMS int64 `msgpack:"a"`
 }
 
-// Age is how long ago the configuration was known to be the newest.
+// Age returns the time since the configuration was last known to be the newest.
 func (s ConfigStatus) Age() time.Duration { return time.Duration(s.AgeMS) * time.Millisecond }
 
-// Configs is the configuration of this entry VM.
+// Configs holds the configuration of this entry VM.
 type Configs interface {
 	Status() ConfigStatus
-	// Encoded returns the whole of it, for entry VMs that have an older one.
+	// Encoded returns the whole configuration, for entry VMs that have an older one.
 	Encoded() []byte
-	// NotifyOutdated is told that another entry VM has a newer one. It does not wait.
+	// NotifyOutdated reports that another entry VM has a newer configuration. It does not block.
 	NotifyOutdated()
-	// Observe is told how another entry VM's stood at some time after sent, on this VM's clock.
-	// It returns true where that one is newer and is to be fetched.
+	// Observe records the status that another entry VM's configuration had at some time after
+	// sent, on this VM's clock. It returns true if that configuration is newer and should be
+	// fetched.
 	Observe(s ConfigStatus, sent time.Duration) bool
-	// Now is that clock.
+	// Now returns the time on this VM's clock.
 	Now() time.Duration
-	// Install takes a configuration that was fetched, which stood as s at some time after sent.
+	// Install replaces the configuration by an encoded one that was fetched, and that had the
+	// status s at some time after sent.
 	Install(packed []byte, s ConfigStatus, sent time.Duration)
 }
 
 const (
-	// watchLead is how long a caller whose request was turned down waits for the entry VM's own
-	// watch of the store, which tells all entry VMs within some milliseconds of each other. Were
-	// all of them to fetch what it is about to tell, an owner on a small link would send the
-	// same configuration a hundred times, and nothing else for a second.
-	watchLead = 100 * time.Millisecond
-	// watchGrace is the same where nobody waits.
-	watchGrace = 400 * time.Millisecond
-	// watchLook separates looks whether the watch has told.
-	watchLook = 10 * time.Millisecond
+	// callerWatchTimeout is how long a refused request of a caller waits for this entry VM's own
+	// watch of the store before the newer configuration is fetched from a peer. The watch
+	// reaches all entry VMs within some milliseconds of each other. If they all fetched what it
+	// is about to deliver, an owner with a small link would send the same configuration a
+	// hundred times, and nothing else for a second.
+	callerWatchTimeout = 100 * time.Millisecond
+	// backgroundWatchTimeout is the same timeout when no caller waits.
+	backgroundWatchTimeout = 400 * time.Millisecond
+	// watchPollInterval is the time between two checks whether the watch has delivered the
+	// configuration.
+	watchPollInterval = 10 * time.Millisecond
 )
 
-// fetchTimeout ends the call for a newer configuration: a few kilobytes from an entry VM that
-// answered a moment ago.
+// fetchTimeout bounds the call that fetches a newer configuration: a few kilobytes from an
+// entry VM that answered a moment ago.
 const fetchTimeout = 400 * time.Millisecond
 
-// compare takes note of how the answering entry VM's configuration stands, and fetches it where
-// it is newer and the own watch does not tell of it. A caller whose request was turned down for
-// that waits for it; for all others it goes on beside them.
+// compare records the configuration status of the entry VM that answered, and fetches its
+// configuration if it is newer and this entry VM's own watch does not deliver it. A request that
+// was refused because of the older configuration waits for this; after any other it happens in
+// the background.
 func (c *Client) compare(ctx context.Context, address string, resp *response, sent time.Duration) {
 	if c.Configs == nil || resp.Config.Version == 0 || !c.Configs.Observe(resp.Config, sent) {
 		return
 	}
-	if resp.Result == resultBehind {
-		c.catchUp(ctx, watchLead, address, resp.Config, sent)
+	if resp.Result == resultOutdatedConfig {
+		c.catchUp(ctx, callerWatchTimeout, address, resp.Config, sent)
 		return
 	}
-	if c.catching.CompareAndSwap(false, true) {
+	if c.catchUpRunning.CompareAndSwap(false, true) {
 		go func() {
-			defer c.catching.Store(false)
-			c.catchUp(context.WithoutCancel(ctx), watchGrace, address, resp.Config, sent)
+			defer c.catchUpRunning.Store(false)
+			c.catchUp(context.WithoutCancel(ctx), backgroundWatchTimeout, address, resp.Config, sent)
 		}()
 	}
 }
 
-// catchUp waits for the own watch to tell of the configuration that was heard of, and fetches it
-// where that does not.
-func (c *Client) catchUp(ctx context.Context, lead time.Duration, address string, heard ConfigStatus, heardAt time.Duration) {
-	for waited := time.Duration(0); waited < lead; waited += watchLook {
-		if !sleep.For(ctx, watchLook) || !c.Configs.Observe(heard, heardAt) {
+// catchUp waits up to timeout for this entry VM's own watch to deliver the newer configuration,
+// and fetches it from the address if the watch does not.
+func (c *Client) catchUp(ctx context.Context, timeout time.Duration, address string, newer ConfigStatus, observedAt time.Duration) {
+	for waited := time.Duration(0); waited < timeout; waited += watchPollInterval {
+		if !sleep.For(ctx, watchPollInterval) || !c.Configs.Observe(newer, observedAt) {
 			return
 		}
 	}
-	c.fetch(ctx, address, heard, heardAt)
+	c.fetch(ctx, address, newer, observedAt)
 }
 
-// fetch has one caller at a time ask for the configuration that was heard of at some time after
-// heardAt; those who waited find it there.
-func (c *Client) fetch(ctx context.Context, address string, heard ConfigStatus, heardAt time.Duration) {
-	c.fetching.Lock()
-	defer c.fetching.Unlock()
-	if !c.Configs.Observe(heard, heardAt) {
+// fetch fetches the newer configuration, whose status was observed at some time after
+// observedAt. One goroutine fetches at a time; those that waited for it find the configuration
+// installed.
+func (c *Client) fetch(ctx context.Context, address string, newer ConfigStatus, observedAt time.Duration) {
+	c.fetchMu.Lock()
+	defer c.fetchMu.Unlock()
+	if !c.Configs.Observe(newer, observedAt) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -94,7 +102,7 @@
 	sent := c.Configs.Now()
 	resp, err := c.exchange(ctx, Peer{Address: address}, &request{Kind: kindConfig})
 	if err != nil {
-		c.Log.Info("newer configuration not fetched", "from", address, "error", err.Error())
+		c.Log.Info("fetching a newer configuration failed", "from", address, "error", err.Error())
 		return
 	}
 	if c.Configs.Observe(resp.Config, sent) {
--- a/internal/ownerlink/configs_test.go
+++ b/internal/ownerlink/configs_test.go
@@ -15,57 +15,57 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// configs is an entry VM's configuration, of which only the version matters.
-type configs struct {
-	mu       sync.Mutex
-	standing ConfigStatus
-	behind   int
-	taken    int
-	packed   int           // times that it was fetched
-	tellsIn  int           // looks until the own watch tells the next version; 0: it does not
-	changed  chan struct{} // told of each that is taken, unless nil
+// fakeConfigs is an entry VM's configuration. Only its version matters.
+type fakeConfigs struct {
+	mu                sync.Mutex
+	status            ConfigStatus
+	outdatedCalls     int           // calls of NotifyOutdated
+	installs          int           // configurations installed
+	encodes           int           // calls of Encoded: configurations sent to others
+	watchUpdatesAfter int           // calls of Observe until the watch delivers the next version; 0: never
+	installed         chan struct{} // receives a value for each call of Install; may be nil
 }
 
-func (c *configs) Status() ConfigStatus {
+func (c *fakeConfigs) Status() ConfigStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.standing
+	return c.status
 }
 
-func (c *configs) Encoded() []byte {
+func (c *fakeConfigs) Encoded() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.packed++
+	c.encodes++
 	return []byte("config")
 }
 
-func (c *configs) NotifyOutdated() {
+func (c *fakeConfigs) NotifyOutdated() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.behind++
+	c.outdatedCalls++
 }
 
-func (c *configs) Observe(s ConfigStatus, _ time.Duration) bool {
+func (c *fakeConfigs) Observe(s ConfigStatus, _ time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.tellsIn == 1 {
-		c.standing.Version++
+	if c.watchUpdatesAfter == 1 {
+		c.status.Version++
 	}
-	c.tellsIn = max(0, c.tellsIn-1)
-	return s.Version > c.standing.Version
+	c.watchUpdatesAfter = max(0, c.watchUpdatesAfter-1)
+	return s.Version > c.status.Version
 }
 
-func (c *configs) Now() time.Duration { return time.Hour }
+func (c *fakeConfigs) Now() time.Duration { return time.Hour }
 
-func (c *configs) Install(packed []byte, s ConfigStatus, _ time.Duration) {
+func (c *fakeConfigs) Install(packed []byte, s ConfigStatus, _ time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if string(packed) == "config" {
-		c.standing = s
-		c.taken++
+		c.status = s
+		c.installs++
 	}
-	if c.changed != nil {
-		c.changed <- struct{}{}
+	if c.installed != nil {
+		c.installed <- struct{}{}
 	}
 }
 
@@ -81,52 +81,52 @@
 	return Peer{Cell: "a", Address: l.Addr().String()}
 }
 
-// A key was taken away while the store turns this entry VM away. It would go on to serve the
-// key's holder by what it last read; the owner turns the call down instead, and the entry VM
-// has the newer configuration by the time it decides again.
+// An access key was revoked while the store refuses this entry VM. The entry VM would go on
+// serving the holder of the key by its old configuration. The owner must refuse the call, and
+// the entry VM must have the newer configuration before it retries.
 func TestACallByAnOldConfigurationIsTurnedDownAndTheNewOneFetched(t *testing.T) {
-	newer, older := &configs{standing: ConfigStatus{Version: 8}}, &configs{standing: ConfigStatus{Version: 7}}
-	o := &owner{}
+	newer, older := &fakeConfigs{status: ConfigStatus{Version: 8}}, &fakeConfigs{status: ConfigStatus{Version: 7}}
+	o := &fakeOwner{}
 	p := serveConfigs(t, o, newer)
 	c := &Client{Log: logr.Discard(), Configs: older}
 	err := c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{})
 	assert.Assert(t, errors.Is(err, engine.ErrBehind))
 	assert.Equal(t, older.Status().Version, int64(8))
 	assert.NilError(t, c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}))
-	assert.Equal(t, older.taken, 1)
+	assert.Equal(t, older.installs, 1)
 }
 
-// The store turns an entry VM away that owns nothing and gets no callers' answers: it still asks
-// others whether they live, and hears of the configuration by that.
+// An entry VM that is refused by the store owns nothing and forwards no caller's request. It
+// must learn of a newer configuration from the answers to its pings.
 func TestAnAnswerOfAnyKindTellsOfANewerConfiguration(t *testing.T) {
-	older := &configs{standing: ConfigStatus{Version: 7}, changed: make(chan struct{}, 1)}
-	p := serveConfigs(t, &owner{}, &configs{standing: ConfigStatus{Version: 8}})
+	older := &fakeConfigs{status: ConfigStatus{Version: 7}, installed: make(chan struct{}, 1)}
+	p := serveConfigs(t, &fakeOwner{}, &fakeConfigs{status: ConfigStatus{Version: 8}})
 	c := &Client{Log: logr.Discard(), Configs: older}
 	assert.Assert(t, c.Ping(t.Context(), p.Address))
-	<-older.changed
+	<-older.installed
 	assert.Equal(t, older.Status().Version, int64(8))
 }
 
-// A configuration changes, and the owner's watch tells of it some milliseconds before those of a
-// hundred other entry VMs. If each of them fetched it from the owner, its link would carry nothing
-// else for a second; the own watch tells it first.
+// The owner's watch delivers a configuration some milliseconds before the watches of a hundred
+// other entry VMs do. If they all fetched it from the owner, its link would carry nothing else
+// for a second. An entry VM must wait for its own watch first.
 func TestAConfigurationThatTheOwnWatchTellsIsNotFetched(t *testing.T) {
-	// The watch tells between the third and the fourth look.
-	older := &configs{standing: ConfigStatus{Version: 7}, tellsIn: 3}
-	newer := &configs{standing: ConfigStatus{Version: 8}}
+	// The watch delivers the configuration before the third call of Observe returns.
+	older := &fakeConfigs{status: ConfigStatus{Version: 7}, watchUpdatesAfter: 3}
+	newer := &fakeConfigs{status: ConfigStatus{Version: 8}}
 	c := &Client{Log: logr.Discard(), Configs: older}
-	p := serveConfigs(t, &owner{}, newer)
+	p := serveConfigs(t, &fakeOwner{}, newer)
 	assert.Assert(t, errors.Is(c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}), engine.ErrBehind))
 	assert.Equal(t, older.Status().Version, int64(8))
-	assert.Equal(t, newer.packed, 0)
+	assert.Equal(t, newer.encodes, 0)
 }
 
-// An owner's own watch is silent. A call by a newer configuration is carried out, and the owner
-// reads its own again.
-func TestAnOwnerThatIsBehindIsToldSo(t *testing.T) {
-	behind := &configs{standing: ConfigStatus{Version: 7}}
-	p := serveConfigs(t, &owner{}, behind)
-	c := &Client{Log: logr.Discard(), Configs: &configs{standing: ConfigStatus{Version: 8}}}
+// An owner's watch no longer delivers anything. A call by a newer configuration is carried out,
+// and the owner is notified that its own is outdated.
+func TestAnOwnerWithAnOutdatedConfigurationIsNotified(t *testing.T) {
+	outdated := &fakeConfigs{status: ConfigStatus{Version: 7}}
+	p := serveConfigs(t, &fakeOwner{}, outdated)
+	c := &Client{Log: logr.Discard(), Configs: &fakeConfigs{status: ConfigStatus{Version: 8}}}
 	assert.NilError(t, c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}))
-	assert.Equal(t, behind.behind, 1)
+	assert.Equal(t, outdated.outdatedCalls, 1)
 }
--- a/internal/ownerlink/ownerlink.go
+++ b/internal/ownerlink/ownerlink.go
@@ -1,7 +1,7 @@
-// Package ownerlink carries calls between entry VMs: callers' requests to the one
-// that owns the workers, and an owner's orders for workers to those that forward
-// them. TCP, frames of a length and a msgpack message, many calls at a time on one
-// connection.
+// Package ownerlink is the RPC protocol between entry VMs. It carries callers' requests to
+// the entry VM that owns a cell (a service's workers and the jobs on them), and an owner's
+// orders for workers to the entry VMs that forward them. The transport is TCP; a frame is a
+// length and a msgpack message, and many calls share one connection.
 package ownerlink
 
 import (
@@ -17,17 +17,18 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// maxFrame bounds a message: a job's specification and steps stay far below,
-// and a broken length must not set gigabytes aside.
+// maxFrame is the largest message in bytes. A job's specification and steps stay far below
+// it, and a corrupt length must not make the reader allocate gigabytes.
 const maxFrame = 1 << 20
 
-// sizeBytes is what the length before a message takes.
-const sizeBytes = 4
+// lengthBytes is the size of the length field that precedes a message.
+const lengthBytes = 4
 
-// errFrame closes the connection.
+// errFrame is returned for a message that is too large or can't be decoded. The connection is
+// then closed.
 var errFrame = errors.New("ownerlink: malformed frame")
 
-// kind names a call.
+// kind is the method that a request calls.
 type kind uint8
 
 const (
@@ -45,9 +46,9 @@
 	kindLookAtLimits
 )
 
-// byCallers reports whether the call carries a caller's request, on which the configuration
-// decides.
-func (k kind) byCallers() bool {
+// fromCaller reports whether the call carries a caller's request, which must be decided by
+// a configuration that is up to date.
+func (k kind) fromCaller() bool {
 	return k == kindSubmit || k == kindState || k == kindCancel || k == kindWaiting
 }
 
@@ -55,24 +56,25 @@
 type request struct {
 	ID    uint64        `msgpack:"i"`
 	Kind  kind          `msgpack:"k"`
-	Cell  string        `msgpack:"c"` // whose owner is meant
+	Cell  string        `msgpack:"c"` // the cell whose owner is called
 	Job   *work.Job     `msgpack:"j,omitempty"`
 	Queue *engine.Queue `msgpack:"q,omitempty"`
 	JobID work.JobID    `msgpack:"d,omitempty"`
-	Name  string        `msgpack:"n,omitempty"` // of a queue
+	Name  string        `msgpack:"n,omitempty"` // the queue's name
 
 	Workspace work.WorkspaceName `msgpack:"o,omitempty"` // of the caller
-	Config    ConfigStatus       `msgpack:"v,omitempty"` // of the entry VM that calls
+	Config    ConfigStatus       `msgpack:"v,omitempty"` // of the calling entry VM
 
-	Lease int64 `msgpack:"l,omitempty"` // to be ended
-	// Workspaces are those whose limits another cell waits for, or gave back of.
+	Lease int64 `msgpack:"l,omitempty"` // the lease to end
+	// Workspaces are the workspaces whose limits another cell waits for, or has returned a
+	// share of.
 	Workspaces []work.WorkspaceName `msgpack:"ws,omitempty"`
 
 	Sync   *engine.CellSync   `msgpack:"y,omitempty"`
-	Worker msgpack.RawMessage `msgpack:"w,omitempty"` // a packed workerCall
+	Worker msgpack.RawMessage `msgpack:"w,omitempty"` // a workerCall, encoded by pack
 }
 
-// result is the outcome of a call, across the wire.
+// result is the outcome of a call as it is encoded in a response.
 type result uint8
 
 const (
@@ -82,7 +84,7 @@
 	resultUncertain
 	resultUnknownJob
 	resultOtherWorkspace
-	resultBehind
+	resultOutdatedConfig
 )
 
 // response answers one call.
@@ -91,16 +93,18 @@
 	Result result       `msgpack:"r"`
 	State  work.State   `msgpack:"s,omitempty"`
 	Count  int          `msgpack:"c,omitempty"`
-	Config ConfigStatus `msgpack:"v,omitempty"` // of the entry VM that answers
-	Packed []byte       `msgpack:"p,omitempty"` // a whole configuration
+	Config ConfigStatus `msgpack:"v,omitempty"` // of the answering entry VM
+	Packed []byte       `msgpack:"p,omitempty"` // a whole configuration, from Configs.Encoded
 
 	Sync   *engine.CellAnswer `msgpack:"y,omitempty"`
-	Worker msgpack.RawMessage `msgpack:"w,omitempty"` // a packed workerAnswer
+	Worker msgpack.RawMessage `msgpack:"w,omitempty"` // a workerAnswer, encoded by pack
 
 	Explanation *engine.Explanation `msgpack:"e,omitempty"`
 	Summary     *engine.Summary     `msgpack:"u,omitempty"`
 }
 
+// resultOf returns the result that stands for the error of a call. Errors that have none of
+// their own become resultUncertain.
 func resultOf(err error) result {
 	switch {
 	case err == nil:
@@ -117,6 +121,7 @@
 	return resultUncertain
 }
 
+// err returns the error that the result stands for; nil for resultOK.
 func (r result) err() error {
 	switch r {
 	case resultOK:
@@ -129,35 +134,38 @@
 		return engine.ErrUnknownJob
 	case resultOtherWorkspace:
 		return engine.ErrOtherWorkspace
-	case resultBehind:
+	case resultOutdatedConfig:
 		return engine.ErrBehind
 	}
 	return engine.ErrUncertain
 }
 
-// frame encodes a message with its length before it.
+// frame encodes a message, preceded by its length. It returns errFrame if the message is
+// larger than maxFrame.
 func frame(msg any) ([]byte, error) {
 	var buf bytes.Buffer
-	buf.Write(make([]byte, sizeBytes))
+	buf.Write(make([]byte, lengthBytes))
 	if err := msgpack.NewEncoder(&buf).Encode(msg); err != nil {
 		return nil, err
 	}
 	raw := buf.Bytes()
-	if n := len(raw) - sizeBytes; n > maxFrame {
-		return nil, fmt.Errorf("%w: %d bytes", errFrame, n)
+	if n := len(raw) - lengthBytes; n > maxFrame {
+		return nil, fmt.Errorf("%w: message of %d bytes exceeds %d", errFrame, n, maxFrame)
 	}
-	binary.BigEndian.PutUint32(raw, uint32(len(raw)-sizeBytes))
+	binary.BigEndian.PutUint32(raw, uint32(len(raw)-lengthBytes))
 	return raw, nil
 }
 
+// readFrame reads a length and a message and decodes it. It returns errFrame if the length
+// exceeds maxFrame or the message can't be decoded.
 func readFrame(r io.Reader, into any) error {
-	var size [sizeBytes]byte
+	var size [lengthBytes]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
 		return err
 	}
 	n := binary.BigEndian.Uint32(size[:])
 	if n > maxFrame {
-		return fmt.Errorf("%w: claims %d bytes", errFrame, n)
+		return fmt.Errorf("%w: announced length of %d bytes exceeds %d", errFrame, n, maxFrame)
 	}
 	raw := make([]byte, n)
 	if _, err := io.ReadFull(r, raw); err != nil {
--- a/internal/ownerlink/server.go
+++ b/internal/ownerlink/server.go
@@ -13,7 +13,7 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Owner answers the calls; an engine while this entry VM is the owner.
+// Owner answers the calls for a cell: the engine of an entry VM while it owns the cell.
 type Owner interface {
 	Submit(ctx context.Context, j *work.Job, q engine.Queue) error
 	State(id work.JobID, by work.WorkspaceName) (work.State, error)
@@ -25,26 +25,28 @@
 	LookAtLimits(names []work.WorkspaceName) error
 }
 
-// serveTimeout ends a call at the owner: callers have given up long before.
+// serveTimeout bounds a call at the called entry VM: callers have timed out long before.
 const serveTimeout = 4 * time.Second
 
 // Server answers calls of other entry VMs.
 type Server struct {
 	Listener net.Listener
-	// Owner returns who answers for the cell; nil while this entry VM does not.
+	// Owner returns the owner of the cell, or nil while this entry VM does not own it.
 	Owner func(cell string) Owner
-	// Workers is how this entry VM speaks with workers for owners; nil: it does not.
+	// Workers calls workers for the owners on other entry VMs; nil if this entry VM does not
+	// forward calls.
 	Workers engine.Workers
-	// EndLease ends a lease that its holder could not end, without waiting; nil: it does not.
+	// EndLease ends a lease that its holder could not end, without blocking; nil if this entry
+	// VM does not do that.
 	EndLease func(lease int64)
-	Configs  Configs // nil: configurations are not compared
+	Configs  Configs // nil if configurations are not compared
 	Log      logr.Logger
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// Run serves until ctx ends.
+// Run accepts connections and answers calls until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	s.conns = make(map[net.Conn]struct{})
 	stop := context.AfterFunc(ctx, s.close)
@@ -53,7 +55,7 @@
 		c, err := s.Listener.Accept()
 		if err != nil {
 			if ctx.Err() == nil {
-				s.Log.Error(err, "peers can't be accepted")
+				s.Log.Error(err, "accepting connections of entry VMs failed")
 			}
 			return
 		}
@@ -64,6 +66,7 @@
 	}
 }
 
+// close closes the listener and all connections.
 func (s *Server) close() {
 	s.Listener.Close()
 	s.mu.Lock()
@@ -73,6 +76,7 @@
 	}
 }
 
+// serve answers the calls of a connection, each in a goroutine of its own.
 func (s *Server) serve(ctx context.Context, c net.Conn) {
 	defer func() {
 		c.Close()
@@ -85,19 +89,21 @@
 	for {
 		var req request
 		if err := readFrame(r, &req); err != nil {
-			s.Log.V(1).Info("peer's connection ends", "peer", c.RemoteAddr().String(), "error", err.Error())
+			s.Log.V(1).Info("connection of an entry VM ended", "peer", c.RemoteAddr().String(), "error", err.Error())
 			return
 		}
 		go func() {
 			resp := s.answer(ctx, &req)
 			if err := out.write(resp); err != nil {
-				s.Log.V(1).Info("peer not answered", "peer", c.RemoteAddr().String(), "error", err.Error())
+				s.Log.V(1).Info("sending a response to an entry VM failed", "peer", c.RemoteAddr().String(), "error", err.Error())
 				c.Close()
 			}
 		}()
 	}
 }
 
+// answer carries out a call and returns its response. A caller's request from an entry VM with
+// an older configuration is refused.
 func (s *Server) answer(ctx context.Context, req *request) *response {
 	resp := &response{ID: req.ID, Result: resultNotReady}
 	if s.Configs != nil {
@@ -131,8 +137,8 @@
 	if owner == nil {
 		return resp
 	}
-	if req.Kind.byCallers() && req.Config.Version != 0 && req.Config.Version < resp.Config.Version {
-		resp.Result = resultBehind
+	if req.Kind.fromCaller() && req.Config.Version != 0 && req.Config.Version < resp.Config.Version {
+		resp.Result = resultOutdatedConfig
 		return resp
 	}
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
