--- a/internal/ownerlink/link_test.go
+++ b/internal/ownerlink/link_test.go
@@ -16,36 +16,36 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// owner answers as the test says; a nil gate answers at once.
-type owner struct {
-	err     error
-	gate    chan struct{}
-	reached chan struct{} // told of each call, unless nil
+// fakeOwner returns err from every call. State waits until the gate is closed, unless it is nil.
+type fakeOwner struct {
+	err    error
+	gate   chan struct{}
+	called chan struct{} // receives a value for each call of State; may be nil
 }
 
-func (o *owner) Submit(context.Context, *work.Job, engine.Queue) error { return o.err }
-func (o *owner) State(id work.JobID, _ work.WorkspaceName) (work.State, error) {
-	if o.reached != nil {
-		o.reached <- struct{}{}
+func (o *fakeOwner) Submit(context.Context, *work.Job, engine.Queue) error { return o.err }
+func (o *fakeOwner) State(id work.JobID, _ work.WorkspaceName) (work.State, error) {
+	if o.called != nil {
+		o.called <- struct{}{}
 	}
 	if o.gate != nil {
 		<-o.gate
 	}
 	return work.Running, o.err
 }
-func (o *owner) Cancel(context.Context, work.JobID, work.WorkspaceName) error { return o.err }
-func (o *owner) Waiting(string) (int, error)                                  { return 7, o.err }
-func (o *owner) Sync(s engine.CellSync) (engine.CellAnswer, error) {
+func (o *fakeOwner) Cancel(context.Context, work.JobID, work.WorkspaceName) error { return o.err }
+func (o *fakeOwner) Waiting(string) (int, error)                                  { return 7, o.err }
+func (o *fakeOwner) Sync(s engine.CellSync) (engine.CellAnswer, error) {
 	return engine.CellAnswer{Taken: []bool{true}, Report: engine.CellReport{Used: float64(s.Token)}}, o.err
 }
 
-func (o *owner) LookAtLimits([]work.WorkspaceName) error { return o.err }
+func (o *fakeOwner) LookAtLimits([]work.WorkspaceName) error { return o.err }
 
-func (o *owner) Explain(id work.JobID) (engine.Explanation, error) {
+func (o *fakeOwner) Explain(id work.JobID) (engine.Explanation, error) {
 	return engine.Explanation{Job: id, Age: time.Second, Steps: []engine.StepExplanation{{Step: "s", Tasks: map[string]int{"waiting": 2}}}}, o.err
 }
 
-func (o *owner) Summary() (engine.Summary, error) {
+func (o *fakeOwner) Summary() (engine.Summary, error) {
 	return engine.Summary{Cell: "a", Jobs: map[work.State]int{work.Running: 2}, Backlog: 1.5}, o.err
 }
 
@@ -66,8 +66,8 @@
 	return Peer{Cell: "a", Address: l.Addr().String()}
 }
 
-func TestCallsAndTheirErrorsCrossTheLink(t *testing.T) {
-	o := &owner{}
+func TestCallsReturnResultsAndErrorsOfTheOwner(t *testing.T) {
+	o := &fakeOwner{}
 	p := serve(t, o)
 	c := &Client{Log: logr.Discard()}
 	ctx := context.Background()
@@ -95,10 +95,10 @@
 	assert.Assert(t, errors.Is(c.Cancel(ctx, Peer{Cell: "other", Address: p.Address}, "j1", ""), engine.ErrNotReady))
 }
 
-// An owner is cut off. What was sent to it is uncertain, what was not sent is
-// certain, and the connection that fell silent is not used again.
+// An owner becomes unreachable. The outcome of a call that was sent is uncertain, a call that
+// was not sent certainly did not happen, and the unresponsive connection is not used again.
 func TestACallWithoutAnAnswerIsUncertainAndOneNotSentIsNot(t *testing.T) {
-	o := &owner{gate: make(chan struct{})}
+	o := &fakeOwner{gate: make(chan struct{})}
 	p := serve(t, o)
 	c := &Client{Log: logr.Discard()}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
@@ -113,10 +113,10 @@
 	assert.Assert(t, errors.Is(err, ErrNotSent))
 }
 
-// A caller leaves while its request is at the owner. Requests of others wait on the
-// same connection: they get their answers.
+// A caller cancels its request while the owner handles it. Requests of other callers on the
+// same connection must still get their answers.
 func TestACallThatIsGivenUpDoesNotEndTheConnection(t *testing.T) {
-	o := &owner{gate: make(chan struct{}), reached: make(chan struct{}, 2)}
+	o := &fakeOwner{gate: make(chan struct{}), called: make(chan struct{}, 2)}
 	p := serve(t, o)
 	c := &Client{Log: logr.Discard()}
 	leaving, leave := context.WithCancel(context.Background())
@@ -125,13 +125,13 @@
 		_, err := c.State(leaving, p, "j1", "")
 		assert.Check(t, errors.Is(err, engine.ErrUncertain))
 	})
-	<-o.reached
+	<-o.called
 	calls.Go(func() {
 		state, err := c.State(context.Background(), p, "j2", "")
 		assert.Check(t, err)
 		assert.Check(t, state == work.Running)
 	})
-	<-o.reached
+	<-o.called
 	leave()
 	for c.waiting() > 1 {
 		runtime.Gosched()
@@ -140,7 +140,7 @@
 	calls.Wait()
 }
 
-// waiting counts the calls without an answer.
+// waiting returns the number of calls without an answer.
 func (c *Client) waiting() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,15 +152,15 @@
 	return n
 }
 
-// An entry VM without any duty answers a ping; one that is gone does not.
+// An entry VM that owns nothing answers a ping; an address without a listener does not.
 func TestPing(t *testing.T) {
-	p := serve(t, &owner{})
+	p := serve(t, &fakeOwner{})
 	c := &Client{Log: logr.Discard()}
 	assert.Equal(t, c.Ping(t.Context(), p.Address), true)
 	assert.Equal(t, c.Ping(t.Context(), "127.0.0.1:1"), false)
 }
 
-// A lease that its holder can't end crosses the link to somebody who stays.
+// The holder of a lease can't end it itself and asks another entry VM to do it.
 func TestEndLease(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -176,11 +176,11 @@
 	assert.Equal(t, ended, int64(9))
 }
 
-// A VM answers some calls and is late with one: a worker that it calls for the owner is
-// silent, or its processor is slow. Given up with that one, all other calls on the connection
-// would be uncertain, and be made again by an owner that has enough to do.
+// An entry VM answers some calls and is late with one, as the worker that it calls does not
+// answer or its processor is slow. Closing the connection on that timeout would make the outcome
+// of all other calls on it uncertain, and a busy owner would repeat them.
 func TestAConnectionThatBringsOtherAnswersStays(t *testing.T) {
-	o := &owner{gate: make(chan struct{}), reached: make(chan struct{}, 2)}
+	o := &fakeOwner{gate: make(chan struct{}), called: make(chan struct{}, 2)}
 	p := serve(t, o)
 	c := &Client{Log: logr.Discard()}
 	late, giveUp := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -190,7 +190,7 @@
 		_, err := c.State(late, p, "j1", "")
 		assert.Check(t, errors.Is(err, engine.ErrUncertain))
 	})
-	<-o.reached
+	<-o.called
 	_, err := c.Waiting(context.Background(), p, "q")
 	assert.NilError(t, err)
 	before := c.links[p.Address]
@@ -199,9 +199,10 @@
 	close(o.gate)
 }
 
-// Nothing came on a connection in time, as this VM had no time to read it.
+// This VM is overloaded and does not read a connection in time. A timeout on it must not close
+// it.
 func TestAConnectionThatWasNotReadStays(t *testing.T) {
-	o := &owner{gate: make(chan struct{})}
+	o := &fakeOwner{gate: make(chan struct{})}
 	p := serve(t, o)
 	c := &Client{Log: logr.Discard(), SchedulingDelay: func() time.Duration { return time.Second }}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
