--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -106,8 +106,8 @@
 	workers := c.snapshots(now)
 	for _, o := range j.live {
 		described := c.orderOf(j, o, now)
-		e.Objective, e.Left = described.Objective, described.Chain
-		e.Tier = joborder.Of(described).Tier.String()
+		e.Objective, e.Left = described.Objective, described.CriticalPath
+		e.Tier = joborder.RankOf(described).Tier.String()
 		for _, s := range o.steps {
 			e.Steps = append(e.Steps, c.explainStep(s, workers, now))
 		}
@@ -138,7 +138,7 @@
 		return out
 	}
 	if ps := c.planStep(s, workers, now); ps != nil {
-		out.Waits = taskplan.Binding(workers, ps)
+		out.Waits = taskplan.CountRejections(workers, ps)
 		out.Limit = c.explainLimit(s, len(ps.Tasks), now)
 	}
 	return out
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -87,8 +87,8 @@
 	}
 	workers := make([]placement.Worker, 0, len(snap.VMs))
 	for id, vm := range snap.VMs {
-		w := placement.Worker{ID: id, Zone: vm.Zone, Rack: vm.Rack, Pool: vm.Pool, Capacity: vm.Capacity, Used: used[id], Soon: p.soon(id)}
-		w.Closed, w.Probe = p.closed(&vm.VM)
+		w := placement.Worker{ID: id, Zone: vm.Zone, Rack: vm.Rack, Pool: vm.Pool, Capacity: vm.Capacity, Used: used[id], MaintenanceSoon: p.soon(id)}
+		w.ClosedReason, w.Probe = p.closed(&vm.VM)
 		workers = append(workers, w)
 	}
 	return workers
@@ -112,8 +112,8 @@
 
 // schedule plans and starts.
 func (p *pass) schedule(ctx context.Context) error {
-	plan := placement.Make(p.snapshot())
-	if err := p.displace(ctx, plan.Displacements); err != nil {
+	plan := placement.MakePlan(p.snapshot())
+	if err := p.displace(ctx, plan.Preemptions); err != nil {
 		return err
 	}
 	started := p.start(ctx, plan.Placements)
@@ -126,10 +126,10 @@
 	for _, r := range p.records {
 		switch {
 		case r.State == Waiting || r.State == Unplaceable:
-			s.Waiting = append(s.Waiting, placement.Request{Job: &r.Job, Size: p.sizeOf(r), Last: r.VM, Avoid: r.FailedOn})
+			s.Waiting = append(s.Waiting, placement.Request{Job: &r.Job, Size: p.sizeOf(r), LastVM: r.VM, Avoid: r.FailedOn})
 		case r.State.holds():
 			leaving := r.CancelBy != "" || r.State == Starting
-			s.Running = append(s.Running, placement.Task{Job: &r.Job, VM: r.VM, Size: r.Size, Since: r.Since, Leaving: leaving})
+			s.Running = append(s.Running, placement.Task{Job: &r.Job, VM: r.VM, Size: r.Size, Since: r.Since, Stopping: leaving})
 		}
 	}
 	return s
@@ -142,10 +142,10 @@
 	var changes []transition
 	for _, f := range refused {
 		want := Waiting
-		if f.Never {
+		if f.Permanent {
 			want = Unplaceable
 		}
-		reason := string(f.Binds) + ": " + f.Detail
+		reason := string(f.Constraint) + ": " + f.Detail
 		if r, ok := p.mirror.find(f.Job); !ok || r.State == want && sameKind(r.Reason, reason) {
 			continue
 		}
--- a/policy/joborder/joborder.go
+++ b/policy/joborder/joborder.go
@@ -1,72 +1,74 @@
-// Package joborder decides which job's tasks go first when a pool cannot run
-// everything at once.
+// Package joborder decides which job's tasks run first when a pool can't run all
+// of them at once.
 //
 // Load pattern: demand comes in bursts of several times a pool's capacity, with
-// quiet stretches between. A job is worth most until its objective and a small
-// part of that for a while after. First come, first served lets every job of a
-// burst wait behind the ones before it until nearly all are late: each finishes,
-// none in time. Ordering by what still pays keeps most of them in time and lets
-// the rest be late.
+// little load in between. A job has its full value until its objective, and a
+// small part of that for a while after. With first come, first served, every job
+// of a burst waits for those before it until nearly all are late: each finishes,
+// hardly one in time. Ordering by cost per unit of value that can still be earned
+// keeps most jobs in time and lets the rest be late.
 package joborder
 
 import "time"
 
-// Weights of the order.
+// Parameters of the order.
 const (
-	// baseValue and workValue: what a job is worth grows with its size, but a
-	// small job is worth more a core-second. The deployments value a job at 0.3
-	// plus 0.7 of its size over the mean size of its queue, up to four times.
+	// baseValue, workValue and maxValue define the value of a job as the
+	// deployments do: 0.3 plus 0.7 times its total work over the mean of its
+	// queue's jobs, at most 4. The value grows with the work, but a small job
+	// has more value per core-second.
 	baseValue = 0.3
 	workValue = 0.7
 	maxValue  = 4.0
 
-	// begunShare scales what a begun job still costs: work done on it is lost
-	// to its caller while it waits, so a started job is finished first unless
-	// another is clearly cheaper. In trials over the calm days 0.7 did as well
-	// as 0.5 and better than 1.
-	begunShare = 0.7
+	// startedFactor scales the remaining cost of a started job. The work done on
+	// it is of no use to its caller while it waits, so it is finished first
+	// unless another is clearly cheaper. 0.7 does as well as 0.5 and better
+	// than 1 without faults.
+	startedFactor = 0.7
 
-	// uselessAfter is how many objectives after its acceptance a job's result
-	// is no longer of use: the deployments call a job late up to three.
-	uselessAfter = 3.0
+	// expiredAfter is the time after a job's acceptance, as a multiple of its
+	// objective, after which its result is of no use. Until then the deployments
+	// count the job as late.
+	expiredAfter = 3.0
 )
 
-// Tier says how urgent a job is, before any comparison of cost.
+// Tier is the urgency of a job. It takes precedence over any comparison of cost.
 type Tier int8
 
 // The tiers, most urgent first.
 const (
-	TierLasting Tier = iota // serves users of its own now
-	TierOnTime              // can still meet its objective
-	TierLate                // cannot, but is still of some use
-	TierUseless             // runs only on what nobody else wants
+	TierLongRunning Tier = iota // serves users of its own as long as it runs
+	TierOnTime                  // can still meet its objective
+	TierLate                    // can't meet it, but is still of some use
+	TierExpired                 // too late to be of use; gets only capacity that no other tier needs
 )
 
-var tierNames = [...]string{TierLasting: "lasting", TierOnTime: "in time", TierLate: "late", TierUseless: "too late to be of use"}
+var tierNames = [...]string{TierLongRunning: "lasting", TierOnTime: "in time", TierLate: "late", TierExpired: "too late to be of use"}
 
-// String returns the tier as operators read it.
+// String returns the name of the tier for operators.
 func (t Tier) String() string { return tierNames[t] }
 
-// Job is what the order looks at.
+// Job holds the attributes of a job that determine its rank.
 type Job struct {
-	Priority  int // of its queue, 0 first
-	Lasting   bool
-	Begun     bool
-	Waited    time.Duration // since its acceptance (or due time)
-	Objective time.Duration // from its acceptance
-	Chain     time.Duration // longest chain of work still to do
-	Work      float64       // core-seconds still to do
-	Size      float64       // core-seconds in all
-	MeanSize  float64       // of the jobs of its queue; 0 if unknown
-	Beyond    bool          // its workspace had handed in more than its weight when it came
+	Priority      int // of its queue; 0 goes first
+	LongRunning   bool
+	Started       bool
+	Age           time.Duration // since its acceptance or due time
+	Objective     time.Duration // time to finish in, from its acceptance
+	CriticalPath  time.Duration // run time of the longest chain of dependent work still to do
+	RemainingWork float64       // core-seconds still to do
+	TotalWork     float64       // core-seconds in all
+	MeanWork      float64       // mean TotalWork of the jobs of its queue, in core-seconds; 0 if unknown
+	OverShare     bool          // its workspace exceeded its weighted share when the job was submitted
 }
 
-// Rank is a place in the order; lower goes first.
+// Rank is the position of a job in the order; the lower rank goes first.
 type Rank struct {
-	Tier     Tier
-	Beyond   bool // its workspace's weight
-	Priority int
-	Cost     float64 // core-seconds for one unit of value
+	Tier      Tier
+	OverShare bool // see Job.OverShare; goes after the jobs of its tier that aren't
+	Priority  int
+	Cost      float64 // core-seconds per unit of value
 }
 
 // Before reports whether r goes before o.
@@ -74,8 +76,8 @@
 	if r.Tier != o.Tier {
 		return r.Tier < o.Tier
 	}
-	if r.Beyond != o.Beyond {
-		return o.Beyond
+	if r.OverShare != o.OverShare {
+		return o.OverShare
 	}
 	if r.Priority != o.Priority {
 		return r.Priority < o.Priority
@@ -83,36 +85,36 @@
 	return r.Cost < o.Cost
 }
 
-// Of returns the job's place.
-func Of(j Job) Rank {
-	return Rank{Tier: tier(j), Beyond: j.Beyond, Priority: j.Priority, Cost: cost(j)}
+// RankOf returns the rank of the job.
+func RankOf(j Job) Rank {
+	return Rank{Tier: tier(j), OverShare: j.OverShare, Priority: j.Priority, Cost: cost(j)}
 }
 
 func tier(j Job) Tier {
-	if j.Lasting {
-		return TierLasting
+	if j.LongRunning {
+		return TierLongRunning
 	}
-	finish := j.Waited + j.Chain
+	finish := j.Age + j.CriticalPath
 	switch {
 	case finish <= j.Objective:
 		return TierOnTime
-	case float64(finish) <= uselessAfter*float64(j.Objective):
+	case float64(finish) <= expiredAfter*float64(j.Objective):
 		return TierLate
 	}
-	return TierUseless
+	return TierExpired
 }
 
 func cost(j Job) float64 {
-	work := j.Work
-	if j.Begun {
-		work *= begunShare
+	work := j.RemainingWork
+	if j.Started {
+		work *= startedFactor
 	}
 	return work / value(j)
 }
 
 func value(j Job) float64 {
-	if j.MeanSize <= 0 {
+	if j.MeanWork <= 0 {
 		return 1
 	}
-	return min(maxValue, baseValue+workValue*j.Size/j.MeanSize)
+	return min(maxValue, baseValue+workValue*j.TotalWork/j.MeanWork)
 }
--- a/policy/placement/bench_test.go
+++ b/policy/placement/placement_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// The fleet to come: 3,600 workers of the size of today, four to a rack, six
-// zones; a tenth have accelerators.
+// The benchmark fleet has 3,600 workers, four to a rack, in six zones; a tenth
+// of them have accelerators.
 const (
 	benchWorkers = 3600
 	benchJobs    = 20000
@@ -31,9 +31,9 @@
 	return out
 }
 
-// benchQueue has many small jobs, some of half a worker and a few of nearly a
-// whole one, heavy in processors or in memory: work that fits only where room
-// was held together.
+// benchQueue returns many small jobs, some that take half a worker and a few that
+// take nearly a whole one, heavy in processors or in memory. The large ones fit
+// only if free capacity is not fragmented.
 func benchQueue(rng *rand.Rand, n int) []Request {
 	shapes := []struct {
 		share int
@@ -66,11 +66,11 @@
 	return out
 }
 
-// placer puts one batch of requests on workers; a baseline or Make.
+// placer assigns a batch of requests to workers: MakePlan or a baseline.
 type placer func(workers []Worker, waiting []Request, rng *rand.Rand) []Placement
 
 func byPlan(workers []Worker, waiting []Request, _ *rand.Rand) []Placement {
-	return Make(Snapshot{Workers: workers, Waiting: waiting, Weights: WeightsOf(model.Weights{})}).Placements
+	return MakePlan(Snapshot{Workers: workers, Waiting: waiting, Weights: WeightsOf(model.Weights{})}).Placements
 }
 
 func firstFit(workers []Worker, waiting []Request, _ *rand.Rand) []Placement {
@@ -79,7 +79,7 @@
 	for i := range waiting {
 		for w := range workers {
 			if feasible(&waiting[i], &workers[w]) {
-				out = append(out, put(&workers[w], &waiting[i]))
+				out = append(out, assign(&workers[w], &waiting[i]))
 				break
 			}
 		}
@@ -87,15 +87,15 @@
 	return out
 }
 
-// randomFit tries as many random workers as Make scores.
+// randomFit tries as many random workers for a job as MakePlan scores.
 func randomFit(workers []Worker, waiting []Request, rng *rand.Rand) []Placement {
 	workers = append([]Worker(nil), workers...)
 	var out []Placement
 	for i := range waiting {
-		for range candidates {
+		for range maxCandidates {
 			w := &workers[rng.IntN(len(workers))]
 			if feasible(&waiting[i], w) {
-				out = append(out, put(w, &waiting[i]))
+				out = append(out, assign(w, &waiting[i]))
 				break
 			}
 		}
@@ -103,7 +103,7 @@
 	return out
 }
 
-func put(w *Worker, r *Request) Placement {
+func assign(w *Worker, r *Request) Placement {
 	w.Used = w.Used.Add(r.Size)
 	return Placement{Job: r.Job.ID, VM: w.ID, Size: r.Size}
 }
@@ -113,7 +113,7 @@
 	place placer
 }{{"plan", byPlan}, {"first-fit", firstFit}, {"random", randomFit}}
 
-// BenchmarkFullPass is one pass over 20,000 waiting jobs on an empty fleet.
+// BenchmarkFullPass measures one pass over 20,000 waiting jobs on an empty fleet.
 func BenchmarkFullPass(b *testing.B) {
 	for _, p := range placers {
 		b.Run(p.name, func(b *testing.B) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// BenchmarkUrgent is one urgent job on a full fleet with 20,000 jobs waiting,
-// together with all of them and by itself.
+// BenchmarkUrgent measures a pass that places one urgent job on a full fleet,
+// with that job alone and with 20,000 other jobs waiting.
 func BenchmarkUrgent(b *testing.B) {
 	s := fullFleet(benchWorkers)
 	for t := range 82 {
@@ -144,17 +144,17 @@
 		b.Run(c.name, func(b *testing.B) {
 			s.Waiting = c.waiting
 			for b.Loop() {
-				plan := Make(s)
-				if len(plan.Displacements) == 0 {
-					b.Fatal("the urgent job displaced nothing")
+				plan := MakePlan(s)
+				if len(plan.Preemptions) == 0 {
+					b.Fatal("the urgent job preempted nothing")
 				}
 			}
 		})
 	}
 }
 
-// fullFleet is a fleet after a first pass over 20,000 jobs, and another 20,000
-// that wait.
+// fullFleet returns a fleet after a first pass over 20,000 jobs, with another
+// 20,000 waiting.
 func fullFleet(workers int) Snapshot {
 	rng := rand.New(rand.NewPCG(3, 4))
 	queue := benchQueue(rng, benchJobs)
@@ -163,7 +163,7 @@
 		byID[r.Job.ID] = r.Job
 	}
 	s := Snapshot{Workers: benchFleet(workers), Waiting: queue, Weights: WeightsOf(model.Weights{})}
-	for _, p := range Make(s).Placements {
+	for _, p := range MakePlan(s).Placements {
 		i := int(indexOf(p.VM))
 		s.Workers[i].Used = s.Workers[i].Used.Add(p.Size)
 		s.Running = append(s.Running, Task{Job: byID[p.Job], VM: p.VM, Size: p.Size})
@@ -180,14 +180,14 @@
 	return n
 }
 
-// BenchmarkCapacity plays rounds in which a tenth of the tasks end and as many
-// new jobs arrive as to keep work waiting, and reports the share of processors
-// and memory in use and the share of large jobs that got a worker.
+// BenchmarkCapacity simulates rounds in which a tenth of the tasks end and new
+// jobs refill the queue. It reports the percentages of processors and memory in
+// use and of the large jobs that were placed.
 func BenchmarkCapacity(b *testing.B) {
 	for _, p := range placers {
 		b.Run(p.name, func(b *testing.B) {
 			for b.Loop() {
-				cpu, mem, large := playRounds(p.place, 360, 2000, 30)
+				cpu, mem, large := simulateRounds(p.place, 360, 2000, 30)
 				b.ReportMetric(100*cpu, "cpu%")
 				b.ReportMetric(100*mem, "mem%")
 				b.ReportMetric(100*large, "large%")
@@ -196,7 +196,7 @@
 	}
 }
 
-func playRounds(place placer, n, queueLen, rounds int) (cpu, mem, large float64) {
+func simulateRounds(place placer, n, queueLen, rounds int) (cpu, mem, large float64) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	workers := benchFleet(n)
 	var running []Placement
@@ -223,13 +223,13 @@
 				largePlaced++
 			}
 		}
-		var rest []Request
+		var remaining []Request
 		for _, r := range waiting {
 			if !placed[r.Job.ID] {
-				rest = append(rest, r)
+				remaining = append(remaining, r)
 			}
 		}
-		waiting = rest
+		waiting = remaining
 		if round >= rounds/3 {
 			var used, all model.Resources
 			for i := range workers {
@@ -239,16 +239,16 @@
 			mem += share(used.MemoryMB, all.MemoryMB)
 			samples++
 		}
-		var still []Placement
+		var stillRunning []Placement
 		for _, t := range running {
 			if rng.IntN(10) != 0 {
-				still = append(still, t)
+				stillRunning = append(stillRunning, t)
 				continue
 			}
 			w := &workers[indexOf(t.VM)]
 			w.Used = w.Used.Sub(t.Size)
 		}
-		running = still
+		running = stillRunning
 	}
 	return cpu / float64(samples), mem / float64(samples), float64(largePlaced) / float64(max(largeSeen, 1))
 }
