--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,7 +1,7 @@
-// Package forward speaks with a cell's workers for its owner: itself while the cell
-// is small, by way of other entry VMs once it is large. What they carry are whole
-// orders, each with the owner's fencing token, so they need no right of their own
-// and keep nothing.
+// Package forward calls a cell's workers for its owner: directly while the cell is small, and
+// through other entry VMs (forwarders) once it is large. Each forwarded call is complete and
+// carries the owner's fencing token, so a forwarder needs no authority of its own and keeps no
+// state.
 package forward
 
 import (
@@ -20,114 +20,117 @@
 )
 
 const (
-	// avoidFor is how long an entry VM that did not answer is passed over. Cuts
-	// and restarts last some seconds; each try costs orders of a plan their time.
-	avoidFor = 3 * time.Second
-	// forgetAfter is how long a worker that nobody called is counted. Workers in
-	// use are polled each second; lives that ended with a move must not make a
-	// small cell look large.
-	forgetAfter = 2500 * time.Millisecond
+	// avoidDuration is how long a forwarder that did not answer is not used. Network
+	// partitions and restarts last some seconds, and each attempt delays scheduled calls.
+	avoidDuration = 3 * time.Second
+	// idleTimeout is how long a worker is counted after the last call to it. Workers in
+	// use are polled each second; incarnations that ended when their VM was moved must
+	// not make a small cell count as large.
+	idleTimeout = 2500 * time.Millisecond
 )
 
-// Peer is a live entry VM and where it is reached.
+// Peer is a live entry VM and its address.
 type Peer struct {
 	forwarding.Member
 	Address string
 }
 
-// Peers knows the live entry VMs.
+// Peers lists the live entry VMs.
 type Peers interface {
-	// Live returns them, and a number that changes with them.
+	// Live returns the live entry VMs and a version that changes whenever the list does.
 	Live() ([]Peer, uint64)
 }
 
-// Options are what Workers are made of.
+// Options are the dependencies of Workers.
 type Options struct {
 	Direct engine.Workers
 	Link   *ownerlink.Client
 	Peers  Peers
-	Self   string // own name
+	Self   string // the name of this entry VM
 	Clock  engine.Clock
 	Log    logr.Logger
-	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
+	// SchedulingDelay returns how long goroutines that are ready to run wait for a
+	// processor on this VM; nil stands for no delay.
 	SchedulingDelay func() time.Duration
 }
 
-// Workers implements engine.Workers for one cell.
+// Workers implements engine.Workers for one cell. It is safe for concurrent use.
 type Workers struct {
 	Options
 
-	mu      sync.Mutex
-	workers map[work.WorkerID]*route
-	swept   time.Duration
-	active  bool // calls are forwarded
-	peers   map[string]Peer
-	members []forwarding.Member
-	version uint64
-	avoid   map[string]time.Duration // by name, until when
+	mu           sync.Mutex
+	workers      map[work.WorkerID]*route
+	lastSweep    time.Duration
+	forwardingOn bool // calls are forwarded
+	peers        map[string]Peer
+	members      []forwarding.Member
+	version      uint64
+	avoidUntil   map[string]time.Duration // by name of the entry VM
 }
 
-// route is how one worker is reached.
+// route holds the forwarders of one worker.
 type route struct {
-	used    time.Duration
-	choices []string
-	version uint64 // of the peers that the choices are from
-	// past is how many choices were passed over as the worker did not answer by
-	// them: a path may be cut while another is not.
-	past int
+	lastUsed   time.Duration
+	candidates []string
+	version    uint64 // version of the list of peers that the candidates are from
+	// skipped is how many candidates, from the first on, are not used because the worker
+	// did not answer through them: a partition may affect one path and not another.
+	skipped int
 }
 
 var _ engine.Workers = (*Workers)(nil)
 
 // New returns the workers of a cell.
 func New(o Options) *Workers {
-	return &Workers{Options: o, workers: make(map[work.WorkerID]*route), avoid: make(map[string]time.Duration)}
+	return &Workers{Options: o, workers: make(map[work.WorkerID]*route), avoidUntil: make(map[string]time.Duration)}
 }
 
-// via returns the entry VM to call the worker by; false for none.
-func (w *Workers) via(to *engine.WorkerInfo) (Peer, bool) {
+// forwarderFor returns the forwarder to call the worker through, or false if the owner is to
+// call it directly.
+func (w *Workers) forwarderFor(to *engine.WorkerInfo) (Peer, bool) {
 	now := w.Clock.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.routeLocked(to.ID, now)
-	if !w.active {
+	if !w.forwardingOn {
 		return Peer{}, false
 	}
 	w.refreshLocked()
-	if r.choices == nil || r.version != w.version {
-		r.choices, r.version = forwarding.Candidates(string(to.ID), to.Zone, w.Self, w.members), w.version
+	if r.candidates == nil || r.version != w.version {
+		r.candidates, r.version = forwarding.Candidates(string(to.ID), to.Zone, w.Self, w.members), w.version
 	}
-	for i, name := range r.choices {
-		if i >= r.past && now >= w.avoid[name] {
+	for i, name := range r.candidates {
+		if i >= r.skipped && now >= w.avoidUntil[name] {
 			return w.peers[name], true
 		}
 	}
 	return Peer{}, false
 }
 
-// routeLocked returns the worker's route and decides anew whether the cell is large.
+// routeLocked returns the worker's route and updates the decision whether calls are forwarded.
 func (w *Workers) routeLocked(id work.WorkerID, now time.Duration) *route {
 	r := w.workers[id]
 	if r == nil {
 		r = &route{}
 		w.workers[id] = r
 	}
-	r.used = now
-	if now >= w.swept+forgetAfter {
-		w.swept = now
+	r.lastUsed = now
+	if now >= w.lastSweep+idleTimeout {
+		w.lastSweep = now
 		for other, o := range w.workers {
-			if now > o.used+forgetAfter {
+			if now > o.lastUsed+idleTimeout {
 				delete(w.workers, other)
 			}
 		}
 	}
-	if want := forwarding.ShouldForward(len(w.workers), w.active); want != w.active {
-		w.active = want
-		w.Log.Info("calls to workers are forwarded", "on", want, "workers", len(w.workers))
+	if want := forwarding.ShouldForward(len(w.workers), w.forwardingOn); want != w.forwardingOn {
+		w.forwardingOn = want
+		w.Log.Info("forwarding of calls to workers switched", "on", want, "workers", len(w.workers))
 	}
 	return r
 }
 
+// refreshLocked updates the list of entry VMs if it has changed.
 func (w *Workers) refreshLocked() {
 	live, version := w.Peers.Live()
 	if version == w.version && w.peers != nil {
@@ -142,53 +145,54 @@
 	}
 }
 
-// came takes over how far a forwarded call came.
-func (w *Workers) came(to work.WorkerID, p Peer, reached ownerlink.ForwardResult, out engine.Outcome) {
+// recordForwarded records the result of a forwarded call. A forwarder that did not answer is
+// avoided for a while. If it answered that the worker could not be reached, the next call to
+// this worker uses the next candidate.
+func (w *Workers) recordForwarded(to work.WorkerID, p Peer, result ownerlink.ForwardResult, out engine.Outcome) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if reached == ownerlink.ForwardUnanswered && w.SchedulingDelay != nil && overload.AnswerMayBeUnread(w.SchedulingDelay()) {
-		return // its answer may lie here unread
+	if result == ownerlink.ForwardUnanswered && w.SchedulingDelay != nil && overload.AnswerMayBeUnread(w.SchedulingDelay()) {
+		return // the answer may have arrived without being read yet
 	}
-	if reached != ownerlink.ForwardAnswered {
-		if _, known := w.avoid[p.Name]; !known || w.avoid[p.Name] <= w.Clock.Now() {
-			w.Log.Info("entry VM does not forward", "entry", p.Name, "sent", reached == ownerlink.ForwardUnanswered)
+	if result != ownerlink.ForwardAnswered {
+		if _, known := w.avoidUntil[p.Name]; !known || w.avoidUntil[p.Name] <= w.Clock.Now() {
+			w.Log.Info("forwarding through an entry VM failed, avoiding it", "entry", p.Name, "sent", result == ownerlink.ForwardUnanswered)
 		}
-		w.avoid[p.Name] = w.Clock.Now() + avoidFor
+		w.avoidUntil[p.Name] = w.Clock.Now() + avoidDuration
 		return
 	}
 	if r := w.workers[to]; r != nil && (out == engine.OutcomeUnknown || out == engine.OutcomeNotSent) {
-		r.past++
+		r.skipped++
 	}
 }
 
-// directly notes a call that the owner made itself: where the worker does not
-// answer that either, the other paths are tried again.
-func (w *Workers) directly(to work.WorkerID, out engine.Outcome) {
+// recordDirect records the outcome of a direct call. If the worker did not answer that either,
+// all forwarders are tried again.
+func (w *Workers) recordDirect(to work.WorkerID, out engine.Outcome) {
 	if out != engine.OutcomeUnknown && out != engine.OutcomeNotSent {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.workers[to]; r != nil {
-		r.past = 0
+		r.skipped = 0
 	}
 }
 
-// call makes a call by way of another entry VM, or itself where there is none or
-// where it is certain that nothing was sent. Both ways keep what they return for the
-// caller themselves.
+// call makes a call through a forwarder, or directly if there is none or if the call certainly
+// did not leave. The functions forwarded and direct store further results themselves.
 func (w *Workers) call(ctx context.Context, to *engine.WorkerInfo, forwarded func(f ownerlink.ForwardingClient) (engine.Outcome, ownerlink.ForwardResult), direct func() engine.Outcome) {
-	if p, ok := w.via(to); ok {
-		out, reached := forwarded(ownerlink.ForwardingClient{Link: w.Link, Address: p.Address})
+	if p, ok := w.forwarderFor(to); ok {
+		out, result := forwarded(ownerlink.ForwardingClient{Link: w.Link, Address: p.Address})
 		if errors.Is(ctx.Err(), context.Canceled) {
-			return // the term is over; what the call came to says nothing of its path
+			return // the owner's term has ended; the outcome says nothing about the forwarder
 		}
-		w.came(to.ID, p, reached, out)
-		if reached != ownerlink.ForwardNotSent {
+		w.recordForwarded(to.ID, p, result, out)
+		if result != ownerlink.ForwardNotSent {
 			return
 		}
 	}
-	w.directly(to.ID, direct())
+	w.recordDirect(to.ID, direct())
 }
 
 // Start implements engine.Workers.
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -17,27 +17,27 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// reach is one way to workers: it counts calls and answers as the test says.
-type reach struct {
-	mu      sync.Mutex
-	calls   int
-	outcome engine.Outcome
-	listing engine.Listing
-	silent  bool // answers only when the call is given up
+// fakeWorkers is one path to the workers: it counts calls and returns the outcome that is set.
+type fakeWorkers struct {
+	mu           sync.Mutex
+	calls        int
+	outcome      engine.Outcome
+	listing      engine.Listing
+	unresponsive bool // returns only when the context of the call ends
 }
 
-func (r *reach) called(ctx context.Context) engine.Outcome {
+func (r *fakeWorkers) called(ctx context.Context) engine.Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls++
-	if r.silent {
+	if r.unresponsive {
 		<-ctx.Done()
 		return engine.OutcomeUnknown
 	}
 	return r.outcome
 }
 
-func (r *reach) count() int {
+func (r *fakeWorkers) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := r.calls
@@ -45,25 +45,25 @@
 	return n
 }
 
-func (r *reach) set(o engine.Outcome) {
+func (r *fakeWorkers) set(o engine.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outcome = o
 }
 
-func (r *reach) Start(ctx context.Context, _ *engine.WorkerInfo, s engine.Start) (engine.Outcome, time.Duration) {
+func (r *fakeWorkers) Start(ctx context.Context, _ *engine.WorkerInfo, s engine.Start) (engine.Outcome, time.Duration) {
 	return r.called(ctx), s.Deadline
 }
 
-func (r *reach) Stop(ctx context.Context, _ *engine.WorkerInfo, _ work.TaskRef, _ int, _ int64) engine.Outcome {
+func (r *fakeWorkers) Stop(ctx context.Context, _ *engine.WorkerInfo, _ work.TaskRef, _ int, _ int64) engine.Outcome {
 	return r.called(ctx)
 }
 
-func (r *reach) Hold(ctx context.Context, _ *engine.WorkerInfo, _ engine.Hold) (engine.Listing, engine.Outcome) {
+func (r *fakeWorkers) Hold(ctx context.Context, _ *engine.WorkerInfo, _ engine.Hold) (engine.Listing, engine.Outcome) {
 	return r.listing, r.called(ctx)
 }
 
-func (r *reach) Pace(ctx context.Context, _ *engine.WorkerInfo, _ work.TaskRef, _, _ int, _ int64) engine.Outcome {
+func (r *fakeWorkers) Pace(ctx context.Context, _ *engine.WorkerInfo, _ work.TaskRef, _, _ int, _ int64) engine.Outcome {
 	return r.called(ctx)
 }
 
@@ -76,21 +76,21 @@
 
 func (p peers) Live() ([]Peer, uint64) { return p, uint64(len(p)) + 1 }
 
-// rig is an owner with two other entry VMs.
-type rig struct {
+// fixture is an owner with two other entry VMs that forward calls.
+type fixture struct {
 	t      *testing.T
 	clock  *clock
-	direct *reach
-	others []*reach
-	stop   []context.CancelFunc // ends an entry VM
+	direct *fakeWorkers
+	others []*fakeWorkers
+	stop   []context.CancelFunc // stops the other entry VM of the same index
 	owner  *Workers
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, clock: &clock{now: time.Minute}, direct: &reach{outcome: engine.OutcomeOK}}
+func newFixture(t *testing.T) *fixture {
+	r := &fixture{t: t, clock: &clock{now: time.Minute}, direct: &fakeWorkers{outcome: engine.OutcomeOK}}
 	live := peers{{Member: forwarding.Member{Name: "owner", Zone: "a", Weight: 1}, Address: "127.0.0.1:1"}}
 	for i := range 2 {
-		other := &reach{outcome: engine.OutcomeOK}
+		other := &fakeWorkers{outcome: engine.OutcomeOK}
 		r.others = append(r.others, other)
 		name := fmt.Sprintf("other-%d", i)
 		live = append(live, Peer{Member: forwarding.Member{Name: name, Zone: "a", Weight: 1}, Address: r.serve(other)})
@@ -101,7 +101,7 @@
 	return r
 }
 
-func (r *rig) serve(workers engine.Workers) string {
+func (r *fixture) serve(workers engine.Workers) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(r.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -118,16 +118,16 @@
 	return &engine.WorkerInfo{ID: work.WorkerID(fmt.Sprintf("i-%d", i)), Zone: "a", Address: "10.0.0.1:80"}
 }
 
-func (r *rig) poll(i int) engine.Outcome {
+func (r *fixture) poll(i int) engine.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_, out := r.owner.Hold(ctx, worker(i), engine.Hold{})
 	return out
 }
 
-// large has the owner know so many workers that it forwards, and returns one of
-// them whose calls go by other-0.
-func (r *rig) large() int {
+// growCell calls so many workers that the owner forwards, and returns one of them whose calls
+// are forwarded through other-0.
+func (r *fixture) growCell() int {
 	for i := range forwarding.MinWorkers {
 		assert.Equal(r.t, r.poll(i), engine.OutcomeOK)
 	}
@@ -140,23 +140,23 @@
 			return i
 		}
 	}
-	r.t.Fatal("no worker is called by the first of the others")
+	r.t.Fatal("no worker is called through other-0")
 	return 0
 }
 
 func TestTheOwnerOfASmallCellCallsItsWorkersItself(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	for i := range forwarding.MinWorkers - 1 {
 		assert.Equal(t, r.poll(i), engine.OutcomeOK)
 	}
 	assert.Equal(t, r.direct.count(), forwarding.MinWorkers-1)
 }
 
-// Jobs wait while workers are free: the owner's share of a core goes into calls.
-// The calls of a large cell cost it a message each, and their results come back.
-func TestCallsOfALargeCellGoByOtherEntryVMs(t *testing.T) {
-	r := newRig(t)
-	i := r.large()
+// Jobs wait while workers are free because the owner spends its share of a core on calls.
+// The owner of a large cell must forward its calls, and get their results unchanged.
+func TestCallsOfALargeCellAreForwarded(t *testing.T) {
+	r := newFixture(t)
+	i := r.growCell()
 	ref := work.TaskRef{StepRef: work.StepRef{Job: "j1", Occurrence: 2, Step: 1}, Index: 3}
 	want := engine.Listing{
 		Clock:   7 * time.Second,
@@ -180,14 +180,14 @@
 	assert.Equal(t, r.direct.count(), 0)
 }
 
-// An entry VM that forwards is lost. Its connection refuses, so nothing was sent:
-// the owner makes the call itself, and passes the VM over for a while.
-func TestAnEntryVMThatIsGoneCostsNoCall(t *testing.T) {
-	r := newRig(t)
-	i := r.large()
+// A forwarder is lost and refuses connections, so the call certainly did not leave. The owner
+// must make it on another path at once, and avoid the forwarder for a while.
+func TestAnUnreachableForwarderIsBypassed(t *testing.T) {
+	r := newFixture(t)
+	i := r.growCell()
 	r.stop[0]()
 	for range 3 {
-		// The first may have left on a connection that ended under way.
+		// The first call may have been sent on a connection that then closed.
 		if r.poll(i) != engine.OutcomeUnknown {
 			break
 		}
@@ -196,50 +196,50 @@
 	r.direct.count()
 	assert.Equal(t, r.poll(i), engine.OutcomeOK)
 	assert.Equal(t, r.others[1].count()+r.direct.count(), 1)
-	p, _ := r.owner.via(worker(i))
-	assert.Assert(t, p.Name != "other-0", "it would be dialled for each call")
-	for range 2 { // the others are called all the while, or the cell would be small
-		r.clock.now += avoidFor / 2
+	p, _ := r.owner.forwarderFor(worker(i))
+	assert.Assert(t, p.Name != "other-0", "a lost forwarder must not be dialed for each call")
+	for range 2 { // the other workers are called meanwhile, or the cell would count as small
+		r.clock.now += avoidDuration / 2
 		for j := range forwarding.MinWorkers {
-			r.owner.via(worker(j))
+			r.owner.forwarderFor(worker(j))
 		}
 	}
-	p, _ = r.owner.via(worker(i))
-	assert.Equal(t, p.Name, "other-0", "it may be back")
+	p, _ = r.owner.forwarderFor(worker(i))
+	assert.Equal(t, p.Name, "other-0", "the forwarder is used again after avoidDuration")
 }
 
-// A cell has given its VMs away after a burst and is small again. Calls that go on by
-// other entry VMs cost a hop each: workers that nobody calls are not counted.
-func TestACellThatHasShrunkCallsItsWorkersItself(t *testing.T) {
-	r := newRig(t)
-	i := r.large()
+// A cell has returned its VMs after a burst and is small again. Forwarding would now add a hop
+// to each call without need, so workers that are no longer called must not be counted.
+func TestTheOwnerOfACellThatShrankCallsItsWorkersItself(t *testing.T) {
+	r := newFixture(t)
+	i := r.growCell()
 	for range 3 {
-		r.clock.now += forgetAfter
+		r.clock.now += idleTimeout
 		r.direct.count()
 		assert.Equal(t, r.poll(i), engine.OutcomeOK)
 	}
 	assert.Equal(t, r.direct.count(), 1)
 }
 
-// An owner's term ends while a worker is silent, and its calls end with it. That says
-// nothing of the entry VM that was asked: the next owner here is not to pass it over.
-func TestACallThatEndsWithTheTermSaysNothingOfItsPath(t *testing.T) {
-	r := newRig(t)
-	i := r.large()
-	r.others[0].silent = true
+// An owner's term ends, which cancels a forwarded call to a worker that does not answer. The
+// cancellation says nothing about the forwarder, which must not be avoided for it.
+func TestACanceledCallDoesNotAffectTheForwarder(t *testing.T) {
+	r := newFixture(t)
+	i := r.growCell()
+	r.others[0].unresponsive = true
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	r.owner.Start(ctx, worker(i), engine.Start{})
-	assert.Equal(t, len(r.owner.avoid), 0)
-	assert.Equal(t, r.owner.workers[worker(i).ID].past, 0)
+	assert.Equal(t, len(r.owner.avoidUntil), 0)
+	assert.Equal(t, r.owner.workers[worker(i).ID].skipped, 0)
 }
 
-// A worker can't be reached by an entry VM that is well: the link between the two
-// is cut. Its tasks would lapse, though another path is open. The next calls take
-// the next path, at last the owner's own.
-func TestAWorkerThatDoesNotAnswerByOnePathIsCalledByAnother(t *testing.T) {
-	r := newRig(t)
-	i := r.large()
+// A network partition separates a worker from a healthy forwarder. Without polls its tasks
+// would expire although other paths work. The next calls must use the next forwarder, and in
+// the end call the worker directly.
+func TestAWorkerUnreachableThroughOneForwarderIsCalledThroughAnother(t *testing.T) {
+	r := newFixture(t)
+	i := r.growCell()
 	r.others[0].set(engine.OutcomeUnknown)
 	assert.Equal(t, r.poll(i), engine.OutcomeUnknown)
 	assert.Equal(t, r.poll(i), engine.OutcomeOK)
@@ -253,34 +253,34 @@
 	r.others[0].count()
 	r.others[0].set(engine.OutcomeOK)
 	assert.Equal(t, r.poll(i), engine.OutcomeOK)
-	assert.Equal(t, r.others[0].count(), 1, "all paths were tried: the first is again")
+	assert.Equal(t, r.others[0].count(), 1, "after all paths failed, the first is tried again")
 }
 
-// A worker is silent, the entry VM that calls it is well. It must say so before
-// the owner gives up the connection, and with it the calls to all other workers.
-func TestASilentWorkerDoesNotEndTheConnectionThatOthersUse(t *testing.T) {
-	r := newRig(t)
-	i := r.large()
-	r.others[0].silent = true
+// A worker does not answer a healthy forwarder. The forwarder must report that before the owner
+// times out and closes the connection, which would abort the calls to all other workers.
+func TestAnUnresponsiveWorkerDoesNotCloseTheSharedConnection(t *testing.T) {
+	r := newFixture(t)
+	i := r.growCell()
+	r.others[0].unresponsive = true
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	out, _ := r.owner.Start(ctx, worker(i), engine.Start{})
 	assert.Equal(t, out, engine.OutcomeUnknown)
-	assert.NilError(t, ctx.Err(), "answered before the owner's own timeout")
-	assert.Equal(t, r.owner.avoid["other-0"], time.Duration(0))
+	assert.NilError(t, ctx.Err(), "the forwarder answers before the owner's timeout")
+	assert.Equal(t, r.owner.avoidUntil["other-0"], time.Duration(0))
 }
 
-// An owner that is behind reads the answers of entry VMs late. Passed over for that, all of
-// them would be, and the owner would make every call itself, which it can bear least now.
-func TestAnOwnerThatIsBehindPassesNobodyOver(t *testing.T) {
-	r := newRig(t)
-	i := r.large()
-	behind := time.Second
-	r.owner.SchedulingDelay = func() time.Duration { return behind }
-	p, _ := r.owner.via(worker(i))
-	r.owner.came(worker(i).ID, p, ownerlink.ForwardUnanswered, engine.OutcomeUnknown)
-	assert.Equal(t, len(r.owner.avoid), 0)
-	behind = 0
-	r.owner.came(worker(i).ID, p, ownerlink.ForwardUnanswered, engine.OutcomeUnknown)
-	assert.Equal(t, len(r.owner.avoid), 1)
+// An overloaded owner reads the answers of forwarders late. If it avoided them for that, it would
+// soon avoid all of them and make every call directly, which adds to its load.
+func TestAnOverloadedOwnerAvoidsNoForwarder(t *testing.T) {
+	r := newFixture(t)
+	i := r.growCell()
+	delay := time.Second
+	r.owner.SchedulingDelay = func() time.Duration { return delay }
+	p, _ := r.owner.forwarderFor(worker(i))
+	r.owner.recordForwarded(worker(i).ID, p, ownerlink.ForwardUnanswered, engine.OutcomeUnknown)
+	assert.Equal(t, len(r.owner.avoidUntil), 0)
+	delay = 0
+	r.owner.recordForwarded(worker(i).ID, p, ownerlink.ForwardUnanswered, engine.OutcomeUnknown)
+	assert.Equal(t, len(r.owner.avoidUntil), 1)
 }
