--- a/internal/fleetowner/cells.go
+++ b/internal/fleetowner/cells.go
@@ -8,7 +8,7 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// cellView is what a cell's owner reported in this pass.
+// cellView is the report of a cell's owner in this pass.
 type cellView struct {
 	engine.CellReport
 	byID map[work.WorkerID]*engine.WorkerReport
@@ -20,8 +20,8 @@
 	order engine.CellOrder
 }
 
-// syncCells asks every cell for a report and hands it its orders. It returns
-// which orders were carried out.
+// syncCells sends the orders to their cells and returns which of them were carried out, by
+// worker. With nil orders it asks every cell for a report instead, and replaces f.cells.
 func (f *Fleet) syncCells(ctx context.Context, orders []cellOrder) map[work.WorkerID]bool {
 	byCell := make(map[string][]engine.CellOrder)
 	for name, s := range f.Declared().Services {
@@ -34,12 +34,12 @@
 	}
 	var joined map[string][]work.WorkerID
 	if orders == nil {
-		joined = f.joined()
+		joined = f.unreportedWorkers()
 	}
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	views := make(map[string]*cellView)
-	taken := make(map[work.WorkerID]bool)
+	carriedOut := make(map[work.WorkerID]bool)
 	for cell, list := range byCell {
 		if orders != nil && len(list) == 0 {
 			continue
@@ -53,7 +53,7 @@
 			defer mu.Unlock()
 			views[cell] = viewOf(a.Report)
 			for i, o := range list {
-				taken[o.Worker] = i < len(a.Taken) && a.Taken[i]
+				carriedOut[o.Worker] = i < len(a.Taken) && a.Taken[i]
 			}
 		})
 	}
@@ -61,22 +61,23 @@
 	if orders == nil {
 		f.cells = views
 	}
-	return taken
+	return carriedOut
 }
 
+// syncCell makes the call to one cell, within syncTimeout.
 func (f *Fleet) syncCell(ctx context.Context, cell string, s engine.CellSync) (engine.CellAnswer, error) {
 	call, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	a, err := f.Cells.Sync(call, cell, s)
 	if err != nil {
-		f.Log.V(1).Info("cell does not report", "cell", cell, "orders", len(s.Orders), "error", err.Error())
+		f.Log.V(1).Info("synchronizing with the owner of a cell failed", "cell", cell, "orders", len(s.Orders), "error", err.Error())
 	}
 	return a, err
 }
 
-// joined returns, for each cell, the workers that live by the list of VMs and are missing
-// in its reports.
-func (f *Fleet) joined() map[string][]work.WorkerID {
+// unreportedWorkers returns, by cell, the workers that are up according to the list of VMs and
+// are missing in the cell's report.
+func (f *Fleet) unreportedWorkers() map[string][]work.WorkerID {
 	out := make(map[string][]work.WorkerID)
 	for _, vm := range f.vms {
 		if vm.State == work.VMUp && vm.Worker != "" && f.cells[vm.Pool] != nil && f.worker(vm) == nil {
@@ -86,6 +87,7 @@
 	return out
 }
 
+// viewOf indexes a report by worker.
 func viewOf(r engine.CellReport) *cellView {
 	v := &cellView{CellReport: r, byID: make(map[work.WorkerID]*engine.WorkerReport, len(r.Workers))}
 	for i := range v.Workers {
@@ -94,7 +96,7 @@
 	return v
 }
 
-// send hands cells their orders.
+// send sends orders to cells and returns which of them were carried out, by worker.
 func (f *Fleet) send(ctx context.Context, orders []cellOrder) map[work.WorkerID]bool {
 	if len(orders) == 0 {
 		return nil
@@ -102,7 +104,7 @@
 	return f.syncCells(ctx, orders)
 }
 
-// worker returns the report on the VM's present life; nil where there is none.
+// worker returns the report on the VM's present incarnation, or nil if there is none.
 func (f *Fleet) worker(vm work.VM) *engine.WorkerReport {
 	c := f.cells[vm.Pool]
 	if c == nil {
@@ -111,7 +113,9 @@
 	return c.byID[vm.Worker]
 }
 
-func (f *Fleet) parked(pool string) bool { return f.Declared().Services[pool].Standby }
+// isStandby reports whether the pool holds the parked VMs, which run nothing and have no cell.
+func (f *Fleet) isStandby(pool string) bool { return f.Declared().Services[pool].Standby }
 
-// reported reports whether it is known what runs on the pool's VMs.
-func (f *Fleet) reported(pool string) bool { return f.parked(pool) || f.cells[pool] != nil }
+// reported reports whether it is known what runs on the VMs of the pool: nothing in a standby
+// pool, and otherwise what its cell has reported.
+func (f *Fleet) reported(pool string) bool { return f.isStandby(pool) || f.cells[pool] != nil }
--- a/internal/fleetowner/fleet.go
+++ b/internal/fleetowner/fleet.go
@@ -1,7 +1,8 @@
-// Package fleetowner carries out what concerns VMs across services: maintenance
-// waves, and moves between pools. One entry VM at a time has this duty. It reads
-// the platform's list of VMs, asks the owners of the cells what runs on them, and
-// orders a VM away only after its cell's owner has closed it.
+// Package fleetowner manages VMs across services: it carries out maintenance waves and moves
+// VMs between pools. One entry VM at a time, the fleet's owner, has this duty. It reads the
+// platform's list of VMs, asks the owners of the cells (a cell is a service's workers and the
+// jobs on them) what runs on the VMs, and orders the maintenance or move of a VM only after
+// the cell's owner has cordoned its worker.
 package fleetowner
 
 import (
@@ -18,53 +19,55 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Waves are the operator's maintenance waves.
+// Waves holds the maintenance waves that the operator has ordered.
 type Waves interface {
-	// Ordered returns the waves that the operator has ordered.
+	// Ordered returns the ordered waves.
 	Ordered() []OrderedWave
-	// Report tells the operator how a wave stands.
+	// Report tells the operator whether a wave is running or completed.
 	Report(ctx context.Context, wave string, completed bool) error
 }
 
-// OrderedWave is a wave and when this entry VM first saw it.
+// OrderedWave is a wave and the time, on the monotonic clock, at which this entry VM first saw
+// it.
 type OrderedWave struct {
 	work.Wave
 	Seen time.Duration
 }
 
-// Cells reaches the owners of the cells.
+// Cells calls the owners of the cells.
 type Cells interface {
+	// Sync sends orders to the owner of the cell and returns its report.
 	Sync(ctx context.Context, cell string, s engine.CellSync) (engine.CellAnswer, error)
 }
 
-// Pace of the fleet's reconciler.
+// Intervals and timeouts of the reconciler.
 const (
-	// passEvery separates passes. Reports of cells cost little, and each of
-	// these milliseconds is one later for the VMs that a burst needs.
-	passEvery = 80 * time.Millisecond
-	// listQuiet separates lists of the VMs, which are priced, while no work
-	// waits and no order or wave is under way.
-	listQuiet = 500 * time.Millisecond
-	// listTimeout ends a call to the platform's VM service.
+	// passInterval is the time between passes. The cells' reports cost little, and a
+	// longer interval delays the VMs that a burst needs.
+	passInterval = 80 * time.Millisecond
+	// idleListInterval is the time between reads of the list of VMs, which the platform
+	// charges for, while no work waits and no order or wave is in progress.
+	idleListInterval = 500 * time.Millisecond
+	// listTimeout bounds a call to the platform's VM service: a list or an order.
 	listTimeout = 1 * time.Second
-	// syncTimeout ends a call to a cell's owner.
+	// syncTimeout bounds a call to a cell's owner.
 	syncTimeout = 500 * time.Millisecond
-	// storeTimeout ends a call to the store.
+	// storeTimeout bounds a call to the store.
 	storeTimeout = 700 * time.Millisecond
-	// vmOrderPause keeps orders for a VM apart from an earlier owner's that is
-	// still being carried out: two owners that take turns at one VM within a
-	// lease undo each other's orders.
-	vmOrderPause = 3200 * time.Millisecond
-	// orderOver is when an order for a VM without visible effect is given up:
-	// the platform may carry one out up to 12 s late.
-	orderOver = 13 * time.Second
-	// acceptedOver is when a VM that is up has come back from an accepted order,
-	// though no list showed it away: lists may fail, and a parked VM has no
-	// life that would change.
-	acceptedOver = 1 * time.Second
+	// inheritedVMPause is how long a new owner gives no orders for a VM that was not up
+	// when it took over, as an order of the previous owner may still be in progress: two
+	// owners that order the same VM within one lease undo each other's orders.
+	inheritedVMPause = 3200 * time.Millisecond
+	// orderExpiry is the age at which an order without a visible effect is dropped: the
+	// platform may carry out an order up to 12 s late.
+	orderExpiry = 13 * time.Second
+	// acceptedOrderDelay is the age at which an accepted order counts as carried out if
+	// the VM is up, although no list showed it as not up: lists may fail, and a parked VM
+	// has no incarnation that would change.
+	acceptedOrderDelay = 1 * time.Second
 )
 
-// Options are what a Fleet is made of.
+// Options are the dependencies of a Fleet.
 type Options struct {
 	Store    infra.Store
 	Machines engine.Machines
@@ -75,50 +78,53 @@
 	Term     engine.Term
 	Log      logr.Logger
 	Metrics  *engine.Metrics
-	// ListRate is how many reads of the list of VMs the platform takes a second, from
-	// all entry VMs together; 0: any number.
+	// ListRate is the number of reads of the list of VMs per second that the platform
+	// allows all entry VMs together; 0 stands for no limit.
 	ListRate float64
 }
 
-// Fleet is the duty for one term.
+// Fleet manages the VMs during one term of ownership. All fields but orders are used only by
+// the goroutine of Run, or while it waits.
 type Fleet struct {
 	Options
 
-	began    time.Duration
-	listed   time.Duration // when the VMs were last listed
-	vms      map[string]work.VM
-	cells    map[string]*cellView
-	waves    map[string]*waveRun
-	due      map[work.WorkerID]bool   // workers whose VMs a wave has yet to take
-	lastBusy map[string]time.Duration // when each service last had a backlog
-	// inherited are the VMs that were not up when this owner took over.
+	startedAt  time.Duration
+	lastList   time.Duration // when the VMs were last listed
+	vms        map[string]work.VM
+	cells      map[string]*cellView
+	waves      map[string]*waveRun
+	dueWorkers map[work.WorkerID]bool   // workers whose VMs a wave has yet to maintain
+	lastBusy   map[string]time.Duration // when each service last had a backlog
+	// inherited holds the VMs that were not up in the first list of this term; nil before it.
 	inherited map[string]bool
 	wg        sync.WaitGroup
 
 	mu     sync.Mutex
-	orders map[string]*vmOrder // by VM
+	orders map[string]*vmOrder // orders in progress, by VM
 }
 
-// New returns the duty for a term.
+// New returns a Fleet for one term.
 func New(o Options) *Fleet {
 	return &Fleet{
 		Options: o, waves: make(map[string]*waveRun), lastBusy: make(map[string]time.Duration),
-		orders: make(map[string]*vmOrder), due: make(map[work.WorkerID]bool), cells: make(map[string]*cellView),
+		orders: make(map[string]*vmOrder), dueWorkers: make(map[work.WorkerID]bool), cells: make(map[string]*cellView),
 	}
 }
 
-// Run reconciles until ctx ends.
+// Run runs passes until ctx ends, and waits for the orders that are being sent.
 func (f *Fleet) Run(ctx context.Context) {
-	f.began = f.Clock.Now()
+	f.startedAt = f.Clock.Now()
 	defer f.wg.Wait()
-	f.Log.Info("fleet taken over", "token", f.Term.Token())
+	f.Log.Info("took over the fleet", "token", f.Term.Token())
 	for ctx.Err() == nil {
 		f.pass(ctx)
-		sleep.For(ctx, passEvery)
+		sleep.For(ctx, passInterval)
 	}
 }
 
-func (f *Fleet) busy() bool {
+// hasWork reports whether an order or a wave is in progress, or a cell has work waiting or
+// could use more VMs.
+func (f *Fleet) hasWork() bool {
 	f.mu.Lock()
 	orders := len(f.orders)
 	f.mu.Unlock()
@@ -138,16 +144,17 @@
 	return false
 }
 
-// pass looks once at everything and acts on it. Between two lists it goes by the last
-// one and by its own orders since: cells refuse to give up what is in use.
+// pass reads the state of the fleet once and acts on it. Between two reads of the list of VMs
+// it relies on the last list and on its own orders since then. An outdated list does no harm,
+// as cells refuse to cordon a worker that is in use.
 func (f *Fleet) pass(ctx context.Context) {
 	f.syncCells(ctx, nil)
 	now := f.Clock.Now()
-	if !f.busy() && now < f.listed+listQuiet {
+	if !f.hasWork() && now < f.lastList+idleListInterval {
 		return
 	}
-	if f.vms == nil || now >= f.listed+polling.MinListInterval(len(f.vms), f.ListRate) {
-		if !f.list(ctx) {
+	if f.vms == nil || now >= f.lastList+polling.MinListInterval(len(f.vms), f.ListRate) {
+		if !f.listVMs(ctx) {
 			return
 		}
 	}
@@ -155,30 +162,31 @@
 		return
 	}
 	var orders []cellOrder
-	clear(f.due)
+	clear(f.dueWorkers)
 	for _, w := range f.Waves.Ordered() {
-		orders = append(orders, f.wave(ctx, w)...)
+		orders = append(orders, f.advanceWave(ctx, w)...)
 	}
-	f.send(ctx, append(orders, f.restCordons()...))
+	f.send(ctx, append(orders, f.cordonUpdates()...))
 	f.rebalance(ctx)
 }
 
-// list reads the VMs; false where it could not.
-func (f *Fleet) list(ctx context.Context) bool {
+// listVMs reads the list of VMs and updates the orders in progress. It returns false if the list
+// could not be read.
+func (f *Fleet) listVMs(ctx context.Context) bool {
 	call, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	sent := f.Clock.Now()
 	list, err := f.Machines.List(call)
 	if err != nil {
-		f.Log.Info("VMs not listed", "error", err.Error())
+		f.Log.Info("listing VMs failed", "error", err.Error())
 		return false
 	}
-	f.listed = sent
-	f.inherit(list)
+	f.lastList = sent
+	f.recordInherited(list)
 	f.vms = make(map[string]work.VM, len(list))
 	for _, vm := range list {
 		f.vms[vm.ID] = vm
 	}
-	f.send(ctx, f.cellsOf(f.settle(sent)))
+	f.send(ctx, f.withoutStandby(f.removeFinishedOrders(sent)))
 	return true
 }
--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -10,7 +10,8 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// rebalance moves idle VMs to where work waits, and parks what is idle for long.
+// rebalance moves idle VMs to pools where work waits, and parks VMs that have been idle for
+// long.
 func (f *Fleet) rebalance(ctx context.Context) {
 	state := f.pools()
 	moves := pools.Decide(state)
@@ -24,22 +25,22 @@
 		target[m.VM] = m
 		ids = append(ids, m.VM)
 	}
-	booked := f.claim(ctx, ids, func(vm work.VM) *vmOrder {
-		return &vmOrder{sent: f.Clock.Now(), pool: target[vm.ID].To, life: vm.Worker}
+	orders := f.claim(ctx, ids, func(vm work.VM) *vmOrder {
+		return &vmOrder{sent: f.Clock.Now(), pool: target[vm.ID].To, incarnation: vm.Worker}
 	})
-	f.each(booked, func(id string, o *vmOrder) {
+	f.execute(orders, func(id string, o *vmOrder) {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
 		out := f.Machines.Move(call, id, o.pool, f.Term.Token())
 		cancel()
 		f.Metrics.VM("move")
-		f.Log.Info("VM moves", "vm", id, "from", target[id].From, "to", o.pool, "outcome", out.String())
-		f.outcome(ctx, id, o, out)
+		f.Log.Info("VM move ordered", "vm", id, "from", target[id].From, "to", o.pool, "outcome", out.String())
+		f.recordOutcome(ctx, id, o, out)
 	})
 	f.wg.Wait()
 }
 
-// pools describes the fleet to the decision. Pools whose cell does not report
-// are left out: it is not known what runs there.
+// pools returns the state of the pools as the input of pools.Decide. Pools whose cell did not
+// report are left out, since it is not known what runs there.
 func (f *Fleet) pools() []pools.Pool {
 	now := f.Clock.Now()
 	byName := make(map[string]*pools.Pool)
@@ -50,7 +51,7 @@
 		p := &pools.Pool{Name: name, Parked: s.Standby}
 		if c := f.cells[name]; c != nil {
 			p.Used, p.Backlog, p.ArrivalRate, p.MissingVMs, p.SpareDemand = c.Used, c.Backlog, c.Arriving, c.Short, c.Spare
-			p.LateBacklog, p.ByLabel = c.Leftover, boundOf(c.Bound)
+			p.LateBacklog, p.ByLabel = c.Leftover, boundLoads(c.Bound)
 		}
 		if p.Backlog > 0 || p.LateBacklog > 0 {
 			f.lastBusy[name] = now
@@ -74,7 +75,8 @@
 	return out
 }
 
-func boundOf(loads map[string]engine.BoundLoad) map[string]pools.LabelDemand {
+// boundLoads returns the load that only VMs with a certain label can serve, by label.
+func boundLoads(loads map[string]engine.BoundLoad) map[string]pools.LabelDemand {
 	out := make(map[string]pools.LabelDemand, len(loads))
 	for label, l := range loads {
 		out[label] = pools.LabelDemand{Used: l.Used, Backlog: l.Backlog, LateBacklog: l.Leftover}
@@ -82,7 +84,7 @@
 	return out
 }
 
-// addVM adds the VM to its pool, or to the one it is on its way to.
+// addVM adds the VM to its pool, or to the pool that it is being moved to.
 func (f *Fleet) addVM(byName map[string]*pools.Pool, vm work.VM) {
 	out := pools.VM{ID: vm.ID, Cores: vm.Size.Cores(), Labels: vm.Labels}
 	if o := f.orderOf(vm.ID); o != nil {
@@ -104,25 +106,25 @@
 		out.Empty = !f.reserved(vm.ID)
 		p.VMs = append(p.VMs, out)
 	case w.Cordon.Closes() || w.Draining:
-		// It takes nothing new: no capacity.
+		// The worker accepts no new tasks, so the VM is no capacity.
 	default:
 		out.Empty, out.EmptyFor = w.Tasks == 0, w.EmptyFor
 		p.VMs = append(p.VMs, out)
 	}
 }
 
-// summary is a pool as the log shows it.
+// summary is the state of a pool in log lines.
 type summary struct {
-	Pool     string `json:"pool"`
-	VMs      int    `json:"vms"`
-	Empty    int    `json:"empty"`
-	Incoming int    `json:"incoming vms"`
-	Used     int    `json:"used cores"`
-	Backlog  int    `json:"backlog core seconds"`
-	Leftover int    `json:"core seconds too late to be of use"`
-	Arriving int    `json:"arriving core seconds a second"`
-	Short    int    `json:"short of vms"`
-	Labels   int    `json:"backlog bound to labels"`
+	Pool         string `json:"pool"`
+	VMs          int    `json:"vms"`
+	Empty        int    `json:"empty"`
+	Incoming     int    `json:"incoming vms"`
+	Used         int    `json:"used cores"`
+	Backlog      int    `json:"backlog core seconds"`
+	LateBacklog  int    `json:"core seconds too late to be of use"`
+	ArrivalRate  int    `json:"arriving core seconds a second"`
+	MissingVMs   int    `json:"short of vms"`
+	LabelBacklog int    `json:"backlog bound to labels"`
 }
 
 func summaries(state []pools.Pool) []summary {
@@ -130,10 +132,10 @@
 	for _, p := range state {
 		s := summary{
 			Pool: p.Name, VMs: len(p.VMs), Incoming: len(p.Incoming), Used: int(p.Used),
-			Backlog: int(p.Backlog), Leftover: int(p.LateBacklog), Arriving: int(p.ArrivalRate), Short: p.MissingVMs,
+			Backlog: int(p.Backlog), LateBacklog: int(p.LateBacklog), ArrivalRate: int(p.ArrivalRate), MissingVMs: p.MissingVMs,
 		}
 		for _, b := range p.ByLabel {
-			s.Labels += int(b.Backlog)
+			s.LabelBacklog += int(b.Backlog)
 		}
 		for _, vm := range p.VMs {
 			if vm.Empty {
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -9,23 +9,23 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// vmOrder is an order for a VM that may not be over.
+// vmOrder is an order for a VM whose effect may not be complete.
 type vmOrder struct {
-	sent time.Duration
-	wave string // the order is maintenance of this wave
-	pool string // the order is a move to this pool
-	cell string // the VM's pool as it was ordered
-	life work.WorkerID
-	left bool // the VM was seen to be not up since
-	// accepted: the platform has begun to carry it out.
+	sent        time.Duration
+	wave        string // the order is maintenance of this wave
+	pool        string // the order is a move to this pool
+	cell        string // the VM's pool when the order was made
+	incarnation work.WorkerID
+	seenNotUp   bool // a list after the order showed the VM as not up
+	// accepted is set once the platform has begun to carry out the order.
 	accepted bool
-	// ended: the cell was told that the life is over.
-	ended bool
+	// reportedGone is set once the cell has been told that the incarnation has ended.
+	reportedGone bool
 }
 
-// inherit notes the VMs that an earlier owner's orders keep busy at the
-// take-over: all that are not up in the first list.
-func (f *Fleet) inherit(list []work.VM) {
+// recordInherited records the VMs for which an order of an earlier owner may be in progress:
+// all that are not up in the first list of the term.
+func (f *Fleet) recordInherited(list []work.VM) {
 	if f.inherited != nil {
 		return
 	}
@@ -37,65 +37,67 @@
 	}
 }
 
-// reserved reports whether the VM is left alone for now, as an earlier owner
-// may just have given it an order.
+// reserved reports whether the VM gets no orders for now because one of an earlier owner may
+// be in progress.
 func (f *Fleet) reserved(vm string) bool {
-	return f.inherited[vm] && f.Clock.Now() < f.began+vmOrderPause
+	return f.inherited[vm] && f.Clock.Now() < f.startedAt+inheritedVMPause
 }
 
+// orderOf returns the VM's order in progress, or nil.
 func (f *Fleet) orderOf(vm string) *vmOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.orders[vm]
 }
 
-// settle ends orders whose effect is over, and returns what cells are to know of them.
-func (f *Fleet) settle(sent time.Duration) (gone []cellOrder) {
+// removeFinishedOrders removes the orders that are complete or expired by the list of VMs that
+// was requested at sent. It returns the orders that tell cells which incarnations have ended.
+func (f *Fleet) removeFinishedOrders(sent time.Duration) (gone []cellOrder) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, o := range f.orders {
 		vm, exists := f.vms[id]
-		if !o.ended && (!exists || vm.State != work.VMUp || vm.Worker != o.life) {
-			o.ended = true
-			gone = append(gone, cellOrder{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderGone, Worker: o.life}})
+		if !o.reportedGone && (!exists || vm.State != work.VMUp || vm.Worker != o.incarnation) {
+			o.reportedGone = true
+			gone = append(gone, cellOrder{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderGone, Worker: o.incarnation}})
 		}
 		switch {
 		case !exists:
 			delete(f.orders, id)
 		case vm.State != work.VMUp:
-			o.left = true
-		case sent > o.sent && (o.left || vm.Worker != o.life || o.accepted && sent > o.sent+acceptedOver):
+			o.seenNotUp = true
+		case sent > o.sent && (o.seenNotUp || vm.Worker != o.incarnation || o.accepted && sent > o.sent+acceptedOrderDelay):
 			if r := f.waves[o.wave]; r != nil {
 				r.Done[id] = true
 			}
 			delete(f.orders, id)
-		case sent > o.sent+orderOver:
-			// Not carried out, or over long ago.
+		case sent > o.sent+orderExpiry:
+			// Either never carried out, or complete long ago.
 			delete(f.orders, id)
 		}
 	}
 	return gone
 }
 
-// cellsOf leaves out the orders for VMs that were parked: no cell has them.
-func (f *Fleet) cellsOf(orders []cellOrder) []cellOrder {
-	return slices.DeleteFunc(orders, func(o cellOrder) bool { return f.parked(o.cell) })
+// withoutStandby removes the orders for VMs of standby pools, which have no cell.
+func (f *Fleet) withoutStandby(orders []cellOrder) []cellOrder {
+	return slices.DeleteFunc(orders, func(o cellOrder) bool { return f.isStandby(o.cell) })
 }
 
-// restCordons are the orders for workers that nobody has a reason to keep closed: an
-// order that was given up, or what an earlier owner of the fleet left behind. Its
-// claims are kept until its orders are certain to be over. Workers whose VMs a wave
-// has yet to take are told so.
-func (f *Fleet) restCordons() []cellOrder {
+// cordonUpdates returns orders that open workers whose cordon has no reason any more: their
+// order was dropped, or an earlier owner of the fleet cordoned them. Claims of an earlier owner
+// stay until its orders certainly have no more effect. Workers whose VMs a wave has yet to
+// maintain are marked as due instead of being opened.
+func (f *Fleet) cordonUpdates() []cellOrder {
 	wanted := make(map[work.WorkerID]bool)
 	for _, r := range f.waves {
-		for id := range r.emptying {
+		for id := range r.drainingSince {
 			wanted[f.vms[id].Worker] = true
 		}
 	}
 	f.mu.Lock()
 	for _, o := range f.orders {
-		wanted[o.life] = true
+		wanted[o.incarnation] = true
 	}
 	f.mu.Unlock()
 	var out []cellOrder
@@ -103,14 +105,14 @@
 		for i := range c.Workers {
 			w := &c.Workers[i]
 			kind, order := engine.Open, engine.OrderOpen
-			if f.due[w.ID] {
+			if f.dueWorkers[w.ID] {
 				kind, order = engine.Due, engine.OrderDue
 			}
 			if w.Cordon.Kind == kind || wanted[w.ID] {
 				continue
 			}
 			foreign := w.Cordon.Token != f.Term.Token()
-			if w.Cordon.Kind == engine.Claimed && foreign && f.Clock.Now() < f.began+orderOver {
+			if w.Cordon.Kind == engine.Claimed && foreign && f.Clock.Now() < f.startedAt+orderExpiry {
 				continue
 			}
 			out = append(out, cellOrder{cell: cell, order: engine.CellOrder{Kind: order, Worker: w.ID}})
@@ -119,30 +121,31 @@
 	return out
 }
 
-// claim books an order for the VM if its cell closes it; nil where it is in use.
-// claims of parked VMs need no cell.
-func (f *Fleet) claim(ctx context.Context, ids []string, book func(vm work.VM) *vmOrder) map[string]*vmOrder {
-	var asks []cellOrder
-	var free []work.VM
+// claim asks the cells of the VMs to close their workers, and adds an order for each VM whose
+// worker was closed. It returns these orders by VM; a VM that is in use, reserved, not up or
+// under another order is left out. VMs of standby pools need no claim.
+func (f *Fleet) claim(ctx context.Context, ids []string, newOrder func(vm work.VM) *vmOrder) map[string]*vmOrder {
+	var claims []cellOrder
+	var candidates []work.VM
 	for _, id := range ids {
 		vm := f.vms[id]
 		if f.orderOf(id) != nil || f.reserved(id) || vm.State != work.VMUp {
 			continue
 		}
-		free = append(free, vm)
-		if !f.parked(vm.Pool) {
-			asks = append(asks, cellOrder{cell: vm.Pool, order: engine.CellOrder{Kind: engine.OrderClaim, Worker: vm.Worker}})
+		candidates = append(candidates, vm)
+		if !f.isStandby(vm.Pool) {
+			claims = append(claims, cellOrder{cell: vm.Pool, order: engine.CellOrder{Kind: engine.OrderClaim, Worker: vm.Worker}})
 		}
 	}
-	taken := f.send(ctx, asks)
+	taken := f.send(ctx, claims)
 	out := make(map[string]*vmOrder)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, vm := range free {
-		if !f.parked(vm.Pool) && !taken[vm.Worker] {
+	for _, vm := range candidates {
+		if !f.isStandby(vm.Pool) && !taken[vm.Worker] {
 			continue
 		}
-		o := book(vm)
+		o := newOrder(vm)
 		o.cell = vm.Pool
 		f.orders[vm.ID] = o
 		out[vm.ID] = o
@@ -150,20 +153,23 @@
 	return out
 }
 
-// outcome takes over what became of an order.
-func (f *Fleet) outcome(ctx context.Context, id string, o *vmOrder, out engine.VMOutcome) {
+// recordOutcome updates an order by the platform's answer to it. A refused order is removed; one
+// without an answer stays until its effect shows or it expires. If the platform knows a later
+// owner, the term ends.
+func (f *Fleet) recordOutcome(ctx context.Context, id string, o *vmOrder, out engine.VMOutcome) {
 	switch out {
 	case engine.VMDone:
-		// A maintenance is accepted as well where it was done before, by an order of an
-		// earlier owner: the life goes on. Taken for over, its VM stood idle for good. So
-		// only a move tells the cell now, and a maintenance once the list shows it.
+		// The platform also accepts a maintenance order that an earlier owner's order has
+		// carried out before, and does nothing: the incarnation goes on. If the cell were told
+		// that it has ended, the VM would stay idle for good. So the cell is told at once only
+		// of a move, and of maintenance once a list of VMs shows it.
 		move := o.wave == ""
 		f.mu.Lock()
 		o.accepted = true
-		o.ended = o.ended || move
+		o.reportedGone = o.reportedGone || move
 		f.mu.Unlock()
-		if move && !f.parked(o.cell) {
-			f.send(ctx, []cellOrder{{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderGone, Worker: o.life}}})
+		if move && !f.isStandby(o.cell) {
+			f.send(ctx, []cellOrder{{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderGone, Worker: o.incarnation}}})
 		}
 	case engine.VMFenced:
 		f.Term.End("the platform knows a later owner")
@@ -174,21 +180,22 @@
 	}
 }
 
-// each runs do for every booked order, some at a time.
-func (f *Fleet) each(booked map[string]*vmOrder, do func(id string, o *vmOrder)) {
-	ids := make([]string, 0, len(booked))
-	for id := range booked {
+// execute calls do for each order, concurrently and in the background; f.wg tells when they are
+// done. If the lease of the term is no longer certain, the order is dropped instead.
+func (f *Fleet) execute(orders map[string]*vmOrder, do func(id string, o *vmOrder)) {
+	ids := make([]string, 0, len(orders))
+	for id := range orders {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
 		f.wg.Go(func() {
-			// Asked again right before it leaves: claims took a while.
+			// Checked again right before the order is sent, since the claims took time.
 			if !f.Term.Certain() {
-				f.outcome(context.Background(), id, booked[id], engine.VMLater)
+				f.recordOutcome(context.Background(), id, orders[id], engine.VMLater)
 				return
 			}
-			do(id, booked[id])
+			do(id, orders[id])
 		})
 	}
 }
--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -13,52 +13,54 @@
 )
 
 const (
-	// emptyTime is what emptying a VM takes as a rule: its longest tasks.
-	emptyTime = 2500 * time.Millisecond
-	// lastingMove is what a lasting task's move takes until the next of its step may:
-	// its stop, its start elsewhere, and until a list shows it at work. Moves of one
-	// step have been seen 2.3 to 2.6 s apart.
-	lastingMove = 2500 * time.Millisecond
-	// maintenanceTime is what one VM's maintenance takes, detection included.
+	// drainTime is the usual time to drain a VM: the run time of its longest tasks.
+	drainTime = 2500 * time.Millisecond
+	// longRunningMoveTime is the time from the start of a long-running task's move until the
+	// next task of its step may move: the stop, the start on another worker, and the poll that
+	// shows it running. Successive moves of one step are 2.3 to 2.6 s apart.
+	longRunningMoveTime = 2500 * time.Millisecond
+	// maintenanceTime is the time that the maintenance of one VM takes, including the
+	// detection that it is up again.
 	maintenanceTime = 2700 * time.Millisecond
 )
 
-// unsaved says that nothing of a wave is stored yet.
-const unsaved = -1
+// neverSaved is the value of waveRun.saved while nothing of the wave is stored.
+const neverSaved = -1
 
-// waveRun is how a wave stands.
+// waveRun is the progress of a wave. Its exported fields are stored.
 type waveRun struct {
 	Done      map[string]bool `json:"done"`
 	Completed bool            `json:"completed,omitempty"`
-	// Seen is when the first owner of the fleet saw the wave, by its wall clock. An
-	// entry VM that was started since would think that all of the time is left.
+	// Seen is when the first owner of the fleet saw the wave, on its wall clock. Without it
+	// an entry VM that started later would assume that the whole duration is left.
 	Seen time.Time `json:"seen,omitzero"`
 
-	reported string
-	saved    int // how many were done when it was last stored
-	loaded   bool
-	emptying map[string]time.Duration // since when a VM is closed to new tasks
+	reported      string
+	saved         int // the number of VMs that were done when the progress was last stored
+	loaded        bool
+	drainingSince map[string]time.Duration // by VM: since when it has been closed to new tasks
 }
 
-// wave takes one wave a step further and returns what cells are to do for it.
-func (f *Fleet) wave(ctx context.Context, w OrderedWave) []cellOrder {
+// advanceWave orders the maintenance that the wave needs next, reports and stores its progress,
+// and returns the orders for cells.
+func (f *Fleet) advanceWave(ctx context.Context, w OrderedWave) []cellOrder {
 	r := f.waves[w.Name]
 	if r == nil {
-		r = &waveRun{Done: make(map[string]bool), emptying: make(map[string]time.Duration)}
+		r = &waveRun{Done: make(map[string]bool), drainingSince: make(map[string]time.Duration)}
 		f.waves[w.Name] = r
 	}
 	if !r.loaded && !f.loadWave(ctx, w.Name, r) {
 		return nil
 	}
-	w.Seen = f.since(w, r)
+	w.Seen = f.orderedAt(w, r)
 	if r.Completed {
 		f.report(ctx, w.Name, r)
 		return nil
 	}
-	in := f.input(w, r)
+	in := f.upkeepInput(w, r)
 	if len(in.Remaining) == 0 && in.Unavailable == 0 {
 		r.Completed = true
-		clear(r.emptying)
+		clear(r.drainingSince)
 		f.Log.Info("wave completed", "wave", w.Name, "took", (f.Clock.Now() - w.Seen).String())
 	}
 	f.report(ctx, w.Name, r)
@@ -66,15 +68,16 @@
 	if !r.Completed {
 		d := upkeep.Decide(in)
 		f.maintain(ctx, w, r, d.Maintain)
-		orders = f.empty(r, d)
+		orders = f.drainOrders(r, d)
 	}
 	f.saveWave(ctx, w.Name, r)
 	return orders
 }
 
-// since returns when the wave was ordered, on our clock: by what the first owner
-// noted or what we saw ourselves, whichever is earlier. Too early makes it hurry.
-func (f *Fleet) since(w OrderedWave, r *waveRun) time.Duration {
+// orderedAt returns when the wave was ordered, on this entry VM's monotonic clock: when the
+// first owner saw it or when this entry VM did, whichever is earlier. A value that is too early
+// only makes the wave more urgent.
+func (f *Fleet) orderedAt(w OrderedWave, r *waveRun) time.Duration {
 	now, wall := f.Clock.Now(), f.Clock.Wall()
 	if r.Seen.IsZero() {
 		r.Seen = wall.Add(w.Seen - now)
@@ -82,10 +85,12 @@
 	return min(w.Seen, now-wall.Sub(r.Seen))
 }
 
-func (f *Fleet) input(w OrderedWave, r *waveRun) upkeep.Input {
+// upkeepInput returns the wave's state as the input of upkeep.Decide, and marks the workers of
+// its remaining VMs as due.
+func (f *Fleet) upkeepInput(w OrderedWave, r *waveRun) upkeep.Input {
 	in := upkeep.Input{
 		TimeLeft:   w.Seen + w.Duration - f.Clock.Now(),
-		TimePerVM:  emptyTime + maintenanceTime,
+		TimePerVM:  drainTime + maintenanceTime,
 		MaxAtATime: w.MaxAtATime,
 	}
 	for _, id := range w.VMs {
@@ -97,23 +102,24 @@
 		case !exists || r.Done[id]:
 		default:
 			in.Remaining = append(in.Remaining, f.candidate(r, vm, o != nil))
-			f.due[vm.Worker] = true
+			f.dueWorkers[vm.Worker] = true
 		}
 	}
 	return in
 }
 
-// candidate describes a due VM. One that is under another order, or of which it
-// is not known what runs on it, is due and can't be chosen.
+// candidate describes a VM that is still to be maintained. The state of a VM that is under
+// another order, or on which it is not known what runs, is set to VMMoving, so that it stays
+// due and can't be chosen.
 func (f *Fleet) candidate(r *waveRun, vm work.VM, ordered bool) upkeep.Candidate {
-	since, closed := r.emptying[vm.ID]
-	c := upkeep.Candidate{VM: vm, Parked: f.parked(vm.Pool), Cordoned: closed}
-	if closed {
-		c.CordonedFor = f.Clock.Now() - since
+	start, draining := r.drainingSince[vm.ID]
+	c := upkeep.Candidate{VM: vm, Parked: f.isStandby(vm.Pool), Cordoned: draining}
+	if draining {
+		c.CordonedFor = f.Clock.Now() - start
 	}
 	if view := f.cells[vm.Pool]; view != nil {
 		c.Backlog = view.Backlog > 0
-		c.SerialMoveTime = time.Duration(view.Serial) * lastingMove
+		c.SerialMoveTime = time.Duration(view.Serial) * longRunningMoveTime
 	}
 	report := f.worker(vm)
 	switch {
@@ -125,12 +131,12 @@
 	return c
 }
 
-// empty notes which VMs are to be emptied; those no longer chosen are opened
-// with all that nobody keeps closed.
-func (f *Fleet) empty(r *waveRun, d upkeep.Decision) []cellOrder {
-	for id := range r.emptying {
+// drainOrders records which VMs are draining and returns the orders for their cells. VMs that
+// are no longer chosen are opened by cordonUpdates.
+func (f *Fleet) drainOrders(r *waveRun, d upkeep.Decision) []cellOrder {
+	for id := range r.drainingSince {
 		if !slices.Contains(d.Drain, id) && !slices.Contains(d.Maintain, id) {
-			delete(r.emptying, id)
+			delete(r.drainingSince, id)
 		}
 	}
 	var out []cellOrder
@@ -139,8 +145,8 @@
 		out = append(out, cellOrder{cell: vm.Pool, order: engine.CellOrder{Kind: kind, Worker: vm.Worker}})
 	}
 	for _, id := range d.Drain {
-		if _, closed := r.emptying[id]; !closed {
-			r.emptying[id] = f.Clock.Now()
+		if _, draining := r.drainingSince[id]; !draining {
+			r.drainingSince[id] = f.Clock.Now()
 		}
 		if report := f.worker(f.vms[id]); report == nil || !report.Cordon.Closes() {
 			add(engine.OrderVacate, id)
@@ -152,36 +158,38 @@
 	return out
 }
 
+// maintain claims the VMs and orders the maintenance of those that were claimed.
 func (f *Fleet) maintain(ctx context.Context, w OrderedWave, r *waveRun, ids []string) {
-	booked := f.claim(ctx, ids, func(vm work.VM) *vmOrder {
-		return &vmOrder{sent: f.Clock.Now(), wave: w.Name, life: vm.Worker}
+	orders := f.claim(ctx, ids, func(vm work.VM) *vmOrder {
+		return &vmOrder{sent: f.Clock.Now(), wave: w.Name, incarnation: vm.Worker}
 	})
-	for id := range booked {
-		delete(r.emptying, id)
+	for id := range orders {
+		delete(r.drainingSince, id)
 	}
-	f.each(booked, func(id string, o *vmOrder) {
+	f.execute(orders, func(id string, o *vmOrder) {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
 		out := f.Machines.Maintain(call, id, w.Name, f.Term.Token())
 		cancel()
 		f.Metrics.VM("maintain")
 		f.Log.Info("maintenance ordered", "vm", id, "pool", f.vms[id].Pool, "wave", w.Name, "outcome", out.String(), "left", (w.Seen + w.Duration - o.sent).String())
-		f.outcome(ctx, id, o, out)
+		f.recordOutcome(ctx, id, o, out)
 	})
-	// The next pass reads the maps that the orders' outcomes use.
+	// The next pass must not run while recordOutcome uses the same maps.
 	f.wg.Wait()
 }
 
+// loadWave loads the stored progress into r. It returns false if the store could not be read.
 func (f *Fleet) loadWave(ctx context.Context, name string, r *waveRun) bool {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	kv, _, err := f.Store.Get(call, infra.WorkWavePrefix+name)
 	if err != nil {
-		f.Log.Info("wave's progress not read", "wave", name, "error", err.Error())
+		f.Log.Info("reading the progress of a wave failed", "wave", name, "error", err.Error())
 		return false
 	}
 	if kv.ModRevision != 0 {
 		if err := json.Unmarshal(kv.Value, r); err != nil {
-			f.Log.Error(err, "wave's progress is malformed: its VMs are ordered again, which is harmless", "wave", name)
+			f.Log.Error(err, "decoding the progress of a wave failed: maintenance of its VMs is ordered again, which is harmless", "wave", name)
 		}
 	}
 	if r.Done == nil {
@@ -190,29 +198,31 @@
 	r.loaded = true
 	r.saved = len(r.Done)
 	if kv.ModRevision == 0 {
-		r.saved = unsaved
+		r.saved = neverSaved
 	}
 	return true
 }
 
-// saveWave stores what is done, so that a successor need not order it again.
+// saveWave stores the progress if the number of VMs that are done has changed, so that the next
+// owner need not order the same maintenance again. A failure is logged and retried in the next pass.
 func (f *Fleet) saveWave(ctx context.Context, name string, r *waveRun) {
 	if r.saved == len(r.Done) {
 		return
 	}
 	raw, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // strings and booleans: it can't fail
+		panic(err) // strings, booleans and a time: encoding can't fail
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if _, err := f.Store.Txn(call, infra.Txn{Then: []infra.Op{infra.Put(infra.WorkWavePrefix+name, raw)}}); err != nil {
-		f.Log.Info("wave's progress not stored", "wave", name, "error", err.Error())
+		f.Log.Info("storing the progress of a wave failed", "wave", name, "error", err.Error())
 		return
 	}
 	r.saved = len(r.Done)
 }
 
+// report tells the operator the state of the wave if it has changed.
 func (f *Fleet) report(ctx context.Context, name string, r *waveRun) {
 	state := "running"
 	if r.Completed {
@@ -224,7 +234,7 @@
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := f.Waves.Report(call, name, r.Completed); err != nil {
-		f.Log.Info("wave's state not reported", "wave", name, "error", err.Error())
+		f.Log.Info("reporting the state of a wave failed", "wave", name, "error", err.Error())
 		return
 	}
 	r.reported = state
