--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -19,21 +19,21 @@
 		return
 	}
 	f.Log.Info("moves decided", "moves", len(moves), "pools", summaries(state))
-	target := make(map[string]pools.Move, len(moves))
+	moveByVM := make(map[string]pools.Move, len(moves))
 	ids := make([]string, 0, len(moves))
 	for _, m := range moves {
-		target[m.VM] = m
+		moveByVM[m.VM] = m
 		ids = append(ids, m.VM)
 	}
 	orders := f.claim(ctx, ids, func(vm work.VM) *vmOrder {
-		return &vmOrder{sent: f.Clock.Now(), pool: target[vm.ID].To, incarnation: vm.Worker}
+		return &vmOrder{sent: f.Clock.Now(), pool: moveByVM[vm.ID].To, incarnation: vm.Worker}
 	})
 	f.execute(orders, func(id string, o *vmOrder) {
 		call, cancel := context.WithTimeout(ctx, listTimeout)
 		out := f.Machines.Move(call, id, o.pool, f.Term.Token())
 		cancel()
 		f.Metrics.VM("move")
-		f.Log.Info("VM move ordered", "vm", id, "from", target[id].From, "to", o.pool, "outcome", out.String())
+		f.Log.Info("VM move ordered", "vm", id, "from", moveByVM[id].From, "to", o.pool, "outcome", out.String())
 		f.recordOutcome(ctx, id, o, out)
 	})
 	f.wg.Wait()
--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -155,7 +155,8 @@
 	return err == nil
 }
 
-// EndLease asks the entry VM at the address to end a lease as soon as the store answers.
+// EndLease asks the entry VM at the address to end a lease as soon as the store answers. The
+// error tells only whether the request was answered.
 func (c *Client) EndLease(ctx context.Context, address string, lease int64) error {
 	_, err := c.call(ctx, Peer{Address: address}, &request{Kind: kindEndLease, Lease: lease})
 	return err
@@ -171,7 +172,7 @@
 	}
 	resp, err := c.exchange(ctx, p, req)
 	if err == nil {
-		c.compare(ctx, p.Address, resp, sent)
+		c.compareConfigs(ctx, p.Address, resp, sent)
 	}
 	return resp, err
 }
--- a/internal/ownerlink/configs.go
+++ b/internal/ownerlink/configs.go
@@ -57,11 +57,11 @@
 // entry VM that answered a moment ago.
 const fetchTimeout = 400 * time.Millisecond
 
-// compare records the configuration status of the entry VM that answered, and fetches its
+// compareConfigs records the configuration status of the entry VM that answered, and fetches its
 // configuration if it is newer and this entry VM's own watch does not deliver it. A request that
 // was refused because of the older configuration waits for this; after any other it happens in
 // the background.
-func (c *Client) compare(ctx context.Context, address string, resp *response, sent time.Duration) {
+func (c *Client) compareConfigs(ctx context.Context, address string, resp *response, sent time.Duration) {
 	if c.Configs == nil || resp.Config.Version == 0 || !c.Configs.Observe(resp.Config, sent) {
 		return
 	}
--- a/internal/ownerlink/workers.go
+++ b/internal/ownerlink/workers.go
@@ -151,7 +151,7 @@
 	}
 	packed, err := pack(a)
 	if err != nil {
-		// The worker was called. The owner can't decode the empty answer and takes the
+		// The worker was called. The owner can't decode the incomplete answer and takes the
 		// outcome as unknown.
 		s.Log.Error(err, "encoding the answer to a forwarded call failed", "worker", c.Worker)
 	}
