--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -30,7 +30,7 @@
 	s := newSession(e, "w1")
 	w := e.core.workers["w1"]
 	poll := func() {
-		worker, h, due := e.core.HoldFor("w1", e.Clock.Now())
+		worker, h, due := e.core.NextPoll("w1", e.Clock.Now())
 		assert.Assert(t, due)
 		assert.Equal(t, s.poll(t.Context(), &worker, h), false)
 	}
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -143,7 +143,7 @@
 			if i%3 != polled {
 				continue
 			}
-			_, h, due := c.HoldFor(id, now)
+			_, h, due := c.NextPoll(id, now)
 			if !due {
 				continue
 			}
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -106,7 +106,7 @@
 	until := b.now + LeaseExtension + time.Duration(float64(LeaseExtension)*maxClockDrift)
 	for b.now < until {
 		assert.Equal(t, len(b.plan().Starts), 0, "at %s", until-b.now)
-		if _, h, due := b.core.HoldFor("w1", b.now); due {
+		if _, h, due := b.core.NextPoll("w1", b.now); due {
 			assert.Equal(t, h.Deadline, time.Duration(0), "no extension without an answer")
 		}
 		b.now += 50 * time.Millisecond
@@ -269,7 +269,7 @@
 	b.core.WorkerRegistered(odd)
 	b.accept("j2", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
-	_, _, polled := b.core.HoldFor("w1", b.now)
+	_, _, polled := b.core.NextPoll("w1", b.now)
 	assert.Assert(t, polled, "its running task keeps its lease")
 	b.core.WorkerRegistered(info("w1"))
 	assert.Equal(t, len(b.plan().Starts), 1)
--- a/internal/engine/crash_sim_test.go
+++ b/internal/engine/crash_sim_test.go
@@ -255,7 +255,7 @@
 
 func (w *crashSim) poll(id work.WorkerID) {
 	l := w.simWorkers[id]
-	_, h, due := w.core.HoldFor(id, w.now)
+	_, h, due := w.core.NextPoll(id, w.now)
 	if !due || l.dead {
 		return
 	}
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -416,7 +416,7 @@
 	b.core.endUnlistedWorkers(b.now, b.now)
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
-	_, _, due := b.core.HoldFor("w1", b.now)
+	_, _, due := b.core.NextPoll("w1", b.now)
 	assert.Equal(t, due, true, "it is polled")
 	b.look("w1", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 1)
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -63,7 +63,7 @@
 func (b *rig) look(id work.WorkerID, l Listing) Hold {
 	b.t.Helper()
 	b.now += time.Millisecond
-	_, h, _ := b.core.HoldFor(id, b.now)
+	_, h, _ := b.core.NextPoll(id, b.now)
 	l.Clock = b.now
 	b.core.HoldAnswered(id, h, l, b.now, b.now)
 	return h
--- a/internal/engine/incarnations_test.go
+++ b/internal/engine/incarnations_test.go
@@ -80,7 +80,7 @@
 	second := b.startJob("j2", OutcomeOK)
 	b.look("w1", Listing{Life: secondIncarnation, Ended: []RunEnd{ended(1, second, work.Done)}})
 	assert.Equal(t, b.core.jobs["j2"].final, work.Completed)
-	_, h, due := b.core.HoldFor("w1", b.now)
+	_, h, due := b.core.NextPoll("w1", b.now)
 	assert.Equal(t, due, true)
 	assert.Equal(t, h.AckedThrough, int64(0), "the end is not stored yet")
 }
@@ -236,7 +236,7 @@
 	b.accept("j2", short(1))
 	start := b.plan().Starts[0]
 	acked := func() int64 {
-		_, h, due := b.core.HoldFor("w1", b.now)
+		_, h, due := b.core.NextPoll("w1", b.now)
 		assert.Assert(t, due)
 		return h.AckedThrough
 	}
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -56,8 +56,8 @@
 	c.requeue(t)
 }
 
-// HoldFor returns the next poll of the worker; false if none is needed.
-func (c *Core) HoldFor(id work.WorkerID, now time.Duration) (WorkerInfo, Hold, bool) {
+// NextPoll returns the next poll of the worker; false if none is needed.
+func (c *Core) NextPoll(id work.WorkerID, now time.Duration) (WorkerInfo, Hold, bool) {
 	w := c.workers[id]
 	if w == nil || w.gone || now > c.startsUntil {
 		return WorkerInfo{}, Hold{}, false
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -240,7 +240,7 @@
 
 // every polls the worker for as long as something is there, as a session does.
 func (o *owner) every(id work.WorkerID) {
-	_, h, due := o.core.HoldFor(id, o.now)
+	_, h, due := o.core.NextPoll(id, o.now)
 	if !due {
 		o.world(5*time.Millisecond, func() { o.every(id) })
 		return
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -344,7 +344,7 @@
 	if now := m.worker(w.id); now != nil {
 		w = now
 	}
-	_, h, due := o.core.HoldFor(w.id, m.now)
+	_, h, due := o.core.NextPoll(w.id, m.now)
 	if !due {
 		return
 	}
--- a/internal/engine/poll_test.go
+++ b/internal/engine/poll_test.go
@@ -15,12 +15,12 @@
 func TestAPollIsRepeatedAtOnceAfterALostAnswer(t *testing.T) {
 	b := newRig(t)
 	b.running(short(1), "w1")
-	_, h, due := b.core.HoldFor("w1", b.now)
+	_, h, due := b.core.NextPoll("w1", b.now)
 	assert.Assert(t, due)
 	assert.Equal(t, h.Wait, pollWaitShortTasks)
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	assert.Equal(t, pauseAfterMissed(b.core.workers["w1"].missedPolls, pollWaitMin), time.Duration(0))
-	_, h, due = b.core.HoldFor("w1", b.now)
+	_, h, due = b.core.NextPoll("w1", b.now)
 	assert.Assert(t, due)
 	assert.Assert(t, h.Wait <= pollWaitMin)
 	assert.Equal(t, h.Deadline, time.Duration(0), "a worker that may be silent gets no lease extension")
@@ -34,7 +34,7 @@
 func TestLongRunningWorkAndSilentWorkersArePolledRarely(t *testing.T) {
 	b := newRig(t)
 	b.running(lasting(1), "w1")
-	_, h, _ := b.core.HoldFor("w1", b.now)
+	_, h, _ := b.core.NextPoll("w1", b.now)
 	assert.Equal(t, h.Wait, pollWait)
 	assert.Equal(t, pauseAfterMissed(2, 0), initialMissedPause)
 	assert.Equal(t, pauseAfterMissed(100, 0), maxMissedPause)
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -91,7 +91,7 @@
 	for ctx.Err() == nil {
 		e.mu.Lock()
 		e.authority()
-		info, h, due := e.core.HoldFor(s.id, e.Clock.Now())
+		info, h, due := e.core.NextPoll(s.id, e.Clock.Now())
 		_, exists := e.core.workers[s.id]
 		pause := e.core.pollPause()
 		if !exists {
--- a/internal/engine/takeover_bench_test.go
+++ b/internal/engine/takeover_bench_test.go
@@ -69,7 +69,7 @@
 	now := e.Clock.Now()
 	e.authority()
 	for _, w := range workers {
-		_, h, _ := e.core.HoldFor(w.ID, now)
+		_, h, _ := e.core.NextPoll(w.ID, now)
 		e.core.HoldAnswered(w.ID, h, Listing{Clock: now}, now, now)
 	}
 	e.core.SetFleet(nil)
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -205,7 +205,7 @@
 	b.accept("j1", short(1))
 	b.core.AllowUntil(b.now - time.Millisecond)
 	assert.Equal(t, len(b.plan().Starts), 0)
-	_, _, due := b.core.HoldFor("w1", b.now)
+	_, _, due := b.core.NextPoll("w1", b.now)
 	assert.Assert(t, !due, "no extension of leases either")
 }
 
