--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -25,7 +25,7 @@
 		w := info(id)
 		w.Capacity = work.Resources{MilliCPU: 32000, MemoryMB: 65536}
 		c.WorkerRegistered(w)
-		c.HoldAnswered(id, Hold{}, Listing{Clock: now}, now, now)
+		c.PollAnswered(id, Hold{}, Listing{Clock: now}, now, now)
 	}
 	for i := range jobs {
 		second := short(8)
@@ -157,7 +157,7 @@
 				l.Ended = append(l.Ended, RunEnd{Seq: seq[id], Task: ref, Run: r.Run, How: work.Done})
 				delete(running[id], ref)
 			}
-			c.HoldAnswered(id, h, l, now, now)
+			c.PollAnswered(id, h, l, now, now)
 		}
 		f := c.TakeFlush(30)
 		c.Flushed(f, nil)
@@ -195,7 +195,7 @@
 		b.StopTimer()
 		fresh.Capacity = work.Resources{MilliCPU: 32000, MemoryMB: 65536}
 		c.WorkerRegistered(fresh)
-		c.HoldAnswered(fresh.ID, Hold{}, Listing{Clock: now}, now, now)
+		c.PollAnswered(fresh.ID, Hold{}, Listing{Clock: now}, now, now)
 		now += time.Second
 		for _, s := range c.Plan(now, epoch).Starts {
 			c.StartSending(s, now)
--- a/internal/engine/crash_sim_test.go
+++ b/internal/engine/crash_sim_test.go
@@ -263,7 +263,7 @@
 	for _, ref := range l.tasks() {
 		listing.Running = append(listing.Running, Run{Task: ref, Run: l.runs[ref].run, Percent: fullPercent})
 	}
-	w.core.HoldAnswered(id, h, listing, w.now, w.now)
+	w.core.PollAnswered(id, h, listing, w.now, w.now)
 }
 
 func (w *crashSim) store() {
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -65,7 +65,7 @@
 	b.now += time.Millisecond
 	_, h, _ := b.core.NextPoll(id, b.now)
 	l.Clock = b.now
-	b.core.HoldAnswered(id, h, l, b.now, b.now)
+	b.core.PollAnswered(id, h, l, b.now, b.now)
 	return h
 }
 
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// HoldAnswered records a worker's answer l to the poll h, which was sent at sent.
-func (c *Core) HoldAnswered(id work.WorkerID, h Hold, l Listing, sent, now time.Duration) {
+// PollAnswered records a worker's answer l to the poll h, which was sent at sent.
+func (c *Core) PollAnswered(id work.WorkerID, h Hold, l Listing, sent, now time.Duration) {
 	w := c.workers[id]
 	if w == nil {
 		return
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -279,7 +279,7 @@
 	pause := o.core.pollPause()
 	switch {
 	case o.now <= p.by:
-		o.core.HoldAnswered(id, p.hold, l, p.sent, o.now)
+		o.core.PollAnswered(id, p.hold, l, p.sent, o.now)
 	case overload.AnswerMayBeUnread(o.behind()):
 		o.core.HoldUnread()
 	default:
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -377,7 +377,7 @@
 		o.core.HoldFailed(w.id, OutcomeUnknown, m.now)
 		return
 	}
-	o.core.HoldAnswered(w.id, h, l, m.now, m.now)
+	o.core.PollAnswered(w.id, h, l, m.now, m.now)
 }
 
 func (m *model) lapse() {
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -153,7 +153,7 @@
 	e.mu.Lock()
 	switch {
 	case out == OutcomeOK:
-		e.core.HoldAnswered(s.id, h, l, sent, e.Clock.Now())
+		e.core.PollAnswered(s.id, h, l, sent, e.Clock.Now())
 	case overload.AnswerMayBeUnread(behind) && (out == OutcomeUnknown || out == OutcomeNotSent):
 		e.core.HoldUnread()
 	default:
--- a/internal/engine/takeover_bench_test.go
+++ b/internal/engine/takeover_bench_test.go
@@ -70,7 +70,7 @@
 	e.authority()
 	for _, w := range workers {
 		_, h, _ := e.core.NextPoll(w.ID, now)
-		e.core.HoldAnswered(w.ID, h, Listing{Clock: now}, now, now)
+		e.core.PollAnswered(w.ID, h, Listing{Clock: now}, now, now)
 	}
 	e.core.SetFleet(nil)
 	e.core.LimitStarts(0)
--- a/internal/engine/weights_test.go
+++ b/internal/engine/weights_test.go
@@ -65,7 +65,7 @@
 			}
 			worker := r.order.Worker.ID
 			seq[worker]++
-			b.core.HoldAnswered(worker, Hold{}, Listing{Clock: b.now, Brief: true, Ended: []RunEnd{ended(seq[worker], r.order, work.Done)}}, b.now, b.now)
+			b.core.PollAnswered(worker, Hold{}, Listing{Clock: b.now, Brief: true, Ended: []RunEnd{ended(seq[worker], r.order, work.Done)}}, b.now, b.now)
 			j := b.core.jobs[r.order.Start.Task.Job]
 			if b.now-accepted[j.ID] <= 2200*time.Millisecond {
 				out[j.Workspace]++
