--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -150,7 +150,7 @@
 	b.core.WorkerRegistered(info("w1"))
 	assert.Assert(t, !b.core.obey(claim, token, b.now), "not heard yet")
 	b.look("w1", Listing{})
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	assert.Assert(t, !b.core.obey(claim, token, b.now), "does not answer")
 	b.look("w1", Listing{})
 	assert.Assert(t, b.core.obey(claim, token, b.now))
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -102,7 +102,7 @@
 	h := b.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
 	assert.Assert(t, h.Deadline > 0)
 	b.worker("w2")
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	until := b.now + LeaseExtension + time.Duration(float64(LeaseExtension)*maxClockDrift)
 	for b.now < until {
 		assert.Equal(t, len(b.plan().Starts), 0, "at %s", until-b.now)
--- a/internal/engine/crash_sim_test.go
+++ b/internal/engine/crash_sim_test.go
@@ -190,7 +190,7 @@
 			delete(w.simWorkers, id)
 			w.core.WorkerGone(id, "its VM runs another incarnation or none", w.now)
 		default:
-			w.core.HoldFailed(id, OutcomeNotSent, w.now)
+			w.core.PollFailed(id, OutcomeNotSent, w.now)
 		}
 	}
 	for len(w.returns) > 0 && w.now >= w.returns[0].at {
--- a/internal/engine/explain_test.go
+++ b/internal/engine/explain_test.go
@@ -43,7 +43,7 @@
 	b.accept("j2", short(2))
 	b.plan()
 	b.now += time.Second - time.Millisecond
-	b.core.HoldFailed("w2", OutcomeUnknown, b.now)
+	b.core.PollFailed("w2", OutcomeUnknown, b.now)
 	s := b.core.Summary(b.now)
 	assert.DeepEqual(t, s.Jobs, map[work.State]int{work.Running: 1, work.Queued: 1})
 	assert.Equal(t, s.Oldest, time.Second)
--- a/internal/engine/incarnations_test.go
+++ b/internal/engine/incarnations_test.go
@@ -255,12 +255,12 @@
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
 	b.look("w1", Listing{Life: secondIncarnation})
 	b.startJob("j1", OutcomeOK)
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	b.now += rigBounds.MaxHold
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	assert.Equal(t, len(b.core.workers["w1"].tasks), 1)
 	b.now += b.core.maxLateRunDuration()
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	assert.Equal(t, len(b.core.workers["w1"].tasks), 0)
 }
 
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -124,8 +124,8 @@
 // silent, the worker would not have its lease extended, and its runs would end.
 func (c *Core) HoldUnread() { c.unread++ }
 
-// HoldFailed records a poll that brought no listing, with its outcome o.
-func (c *Core) HoldFailed(id work.WorkerID, o Outcome, now time.Duration) {
+// PollFailed records a poll that brought no listing, with its outcome o.
+func (c *Core) PollFailed(id work.WorkerID, o Outcome, now time.Duration) {
 	w := c.workers[id]
 	if w == nil {
 		return
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -283,7 +283,7 @@
 	case overload.AnswerMayBeUnread(o.behind()):
 		o.core.HoldUnread()
 	default:
-		o.core.HoldFailed(id, OutcomeUnknown, o.now)
+		o.core.PollFailed(id, OutcomeUnknown, o.now)
 		pause = pauseAfterMissed(o.core.workers[id].missedPolls, pause)
 	}
 	o.finish()
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -350,13 +350,13 @@
 	}
 	switch {
 	case w.dead:
-		o.core.HoldFailed(w.id, OutcomeOtherLife, m.now)
+		o.core.PollFailed(w.id, OutcomeOtherLife, m.now)
 		return
 	case o.cut[w.id]:
-		o.core.HoldFailed(w.id, OutcomeUnknown, m.now)
+		o.core.PollFailed(w.id, OutcomeUnknown, m.now)
 		return
 	case h.Token < w.token:
-		o.core.HoldFailed(w.id, OutcomeFenced, m.now)
+		o.core.PollFailed(w.id, OutcomeFenced, m.now)
 		return
 	}
 	w.token, w.deadline = h.Token, w.leaseEnd(h.Deadline, m.now)
@@ -374,7 +374,7 @@
 		}
 	}
 	if !m.calm && m.chance(10) {
-		o.core.HoldFailed(w.id, OutcomeUnknown, m.now)
+		o.core.PollFailed(w.id, OutcomeUnknown, m.now)
 		return
 	}
 	o.core.PollAnswered(w.id, h, l, m.now, m.now)
--- a/internal/engine/poll_test.go
+++ b/internal/engine/poll_test.go
@@ -18,7 +18,7 @@
 	_, h, due := b.core.NextPoll("w1", b.now)
 	assert.Assert(t, due)
 	assert.Equal(t, h.Wait, pollWaitShortTasks)
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	assert.Equal(t, pauseAfterMissed(b.core.workers["w1"].missedPolls, pollWaitMin), time.Duration(0))
 	_, h, due = b.core.NextPoll("w1", b.now)
 	assert.Assert(t, due)
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -157,7 +157,7 @@
 	case overload.AnswerMayBeUnread(behind) && (out == OutcomeUnknown || out == OutcomeNotSent):
 		e.core.HoldUnread()
 	default:
-		e.core.HoldFailed(s.id, out, e.Clock.Now())
+		e.core.PollFailed(s.id, out, e.Clock.Now())
 	}
 	e.mu.Unlock()
 	// An answer that came only because its wait was over gives no reason to plan.
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -117,14 +117,14 @@
 	b := newRig(t)
 	b.running(short(8), "near", "far")
 	b.core.SetCertain(false)
-	b.core.HoldFailed("far", OutcomeUnknown, b.now)
+	b.core.PollFailed("far", OutcomeUnknown, b.now)
 	held := len(b.core.workers["far"].tasks)
 	assert.Assert(t, held > 0)
 	b.now += 20 * time.Second
 	assert.Equal(t, len(b.plan().Starts), 0)
 	assert.Equal(t, len(b.core.workers["far"].tasks), held, "it still counts as running there")
 	b.core.SetCertain(true)
-	b.core.HoldFailed("far", OutcomeUnknown, b.now)
+	b.core.PollFailed("far", OutcomeUnknown, b.now)
 	assert.Assert(t, len(b.core.workers["far"].tasks) == 0, "with certainty it is restarted")
 }
 
@@ -146,7 +146,7 @@
 	}
 	assert.Equal(t, len(b.core.workers["next"].tasks), 1)
 
-	b.core.HoldFailed("old", OutcomeOtherLife, b.now)
+	b.core.PollFailed("old", OutcomeOtherLife, b.now)
 	b.core.WorkerRegistered(info("old"))
 	assert.Assert(t, b.core.workers["old"] == nil, "an ID that is over does not come back")
 }
@@ -221,7 +221,7 @@
 	b.look("w2", Listing{})
 	inherited := b.now + 5*time.Second
 	b.core.InheritLeases(inherited)
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	for b.now < inherited-10*time.Millisecond {
 		assert.Equal(t, len(b.plan().Starts), 0)
 		b.now += 50 * time.Millisecond
@@ -237,7 +237,7 @@
 	b.running(short(1), "w1")
 	asked := b.now
 	b.look("w1", Listing{})
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	b.core.SetFleet(nil)
 	b.core.endUnlistedWorkers(asked, b.now)
 	assert.Assert(t, b.core.workers["w1"] != nil)
