--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -119,10 +119,10 @@
 	return pollWait
 }
 
-// HoldUnread counts a poll that was not answered in time while this owner was overloaded. The
+// PollUnread counts a poll that was not answered in time while this owner was overloaded. The
 // answer may have arrived and not been read, so nothing follows about the worker. Taken for
 // silent, the worker would not have its lease extended, and its runs would end.
-func (c *Core) HoldUnread() { c.unread++ }
+func (c *Core) PollUnread() { c.unread++ }
 
 // PollFailed records a poll that brought no listing, with its outcome o.
 func (c *Core) PollFailed(id work.WorkerID, o Outcome, now time.Duration) {
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -281,7 +281,7 @@
 	case o.now <= p.by:
 		o.core.PollAnswered(id, p.hold, l, p.sent, o.now)
 	case overload.AnswerMayBeUnread(o.behind()):
-		o.core.HoldUnread()
+		o.core.PollUnread()
 	default:
 		o.core.PollFailed(id, OutcomeUnknown, o.now)
 		pause = pauseAfterMissed(o.core.workers[id].missedPolls, pause)
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -155,7 +155,7 @@
 	case out == OutcomeOK:
 		e.core.PollAnswered(s.id, h, l, sent, e.Clock.Now())
 	case overload.AnswerMayBeUnread(behind) && (out == OutcomeUnknown || out == OutcomeNotSent):
-		e.core.HoldUnread()
+		e.core.PollUnread()
 	default:
 		e.core.PollFailed(s.id, out, e.Clock.Now())
 	}
