--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -30,7 +30,7 @@
 	VMs     string // host:port of the platform's VM service; empty: none
 	Advisor string // host:port of the advisor; empty: none
 
-	LeastTTL  time.Duration // shortest lease that the store grants
+	MinTTL  time.Duration // shortest lease that the store grants
 	ListRate  float64       // reads of the list of VMs that the platform takes a second; 0: any number
 	CPUShare  float64       // of a core; VMs with more take duties sooner
 	LinkMbps  float64       // of the VM's link, likewise
@@ -85,7 +85,7 @@
 	{"entry", "peer-port-first", true, expectsPort, port(func(s *Settings) *int { return &s.Peers[0] })},
 	{"entry", "peer-port-last", true, expectsPort, port(func(s *Settings) *int { return &s.Peers[1] })},
 	{"store", "address", true, expectsAddress, address(func(s *Settings) *string { return &s.Store })},
-	{"store", "least-lease-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.LeastTTL })},
+	{"store", "least-lease-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MinTTL })},
 	{"vms", "address", false, expectsAddress, address(func(s *Settings) *string { return &s.VMs })},
 	{"vms", "rate-per-s", false, expectsRate, above0(func(s *Settings) *float64 { return &s.ListRate })},
 	{"advisor", "address", false, expectsAddress, address(func(s *Settings) *string { return &s.Advisor })},
