--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -39,8 +39,8 @@
 	MaxLease  time.Duration // longest lease of a worker
 	PaceDelay time.Duration // until a change of pace shows
 	StopGrace time.Duration // a worker's stop of a task takes at most
-	// RoomWithin is how old what workers say of their room may be where they don't guard it.
-	RoomWithin time.Duration
+	// MaxCapacityAge is how old what workers say of their room may be where they don't guard it.
+	MaxCapacityAge time.Duration
 	Status     time.Duration // for how long a job's state may be asked after its end
 
 	// RevokeEverywhere: an entry VM that could not confirm its configuration for RevokeWithin
@@ -95,7 +95,7 @@
 	{"limits", "shutdown-s", true, expectsS, duration(time.Second, func(s *Settings) *time.Duration { return &s.Shutdown })},
 	{"limits", "max-lease-ms", true, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MaxLease })},
 	{"limits", "stop-grace-ms", true, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.StopGrace })},
-	{"limits", "room-known-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.RoomWithin })},
+	{"limits", "room-known-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MaxCapacityAge })},
 	{"limits", "status-s", true, expectsS, duration(time.Second, func(s *Settings) *time.Duration { return &s.Status })},
 	{"callers", "revoke-everywhere", false, expectsSwitch, toggle(func(s *Settings) *bool { return &s.RevokeEverywhere })},
 	{"callers", "revoke-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.RevokeWithin })},
