--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -41,7 +41,7 @@
 	StopGrace time.Duration // a worker's stop of a task takes at most
 	// MaxCapacityAge is how old what workers say of their room may be where they don't guard it.
 	MaxCapacityAge time.Duration
-	Status     time.Duration // for how long a job's state may be asked after its end
+	StatusRetention     time.Duration // for how long a job's state may be asked after its end
 
 	// RevokeEverywhere: an entry VM that could not confirm its configuration for RevokeWithin
 	// accepts no keys, as one may have been taken away meanwhile.
@@ -96,7 +96,7 @@
 	{"limits", "max-lease-ms", true, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MaxLease })},
 	{"limits", "stop-grace-ms", true, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.StopGrace })},
 	{"limits", "room-known-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MaxCapacityAge })},
-	{"limits", "status-s", true, expectsS, duration(time.Second, func(s *Settings) *time.Duration { return &s.Status })},
+	{"limits", "status-s", true, expectsS, duration(time.Second, func(s *Settings) *time.Duration { return &s.StatusRetention })},
 	{"callers", "revoke-everywhere", false, expectsSwitch, toggle(func(s *Settings) *bool { return &s.RevokeEverywhere })},
 	{"callers", "revoke-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.RevokeWithin })},
 	{"callers", "config-in-force-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.ConfigWithin })},
