--- a/internal/devjobs/deployment.go
+++ b/internal/devjobs/deployment.go
@@ -112,7 +112,7 @@
 	vm, err := node.New(&node.Settings{
 		Name: e.Name, Zone: "z1", Address: host, Callers: callers, Ready: loopback.Reserve(), Metrics: metrics, Peers: [2]int{port, port},
 		Store: d.Platform.StoreAddress, VMs: d.Platform.VMAddress, Advisor: d.Platform.AdvisorAddress, MemoryMB: memoryMB, CPUShare: cpuShare,
-		Shutdown: shutdown, MaxLease: maxLease, StopGrace: stopGrace, MaxCapacityAge: roomWithin, StatusRetention: status, ConfigWithin: standin.ConfigWithin,
+		ShutdownTimeout: shutdown, MaxLease: maxLease, StopGrace: stopGrace, MaxCapacityAge: roomWithin, StatusRetention: status, ConfigWithin: standin.ConfigWithin,
 	}, d.options.Log)
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -23,7 +23,7 @@
 // keepDuties waits while the store is away, for as long as the shutdown allows: duties can't
 // be handed over without it, and what waits in this VM's cells would stand still.
 func (n *Node) keepDuties(began time.Duration) {
-	until := began + n.settings.Shutdown - drainMargin - handoverMargin
+	until := began + n.settings.ShutdownTimeout - drainMargin - handoverMargin
 	for n.reach.storeAway.Load() && n.clock.Now() < until {
 		sleep.For(context.Background(), keepDutiesEvery)
 	}
@@ -34,14 +34,14 @@
 func (n *Node) leave(callers *http.Server, stopElecting func()) error {
 	began := n.clock.Now()
 	n.leaving.Store(true)
-	n.log.Info("leaving", "within", n.settings.Shutdown.String())
+	n.log.Info("leaving", "within", n.settings.ShutdownTimeout.String())
 	n.keepDuties(began)
 	stopElecting()
 	n.duties.wg.Wait()
 	n.log.Info("duties handed over", "took", (n.clock.Now() - began).String())
 	callers.SetKeepAlivesEnabled(false)
-	sleep.For(context.Background(), min(unreadyFor, n.settings.Shutdown/2)-(n.clock.Now()-began))
-	left := n.settings.Shutdown - drainMargin - (n.clock.Now() - began)
+	sleep.For(context.Background(), min(unreadyFor, n.settings.ShutdownTimeout/2)-(n.clock.Now()-began))
+	left := n.settings.ShutdownTimeout - drainMargin - (n.clock.Now() - began)
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
 	return callers.Shutdown(ctx)
--- a/internal/node/reach_test.go
+++ b/internal/node/reach_test.go
@@ -85,7 +85,7 @@
 // An entry VM leaves during an outage of the store. It keeps its duties until the store is
 // back, and hands them over in time if that does not come.
 func TestDutiesAreKeptWhileTheStoreIsAway(t *testing.T) {
-	n := &Node{settings: &Settings{Shutdown: time.Hour}, reach: &reach{}}
+	n := &Node{settings: &Settings{ShutdownTimeout: time.Hour}, reach: &reach{}}
 	n.keepDuties(n.clock.Now())
 	n.reach.storeAway.Store(true)
 	kept := make(chan struct{})
@@ -98,6 +98,6 @@
 	n.reach.storeAway.Store(false)
 	<-kept
 	n.reach.storeAway.Store(true)
-	n.settings.Shutdown = handoverMargin
+	n.settings.ShutdownTimeout = handoverMargin
 	n.keepDuties(n.clock.Now()) // returns
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -35,7 +35,7 @@
 	CPUShare  float64       // of a core; VMs with more take duties sooner
 	LinkMbps  float64       // of the VM's link, likewise
 	MemoryMB  int
-	Shutdown  time.Duration // until a stopping process is killed
+	ShutdownTimeout  time.Duration // until a stopping process is killed
 	MaxLease  time.Duration // longest lease of a worker
 	PaceDelay time.Duration // until a change of pace shows
 	StopGrace time.Duration // a worker's stop of a task takes at most
@@ -92,7 +92,7 @@
 	{"limits", "cpu-share", false, expectsShare, above0(func(s *Settings) *float64 { return &s.CPUShare })},
 	{"limits", "link-mbps", false, expectsLink, above0(func(s *Settings) *float64 { return &s.LinkMbps })},
 	{"limits", "memory-mb", true, expectsMB, positive(func(s *Settings) *int { return &s.MemoryMB })},
-	{"limits", "shutdown-s", true, expectsS, duration(time.Second, func(s *Settings) *time.Duration { return &s.Shutdown })},
+	{"limits", "shutdown-s", true, expectsS, duration(time.Second, func(s *Settings) *time.Duration { return &s.ShutdownTimeout })},
 	{"limits", "max-lease-ms", true, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MaxLease })},
 	{"limits", "stop-grace-ms", true, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.StopGrace })},
 	{"limits", "room-known-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MaxCapacityAge })},
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -45,7 +45,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, s.Name, "e1")
 	assert.Equal(t, s.Peers, [2]int{7000, 7010})
-	assert.Equal(t, s.Shutdown, 6*time.Second)
+	assert.Equal(t, s.ShutdownTimeout, 6*time.Second)
 	assert.Equal(t, s.MaxLease, 10*time.Second)
 	assert.Equal(t, s.StopGrace, 400*time.Millisecond)
 	assert.Equal(t, s.StatusRetention, 2*time.Minute)
