--- a/cmd/pumicestaged/main.go
+++ b/cmd/pumicestaged/main.go
@@ -80,7 +80,7 @@
 			n.Reload(file)
 		}
 	}()
-	go n.WatchSettings(ctx, file, node.WatchEvery)
+	go n.WatchSettings(ctx, file, node.WatchInterval)
 	if err := n.Run(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "pumicestaged:", err)
 		return exitFailed
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,9 +11,9 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// WatchEvery is how often the settings file is looked at: it may change without a
+// WatchInterval is how often the settings file is looked at: it may change without a
 // signal.
-const WatchEvery = 5 * time.Second
+const WatchInterval = 5 * time.Second
 
 // WatchSettings reloads the file whenever its content has changed, until ctx ends.
 func (n *Node) WatchSettings(ctx context.Context, file string, every time.Duration) {
