--- a/internal/jobfront/gate.go
+++ b/internal/jobfront/gate.go
@@ -41,9 +41,9 @@
 // Gate decides by its key whose a call is.
 type Gate struct {
 	Configs Configs
-	// Most is how old a confirmation of the configuration may be for a key to be accepted; 0:
+	// MaxConfigAge is how old a confirmation of the configuration may be for a key to be accepted; 0:
 	// a cut-off entry VM goes on with the keys that it knows.
-	Most    time.Duration
+	MaxConfigAge    time.Duration
 	Log     logr.Logger
 	Refused *expvar.Map // by reason; nil: not counted
 }
@@ -75,7 +75,7 @@
 }
 
 func (g *Gate) judge(q engine.Queue, key workspace.Digest) (work.WorkspaceName, workspace.Verdict) {
-	return g.Configs.Keys().Admit(key, q.Open, workspace.Confirmation{Age: g.Configs.Age(), MaxAge: g.Most})
+	return g.Configs.Keys().Admit(key, q.Open, workspace.Confirmation{Age: g.Configs.Age(), MaxAge: g.MaxConfigAge})
 }
 
 func (g *Gate) refuse(q engine.Queue, reason string, err error) error {
--- a/internal/jobfront/gate_test.go
+++ b/internal/jobfront/gate_test.go
@@ -84,7 +84,7 @@
 func TestWhereKeysAreRevokedEverywhereACutOffEntryVMAcceptsNone(t *testing.T) {
 	c := &configs{keys: workspace.Keys{DigestOf("old"): "red"}, age: 5*time.Second + 1, err: errors.New("cut off")}
 	g := newGate(c)
-	g.Most = 5 * time.Second
+	g.MaxConfigAge = 5 * time.Second
 	_, err := g.Admit(t.Context(), keyed, "old")
 	var refusal *Refusal
 	assert.Assert(t, errors.As(err, &refusal))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -189,7 +189,7 @@
 func (n *Node) callerServer() *http.Server {
 	gate := &jobfront.Gate{Configs: n.operator, Log: n.log.WithName("gate"), Refused: n.metrics.turnedAway}
 	if n.settings.RevokeEverywhere {
-		gate.Most = n.settings.RevokeWithin
+		gate.MaxConfigAge = n.settings.RevokeWithin
 	}
 	ingress := &platform.Ingress{
 		Jobs: n.front, Gate: gate, Config: n.operator.current, Wall: n.clock.Wall, Log: n.log.WithName("callers"), Done: n.metrics.request,
