--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -30,7 +30,7 @@
 
 	mu      sync.Mutex
 	ctx     context.Context // electors run until it ends; nil before the start
-	running map[string]bool
+	electing map[string]bool
 	engines map[string]*engine.Engine // by cell
 	load    ownership.Load
 	wg      sync.WaitGroup
@@ -41,37 +41,37 @@
 	d.mu.Lock()
 	d.ctx = ctx
 	d.mu.Unlock()
-	d.ensure()
+	d.ensureElectors()
 }
 
-// ensure runs an elector for the fleet and for every service of the
+// ensureElectors runs an elector for the fleet and for every service of the
 // configuration. Those of services that went away stay: their jobs go on.
-func (d *duties) ensure() {
+func (d *duties) ensureElectors() {
 	declared := d.node.operator.declared()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ctx == nil || d.ctx.Err() != nil || len(declared.Services) == 0 {
 		return
 	}
-	d.runLocked(fleetDuty, d.ownFleet)
+	d.startElectorLocked(fleetDuty, d.ownFleet)
 	for name, s := range declared.Services {
 		if s.Standby {
 			continue
 		}
-		d.runLocked(cellDuty(name), func(ctx context.Context, t *ownership.Term) { d.ownCell(ctx, name, t) })
+		d.startElectorLocked(cellDuty(name), func(ctx context.Context, t *ownership.Term) { d.ownCell(ctx, name, t) })
 	}
 }
 
-func (d *duties) runLocked(duty string, own func(context.Context, *ownership.Term)) {
-	if d.running[duty] {
+func (d *duties) startElectorLocked(duty string, own func(context.Context, *ownership.Term)) {
+	if d.electing[duty] {
 		return
 	}
-	d.running[duty] = true
+	d.electing[duty] = true
 	n := d.node
 	e := ownership.New(ownership.Options{
 		Duty: duty, Store: n.store, Directory: n.directory, Self: n.self, Weight: n.settings.weight(),
 		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Load: &d.load,
-		LeastTTL: n.settings.MinTTL, Own: own, HandOver: n.leases.handOver, Behind: n.pressure.Behind,
+		LeastTTL: n.settings.MinTTL, Own: own, HandOver: n.leases.handOver, Behind: n.delay.Behind,
 	})
 	ctx := d.ctx
 	d.wg.Go(func() { e.Run(ctx) })
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (d *duties) set(cell string, e *engine.Engine) {
+func (d *duties) setEngine(cell string, e *engine.Engine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e == nil {
@@ -116,12 +116,12 @@
 // ownCell runs the cell's engine for one term.
 func (d *duties) ownCell(ctx context.Context, cell string, t *ownership.Term) {
 	n := d.node
-	n.registry.hold()
+	n.registry.acquire()
 	defer n.registry.release()
-	n.members.follow.hold()
-	defer n.members.follow.release()
-	n.pressure.follow.hold()
-	defer n.pressure.follow.release()
+	n.members.watch.acquire()
+	defer n.members.watch.release()
+	n.delay.probing.acquire()
+	defer n.delay.probing.release()
 	e := engine.New(engine.Options{
 		Cell:     cell,
 		Store:    n.store,
@@ -135,20 +135,20 @@
 			ConfigWithin: n.settings.ConfigWithin, RoomWithin: n.settings.MaxCapacityAge,
 		},
 		Term:     t,
-		Listed:   n.registry.wait,
+		Listed:   n.registry.waitListed,
 		Registry: func() []engine.WorkerInfo { return n.registry.list(cell) },
-		Known:    n.registry.current,
+		Known:    n.registry.knownUntil,
 		Lookup:   n.registry.lookup,
 		Declared: n.operator.declared,
 		Configs:  n.operator, OwnerKey: infra.WorkOwnerKey(cellDuty(cell)),
-		TellCells: func(names []work.WorkspaceName) { d.tellCells(cell, names) },
+		TellCells: func(names []work.WorkspaceName) { d.notifyCells(cell, names) },
 		Metrics:   n.metrics.engine,
 		ListRate:  n.settings.ListRate,
-		Pressure:  n.pressure, Successor: n.successor,
+		Pressure:  n.delay, Successor: n.successor,
 	})
-	d.set(cell, e)
+	d.setEngine(cell, e)
 	err := e.Run(ctx)
-	d.set(cell, nil)
+	d.setEngine(cell, nil)
 	n.log.Info("engine ended", "cell", cell, "token", t.Token(), "reason", endReason(err))
 }
 
@@ -163,9 +163,9 @@
 func (d *duties) ownFleet(ctx context.Context, t *ownership.Term) {
 	n := d.node
 	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), Status: n.settings.StatusRetention}
-	var beside sync.WaitGroup
-	beside.Go(func() { retention.Run(ctx) })
-	defer beside.Wait()
+	var background sync.WaitGroup
+	background.Go(func() { retention.Run(ctx) })
+	defer background.Wait()
 	machines := n.machines()
 	if machines == nil {
 		<-ctx.Done()
@@ -190,24 +190,24 @@
 	return d.node.link.Sync(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, s)
 }
 
-// tellTimeout ends the word to another cell's owner; one that misses it looks by itself.
-const tellTimeout = 500 * time.Millisecond
+// notifyTimeout ends the word to another cell's owner; one that misses it looks by itself.
+const notifyTimeout = 500 * time.Millisecond
 
-// tellCells tells the owners of all other cells to look at the ledgers of the workspaces.
-func (d *duties) tellCells(from string, names []work.WorkspaceName) {
+// notifyCells tells the owners of all other cells to look at the ledgers of the workspaces.
+func (d *duties) notifyCells(from string, names []work.WorkspaceName) {
 	for cell, s := range d.node.operator.declared().Services {
 		if cell == from || s.Standby {
 			continue
 		}
 		go func() {
-			if err := d.tellCell(cell, names); err != nil {
+			if err := d.notifyCell(cell, names); err != nil {
 				d.node.log.V(1).Info("cell not told of limits", "cell", cell, "error", err.Error())
 			}
 		}()
 	}
 }
 
-func (d *duties) tellCell(cell string, names []work.WorkspaceName) error {
+func (d *duties) notifyCell(cell string, names []work.WorkspaceName) error {
 	if e := d.engine(cell); e != nil {
 		return e.LookAtLimits(names)
 	}
@@ -215,7 +215,7 @@
 	if !known || owner.Entry == d.node.self.Entry {
 		return engine.ErrNotReady
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	return d.node.link.LookAtLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
 }
@@ -226,8 +226,8 @@
 
 // followOwners keeps the directory of owners.
 func (n *Node) followOwners(ctx context.Context) {
-	follow(ctx, n.store, n.log.WithName("owners"), source{
-		prefix: infra.WorkOwnerPrefix, all: n.directory.Replace, each: n.directory.Change,
+	followPrefix(ctx, n.store, n.log.WithName("owners"), source{
+		prefix: infra.WorkOwnerPrefix, replace: n.directory.Replace, apply: n.directory.Change,
 	})
 }
 
--- a/internal/node/entryvms.go
+++ b/internal/node/entryvms.go
@@ -16,14 +16,14 @@
 // entryVMs are the other entry VMs, known while this one owns a cell.
 type entryVMs struct {
 	directory members.Directory
-	follow    shared
+	watch     sharedTask
 }
 
 func newEntryVMs(store infra.Store, log logr.Logger) *entryVMs {
 	e := &entryVMs{directory: members.Directory{Log: log}}
-	e.follow.begin = func() {}
-	e.follow.run = func(ctx context.Context) {
-		follow(ctx, store, log, source{prefix: infra.WorkEntryPrefix, all: e.directory.Replace, each: e.directory.Change})
+	e.watch.reset = func() {}
+	e.watch.run = func(ctx context.Context) {
+		followPrefix(ctx, store, log, source{prefix: infra.WorkEntryPrefix, replace: e.directory.Replace, apply: e.directory.Change})
 	}
 	return e
 }
@@ -67,6 +67,6 @@
 func (n *Node) workersOf(cell string) engine.Workers {
 	return forward.New(forward.Options{
 		Direct: n.workers, Link: n.link, Peers: n.members, Self: n.settings.Name, Clock: n.clock,
-		Log: n.log.WithName("forward").WithValues("cell", cell), Behind: n.pressure.Behind,
+		Log: n.log.WithName("forward").WithValues("cell", cell), Behind: n.delay.Behind,
 	})
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -11,44 +11,44 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// followPause separates tries to read what could not be read.
-const followPause = 150 * time.Millisecond
+// watchRetryInterval separates tries to read what could not be read.
+const watchRetryInterval = 150 * time.Millisecond
 
 // source is a prefix of the store to be followed.
 type source struct {
 	prefix string
-	// pace is the least time between two answers of the watch: what changes
+	// minInterval is the least time between two answers of the watch: what changes
 	// often is then told together, as each answer is a priced call. 0: none. After an answer
 	// that left something out the next is asked for at once: three thousand workers write
 	// two thousand times a second, an answer holds five hundred, and at one each half
 	// second a worker that leaves was known only after seconds.
-	pace time.Duration
-	all  func([]infra.KV) // takes everything under the prefix over
-	each func(infra.Event)
-	// current is told how long ago, at most, the store held nothing later than what was read;
+	minInterval time.Duration
+	replace     func([]infra.KV) // takes everything under the prefix over
+	apply       func(infra.Event)
+	// confirm is told how long ago, at most, the store held nothing later than what was read;
 	// nil: nobody asks.
-	current func(age time.Duration)
+	confirm func(age time.Duration)
 }
 
-// follow keeps the source's readers up to date until ctx ends.
-func follow(ctx context.Context, store infra.Store, log logr.Logger, s source) {
+// followPrefix keeps the source's readers up to date until ctx ends.
+func followPrefix(ctx context.Context, store infra.Store, log logr.Logger, s source) {
 	prefix := s.prefix
-	lost := false
+	unavailable := false
 	for ctx.Err() == nil {
-		err := followOnce(ctx, store, s, func() {
-			if lost {
+		err := listAndWatch(ctx, store, s, func() {
+			if unavailable {
 				log.Info("store is back", "prefix", prefix)
-				lost = false
+				unavailable = false
 			}
 		})
 		if ctx.Err() != nil {
 			return
 		}
-		if !lost {
+		if !unavailable {
 			log.Info("store lost", "prefix", prefix, "error", errText(err))
-			lost = true
+			unavailable = true
 		}
-		sleep.For(ctx, followPause)
+		sleep.For(ctx, watchRetryInterval)
 	}
 }
 
@@ -59,26 +59,26 @@
 	return err.Error()
 }
 
-func (s *source) tell(age time.Duration) {
-	if s.current != nil {
-		s.current(age)
+func (s *source) reportAge(age time.Duration) {
+	if s.confirm != nil {
+		s.confirm(age)
 	}
 }
 
-func followOnce(ctx context.Context, store infra.Store, s source, readable func()) error {
-	asked := bootClock{}.Now()
+func listAndWatch(ctx context.Context, store infra.Store, s source, onRead func()) error {
+	requestedAt := bootClock{}.Now()
 	// Each page of the list has its time. All together would never do for a long list at a
 	// slow store.
 	kvs, rev, err := store.Range(ctx, s.prefix)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	readable()
-	s.all(kvs)
-	s.tell(bootClock{}.Now() - asked)
-	watch, cancel := context.WithCancel(ctx)
+	onRead()
+	s.replace(kvs)
+	s.reportAge(bootClock{}.Now() - requestedAt)
+	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	batches, err := store.Watch(watch, s.prefix, rev+1)
+	batches, err := store.Watch(watchCtx, s.prefix, rev+1)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -87,13 +87,13 @@
 			return trace.Wrap(b.Err)
 		}
 		for _, ev := range b.Events {
-			s.each(ev)
+			s.apply(ev)
 		}
 		if b.Age > 0 {
-			s.tell(b.Age)
+			s.reportAge(b.Age)
 		}
-		if s.pace > 0 && !b.More && len(b.Events) > 0 {
-			sleep.For(ctx, s.pace)
+		if s.minInterval > 0 && !b.More && len(b.Events) > 0 {
+			sleep.For(ctx, s.minInterval)
 		}
 	}
 	return nil
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -11,19 +11,19 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// fullAnswers is a store whose watch answers with batches, all but the last of them full.
-type fullAnswers struct {
+// batchStore is a store whose watch answers with batches, all but the last of them full.
+type batchStore struct {
 	infra.Store
-	batches int
-	bounded bool // the list had to be read within a time
+	batches     int
+	hadDeadline bool // the list had to be read within a time
 }
 
-func (f *fullAnswers) Range(ctx context.Context, _ string) ([]infra.KV, infra.Revision, error) {
-	_, f.bounded = ctx.Deadline()
+func (f *batchStore) Range(ctx context.Context, _ string) ([]infra.KV, infra.Revision, error) {
+	_, f.hadDeadline = ctx.Deadline()
 	return nil, 1, nil
 }
 
-func (f *fullAnswers) Watch(ctx context.Context, _ string, from infra.Revision) (<-chan infra.WatchBatch, error) {
+func (f *batchStore) Watch(ctx context.Context, _ string, from infra.Revision) (<-chan infra.WatchBatch, error) {
 	out := make(chan infra.WatchBatch)
 	go func() {
 		defer close(out)
@@ -48,16 +48,16 @@
 	const batches = 40
 	ctx, cancel := context.WithCancel(t.Context())
 	seen := 0
-	store := &fullAnswers{batches: batches}
-	follow(ctx, store, logr.Discard(), source{
-		pace: time.Hour,
-		all:  func([]infra.KV) {},
-		each: func(infra.Event) {
+	store := &batchStore{batches: batches}
+	followPrefix(ctx, store, logr.Discard(), source{
+		minInterval: time.Hour,
+		replace:     func([]infra.KV) {},
+		apply: func(infra.Event) {
 			if seen++; seen == batches {
 				cancel()
 			}
 		},
 	})
 	assert.Equal(t, seen, batches)
-	assert.Assert(t, !store.bounded, "a list of thousands would never come from a slow store")
+	assert.Assert(t, !store.hadDeadline, "a list of thousands would never come from a slow store")
 }
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// endLeaseEvery separates tries to end a lease.
-	endLeaseEvery = 100 * time.Millisecond
-	// endLeaseWithin is when it is given up: outages of the store last some seconds, and
+	// revokeRetryInterval separates tries to end a lease.
+	revokeRetryInterval = 100 * time.Millisecond
+	// revokeTimeout is when it is given up: outages of the store last some seconds, and
 	// once it is back the lease runs out by itself.
-	endLeaseWithin = 15 * time.Second
-	// handLeaseTimeout ends one attempt to hand a lease to another entry VM.
-	handLeaseTimeout = 300 * time.Millisecond
+	revokeTimeout = 15 * time.Second
+	// leaseHandOverTimeout ends one attempt to hand a lease to another entry VM.
+	leaseHandOverTimeout = 300 * time.Millisecond
 )
 
-// leases ends leases that their holders could not end, as the store was away when they
+// leaseEnder ends leaseEnder that their holders could not end, as the store was away when they
 // left. Their duties would have no owner for the length of a lease after its return, 1.6 s
 // in which the backlog of the outage waits.
-type leases struct {
-	store  infra.Store
-	give   func(ctx context.Context, address string, lease int64) error
-	others func() []cutoff.Peer // of other zones
-	log    logr.Logger
+type leaseEnder struct {
+	store      infra.Store
+	send       func(ctx context.Context, address string, lease int64) error
+	recipients func() []cutoff.Peer // of other zones
+	log        logr.Logger
 }
 
 // handOver hands the lease to another entry VM; one will do, as any reaches the same store.
-func (l *leases) handOver(lease infra.LeaseID) {
-	for _, p := range l.others() {
-		ctx, cancel := context.WithTimeout(context.Background(), handLeaseTimeout)
-		err := l.give(ctx, p.Address, int64(lease))
+func (l *leaseEnder) handOver(lease infra.LeaseID) {
+	for _, p := range l.recipients() {
+		ctx, cancel := context.WithTimeout(context.Background(), leaseHandOverTimeout)
+		err := l.send(ctx, p.Address, int64(lease))
 		cancel()
 		if err == nil {
 			l.log.Info("lease handed over", "lease", int64(lease), "to", p.Name)
@@ -45,9 +45,9 @@
 	}
 }
 
-// end ends the lease as soon as the store answers.
-func (l *leases) end(ctx context.Context, lease infra.LeaseID) {
-	ctx, cancel := context.WithTimeout(ctx, endLeaseWithin)
+// revoke ends the lease as soon as the store answers.
+func (l *leaseEnder) revoke(ctx context.Context, lease infra.LeaseID) {
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	for {
 		call, done := context.WithTimeout(ctx, probeTimeout)
@@ -57,7 +57,7 @@
 			l.log.Info("lease of another entry VM ended", "lease", int64(lease))
 			return
 		}
-		if !sleep.For(ctx, endLeaseEvery) {
+		if !sleep.For(ctx, revokeRetryInterval) {
 			l.log.Info("lease of another entry VM not ended", "lease", int64(lease), "error", err.Error())
 			return
 		}
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -14,19 +14,19 @@
 	"github.com/pumicestage/pumicestage/policy/cutoff"
 )
 
-// awayAtFirst is a store that is away for some calls.
-type awayAtFirst struct {
+// unavailableAtFirst is a store that is away for some calls.
+type unavailableAtFirst struct {
 	infra.Store
 	failures int
-	ended    []infra.LeaseID
+	revoked  []infra.LeaseID
 }
 
-func (s *awayAtFirst) Revoke(_ context.Context, lease infra.LeaseID) error {
+func (s *unavailableAtFirst) Revoke(_ context.Context, lease infra.LeaseID) error {
 	if s.failures > 0 {
 		s.failures--
 		return infra.Errorf("revoke", infra.KindUnavailable, "away")
 	}
-	s.ended = append(s.ended, lease)
+	s.revoked = append(s.revoked, lease)
 	return nil
 }
 
@@ -34,25 +34,25 @@
 // the outage, and its lease had to run out. It goes to an entry VM that answers, which ends
 // it with the store's first answer.
 func TestALeaseIsEndedByAnEntryVMThatStays(t *testing.T) {
-	store := &awayAtFirst{failures: 2}
-	stays := &leases{store: store, log: logr.Discard()}
-	var given, lines []string
-	leaves := &leases{
-		log:    funcr.NewJSON(func(line string) { lines = append(lines, message(t, line)) }, funcr.Options{}),
-		others: func() []cutoff.Peer { return []cutoff.Peer{{Address: "b:1"}, {Address: "c:1"}, {Address: "d:1"}} },
-		give: func(ctx context.Context, address string, lease int64) error {
-			given = append(given, address)
+	store := &unavailableAtFirst{failures: 2}
+	receiver := &leaseEnder{store: store, log: logr.Discard()}
+	var sentTo, lines []string
+	sender := &leaseEnder{
+		log:        funcr.NewJSON(func(line string) { lines = append(lines, message(t, line)) }, funcr.Options{}),
+		recipients: func() []cutoff.Peer { return []cutoff.Peer{{Address: "b:1"}, {Address: "c:1"}, {Address: "d:1"}} },
+		send: func(ctx context.Context, address string, lease int64) error {
+			sentTo = append(sentTo, address)
 			if address == "b:1" {
 				return errors.New("cut off")
 			}
-			stays.end(ctx, infra.LeaseID(lease))
+			receiver.revoke(ctx, infra.LeaseID(lease))
 			return nil
 		},
 	}
-	leaves.handOver(7)
+	sender.handOver(7)
 	assert.DeepEqual(t, lines, []string{"lease not handed over", "lease handed over"})
-	assert.DeepEqual(t, given, []string{"b:1", "c:1"})
-	assert.DeepEqual(t, store.ended, []infra.LeaseID{7})
+	assert.DeepEqual(t, sentTo, []string{"b:1", "c:1"})
+	assert.DeepEqual(t, store.revoked, []infra.LeaseID{7})
 }
 
 // message is what a log line says.
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -14,8 +14,8 @@
 // still ending. A daemon that gave up at once would leave it to its supervisor to try again
 // in time; one that tried for ever would hide that the settings name a port of somebody else.
 const (
-	listenTries = 30
-	listenPause = 100 * time.Millisecond
+	listenAttempts      = 30
+	listenRetryInterval = 100 * time.Millisecond
 )
 
 // listen opens the address, and tries again for three seconds while somebody else has it.
@@ -25,12 +25,12 @@
 		if err == nil {
 			return l, nil
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || try == listenTries {
+		if !errors.Is(err, syscall.EADDRINUSE) || try == listenAttempts {
 			return nil, trace.Wrap(err)
 		}
 		if try == 1 {
-			log.Info("address is taken; trying again", "address", address, "tries", listenTries, "pause", listenPause.String())
+			log.Info("address is taken; trying again", "address", address, "tries", listenAttempts, "pause", listenRetryInterval.String())
 		}
-		pause(listenPause)
+		pause(listenRetryInterval)
 	}
 }
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -38,5 +38,5 @@
 	pauses := 0
 	_, err = listen(address, func(time.Duration) { pauses++ }, logr.Discard())
 	assert.ErrorContains(t, err, "address already in use")
-	assert.Equal(t, pauses, listenTries-1)
+	assert.Equal(t, pauses, listenAttempts-1)
 }
--- a/internal/node/logs.go
+++ b/internal/node/logs.go
@@ -11,20 +11,20 @@
 	"golang.org/x/time/rate"
 )
 
-// levelDecisions shows every decision that touches a request or changes what
+// decisionLevel shows every decision that touches a request or changes what
 // the process believes (verbosity 1).
-const levelDecisions = slog.Level(-1)
+const decisionLevel = slog.Level(-1)
 
 // Bounds of the log.
 const (
-	// kindRate and kindBurst bound the lines of each kind. Some two hundred
+	// messageRate and kindBurst bound the lines of each kind. Some two hundred
 	// starts a second are what an owner gives in a burst at today's sizes; a
 	// fault that repeats a line thousands of times costs no more than that.
-	kindRate  = 250 // a second
-	kindBurst = 500
-	// logBuffer is how much may wait for a reader that does not read. A line
+	messageRate  = 250 // a second
+	messageBurst = 500
+	// maxLogBuffer is how much may wait for a reader that does not read. A line
 	// takes some 200 bytes; this holds the busiest second several times over.
-	logBuffer = 256 << 10
+	maxLogBuffer = 256 << 10
 )
 
 // logWriter writes lines to a sink without ever blocking the writer: a reader
@@ -52,7 +52,7 @@
 func (l *logWriter) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || len(l.buffer)+len(line) > logBuffer {
+	if l.closed || len(l.buffer)+len(line) > maxLogBuffer {
 		l.lost++
 		return len(line), nil
 	}
@@ -98,61 +98,61 @@
 	<-l.done
 }
 
-// boundedHandler lets so many lines of each kind (message) through and tells now
+// rateLimitedHandler lets so many lines of each kind (message) through and tells now
 // and then how many were left out.
-type boundedHandler struct {
+type rateLimitedHandler struct {
 	slog.Handler
-	kinds *kinds
+	limits *messageLimits
 }
 
-type kinds struct {
-	mu   sync.Mutex
-	each map[string]*kind
+type messageLimits struct {
+	mu        sync.Mutex
+	byMessage map[string]*messageLimit
 }
 
-type kind struct {
-	limit   *rate.Limiter
-	leftOut int
+type messageLimit struct {
+	limit      *rate.Limiter
+	suppressed int
 }
 
-func newBoundedHandler(h slog.Handler) *boundedHandler {
-	return &boundedHandler{Handler: h, kinds: &kinds{each: make(map[string]*kind)}}
+func newRateLimitedHandler(h slog.Handler) *rateLimitedHandler {
+	return &rateLimitedHandler{Handler: h, limits: &messageLimits{byMessage: make(map[string]*messageLimit)}}
 }
 
 // Handle implements slog.Handler.
-func (b *boundedHandler) Handle(ctx context.Context, r slog.Record) error {
-	pass, leftOut := b.kinds.admit(r.Message, r.Time)
+func (b *rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
+	pass, suppressed := b.limits.admit(r.Message, r.Time)
 	if !pass {
 		return nil
 	}
-	if leftOut > 0 {
-		r.AddAttrs(slog.Int("lines left out before", leftOut))
+	if suppressed > 0 {
+		r.AddAttrs(slog.Int("lines left out before", suppressed))
 	}
 	return b.Handler.Handle(ctx, r)
 }
 
-func (k *kinds) admit(message string, now time.Time) (pass bool, leftOut int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	one := k.each[message]
-	if one == nil {
-		one = &kind{limit: rate.NewLimiter(kindRate, kindBurst)}
-		k.each[message] = one
+func (l *messageLimits) admit(message string, now time.Time) (pass bool, suppressed int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	m := l.byMessage[message]
+	if m == nil {
+		m = &messageLimit{limit: rate.NewLimiter(messageRate, messageBurst)}
+		l.byMessage[message] = m
 	}
-	if !one.limit.AllowN(now, 1) {
-		one.leftOut++
+	if !m.limit.AllowN(now, 1) {
+		m.suppressed++
 		return false, 0
 	}
-	leftOut, one.leftOut = one.leftOut, 0
-	return true, leftOut
+	suppressed, m.suppressed = m.suppressed, 0
+	return true, suppressed
 }
 
 // WithAttrs implements slog.Handler.
-func (b *boundedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &boundedHandler{Handler: b.Handler.WithAttrs(attrs), kinds: b.kinds}
+func (b *rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &rateLimitedHandler{Handler: b.Handler.WithAttrs(attrs), limits: b.limits}
 }
 
 // WithGroup implements slog.Handler.
-func (b *boundedHandler) WithGroup(name string) slog.Handler {
-	return &boundedHandler{Handler: b.Handler.WithGroup(name), kinds: b.kinds}
+func (b *rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return &rateLimitedHandler{Handler: b.Handler.WithGroup(name), limits: b.limits}
 }
--- a/internal/node/logs_test.go
+++ b/internal/node/logs_test.go
@@ -10,14 +10,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// stalled is a reader that reads nothing until it is told to.
-type stalled struct {
+// stalledSink is a reader that reads nothing until it is told to.
+type stalledSink struct {
 	mu   sync.Mutex
 	out  bytes.Buffer
 	gate chan struct{}
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledSink) Write(p []byte) (int, error) {
 	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,10 +27,10 @@
 // Whoever reads the log stalls. Callers must not wait for it: lines are lost
 // beyond the buffer, and their number is told when the reader is back.
 func TestAStalledReaderCostsLinesAndNothingElse(t *testing.T) {
-	sink := &stalled{gate: make(chan struct{})}
+	sink := &stalledSink{gate: make(chan struct{})}
 	l := newLogWriter(sink)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	for range 4 * logBuffer / len(line) {
+	for range 4 * maxLogBuffer / len(line) {
 		n, err := l.Write(line)
 		assert.NilError(t, err)
 		assert.Equal(t, n, len(line))
@@ -41,20 +41,20 @@
 	defer sink.mu.Unlock()
 	text := sink.out.String()
 	assert.Assert(t, strings.Contains(text, "log lines lost"))
-	assert.Assert(t, sink.out.Len() <= 3*logBuffer)
+	assert.Assert(t, sink.out.Len() <= 3*maxLogBuffer)
 }
 
 // One fault repeats one line thousands of times and must not hide the others.
 func TestLinesOfOneKindAreBoundedAndCounted(t *testing.T) {
 	var out bytes.Buffer
-	h := newBoundedHandler(slog.NewJSONHandler(&out, nil))
+	h := newRateLimitedHandler(slog.NewJSONHandler(&out, nil))
 	log := slog.New(h)
-	for range 3 * kindBurst {
+	for range 3 * messageBurst {
 		log.Info("again")
 	}
 	log.Info("other")
 	lines := strings.Count(out.String(), "\n")
-	assert.Assert(t, lines >= kindBurst && lines < 2*kindBurst, "%d lines", lines)
+	assert.Assert(t, lines >= messageBurst && lines < 2*messageBurst, "%d lines", lines)
 	assert.Assert(t, strings.Contains(out.String(), `"msg":"other"`))
-	assert.Assert(t, h.kinds.each["again"].leftOut > 0)
+	assert.Assert(t, h.limits.byMessage["again"].suppressed > 0)
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -15,9 +15,9 @@
 type metrics struct {
 	engine   *engine.Metrics
 	requests *expvar.Map // by method and status
-	// turnedAway counts calls turned away by their keys, by reason.
-	turnedAway *expvar.Map
-	pressure   *pressure
+	// keyRefusals counts calls turned away by their keys, by reason.
+	keyRefusals *expvar.Map
+	delay       *delayMeter
 
 	mu      sync.Mutex
 	latency *hdrhistogram.Histogram // of callers' requests, in microseconds
@@ -25,19 +25,19 @@
 
 // Range of the latency histogram.
 const (
-	latencyMax    = int64(30 * time.Second / time.Microsecond)
+	maxLatencyUS  = int64(30 * time.Second / time.Microsecond)
 	latencyDigits = 2
 )
 
-var publish sync.Once
+var publishOnce sync.Once
 
-func newMetrics(p *pressure) *metrics {
-	m := &metrics{pressure: p, engine: engine.NewMetrics(), requests: new(expvar.Map).Init(), turnedAway: new(expvar.Map).Init(), latency: hdrhistogram.New(1, latencyMax, latencyDigits)}
-	publish.Do(func() {
+func newMetrics(p *delayMeter) *metrics {
+	m := &metrics{delay: p, engine: engine.NewMetrics(), requests: new(expvar.Map).Init(), keyRefusals: new(expvar.Map).Init(), latency: hdrhistogram.New(1, maxLatencyUS, latencyDigits)}
+	publishOnce.Do(func() {
 		expvar.Publish("requests", m.requests)
-		expvar.Publish("turned_away_by_key", m.turnedAway)
-		expvar.Publish("request_us", expvar.Func(m.quantiles))
-		expvar.Publish("processor_wait_us", expvar.Func(m.waits))
+		expvar.Publish("turned_away_by_key", m.keyRefusals)
+		expvar.Publish("request_us", expvar.Func(m.latencyQuantiles))
+		expvar.Publish("processor_wait_us", expvar.Func(m.schedulingDelays))
 		expvar.Publish("starts", m.engine.Starts)
 		expvar.Publish("stops", m.engine.Stops)
 		expvar.Publish("polls", m.engine.Polls)
@@ -49,23 +49,23 @@
 	return m
 }
 
-func (m *metrics) request(method string, status int, took time.Duration) {
+func (m *metrics) recordRequest(method string, status int, took time.Duration) {
 	m.requests.Add(method+" "+strconv.Itoa(status), 1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	// A request beyond the range counts as its end.
-	if err := m.latency.RecordValue(min(took.Microseconds(), latencyMax)); err != nil {
+	if err := m.latency.RecordValue(min(took.Microseconds(), maxLatencyUS)); err != nil {
 		m.requests.Add("unrecorded", 1)
 	}
 }
 
-// waits tells how long what is ready to run waits for the processor, in microseconds; 0
+// schedulingDelays tells how long what is ready to run schedulingDelays for the processor, in microseconds; 0
 // where this entry VM has no cell.
-func (m *metrics) waits() any {
-	return map[string]int64{"longest": m.pressure.Behind().Microseconds(), "standing": m.pressure.Standing().Microseconds()}
+func (m *metrics) schedulingDelays() any {
+	return map[string]int64{"longest": m.delay.Behind().Microseconds(), "standing": m.delay.Standing().Microseconds()}
 }
 
-func (m *metrics) quantiles() any {
+func (m *metrics) latencyQuantiles() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[string]int64{"count": m.latency.TotalCount()}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,13 +43,13 @@
 	clock    bootClock
 
 	store     *platform.Store
-	reach     *reach
-	leases    *leases
-	operator  *operator
+	reach     *reachability
+	leases    *leaseEnder
+	operator  *operatorState
 	registry  *registry
 	directory *ownership.Directory
 	members   *entryVMs
-	pressure  *pressure
+	delay     *delayMeter
 	link      *ownerlink.Client
 	workers   *platform.Workers
 	front     *jobfront.Front
@@ -57,18 +57,18 @@
 	duties    *duties
 	self      ownership.Record
 
-	callers net.Listener
-	ready   net.Listener
-	peers   net.Listener
-	meters  net.Listener // nil: none
+	callers         net.Listener
+	ready           net.Listener
+	peers           net.Listener
+	metricsListener net.Listener // nil: none
 
-	leaving atomic.Bool
+	shuttingDown atomic.Bool
 }
 
 // New opens the listeners and wires the parts.
 func New(s *Settings, out io.Writer) (*Node, error) {
 	logs := newLogWriter(out)
-	handler := newBoundedHandler(slog.NewJSONHandler(logs, &slog.HandlerOptions{Level: levelDecisions}))
+	handler := newRateLimitedHandler(slog.NewJSONHandler(logs, &slog.HandlerOptions{Level: decisionLevel}))
 	log := logr.FromSlogHandler(handler).WithValues("entry", s.Name)
 	n := &Node{settings: s, log: log, logs: logs}
 	limitMemory(s.MemoryMB)
@@ -85,7 +85,7 @@
 	for _, l := range []struct {
 		into    *net.Listener
 		address string
-	}{{&n.callers, n.settings.Callers}, {&n.ready, n.settings.Ready}, {&n.peers, peers}, {&n.meters, n.settings.Metrics}} {
+	}{{&n.callers, n.settings.Callers}, {&n.ready, n.settings.Ready}, {&n.peers, peers}, {&n.metricsListener, n.settings.Metrics}} {
 		if l.address == "" {
 			continue
 		}
@@ -99,7 +99,7 @@
 }
 
 func (n *Node) closeListeners() {
-	for _, l := range []net.Listener{n.callers, n.ready, n.peers, n.meters} {
+	for _, l := range []net.Listener{n.callers, n.ready, n.peers, n.metricsListener} {
 		if l != nil {
 			l.Close()
 		}
@@ -112,20 +112,20 @@
 	n.store.Now = n.clock.Now
 	n.workers = platform.NewWorkers(n.log.WithName("workers"))
 	n.directory = &ownership.Directory{Log: n.log.WithName("owners")}
-	n.pressure = newPressure(n.clock)
-	n.metrics = newMetrics(n.pressure)
-	n.duties = &duties{node: n, running: make(map[string]bool), engines: make(map[string]*engine.Engine)}
-	n.duties.load.May = func() bool { return !n.leaving.Load() }
-	n.operator = newOperator(n.store, n.clock, n.log.WithName("operator"), n.duties.ensure)
-	n.link = &ownerlink.Client{Log: n.log.WithName("link"), Behind: n.pressure.Behind, Configs: n.operator}
+	n.delay = newDelayMeter(n.clock)
+	n.metrics = newMetrics(n.delay)
+	n.duties = &duties{node: n, electing: make(map[string]bool), engines: make(map[string]*engine.Engine)}
+	n.duties.load.May = func() bool { return !n.shuttingDown.Load() }
+	n.operator = newOperatorState(n.store, n.clock, n.log.WithName("operator"), n.duties.ensureElectors)
+	n.link = &ownerlink.Client{Log: n.log.WithName("link"), Behind: n.delay.Behind, Configs: n.operator}
 	n.registry = newRegistry(n.store, n.log.WithName("registry"), n.duties.registryChanged)
 	n.members = newEntryVMs(n.store, n.log.WithName("members"))
-	n.reach = &reach{
+	n.reach = &reachability{
 		zone: n.settings.Zone, store: n.store, ping: n.link.Ping, clock: n.clock, log: n.log.WithName("reach"),
 	}
-	n.leases = &leases{
-		store: n.store, give: n.link.EndLease, log: n.log.WithName("leases"),
-		others: func() []cutoff.Peer { return cutoff.SelectPeers(n.reach.others(), n.settings.Zone) },
+	n.leases = &leaseEnder{
+		store: n.store, send: n.link.EndLease, log: n.log.WithName("leases"),
+		recipients: func() []cutoff.Peer { return cutoff.SelectPeers(n.reach.otherEntryVMs(), n.settings.Zone) },
 	}
 	n.front = jobfront.New(jobfront.Options{
 		Store: n.store, Owners: n.duties.cellOwner, Local: n.duties.owner, Link: n.link,
@@ -139,42 +139,42 @@
 	n.log.Info("start", "zone", n.settings.Zone, "callers", n.settings.Callers, "store", n.settings.Store)
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	electing, stopElecting := context.WithCancel(background)
-	defer stopElecting()
-	n.duties.start(electing)
-	var parts sync.WaitGroup
-	parts.Go(func() { n.operator.run(background) })
-	parts.Go(func() { n.followOwners(background) })
+	electionCtx, stopElections := context.WithCancel(background)
+	defer stopElections()
+	n.duties.start(electionCtx)
+	var tasks sync.WaitGroup
+	tasks.Go(func() { n.operator.run(background) })
+	tasks.Go(func() { n.followOwners(background) })
 	peers := &ownerlink.Server{Listener: n.peers, Owner: n.duties.owner, Workers: n.workers, Configs: n.operator, Log: n.log.WithName("link")}
-	peers.EndLease = func(lease int64) { go n.leases.end(background, infra.LeaseID(lease)) }
-	parts.Go(func() { peers.Run(background) })
-	parts.Go(func() { n.publisher().Run(electing) })
+	peers.EndLease = func(lease int64) { go n.leases.revoke(background, infra.LeaseID(lease)) }
+	tasks.Go(func() { peers.Run(background) })
+	tasks.Go(func() { n.publisher().Run(electionCtx) })
 
 	callers := n.callerServer()
-	n.reach.turned = func(cutOff bool) { callers.SetKeepAlivesEnabled(!cutOff && !n.leaving.Load()) }
-	parts.Go(func() { n.reach.run(background) })
+	n.reach.onCutOffChange = func(cutOff bool) { callers.SetKeepAlivesEnabled(!cutOff && !n.shuttingDown.Load()) }
+	tasks.Go(func() { n.reach.run(background) })
 	ready := &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerTimeout}
 	failed := make(chan error, 3)
 	go func() { failed <- callers.Serve(n.callers) }()
 	go func() { failed <- ready.Serve(n.ready) }()
 
-	if n.meters != nil {
+	if n.metricsListener != nil {
 		meters := &http.Server{Handler: n.inspectHandler(), ReadHeaderTimeout: headerTimeout}
 		defer meters.Close()
-		go func() { failed <- meters.Serve(n.meters) }()
+		go func() { failed <- meters.Serve(n.metricsListener) }()
 	}
 
 	var err error
 	select {
 	case <-ctx.Done():
-		err = n.leave(callers, stopElecting)
+		err = n.shutDown(callers, stopElections)
 	case err = <-failed:
 	}
 	stop()
 	ready.Close()
 	callers.Close()
 	n.duties.wg.Wait()
-	parts.Wait()
+	tasks.Wait()
 	n.log.Info("stop", "reason", stopReason(err))
 	return trace.Wrap(err)
 }
@@ -187,12 +187,12 @@
 }
 
 func (n *Node) callerServer() *http.Server {
-	gate := &jobfront.Gate{Configs: n.operator, Log: n.log.WithName("gate"), Refused: n.metrics.turnedAway}
+	gate := &jobfront.Gate{Configs: n.operator, Log: n.log.WithName("gate"), Refused: n.metrics.keyRefusals}
 	if n.settings.RevokeEverywhere {
 		gate.MaxConfigAge = n.settings.RevokeWithin
 	}
 	ingress := &platform.Ingress{
-		Jobs: n.front, Gate: gate, Config: n.operator.current, Wall: n.clock.Wall, Log: n.log.WithName("callers"), Done: n.metrics.request,
+		Jobs: n.front, Gate: gate, Config: n.operator.current, Wall: n.clock.Wall, Log: n.log.WithName("callers"), Done: n.metrics.recordRequest,
 	}
 	return &http.Server{Handler: ingress.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
@@ -201,7 +201,7 @@
 // are better served elsewhere.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	c, _ := n.operator.current()
-	if c == nil || n.leaving.Load() || n.reach.cutOff.Load() {
+	if c == nil || n.shuttingDown.Load() || n.reach.cutOff.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -23,78 +23,78 @@
 const (
 	// confirmTimeout ends a read of the configuration for which a caller waits.
 	confirmTimeout = 600 * time.Millisecond
-	// confirmPause separates such reads where they fail: calls with unknown keys come at any
+	// confirmRetryInterval separates such reads where they fail: calls with unknown keys come at any
 	// rate, also while the store turns this entry VM away.
-	confirmPause = 250 * time.Millisecond
+	confirmRetryInterval = 250 * time.Millisecond
 )
 
-// errStoreSilent: the store is not asked, as it did not answer a moment ago.
-var errStoreSilent = errors.New("node: the store did not answer a moment ago")
+// errStoreUnresponsive: the store is not asked, as it did not answer a moment ago.
+var errStoreUnresponsive = errors.New("node: the store did not answer a moment ago")
 
-// operator holds what the operator wrote, as this entry VM knows it. The
+// operatorState holds what the operatorState wrote, as this entry VM knows it. The
 // configuration never steps back.
-type operator struct {
+type operatorState struct {
 	store infra.Store
 	clock engine.Clock
 	log   logr.Logger
 
-	// changed is called after each change of the configuration.
-	changed func()
+	// onChange is called after each change of the configuration.
+	onChange func()
 
-	catchingUp atomic.Bool   // a read is under way as another entry VM has a newer one
-	confirming sync.Mutex    // held while the configuration is read on demand
-	failedAt   time.Duration // when such a read last failed; 0: it did not
+	catchingUp      atomic.Bool   // a read is under way as another entry VM has a newer one
+	confirmMu       sync.Mutex    // held while the configuration is read on demand
+	confirmFailedAt time.Duration // when such a read last failed; 0: it did not
 
 	mu     sync.Mutex
 	config *jobfront.Config
 	routes *jobfront.Routes
 	waves  map[string]fleetowner.OrderedWave
-	// confirmed is when the configuration was last known to be the newest; 0: never.
-	confirmed time.Duration
+	// confirmedAt is when the configuration was last known to be the newest; 0: never.
+	confirmedAt time.Duration
 }
 
-func newOperator(store infra.Store, clock engine.Clock, log logr.Logger, changed func()) *operator {
-	return &operator{store: store, clock: clock, log: log, changed: changed, waves: make(map[string]fleetowner.OrderedWave)}
+func newOperatorState(store infra.Store, clock engine.Clock, log logr.Logger, onChange func()) *operatorState {
+	return &operatorState{store: store, clock: clock, log: log, onChange: onChange, waves: make(map[string]fleetowner.OrderedWave)}
 }
 
-func (o *operator) run(ctx context.Context) {
-	follow(ctx, o.store, o.log, source{
+func (o *operatorState) run(ctx context.Context) {
+	followPrefix(ctx, o.store, o.log, source{
 		prefix: platform.OperatorPrefix,
-		all: func(kvs []infra.KV) {
+		replace: func(kvs []infra.KV) {
 			for _, kv := range kvs {
-				o.take(kv)
+				o.apply(kv)
 			}
 		},
-		each: func(ev infra.Event) {
+		apply: func(ev infra.Event) {
 			if ev.Kind == infra.EventPut {
-				o.take(ev.KV)
+				o.apply(ev.KV)
 			}
 		},
-		current: func(age time.Duration) { o.confirm(o.clock.Now() - age) },
+		confirm: func(age time.Duration) { o.confirm(o.clock.Now() - age) },
 	})
 }
 
 // confirm notes that the configuration was the newest at that time.
-func (o *operator) confirm(at time.Duration) {
+func (o *operatorState) confirm(at time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config != nil {
-		o.confirmed = max(o.confirmed, at)
+		o.confirmedAt = max(o.confirmedAt, at)
 	}
 }
 
 // Confirmed is when the configuration was last known to be the newest.
-func (o *operator) Confirmed() time.Duration {
+func (o *operatorState) Confirmed() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.confirmed
+	return o.confirmedAt
 }
 
 // Age implements jobfront.Configs.
-func (o *operator) Age() time.Duration { return o.clock.Now() - o.Confirmed() }
+func (o *operatorState) Age() time.Duration { return o.clock.Now() - o.Confirmed() }
 
 // Keys implements jobfront.Configs.
-func (o *operator) Keys() workspace.Keys {
+func (o *operatorState) Keys() workspace.Keys {
 	if c, _ := o.current(); c != nil {
 		return c.Keys
 	}
@@ -102,47 +102,47 @@
 }
 
 // Confirm implements jobfront.Configs.
-func (o *operator) Confirm(ctx context.Context) error {
+func (o *operatorState) Confirm(ctx context.Context) error {
 	asked := o.clock.Now()
-	o.confirming.Lock()
-	defer o.confirming.Unlock()
+	o.confirmMu.Lock()
+	defer o.confirmMu.Unlock()
 	if o.Confirmed() >= asked {
 		return nil // another caller's read began after this one asked
 	}
-	if o.failedAt != 0 && o.clock.Now() < o.failedAt+confirmPause {
-		return errStoreSilent
+	if o.confirmFailedAt != 0 && o.clock.Now() < o.confirmFailedAt+confirmRetryInterval {
+		return errStoreUnresponsive
 	}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	sent := o.clock.Now()
 	kv, _, err := o.store.Get(ctx, platform.ConfigKey)
 	if err != nil {
-		o.failedAt = o.clock.Now()
+		o.confirmFailedAt = o.clock.Now()
 		return trace.Wrap(err)
 	}
-	o.failedAt = 0
+	o.confirmFailedAt = 0
 	if kv.ModRevision != 0 {
-		o.takeConfig(kv)
+		o.applyConfig(kv)
 	}
 	o.confirm(sent)
 	return nil
 }
 
 // Standing implements ownerlink.Configs.
-func (o *operator) Standing() ownerlink.Standing {
+func (o *operatorState) Standing() ownerlink.Standing {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil {
 		return ownerlink.Standing{}
 	}
-	return ownerlink.Standing{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmed).Milliseconds() + 1}
+	return ownerlink.Standing{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmedAt).Milliseconds() + 1}
 }
 
 // Now implements ownerlink.Configs.
-func (o *operator) Now() time.Duration { return o.clock.Now() }
+func (o *operatorState) Now() time.Duration { return o.clock.Now() }
 
 // Packed implements ownerlink.Configs.
-func (o *operator) Packed() []byte {
+func (o *operatorState) Packed() []byte {
 	c, _ := o.current()
 	raw, err := msgpack.Marshal(c)
 	if err != nil {
@@ -153,7 +153,7 @@
 }
 
 // Behind implements ownerlink.Configs.
-func (o *operator) Behind() {
+func (o *operatorState) Behind() {
 	if !o.catchingUp.CompareAndSwap(false, true) {
 		return
 	}
@@ -166,20 +166,20 @@
 }
 
 // Heard implements ownerlink.Configs.
-func (o *operator) Heard(s ownerlink.Standing, sent time.Duration) bool {
+func (o *operatorState) Heard(s ownerlink.Standing, sent time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil || s.Version > o.config.Version {
 		return true
 	}
 	if s.Version == o.config.Version {
-		o.confirmed = max(o.confirmed, sent-s.Age())
+		o.confirmedAt = max(o.confirmedAt, sent-s.Age())
 	}
 	return false
 }
 
 // Take implements ownerlink.Configs.
-func (o *operator) Take(packed []byte, s ownerlink.Standing, sent time.Duration) {
+func (o *operatorState) Take(packed []byte, s ownerlink.Standing, sent time.Duration) {
 	c := new(jobfront.Config)
 	if err := msgpack.Unmarshal(packed, c); err != nil {
 		o.log.Error(err, "another entry VM's configuration is malformed")
@@ -190,20 +190,20 @@
 	}
 	o.confirm(sent - s.Age())
 	o.log.Info("configuration in force", "version", c.Version, "from", "another entry VM", "routes", len(c.Routes))
-	o.changed()
+	o.onChange()
 }
 
-func (o *operator) take(kv infra.KV) {
+func (o *operatorState) apply(kv infra.KV) {
 	if kv.Key == platform.ConfigKey {
-		o.takeConfig(kv)
+		o.applyConfig(kv)
 		return
 	}
-	w, is, err := platform.WaveOf(kv)
+	w, isWave, err := platform.WaveOf(kv)
 	if err != nil {
 		o.log.Error(err, "wave is malformed", "key", kv.Key)
 		return
 	}
-	if !is {
+	if !isWave {
 		return
 	}
 	o.mu.Lock()
@@ -214,7 +214,7 @@
 	}
 }
 
-func (o *operator) takeConfig(kv infra.KV) {
+func (o *operatorState) applyConfig(kv infra.KV) {
 	c, err := platform.ConfigOf(kv.Value)
 	if err != nil {
 		o.log.Error(err, "configuration is malformed; the last one stays in force", "revision", int64(kv.ModRevision))
@@ -225,10 +225,10 @@
 		return
 	}
 	o.log.Info("configuration in force", "version", c.Version, "revision", int64(kv.ModRevision), "routes", len(c.Routes))
-	o.changed()
+	o.onChange()
 }
 
-func (o *operator) adopt(c *jobfront.Config, routes *jobfront.Routes) bool {
+func (o *operatorState) adopt(c *jobfront.Config, routes *jobfront.Routes) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config != nil && c.Version <= o.config.Version {
@@ -238,13 +238,13 @@
 	return true
 }
 
-func (o *operator) current() (*jobfront.Config, *jobfront.Routes) {
+func (o *operatorState) current() (*jobfront.Config, *jobfront.Routes) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.config, o.routes
 }
 
-func (o *operator) declared() engine.Declared {
+func (o *operatorState) declared() engine.Declared {
 	c, _ := o.current()
 	if c == nil {
 		return engine.Declared{}
@@ -253,7 +253,7 @@
 }
 
 // Ordered implements fleetowner.Waves.
-func (o *operator) Ordered() []fleetowner.OrderedWave {
+func (o *operatorState) Ordered() []fleetowner.OrderedWave {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make([]fleetowner.OrderedWave, 0, len(o.waves))
@@ -264,6 +264,6 @@
 }
 
 // Report implements fleetowner.Waves.
-func (o *operator) Report(ctx context.Context, wave string, completed bool) error {
+func (o *operatorState) Report(ctx context.Context, wave string, completed bool) error {
 	return platform.ReportWave(ctx, o.store, wave, completed)
 }
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -18,10 +18,10 @@
 	"github.com/pumicestage/pumicestage/platform/standin"
 )
 
-type stepClock struct{ now time.Duration }
+type manualClock struct{ now time.Duration }
 
-func (c *stepClock) Now() time.Duration { return c.now }
-func (c *stepClock) Wall() time.Time    { return time.Unix(0, 0) }
+func (c *manualClock) Now() time.Duration { return c.now }
+func (c *manualClock) Wall() time.Time    { return time.Unix(0, 0) }
 
 // Two configurations of the operator's, the first of which gives a workspace more.
 var (
@@ -37,28 +37,28 @@
 	return raw
 }
 
-type operatorRig struct {
-	*operator
+type operatorFixture struct {
+	*operatorState
 	store *faulty.Store
-	clock *stepClock
+	clock *manualClock
 }
 
-func newOperatorRig(t *testing.T) *operatorRig {
+func newOperatorFixture(t *testing.T) *operatorFixture {
 	t.Helper()
-	r := &operatorRig{store: faulty.Wrap(memstore.New(clockwork.NewFakeClock())), clock: &stepClock{now: time.Hour}}
-	r.operator = newOperator(r.store, r.clock, logr.Discard(), func() {})
+	r := &operatorFixture{store: faulty.Wrap(memstore.New(clockwork.NewFakeClock())), clock: &manualClock{now: time.Hour}}
+	r.operatorState = newOperatorState(r.store, r.clock, logr.Discard(), func() {})
 	r.declare(t, configOne)
 	assert.NilError(t, r.Confirm(t.Context()))
 	return r
 }
 
-func (r *operatorRig) declare(t *testing.T, config []byte) {
+func (r *operatorFixture) declare(t *testing.T, config []byte) {
 	t.Helper()
 	_, err := r.store.Txn(t.Context(), infra.Txn{Then: []infra.Op{infra.Put(platform.ConfigKey, config)}})
 	assert.NilError(t, err)
 }
 
-func (r *operatorRig) knows(key string) bool {
+func (r *operatorFixture) knows(key string) bool {
 	_, known := r.Keys()[jobfront.DigestOf(key)]
 	return known
 }
@@ -66,7 +66,7 @@
 // A caller whose key was taken away is served again: an entry VM that had the newer
 // configuration from another one was brought back to the older one by its own late watch.
 func TestTheConfigurationNeverStepsBack(t *testing.T) {
-	r, other := newOperatorRig(t), newOperatorRig(t)
+	r, other := newOperatorFixture(t), newOperatorFixture(t)
 	other.declare(t, configTwo)
 	other.clock.now += time.Second
 	assert.NilError(t, other.Confirm(t.Context()))
@@ -75,7 +75,7 @@
 	assert.Assert(t, !r.knows("k1") && r.knows("k2"))
 	assert.Equal(t, r.declared().Workspaces["red"].Limit.MilliCPU, int64(1000))
 
-	r.take(infra.KV{Key: platform.ConfigKey, Value: configOne, ModRevision: 1})
+	r.apply(infra.KV{Key: platform.ConfigKey, Value: configOne, ModRevision: 1})
 	assert.Assert(t, !r.knows("k1"))
 	r.Take([]byte("no configuration"), other.Standing(), r.clock.now)
 	assert.Assert(t, r.knows("k2"), "one that can't be read leaves the last in force")
@@ -84,7 +84,7 @@
 // Entry VMs that the store turns away confirm each other's configuration from what they last
 // heard: none may count as newer than the one that it came from.
 func TestAConfirmationIsNoNewerThanWhereItComesFrom(t *testing.T) {
-	r, other := newOperatorRig(t), newOperatorRig(t)
+	r, other := newOperatorFixture(t), newOperatorFixture(t)
 	other.clock.now += 3 * time.Second // since it read the store
 	r.clock.now += 10 * time.Second
 	assert.Assert(t, !r.Heard(other.Standing(), r.clock.now))
@@ -95,28 +95,28 @@
 // A store that turns this entry VM away is not asked for each of thousands of calls whose keys
 // it does not know.
 func TestReadsOnDemandPauseWhereTheyFail(t *testing.T) {
-	r := newOperatorRig(t)
+	r := newOperatorFixture(t)
 	r.clock.now += time.Minute
 	r.store.SetDown(true)
 	for range 100 {
 		assert.Assert(t, r.Confirm(t.Context()) != nil)
 	}
 	r.store.SetDown(false)
-	assert.Equal(t, r.Confirm(t.Context()), errStoreSilent)
-	r.clock.now += confirmPause
+	assert.Equal(t, r.Confirm(t.Context()), errStoreUnresponsive)
+	r.clock.now += confirmRetryInterval
 	assert.NilError(t, r.Confirm(t.Context()))
 	assert.Equal(t, r.Age(), time.Duration(0))
 }
 
-// slowReads counts reads and lets none end before it is told to.
-type slowReads struct {
+// blockedReads counts reads and lets none end before it is told to.
+type blockedReads struct {
 	infra.Store
 	mu    sync.Mutex
 	reads int
 	gate  chan struct{}
 }
 
-func (s *slowReads) Get(ctx context.Context, key string) (infra.KV, infra.Revision, error) {
+func (s *blockedReads) Get(ctx context.Context, key string) (infra.KV, infra.Revision, error) {
 	s.mu.Lock()
 	s.reads++
 	s.mu.Unlock()
@@ -126,9 +126,9 @@
 
 // Callers who ask while a read is under way wait for it; the first of them makes the next.
 func TestCallersShareAReadOfTheConfiguration(t *testing.T) {
-	r := newOperatorRig(t)
-	slow := &slowReads{Store: r.store, gate: make(chan struct{})}
-	r.operator.store = slow
+	r := newOperatorFixture(t)
+	slow := &blockedReads{Store: r.store, gate: make(chan struct{})}
+	r.operatorState.store = slow
 	r.clock.now += time.Minute
 	var callers sync.WaitGroup
 	for range 50 {
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -16,101 +16,101 @@
 
 // Pace of the looks that tell whether this entry VM is cut off.
 const (
-	// probeEvery separates looks. A look is one stale read of the store, which costs a
+	// probeInterval separates looks. A look is one stale read of the store, which costs a
 	// tenth of a call; the balancer itself asks only once a second.
-	probeEvery = 250 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
 	// probeTimeout ends each question. A slow store was seen to take a quarter of a
 	// second, an entry VM with a slowed processor less.
 	probeTimeout = 400 * time.Millisecond
-	// peersEvery is how old the list of entry VMs may be: VMs are replaced a few times a
+	// peerListMaxAge is how old the list of entry VMs may be: VMs are replaced a few times a
 	// day, and two of each zone are asked.
-	peersEvery = 10 * time.Second
+	peerListMaxAge = 10 * time.Second
 )
 
-// stale reads the store without certainty, at a tenth of the price.
-type stale interface {
+// staleReader reads the store without certainty, at a tenth of the price.
+type staleReader interface {
 	Ping(ctx context.Context) error
 	// Peek returns the first page under the prefix.
 	Peek(ctx context.Context, prefix string) ([]infra.KV, error)
 }
 
-// reach knows whether this entry VM reaches the store, and whether it is cut off.
-type reach struct {
+// reachability knows whether this entry VM reaches the store, and whether it is cut off.
+type reachability struct {
 	zone  string // its own
-	store stale
+	store staleReader
 	ping  func(ctx context.Context, address string) bool
-	// turned is called when this entry VM is cut off, and when no longer. While it is,
+	// onCutOffChange is called when this entry VM is cut off, and when no longer. While it is,
 	// connections are closed after their answer: a caller's next one goes by the balancer,
 	// to an entry VM that may serve it.
-	turned func(cutOff bool)
-	clock  interface{ Now() time.Duration }
-	log    logr.Logger
+	onCutOffChange func(cutOff bool)
+	clock          interface{ Now() time.Duration }
+	log            logr.Logger
 
-	peers  members.Directory
-	listed time.Duration // when the peers were last listed; 0: never
+	peers         members.Directory
+	peersListedAt time.Duration // when the peers were last listed; 0: never
 
-	cutOff    atomic.Bool
-	storeAway atomic.Bool // at the last look
+	cutOff           atomic.Bool
+	storeUnreachable atomic.Bool // at the last look
 }
 
-func (r *reach) run(ctx context.Context) {
+func (r *reachability) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.look(ctx)
-		sleep.For(ctx, probeEvery)
+		r.poll(ctx)
+		sleep.For(ctx, probeInterval)
 	}
 }
 
-func (r *reach) look(ctx context.Context) {
+func (r *reachability) poll(ctx context.Context) {
 	p := r.probe(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	r.storeAway.Store(!p.Store)
+	r.storeUnreachable.Store(!p.Store)
 	if p.CutOff() == r.cutOff.Load() {
 		return
 	}
 	r.cutOff.Store(p.CutOff())
 	r.log.Info("cut off from other zones", "now", p.CutOff(), "store answers", p.Store, "entry VMs asked", p.Asked, "answered", p.Answered)
-	r.turned(p.CutOff())
+	r.onCutOffChange(p.CutOff())
 }
 
-func (r *reach) probe(ctx context.Context) cutoff.Probe {
+func (r *reachability) probe(ctx context.Context) cutoff.Probe {
 	call, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if err := r.askStore(call); err == nil {
+	if err := r.probeStore(call); err == nil {
 		return cutoff.Probe{Store: true}
 	}
 	call, cancel = context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var answered atomic.Int64
-	var asks sync.WaitGroup
-	ask := cutoff.SelectPeers(r.others(), r.zone)
-	for _, p := range ask {
-		asks.Go(func() {
+	var pings sync.WaitGroup
+	peers := cutoff.SelectPeers(r.otherEntryVMs(), r.zone)
+	for _, p := range peers {
+		pings.Go(func() {
 			if r.ping(call, p.Address) {
 				answered.Add(1)
 			}
 		})
 	}
-	asks.Wait()
-	return cutoff.Probe{Asked: len(ask), Answered: int(answered.Load())}
+	pings.Wait()
+	return cutoff.Probe{Asked: len(peers), Answered: int(answered.Load())}
 }
 
-// askStore asks for any answer, and now and then for the list of entry VMs.
-func (r *reach) askStore(ctx context.Context) error {
+// probeStore asks for any answer, and now and then for the list of entry VMs.
+func (r *reachability) probeStore(ctx context.Context) error {
 	now := r.clock.Now()
-	if r.listed != 0 && now < r.listed+peersEvery {
+	if r.peersListedAt != 0 && now < r.peersListedAt+peerListMaxAge {
 		return r.store.Ping(ctx)
 	}
 	kvs, err := r.store.Peek(ctx, infra.WorkEntryPrefix)
 	if err == nil {
 		r.peers.Replace(kvs)
-		r.listed = now
+		r.peersListedAt = now
 	}
 	return err
 }
 
-func (r *reach) others() []cutoff.Peer {
+func (r *reachability) otherEntryVMs() []cutoff.Peer {
 	live, _ := r.peers.Live()
 	out := make([]cutoff.Peer, 0, len(live))
 	for _, m := range live {
--- a/internal/node/reachability_test.go
+++ b/internal/node/reachability_test.go
@@ -17,17 +17,17 @@
 	"github.com/pumicestage/pumicestage/internal/jobfront"
 )
 
-// ticking is a clock that goes on by a minute at each look.
-type ticking struct{ now time.Duration }
+// tickingClock is a clock that goes on by a minute at each look.
+type tickingClock struct{ now time.Duration }
 
-func (c *ticking) Now() time.Duration { c.now += time.Minute; return c.now }
+func (c *tickingClock) Now() time.Duration { c.now += time.Minute; return c.now }
 
-// silentStore is a store that answers unless it has an error.
-type silentStore struct{ err error }
+// failingStore is a store that answers unless it has an error.
+type failingStore struct{ err error }
 
-func (s *silentStore) Ping(context.Context) error { return s.err }
+func (s *failingStore) Ping(context.Context) error { return s.err }
 
-func (s *silentStore) Peek(context.Context, string) ([]infra.KV, error) {
+func (s *failingStore) Peek(context.Context, string) ([]infra.KV, error) {
 	var kvs []infra.KV
 	for _, zone := range []string{"a", "b", "c"} {
 		value := fmt.Appendf(nil, `{"zone":%q,"address":"%s:1"}`, zone, zone)
@@ -40,32 +40,32 @@
 // are ready, and the balancer goes on sending callers there. They turn unready as the store
 // and all other zones fall silent, and ready with the first answer.
 func TestAnEntryVMThatIsCutOffTurnsUnready(t *testing.T) {
-	store := &silentStore{}
+	store := &failingStore{}
 	answers := map[string]bool{"b:1": true, "c:1": true}
 	var turns []bool
-	r := &reach{
-		zone: "a", store: store, clock: &ticking{}, log: logr.Discard(),
-		ping:   func(_ context.Context, address string) bool { return answers[address] },
-		turned: func(cutOff bool) { turns = append(turns, cutOff) },
+	r := &reachability{
+		zone: "a", store: store, clock: &tickingClock{}, log: logr.Discard(),
+		ping:           func(_ context.Context, address string) bool { return answers[address] },
+		onCutOffChange: func(cutOff bool) { turns = append(turns, cutOff) },
 	}
-	look := func() bool { r.look(t.Context()); return r.cutOff.Load() }
-	assert.Equal(t, look(), false)
+	poll := func() bool { r.poll(t.Context()); return r.cutOff.Load() }
+	assert.Equal(t, poll(), false)
 	store.err = errors.New("silent")
-	assert.Equal(t, look(), false, "an outage of the store: nobody does better elsewhere")
-	assert.Equal(t, r.storeAway.Load(), true)
+	assert.Equal(t, poll(), false, "an outage of the store: nobody does better elsewhere")
+	assert.Equal(t, r.storeUnreachable.Load(), true)
 	answers["b:1"] = false
-	assert.Equal(t, look(), false, "zone b is cut off during an outage of the store")
+	assert.Equal(t, poll(), false, "zone b is cut off during an outage of the store")
 	answers["c:1"] = false
-	assert.Equal(t, look(), true)
-	assert.Equal(t, look(), true)
+	assert.Equal(t, poll(), true)
+	assert.Equal(t, poll(), true)
 	answers["c:1"] = true
-	assert.Equal(t, look(), false)
+	assert.Equal(t, poll(), false)
 	assert.DeepEqual(t, turns, []bool{true, false})
 }
 
 // The balancer is told: an entry VM that is cut off, or leaves, takes no new connections.
 func TestReadiness(t *testing.T) {
-	n := &Node{operator: newOperator(nil, bootClock{}, logr.Discard(), func() {}), reach: &reach{}}
+	n := &Node{operator: newOperatorState(nil, bootClock{}, logr.Discard(), func() {}), reach: &reachability{}}
 	status := func() int {
 		w := httptest.NewRecorder()
 		n.serveReady(w, nil)
@@ -78,26 +78,26 @@
 	assert.Equal(t, status(), http.StatusServiceUnavailable)
 	n.reach.cutOff.Store(false)
 	assert.Equal(t, status(), http.StatusOK)
-	n.leaving.Store(true)
+	n.shuttingDown.Store(true)
 	assert.Equal(t, status(), http.StatusServiceUnavailable)
 }
 
 // An entry VM leaves during an outage of the store. It keeps its duties until the store is
 // back, and hands them over in time if that does not come.
 func TestDutiesAreKeptWhileTheStoreIsAway(t *testing.T) {
-	n := &Node{settings: &Settings{ShutdownTimeout: time.Hour}, reach: &reach{}}
-	n.keepDuties(n.clock.Now())
-	n.reach.storeAway.Store(true)
+	n := &Node{settings: &Settings{ShutdownTimeout: time.Hour}, reach: &reachability{}}
+	n.awaitStore(n.clock.Now())
+	n.reach.storeUnreachable.Store(true)
 	kept := make(chan struct{})
-	go func() { n.keepDuties(n.clock.Now()); close(kept) }()
+	go func() { n.awaitStore(n.clock.Now()); close(kept) }()
 	select {
 	case <-kept:
 		t.Fatal("handed over to nobody")
-	case <-time.After(3 * keepDutiesEvery):
+	case <-time.After(3 * storePollInterval):
 	}
-	n.reach.storeAway.Store(false)
+	n.reach.storeUnreachable.Store(false)
 	<-kept
-	n.reach.storeAway.Store(true)
+	n.reach.storeUnreachable.Store(true)
 	n.settings.ShutdownTimeout = handoverMargin
-	n.keepDuties(n.clock.Now()) // returns
+	n.awaitStore(n.clock.Now()) // returns
 }
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -18,48 +18,48 @@
 // registry holds the registered workers while this entry VM owns a cell. One
 // watch serves all its cells.
 type registry struct {
-	store   infra.Store
-	log     logr.Logger
-	changed func()
-	follow  shared
-
-	mu      sync.Mutex
-	listed  chan struct{}           // closed once the workers were listed
-	workers map[string]registration // by key
-	asOf    time.Duration           // all that was registered by then is known; 0: nothing yet
-	asked   map[work.WorkerID]bool  // being looked up
+	store    infra.Store
+	log      logr.Logger
+	onChange func()
+	watch    sharedTask
+
+	mu          sync.Mutex
+	listed      chan struct{}           // closed once the workers were listed
+	workers     map[string]registration // by key
+	confirmedAt time.Duration           // all that was registered by then is known; 0: nothing yet
+	lookingUp   map[work.WorkerID]bool  // being looked up
 }
 
 // registration is a worker's entry and the revision at which it was read.
 type registration struct {
 	engine.WorkerInfo
-	at infra.Revision
+	revision infra.Revision
 }
 
-func newRegistry(store infra.Store, log logr.Logger, changed func()) *registry {
-	r := &registry{store: store, log: log, changed: changed, asked: make(map[work.WorkerID]bool), workers: make(map[string]registration)}
-	r.follow.begin, r.follow.run = r.begin, r.run
+func newRegistry(store infra.Store, log logr.Logger, onChange func()) *registry {
+	r := &registry{store: store, log: log, onChange: onChange, lookingUp: make(map[work.WorkerID]bool), workers: make(map[string]registration)}
+	r.watch.reset, r.watch.run = r.reset, r.run
 	return r
 }
 
-// registryPace gathers changes of registrations. Every worker writes its entry each
+// registryMinInterval gathers changes of registrations. Every worker writes its entry each
 // second or two, and each answer of a watch is a call to the store: a tenth of a second
 // apart they were four in ten of all calls. Workers that join are looked up sooner; one
 // that leaves takes tasks for two seconds from its notice.
-const registryPace = 500 * time.Millisecond
+const registryMinInterval = 500 * time.Millisecond
 
-// registryWait is how long a new owner waits for the first list of workers.
-const registryWait = 2 * time.Second
+// firstListTimeout is how long a new owner waits for the first list of workers.
+const firstListTimeout = 2 * time.Second
 
-// hold follows the registrations until release.
-func (r *registry) hold() { r.follow.hold() }
+// acquire follows the registrations until release.
+func (r *registry) acquire() { r.watch.acquire() }
 
-// wait returns once the workers were listed, or after registryWait.
-func (r *registry) wait(ctx context.Context) {
+// waitListed returns once the workers were listed, or after registryWait.
+func (r *registry) waitListed(ctx context.Context) {
 	r.mu.Lock()
 	listed := r.listed
 	r.mu.Unlock()
-	t := time.NewTimer(registryWait)
+	t := time.NewTimer(firstListTimeout)
 	defer t.Stop()
 	select {
 	case <-listed:
@@ -68,12 +68,12 @@
 	}
 }
 
-func (r *registry) release() { r.follow.release() }
+func (r *registry) release() { r.watch.release() }
 
-func (r *registry) begin() {
+func (r *registry) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.listed, r.workers, r.asOf = make(chan struct{}), make(map[string]registration), 0
+	r.listed, r.workers, r.confirmedAt = make(chan struct{}), make(map[string]registration), 0
 }
 
 func (r *registry) run(ctx context.Context) {
@@ -81,20 +81,20 @@
 	listed := r.listed
 	r.mu.Unlock()
 	var once sync.Once
-	follow(ctx, r.store, r.log, source{
-		prefix: platform.WorkerPrefix,
-		pace:   registryPace,
-		all: func(kvs []infra.KV) {
+	followPrefix(ctx, r.store, r.log, source{
+		prefix:      platform.WorkerPrefix,
+		minInterval: registryMinInterval,
+		replace: func(kvs []infra.KV) {
 			r.replace(kvs)
 			once.Do(func() { close(listed) })
-			r.changed()
+			r.onChange()
 		},
-		each: func(ev infra.Event) {
-			if r.change(ev) {
-				r.changed()
+		apply: func(ev infra.Event) {
+			if r.apply(ev) {
+				r.onChange()
 			}
 		},
-		current: func(age time.Duration) { r.confirm(bootClock{}.Now() - age) },
+		confirm: func(age time.Duration) { r.confirm(bootClock{}.Now() - age) },
 	})
 }
 
@@ -102,14 +102,14 @@
 func (r *registry) confirm(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asOf = max(r.asOf, at)
+	r.confirmedAt = max(r.confirmedAt, at)
 }
 
-// current is until when all registrations are known.
-func (r *registry) current() time.Duration {
+// knownUntil is until when all registrations are known.
+func (r *registry) knownUntil() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.asOf
+	return r.confirmedAt
 }
 
 // replace takes the whole list over in one step: a new owner must not see a
@@ -119,15 +119,15 @@
 	defer r.mu.Unlock()
 	workers := make(map[string]registration, len(kvs))
 	for _, kv := range kvs {
-		if info, ok := r.readLocked(kv); ok {
-			workers[kv.Key] = registration{WorkerInfo: info, at: kv.ModRevision}
+		if info, ok := r.parseLocked(kv); ok {
+			workers[kv.Key] = registration{WorkerInfo: info, revision: kv.ModRevision}
 		}
 	}
 	r.workers = workers
 }
 
-// change takes one change over; false where nothing of it matters.
-func (r *registry) change(ev infra.Event) bool {
+// apply takes one apply over; false where nothing of it matters.
+func (r *registry) apply(ev infra.Event) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ev.Kind == infra.EventDelete {
@@ -137,28 +137,28 @@
 	old, known := r.workers[ev.KV.Key]
 	// A watch that lags tells of a state from before a lookup: a worker that is leaving
 	// would be ready again for a while.
-	if ev.KV.ModRevision < old.at {
+	if ev.KV.ModRevision < old.revision {
 		return false
 	}
-	info, ok := r.readLocked(ev.KV)
+	info, ok := r.parseLocked(ev.KV)
 	if !ok {
 		return false
 	}
-	r.workers[ev.KV.Key] = registration{WorkerInfo: info, at: ev.KV.ModRevision}
+	r.workers[ev.KV.Key] = registration{WorkerInfo: info, revision: ev.KV.ModRevision}
 	return !known || old.Draining != info.Draining || old.Address != info.Address || old.Life != info.Life || old.Unreadable != info.Unreadable ||
 		old.Capacity != info.Capacity
 }
 
-// errNoLife: a worker that told its life before registers without.
-var errNoLife = errors.New("node: registration does not tell the worker's life")
+// errNoIncarnation: a worker that told its life before registers without.
+var errNoIncarnation = errors.New("node: registration does not tell the worker's life")
 
-// readLocked reads a registration; false where it names no worker. One that was readable
+// parseLocked reads a registration; false where it names no worker. One that was readable
 // before names the worker that is known, which takes nothing new.
-func (r *registry) readLocked(kv infra.KV) (engine.WorkerInfo, bool) {
+func (r *registry) parseLocked(kv infra.KV) (engine.WorkerInfo, bool) {
 	info, err := platform.WorkerOf(kv)
 	last, known := r.workers[kv.Key]
 	if err == nil && known && last.Life != 0 && info.Life == 0 {
-		err = errNoLife
+		err = errNoIncarnation
 	}
 	if err == nil {
 		return info, true
@@ -171,12 +171,12 @@
 const (
 	// lookupTimeout ends the read of one registration.
 	lookupTimeout = 700 * time.Millisecond
-	// lookupPause separates reads of one that was not found: a VM is in the list moments
+	// lookupRetryInterval separates reads of one that was not found: a VM is in the list moments
 	// before its worker registers, and one whose entry can't be read stays in it.
-	lookupPause = 1 * time.Second
-	// lookupsAtOnce bounds reads of registrations in progress. A burst that draws a whole
+	lookupRetryInterval = 1 * time.Second
+	// maxLookups bounds reads of registrations in progress. A burst that draws a whole
 	// fleet of today's sizes waits for ten of them one after the other, 40 ms in all.
-	lookupsAtOnce = 32
+	maxLookups = 32
 )
 
 // lookup reads the registrations of workers that the platform's list of VMs names and no
@@ -187,29 +187,29 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
-		if r.asked[id] || len(r.asked) >= lookupsAtOnce {
+		if r.lookingUp[id] || len(r.lookingUp) >= maxLookups {
 			continue
 		}
-		r.asked[id] = true
-		go r.read(id)
+		r.lookingUp[id] = true
+		go r.fetch(id)
 	}
 }
 
-func (r *registry) read(id work.WorkerID) {
+func (r *registry) fetch(id work.WorkerID) {
 	ctx, cancel := context.WithTimeout(context.Background(), lookupTimeout)
 	kv, _, err := r.store.Get(ctx, platform.WorkerPrefix+string(id))
 	cancel()
 	if err != nil {
 		r.log.V(1).Info("registration not read", "worker", id, "error", err.Error())
 	}
-	if kv.ModRevision != 0 && r.change(infra.Event{Kind: infra.EventPut, KV: kv}) {
-		r.changed()
+	if kv.ModRevision != 0 && r.apply(infra.Event{Kind: infra.EventPut, KV: kv}) {
+		r.onChange()
 	} else {
-		sleep.For(context.Background(), lookupPause)
+		sleep.For(context.Background(), lookupRetryInterval)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.asked, id)
+	delete(r.lookingUp, id)
 }
 
 // list returns the service's workers.
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -24,7 +24,7 @@
 	r := newRegistry(nil, logr.Discard(), nil)
 	r.replace([]infra.KV{registered("i-1", "ready"), {Key: platform.WorkerPrefix + "x", Value: []byte("\xff")}, registered("i-2", "odd")})
 	assert.Equal(t, len(r.list("a")), 1)
-	assert.Equal(t, r.change(infra.Event{Kind: infra.EventPut, KV: registered("i-3", "odd")}), false)
+	assert.Equal(t, r.apply(infra.Event{Kind: infra.EventPut, KV: registered("i-3", "odd")}), false)
 	assert.Equal(t, len(r.list("a")), 1)
 }
 
@@ -35,23 +35,23 @@
 	r := newRegistry(nil, logr.Discard(), nil)
 	r.replace([]infra.KV{registered("i-1", "ready")})
 	odd := infra.Event{Kind: infra.EventPut, KV: registered("i-1", "odd")}
-	assert.Equal(t, r.change(odd), true, "owners are told")
-	assert.Equal(t, r.change(odd), false, "once")
+	assert.Equal(t, r.apply(odd), true, "owners are told")
+	assert.Equal(t, r.apply(odd), false, "once")
 	assert.Equal(t, r.list("a")[0].Unreadable, true)
 	r.replace([]infra.KV{odd.KV})
 	assert.Equal(t, r.list("a")[0].Unreadable, true)
-	assert.Equal(t, r.change(infra.Event{Kind: infra.EventPut, KV: registered("i-1", "ready")}), true)
+	assert.Equal(t, r.apply(infra.Event{Kind: infra.EventPut, KV: registered("i-1", "ready")}), true)
 	assert.Equal(t, r.list("a")[0].Unreadable, false)
 }
 
-// oneKey is a store that has one key, and says when it is read.
-type oneKey struct {
+// singleKeyStore is a store that has one key, and says when it is read.
+type singleKeyStore struct {
 	infra.Store
 	kv    infra.KV
 	reads chan string
 }
 
-func (s *oneKey) Get(_ context.Context, key string) (infra.KV, infra.Revision, error) {
+func (s *singleKeyStore) Get(_ context.Context, key string) (infra.KV, infra.Revision, error) {
 	s.reads <- key
 	if key == s.kv.Key {
 		return s.kv, 1, nil
@@ -63,7 +63,7 @@
 // registrations is silent for seconds. The list of VMs names the workers, and their
 // registrations are read one by one; a worker that has none yet is asked for again.
 func TestAWorkerThatNoWatchTellsOfIsLookedUp(t *testing.T) {
-	store := &oneKey{kv: registered("i-1", "ready"), reads: make(chan string)}
+	store := &singleKeyStore{kv: registered("i-1", "ready"), reads: make(chan string)}
 	store.kv.ModRevision = 1
 	changed := make(chan struct{})
 	r := newRegistry(store, logr.Discard(), func() { close(changed) })
@@ -87,10 +87,10 @@
 		kv.ModRevision = at
 		return infra.Event{Kind: infra.EventPut, KV: kv}
 	}
-	assert.Equal(t, r.change(put("draining", 7)), true)
-	assert.Equal(t, r.change(put("ready", 5)), false)
+	assert.Equal(t, r.apply(put("draining", 7)), true)
+	assert.Equal(t, r.apply(put("ready", 5)), false)
 	assert.Equal(t, r.list("a")[0].Draining, true)
-	assert.Equal(t, r.change(put("ready", 8)), true)
+	assert.Equal(t, r.apply(put("ready", 8)), true)
 }
 
 // A task goes to a worker that has no room for it any more: its registration told of less
@@ -101,11 +101,11 @@
 		const entry = `{"service":"a","address":"10.0.0.1:80","state":"ready","capacity":{"cpu":%d}}`
 		return infra.Event{Kind: infra.EventPut, KV: infra.KV{Key: platform.WorkerPrefix + "i-1", Value: fmt.Appendf(nil, entry, cpu)}}
 	}
-	assert.Equal(t, r.change(with(8000)), true)
-	assert.Equal(t, r.change(with(8000)), false, "nothing changed")
-	assert.Equal(t, r.change(with(2000)), true, "less room")
+	assert.Equal(t, r.apply(with(8000)), true)
+	assert.Equal(t, r.apply(with(8000)), false, "nothing changed")
+	assert.Equal(t, r.apply(with(2000)), true, "less room")
 	assert.Equal(t, r.list("a")[0].Capacity.MilliCPU, int64(2000))
-	assert.Equal(t, r.change(with(8000)), true, "more room")
+	assert.Equal(t, r.apply(with(8000)), true, "more room")
 }
 
 // A worker that starts again under its ID is taken for the life before.
@@ -115,12 +115,12 @@
 		const entry = `{"service":"a","address":"10.0.0.1:80","state":"ready","capacity":{"cpu":8000}%s}`
 		return infra.Event{Kind: infra.EventPut, KV: infra.KV{Key: platform.WorkerPrefix + "i-1", Value: fmt.Appendf(nil, entry, ms)}}
 	}
-	assert.Equal(t, r.change(born(`,"born":1000`)), true)
-	assert.Equal(t, r.change(born(`,"born":1000`)), false)
-	assert.Equal(t, r.change(born(`,"born":2000`)), true)
+	assert.Equal(t, r.apply(born(`,"born":1000`)), true)
+	assert.Equal(t, r.apply(born(`,"born":1000`)), false)
+	assert.Equal(t, r.apply(born(`,"born":2000`)), true)
 	assert.Equal(t, r.list("a")[0].Life, work.Incarnation(2000))
-	assert.Equal(t, r.change(born("")), true, "an entry that lacks what the worker told before")
+	assert.Equal(t, r.apply(born("")), true, "an entry that lacks what the worker told before")
 	assert.Equal(t, r.list("a")[0].Unreadable, true)
-	assert.Equal(t, r.change(born(`,"born":2000`)), true)
+	assert.Equal(t, r.apply(born(`,"born":2000`)), true)
 	assert.Equal(t, r.list("a")[0].Unreadable, false)
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -55,8 +55,8 @@
 // changedKeys names the keys whose values differ, as section and key.
 func changedKeys(old, next *Settings) []string {
 	changed := []string{}
-	for key, value := range next.given {
-		if old.given[key] != value {
+	for key, value := range next.values {
+		if old.values[key] != value {
 			changed = append(changed, key)
 		}
 	}
--- a/internal/node/schedulingdelay.go
+++ b/internal/node/schedulingdelay.go
@@ -10,37 +10,37 @@
 	"github.com/pumicestage/pumicestage/policy/overload"
 )
 
-// pressure measures the scheduling delay of this process while it has a cell: how long what
+// delayMeter measures the scheduling delay of this process while it has a cell: how long what
 // is ready to run waits for the processor.
-type pressure struct {
-	clock  engine.Clock
-	follow shared
+type delayMeter struct {
+	clock   engine.Clock
+	probing sharedTask
 
 	mu    sync.Mutex
 	meter overload.Meter
 }
 
-func newPressure(clock engine.Clock) *pressure {
-	p := &pressure{clock: clock}
-	p.follow.begin, p.follow.run = func() {}, p.run
+func newDelayMeter(clock engine.Clock) *delayMeter {
+	p := &delayMeter{clock: clock}
+	p.probing.reset, p.probing.run = func() {}, p.run
 	return p
 }
 
 // Behind implements engine.Pressure.
-func (p *pressure) Behind() time.Duration {
+func (p *delayMeter) Behind() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.meter.MaxDelay(p.clock.Now())
 }
 
 // Standing implements engine.Pressure.
-func (p *pressure) Standing() time.Duration {
+func (p *delayMeter) Standing() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.meter.MinDelay(p.clock.Now())
 }
 
-func (p *pressure) run(ctx context.Context) {
+func (p *delayMeter) run(ctx context.Context) {
 	for sleep.For(ctx, overload.ProbeInterval) {
 		p.probe()
 	}
@@ -48,7 +48,7 @@
 
 // probe waits in line once. The runtime runs the newest goroutine next and lets the others
 // wait; the second one here takes that place, so that the first waits as answers do.
-func (p *pressure) probe() {
+func (p *delayMeter) probe() {
 	ran := make(chan struct{})
 	p.mu.Lock()
 	p.meter.Begin(p.clock.Now())
--- a/internal/node/schedulingdelay_test.go
+++ b/internal/node/schedulingdelay_test.go
@@ -16,11 +16,11 @@
 
 // A probe ends also on a VM that does nothing else, and is counted.
 func TestAProbeIsMeasured(t *testing.T) {
-	p := newPressure(bootClock{})
+	p := newDelayMeter(bootClock{})
 	p.probe()
 	assert.Assert(t, p.Behind() > 0)
 	assert.Assert(t, p.Standing() <= p.Behind())
-	waits, is := newMetrics(p).waits().(map[string]int64)
+	waits, is := newMetrics(p).schedulingDelays().(map[string]int64)
 	assert.Assert(t, is && waits["longest"] >= waits["standing"])
 }
 
@@ -30,8 +30,8 @@
 // not in one of four; without the detector in none and in all.
 func TestAProbeWaitsInLine(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	const ready, rounds, least = 50, 2000, 1640
-	p := newPressure(bootClock{})
+	const ready, rounds, minInLine = 50, 2000, 1640
+	p := newDelayMeter(bootClock{})
 	inLine := 0
 	for range rounds {
 		var ran atomic.Int32
@@ -45,7 +45,7 @@
 		}
 		all.Wait()
 	}
-	assert.Assert(t, inLine >= least, "in line in %d of %d rounds", inLine, rounds)
+	assert.Assert(t, inLine >= minInLine, "in line in %d of %d rounds", inLine, rounds)
 }
 
 // A cell goes from a VM that is behind to a smaller one, or to one with a cell of its own,
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -30,18 +30,18 @@
 	VMs     string // host:port of the platform's VM service; empty: none
 	Advisor string // host:port of the advisor; empty: none
 
-	MinTTL  time.Duration // shortest lease that the store grants
-	ListRate  float64       // reads of the list of VMs that the platform takes a second; 0: any number
-	CPUShare  float64       // of a core; VMs with more take duties sooner
-	LinkMbps  float64       // of the VM's link, likewise
-	MemoryMB  int
-	ShutdownTimeout  time.Duration // until a stopping process is killed
-	MaxLease  time.Duration // longest lease of a worker
-	PaceDelay time.Duration // until a change of pace shows
-	StopGrace time.Duration // a worker's stop of a task takes at most
+	MinTTL          time.Duration // shortest lease that the store grants
+	ListRate        float64       // reads of the list of VMs that the platform takes a second; 0: any number
+	CPUShare        float64       // of a core; VMs with more take duties sooner
+	LinkMbps        float64       // of the VM's link, likewise
+	MemoryMB        int
+	ShutdownTimeout time.Duration // until a stopping process is killed
+	MaxLease        time.Duration // longest lease of a worker
+	PaceDelay       time.Duration // until a change of pace shows
+	StopGrace       time.Duration // a worker's stop of a task takes at most
 	// MaxCapacityAge is how old what workers say of their room may be where they don't guard it.
-	MaxCapacityAge time.Duration
-	StatusRetention     time.Duration // for how long a job's state may be asked after its end
+	MaxCapacityAge  time.Duration
+	StatusRetention time.Duration // for how long a job's state may be asked after its end
 
 	// RevokeEverywhere: an entry VM that could not confirm its configuration for RevokeWithin
 	// accepts no keys, as one may have been taken away meanwhile.
@@ -50,11 +50,11 @@
 	// ConfigWithin is the time within which a configuration is in force everywhere.
 	ConfigWithin time.Duration
 
-	given map[string]string // as the file has them, by section and key
+	values map[string]string // as the file has them, by section and key
 }
 
-// entryField is one key of the file.
-type entryField struct {
+// settingField is one key of the file.
+type settingField struct {
 	section, key string
 	required     bool
 	expects      string
@@ -71,11 +71,11 @@
 	expectsMB      = "a number of megabytes"
 	expectsRate    = "a number of calls a second above 0"
 	expectsShare   = "a share of a core above 0"
-	expectsSwitch  = "true or false"
-	expectsLink    = "a number of megabits a second above 0"
+	expectsBool    = "true or false"
+	expectsMbps    = "a number of megabits a second above 0"
 )
 
-var entryFields = []entryField{
+var settingFields = []settingField{
 	{"entry", "name", true, expectsText, text(func(s *Settings) *string { return &s.Name })},
 	{"entry", "zone", true, expectsText, text(func(s *Settings) *string { return &s.Zone })},
 	{"entry", "address", true, expectsIP, func(s *Settings, t string) bool { s.Address = t; return net.ParseIP(t) != nil }},
@@ -87,17 +87,17 @@
 	{"store", "address", true, expectsAddress, address(func(s *Settings) *string { return &s.Store })},
 	{"store", "least-lease-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MinTTL })},
 	{"vms", "address", false, expectsAddress, address(func(s *Settings) *string { return &s.VMs })},
-	{"vms", "rate-per-s", false, expectsRate, above0(func(s *Settings) *float64 { return &s.ListRate })},
+	{"vms", "rate-per-s", false, expectsRate, positiveFloat(func(s *Settings) *float64 { return &s.ListRate })},
 	{"advisor", "address", false, expectsAddress, address(func(s *Settings) *string { return &s.Advisor })},
-	{"limits", "cpu-share", false, expectsShare, above0(func(s *Settings) *float64 { return &s.CPUShare })},
-	{"limits", "link-mbps", false, expectsLink, above0(func(s *Settings) *float64 { return &s.LinkMbps })},
-	{"limits", "memory-mb", true, expectsMB, positive(func(s *Settings) *int { return &s.MemoryMB })},
+	{"limits", "cpu-share", false, expectsShare, positiveFloat(func(s *Settings) *float64 { return &s.CPUShare })},
+	{"limits", "link-mbps", false, expectsMbps, positiveFloat(func(s *Settings) *float64 { return &s.LinkMbps })},
+	{"limits", "memory-mb", true, expectsMB, positiveInt(func(s *Settings) *int { return &s.MemoryMB })},
 	{"limits", "shutdown-s", true, expectsS, duration(time.Second, func(s *Settings) *time.Duration { return &s.ShutdownTimeout })},
 	{"limits", "max-lease-ms", true, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MaxLease })},
 	{"limits", "stop-grace-ms", true, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.StopGrace })},
 	{"limits", "room-known-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.MaxCapacityAge })},
 	{"limits", "status-s", true, expectsS, duration(time.Second, func(s *Settings) *time.Duration { return &s.StatusRetention })},
-	{"callers", "revoke-everywhere", false, expectsSwitch, toggle(func(s *Settings) *bool { return &s.RevokeEverywhere })},
+	{"callers", "revoke-everywhere", false, expectsBool, toggle(func(s *Settings) *bool { return &s.RevokeEverywhere })},
 	{"callers", "revoke-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.RevokeWithin })},
 	{"callers", "config-in-force-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.ConfigWithin })},
 	{"limits", "pace-delay-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.PaceDelay })},
@@ -110,11 +110,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &Settings{given: make(map[string]string)}
+	s := &Settings{values: make(map[string]string)}
 	var mistakes []settings.Mistake
-	for _, fd := range entryFields {
+	for _, fd := range settingFields {
 		given := strings.TrimSpace(f.Section(fd.section).Key(fd.key).String())
-		s.given[fd.section+"."+fd.key] = given
+		s.values[fd.section+"."+fd.key] = given
 		m := settings.Mistake{Section: fd.section, Key: fd.key, Given: given, Expected: fd.expects}
 		switch {
 		case given == "" && fd.required:
@@ -143,7 +143,7 @@
 
 func unknownKeys(f *ini.File) []settings.Mistake {
 	known := make(map[string]bool)
-	for _, fd := range entryFields {
+	for _, fd := range settingFields {
 		known[fd.section+"/"+fd.key] = true
 	}
 	var out []settings.Mistake
@@ -157,70 +157,70 @@
 	return out
 }
 
-func text(of func(*Settings) *string) func(*Settings, string) bool {
+func text(field func(*Settings) *string) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
-		*of(s) = t
+		*field(s) = t
 		return true
 	}
 }
 
-func address(of func(*Settings) *string) func(*Settings, string) bool {
+func address(field func(*Settings) *string) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
-		*of(s) = t
+		*field(s) = t
 		_, _, err := net.SplitHostPort(t)
 		return err == nil
 	}
 }
 
-func port(of func(*Settings) *int) func(*Settings, string) bool {
+func port(field func(*Settings) *int) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseUint(t, 10, 16)
-		*of(s) = int(n)
+		*field(s) = int(n)
 		return err == nil && n > 0
 	}
 }
 
-func positive(of func(*Settings) *int) func(*Settings, string) bool {
+func positiveInt(field func(*Settings) *int) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseFloat(t, 64)
-		*of(s) = int(n)
+		*field(s) = int(n)
 		return err == nil && n >= 1
 	}
 }
 
-func toggle(of func(*Settings) *bool) func(*Settings, string) bool {
+func toggle(field func(*Settings) *bool) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		on, err := strconv.ParseBool(t)
-		*of(s) = on
+		*field(s) = on
 		return err == nil
 	}
 }
 
-func above0(of func(*Settings) *float64) func(*Settings, string) bool {
+func positiveFloat(field func(*Settings) *float64) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseFloat(t, 64)
-		*of(s) = n
+		*field(s) = n
 		return err == nil && n > 0
 	}
 }
 
-// enoughLink is the link from which processor time alone limits a cell's owner.
+// fullWeightLinkMbps is the link from which processor time alone limits a cell's owner.
 // Five hundred starts a second, each with a specification of a kilobyte or two
 // and its answers, take some ten megabits; a link of that size queues for seconds.
-const enoughLink = 100
+const fullWeightLinkMbps = 100
 
 // weight is how soon this VM takes duties against others.
 func (s *Settings) weight() float64 {
 	if s.LinkMbps == 0 {
 		return s.CPUShare
 	}
-	return s.CPUShare * min(1, s.LinkMbps/enoughLink)
+	return s.CPUShare * min(1, s.LinkMbps/fullWeightLinkMbps)
 }
 
-func duration(unit time.Duration, of func(*Settings) *time.Duration) func(*Settings, string) bool {
+func duration(unit time.Duration, field func(*Settings) *time.Duration) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseFloat(t, 64)
-		*of(s) = time.Duration(n * float64(unit))
+		*field(s) = time.Duration(n * float64(unit))
 		return err == nil && n >= 0
 	}
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -13,7 +13,7 @@
 	"github.com/pumicestage/pumicestage/internal/settings"
 )
 
-const good = `[entry]
+const validSettings = `[entry]
 name = e1
 zone = z1
 address = 10.0.0.1
@@ -33,7 +33,7 @@
 status-s = 120
 `
 
-func load(t *testing.T, text string) (*Settings, error) {
+func loadText(t *testing.T, text string) (*Settings, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.ini")
 	assert.NilError(t, os.WriteFile(file, []byte(text), 0o600))
@@ -41,7 +41,7 @@
 }
 
 func TestSettingsAreRead(t *testing.T) {
-	s, err := load(t, good)
+	s, err := loadText(t, validSettings)
 	assert.NilError(t, err)
 	assert.Equal(t, s.Name, "e1")
 	assert.Equal(t, s.Peers, [2]int{7000, 7010})
@@ -53,8 +53,8 @@
 }
 
 func TestEveryMistakeIsNamedAtOnce(t *testing.T) {
-	bad := strings.NewReplacer("callers = 10.0.0.1:80", "callers = here", "memory-mb = 284", "memory-mb = none", "zone = z1", "zone =").Replace(good)
-	_, err := load(t, bad+"colour = blue\n")
+	bad := strings.NewReplacer("callers = 10.0.0.1:80", "callers = here", "memory-mb = 284", "memory-mb = none", "zone = z1", "zone =").Replace(validSettings)
+	_, err := loadText(t, bad+"colour = blue\n")
 	var mistakes *settings.Error
 	assert.Assert(t, errors.As(err, &mistakes))
 	var keys []string
--- a/internal/node/sharedtask.go
+++ b/internal/node/sharedtask.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// shared runs something while at least one duty of this entry VM needs it.
-type shared struct {
-	// begin is called before each run, with no other run in progress.
-	begin func()
+// sharedTask runs something while at least one duty of this entry VM needs it.
+type sharedTask struct {
+	// reset is called before each run, with no other run in progress.
+	reset func()
 	run   func(ctx context.Context)
 
 	mu    sync.Mutex
@@ -17,14 +17,14 @@
 	done  chan struct{}
 }
 
-func (s *shared) hold() {
+func (s *sharedTask) acquire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.users++
 	if s.users > 1 {
 		return
 	}
-	s.begin()
+	s.reset()
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	s.stop, s.done = stop, done
@@ -35,7 +35,7 @@
 }
 
 // release returns once the run has ended, if nobody else needs it.
-func (s *shared) release() {
+func (s *sharedTask) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.users--
