--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -6,17 +6,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootClock tells the time since the VM's start, suspended spells included: the
-// monotonic clock stops while a VM is suspended, and an owner that thawed would
-// believe in a lease that has long lapsed.
+// bootClock returns the time since the VM booted, including time spent suspended. The
+// monotonic clock stops while a VM is suspended, so an owner that is resumed would take
+// a lease that has expired for a valid one.
 type bootClock struct{}
 
 // Now implements engine.Clock.
 func (bootClock) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Linux has had the clock since 2.6.39; without it no lease can be
-		// judged.
+		// Linux has CLOCK_BOOTTIME since 2.6.39. Without it the expiry of a lease
+		// can't be determined.
 		panic(err)
 	}
 	return time.Duration(ts.Nano())
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -15,8 +15,8 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// The fleet's duty stands beside the cells', which bear their services' names
-// after a prefix, so that no service can be mistaken for it.
+// Names of duties in the store. A cell's duty is its service's name after a prefix, so
+// that no service's name can collide with the fleet's duty.
 const (
 	fleetDuty  = "fleet"
 	cellPrefix = "cell/"
@@ -24,19 +24,20 @@
 
 func cellDuty(service string) string { return cellPrefix + service }
 
-// duties are the electors of this entry VM and what it has.
+// duties runs this entry VM's electors, and holds the engines of the cells that it owns.
+// A duty is a cell or the fleet; one entry VM at a time owns it.
 type duties struct {
 	node *Node
 
-	mu      sync.Mutex
-	ctx     context.Context // electors run until it ends; nil before the start
-	electing map[string]bool
-	engines map[string]*engine.Engine // by cell
-	load    ownership.Load
-	wg      sync.WaitGroup
+	mu       sync.Mutex
+	ctx      context.Context           // electors run until it ends; nil before start is called
+	electing map[string]bool           // duties with an elector
+	engines  map[string]*engine.Engine // by cell
+	load     ownership.Load
+	wg       sync.WaitGroup
 }
 
-// start lets this entry VM try for duties until ctx ends.
+// start makes this entry VM stand for election to duties until ctx ends.
 func (d *duties) start(ctx context.Context) {
 	d.mu.Lock()
 	d.ctx = ctx
@@ -44,8 +45,9 @@
 	d.ensureElectors()
 }
 
-// ensureElectors runs an elector for the fleet and for every service of the
-// configuration. Those of services that went away stay: their jobs go on.
+// ensureElectors starts the missing electors: one for the fleet and one for every service
+// of the configuration. Electors of services that were removed stay, as the jobs of those
+// services still run.
 func (d *duties) ensureElectors() {
 	declared := d.node.operator.declared()
 	d.mu.Lock()
@@ -77,7 +79,7 @@
 	d.wg.Go(func() { e.Run(ctx) })
 }
 
-// engine returns the cell's engine while this entry VM owns it.
+// engine returns the cell's engine while this entry VM owns the cell, otherwise nil.
 func (d *duties) engine(cell string) *engine.Engine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// ownCell runs the cell's engine for one term.
+// ownCell runs the cell's engine for one term, i.e. for one ownership of the cell.
 func (d *duties) ownCell(ctx context.Context, cell string, t *ownership.Term) {
 	n := d.node
 	n.registry.acquire()
@@ -149,7 +151,7 @@
 	d.setEngine(cell, e)
 	err := e.Run(ctx)
 	d.setEngine(cell, nil)
-	n.log.Info("engine ended", "cell", cell, "token", t.Token(), "reason", endReason(err))
+	n.log.Info("engine stopped", "cell", cell, "token", t.Token(), "reason", endReason(err))
 }
 
 func endReason(err error) string {
@@ -159,7 +161,8 @@
 	return err.Error()
 }
 
-// ownFleet looks after VMs, and after what the store keeps of ended jobs, for one term.
+// ownFleet manages the fleet's VMs, and removes the stored states of ended jobs once they
+// have expired, for one term.
 func (d *duties) ownFleet(ctx context.Context, t *ownership.Term) {
 	n := d.node
 	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), Status: n.settings.StatusRetention}
@@ -190,10 +193,12 @@
 	return d.node.link.Sync(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, s)
 }
 
-// notifyTimeout ends the word to another cell's owner; one that misses it looks by itself.
+// notifyTimeout ends one notification to another cell's owner. An owner that misses it
+// finds the change with its own next read.
 const notifyTimeout = 500 * time.Millisecond
 
-// notifyCells tells the owners of all other cells to look at the ledgers of the workspaces.
+// notifyCells tells the owners of all other cells to read the limit ledgers of the
+// workspaces again. It does not wait for them.
 func (d *duties) notifyCells(from string, names []work.WorkspaceName) {
 	for cell, s := range d.node.operator.declared().Services {
 		if cell == from || s.Standby {
@@ -201,7 +206,7 @@
 		}
 		go func() {
 			if err := d.notifyCell(cell, names); err != nil {
-				d.node.log.V(1).Info("cell not told of limits", "cell", cell, "error", err.Error())
+				d.node.log.V(1).Info("cell's owner not notified of changed limits", "cell", cell, "error", err.Error())
 			}
 		}()
 	}
@@ -224,13 +229,14 @@
 	return d.node.directory.Owner(cellDuty(cell))
 }
 
-// followOwners keeps the directory of owners.
+// followOwners keeps the directory of owners up to date until ctx ends.
 func (n *Node) followOwners(ctx context.Context) {
 	followPrefix(ctx, n.store, n.log.WithName("owners"), source{
 		prefix: infra.WorkOwnerPrefix, replace: n.directory.Replace, apply: n.directory.Change,
 	})
 }
 
+// machines returns the client of the platform's VM service; nil if none is configured.
 func (n *Node) machines() engine.Machines {
 	if n.settings.VMs == "" {
 		return nil
@@ -238,6 +244,7 @@
 	return platform.NewMachines(n.settings.VMs, n.settings.Name, platformTimeout, n.log.WithName("vms"))
 }
 
+// advisor returns the client of the advisor; nil if none is configured.
 func (n *Node) advisor() engine.Advisor {
 	if n.settings.Advisor == "" {
 		return nil
--- a/internal/node/entryvms.go
+++ b/internal/node/entryvms.go
@@ -13,7 +13,8 @@
 	"github.com/pumicestage/pumicestage/policy/overload"
 )
 
-// entryVMs are the other entry VMs, known while this one owns a cell.
+// entryVMs lists the fleet's entry VMs. It is kept up to date only while this entry VM
+// owns a cell.
 type entryVMs struct {
 	directory members.Directory
 	watch     sharedTask
@@ -45,7 +46,8 @@
 	}
 }
 
-// successor tells what other entry VM could take a duty over from this one.
+// successor tells whether another entry VM could take a duty over from this one: one that
+// owns nothing and whose weight is equal to this one's, or larger.
 func (n *Node) successor() overload.Successor {
 	live, _ := n.members.directory.Live()
 	owners := n.directory.Entries()
@@ -63,7 +65,8 @@
 	return best
 }
 
-// workersOf returns how this entry VM, as the cell's owner, speaks with its workers.
+// workersOf returns the client by which this entry VM, as the cell's owner, calls the
+// cell's workers: directly, or by way of other entry VMs.
 func (n *Node) workersOf(cell string) engine.Workers {
 	return forward.New(forward.Options{
 		Direct: n.workers, Link: n.link, Peers: n.members, Self: n.settings.Name, Clock: n.clock,
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -11,33 +11,34 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// watchRetryInterval separates tries to read what could not be read.
+// watchRetryInterval separates attempts to list and watch a prefix after a failure.
 const watchRetryInterval = 150 * time.Millisecond
 
-// source is a prefix of the store to be followed.
+// source is a prefix of the store to follow, and the callbacks for its contents.
 type source struct {
 	prefix string
-	// minInterval is the least time between two answers of the watch: what changes
-	// often is then told together, as each answer is a priced call. 0: none. After an answer
-	// that left something out the next is asked for at once: three thousand workers write
-	// two thousand times a second, an answer holds five hundred, and at one each half
-	// second a worker that leaves was known only after seconds.
+	// minInterval is the minimum time between two answers of the watch; 0: none. Each
+	// answer is a call that costs, so frequent changes are better batched. After an answer
+	// that left changes out, the next is requested at once: 3000 workers write 2000 times
+	// a second and an answer holds 500 changes, so that at one answer each half second a
+	// worker that drains was known only seconds later.
 	minInterval time.Duration
-	replace     func([]infra.KV) // takes everything under the prefix over
-	apply       func(infra.Event)
-	// confirm is told how long ago, at most, the store held nothing later than what was read;
-	// nil: nobody asks.
+	replace     func([]infra.KV)  // receives all keys under the prefix after each list
+	apply       func(infra.Event) // receives each change after the list
+	// confirm receives the greatest possible age of what was read: so long ago, the store
+	// held nothing newer. May be nil.
 	confirm func(age time.Duration)
 }
 
-// followPrefix keeps the source's readers up to date until ctx ends.
+// followPrefix lists and watches the source's prefix until ctx ends, and starts again
+// whenever the list or the watch fails.
 func followPrefix(ctx context.Context, store infra.Store, log logr.Logger, s source) {
 	prefix := s.prefix
 	unavailable := false
 	for ctx.Err() == nil {
 		err := listAndWatch(ctx, store, s, func() {
 			if unavailable {
-				log.Info("store is back", "prefix", prefix)
+				log.Info("store is reachable again", "prefix", prefix)
 				unavailable = false
 			}
 		})
@@ -45,7 +46,7 @@
 			return
 		}
 		if !unavailable {
-			log.Info("store lost", "prefix", prefix, "error", errText(err))
+			log.Info("store watch failed; retrying", "prefix", prefix, "error", errText(err))
 			unavailable = true
 		}
 		sleep.For(ctx, watchRetryInterval)
@@ -65,10 +66,12 @@
 	}
 }
 
+// listAndWatch reads the prefix and then applies its changes until the watch ends. onRead is
+// called once the list was read. The error is nil if the watch ended without one.
 func listAndWatch(ctx context.Context, store infra.Store, s source, onRead func()) error {
 	requestedAt := bootClock{}.Now()
-	// Each page of the list has its time. All together would never do for a long list at a
-	// slow store.
+	// Each page of the list has a timeout of its own. One timeout for all of them would
+	// never suffice for a long list from a slow store.
 	kvs, rev, err := store.Range(ctx, s.prefix)
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -11,11 +11,11 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// batchStore is a store whose watch answers with batches, all but the last of them full.
+// batchStore is a store whose watch delivers that many batches, all but the last incomplete.
 type batchStore struct {
 	infra.Store
 	batches     int
-	hadDeadline bool // the list had to be read within a time
+	hadDeadline bool // the list was read with a deadline
 }
 
 func (f *batchStore) Range(ctx context.Context, _ string) ([]infra.KV, infra.Revision, error) {
@@ -40,11 +40,10 @@
 	return out, nil
 }
 
-// A worker said that it leaves, and its owner started tasks there for five seconds more: the
-// watch brings five hundred changes with an answer, three thousand workers make two thousand
-// a second, and a pause was made after each answer, so that it fell ever further behind. It
-// pauses only where an answer left nothing out.
-func TestAWatchThatLeftChangesOutIsReadOnAtOnce(t *testing.T) {
+// An owner started tasks on a draining worker for five more seconds: an answer of the watch
+// holds 500 changes, 3000 workers make 2000 a second, and with a pause after every answer the
+// watch lagged ever further behind. It pauses only after an answer that left nothing out.
+func TestWatchPausesOnlyAfterACompleteAnswer(t *testing.T) {
 	const batches = 40
 	ctx, cancel := context.WithCancel(t.Context())
 	seen := 0
@@ -59,5 +58,5 @@
 		},
 	})
 	assert.Equal(t, seen, batches)
-	assert.Assert(t, !store.hadDeadline, "a list of thousands would never come from a slow store")
+	assert.Assert(t, !store.hadDeadline, "with one deadline a list of thousands of keys would never arrive from a slow store")
 }
--- a/internal/node/inspect.go
+++ b/internal/node/inspect.go
@@ -13,8 +13,8 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// inspectHandler serves the metrics address: counters, how the cells stand, and what is
-// known of a job. It changes nothing and tells no specification.
+// inspectHandler serves the metrics address: counters, the state of the cells, and the
+// explanation of a job. It is read-only and never shows a job's specification.
 func (n *Node) inspectHandler() http.Handler {
 	r := mux.NewRouter()
 	r.Handle("/debug/vars", expvar.Handler())
@@ -50,6 +50,6 @@
 func (n *Node) writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		n.log.V(1).Info("operator has gone", "error", err.Error())
+		n.log.V(1).Info("answer to the operator not written", "error", err.Error())
 	}
 }
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// revokeRetryInterval separates tries to end a lease.
+	// revokeRetryInterval separates attempts to revoke a lease.
 	revokeRetryInterval = 100 * time.Millisecond
-	// revokeTimeout is when it is given up: outages of the store last some seconds, and
-	// once it is back the lease runs out by itself.
+	// revokeTimeout ends these attempts: outages of the store last some seconds, and once
+	// it is reachable again the lease expires by itself.
 	revokeTimeout = 15 * time.Second
-	// leaseHandOverTimeout ends one attempt to hand a lease to another entry VM.
+	// leaseHandOverTimeout ends one attempt to hand a lease over to another entry VM.
 	leaseHandOverTimeout = 300 * time.Millisecond
 )
 
-// leaseEnder ends leaseEnder that their holders could not end, as the store was away when they
-// left. Their duties would have no owner for the length of a lease after its return, 1.6 s
-// in which the backlog of the outage waits.
+// leaseEnder revokes leases whose holders could not do so themselves, as the store was
+// unreachable when they shut down. Otherwise their duties would have no owner for the length
+// of a lease after the outage: 1.6 s, in which the jobs that came in during the outage wait.
 type leaseEnder struct {
 	store      infra.Store
 	send       func(ctx context.Context, address string, lease int64) error
-	recipients func() []cutoff.Peer // of other zones
+	recipients func() []cutoff.Peer // entry VMs of other zones
 	log        logr.Logger
 }
 
-// handOver hands the lease to another entry VM; one will do, as any reaches the same store.
+// handOver asks other entry VMs, one after the other, to revoke the lease until one accepts.
+// One suffices, as all of them use the same store.
 func (l *leaseEnder) handOver(lease infra.LeaseID) {
 	for _, p := range l.recipients() {
 		ctx, cancel := context.WithTimeout(context.Background(), leaseHandOverTimeout)
@@ -45,7 +46,7 @@
 	}
 }
 
-// revoke ends the lease as soon as the store answers.
+// revoke revokes the lease as soon as the store answers, or gives up after revokeTimeout.
 func (l *leaseEnder) revoke(ctx context.Context, lease infra.LeaseID) {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
@@ -54,11 +55,11 @@
 		err := l.store.Revoke(call, lease)
 		done()
 		if err == nil || infra.IsKind(err, infra.KindLeaseNotFound) {
-			l.log.Info("lease of another entry VM ended", "lease", int64(lease))
+			l.log.Info("lease of another entry VM revoked", "lease", int64(lease))
 			return
 		}
 		if !sleep.For(ctx, revokeRetryInterval) {
-			l.log.Info("lease of another entry VM not ended", "lease", int64(lease), "error", err.Error())
+			l.log.Info("lease of another entry VM not revoked", "lease", int64(lease), "error", err.Error())
 			return
 		}
 	}
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -14,7 +14,7 @@
 	"github.com/pumicestage/pumicestage/policy/cutoff"
 )
 
-// unavailableAtFirst is a store that is away for some calls.
+// unavailableAtFirst is a store that fails its first calls.
 type unavailableAtFirst struct {
 	infra.Store
 	failures int
@@ -30,10 +30,10 @@
 	return nil
 }
 
-// A service has no owner for a while after an outage of the store: its owner left during
-// the outage, and its lease had to run out. It goes to an entry VM that answers, which ends
-// it with the store's first answer.
-func TestALeaseIsEndedByAnEntryVMThatStays(t *testing.T) {
+// A service had no owner for a while after an outage of the store: its owner had shut down
+// during the outage, and its lease had to expire first. The lease is handed over to an entry
+// VM that answers, which revokes it as soon as the store is reachable.
+func TestLeaseIsRevokedByAnotherEntryVM(t *testing.T) {
 	store := &unavailableAtFirst{failures: 2}
 	receiver := &leaseEnder{store: store, log: logr.Discard()}
 	var sentTo, lines []string
@@ -55,7 +55,7 @@
 	assert.DeepEqual(t, store.revoked, []infra.LeaseID{7})
 }
 
-// message is what a log line says.
+// message returns the message of a log line.
 func message(t *testing.T, line string) string {
 	t.Helper()
 	var l struct {
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -10,15 +10,16 @@
 	"github.com/gravitational/trace"
 )
 
-// A port may be taken for a moment as the daemon starts: the process that it replaces is
-// still ending. A daemon that gave up at once would leave it to its supervisor to try again
-// in time; one that tried for ever would hide that the settings name a port of somebody else.
+// A port may still be in use for a moment as the daemon starts, because the process that it
+// replaces is still exiting. Giving up at once would leave the restart to the supervisor and
+// its delays; retrying without end would hide that the settings name another program's port.
 const (
 	listenAttempts      = 30
 	listenRetryInterval = 100 * time.Millisecond
 )
 
-// listen opens the address, and tries again for three seconds while somebody else has it.
+// listen opens the address. While it is in use, listen tries again for three seconds, and
+// calls pause between attempts; any other error is returned at once.
 func listen(address string, pause func(time.Duration), log logr.Logger) (net.Listener, error) {
 	for try := 1; ; try++ {
 		l, err := net.Listen("tcp", address)
@@ -29,7 +30,7 @@
 			return nil, trace.Wrap(err)
 		}
 		if try == 1 {
-			log.Info("address is taken; trying again", "address", address, "tries", listenAttempts, "pause", listenRetryInterval.String())
+			log.Info("address already in use; retrying", "address", address, "tries", listenAttempts, "pause", listenRetryInterval.String())
 		}
 		pause(listenRetryInterval)
 	}
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -11,10 +11,10 @@
 	"github.com/pumicestage/pumicestage/internal/loopback"
 )
 
-// A daemon is replaced while the old process is still ending: the new one finds its port
-// taken, and callers find nobody for as long as the supervisor waits between starts. It
-// gets the port as soon as it is free.
-func TestAPortThatIsTakenForAMomentIsWaitedFor(t *testing.T) {
+// A daemon is replaced while the old process is still exiting. If the new one gave up because
+// its port is in use, callers would get no answer until the supervisor starts it again. It
+// retries until the port is free.
+func TestListenRetriesWhileThePortIsInUse(t *testing.T) {
 	address := loopback.Reserve()
 	old, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
@@ -29,8 +29,8 @@
 	assert.NilError(t, l.Close())
 }
 
-// The settings name a port of another program: the daemon ends and says so.
-func TestAPortThatStaysTakenEndsTheStart(t *testing.T) {
+// The settings name a port of another program: the start fails with that error.
+func TestListenFailsIfThePortStaysInUse(t *testing.T) {
 	address := loopback.Reserve()
 	other, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
--- a/internal/node/logs.go
+++ b/internal/node/logs.go
@@ -11,25 +11,25 @@
 	"golang.org/x/time/rate"
 )
 
-// decisionLevel shows every decision that touches a request or changes what
-// the process believes (verbosity 1).
+// decisionLevel includes verbosity 1: every decision that affects a request or changes the
+// process's view of the fleet.
 const decisionLevel = slog.Level(-1)
 
 // Bounds of the log.
 const (
-	// messageRate and kindBurst bound the lines of each kind. Some two hundred
-	// starts a second are what an owner gives in a burst at today's sizes; a
-	// fault that repeats a line thousands of times costs no more than that.
-	messageRate  = 250 // a second
+	// messageRate and messageBurst bound the lines with the same message. An owner orders
+	// some 200 starts a second in a burst and logs each; a fault that repeats a line
+	// thousands of times costs no more than that.
+	messageRate  = 250 // lines a second
 	messageBurst = 500
-	// maxLogBuffer is how much may wait for a reader that does not read. A line
-	// takes some 200 bytes; this holds the busiest second several times over.
+	// maxLogBuffer is the number of bytes kept while the sink blocks. A line takes some
+	// 200 bytes, so that this holds several times the lines of the busiest second.
 	maxLogBuffer = 256 << 10
 )
 
-// logWriter writes lines to a sink without ever blocking the writer: a reader
-// that stalls costs lines, not requests. Lost lines are counted, and the count is
-// written when the reader is back.
+// logWriter writes lines to a sink without ever blocking the writer: a sink that stalls
+// loses log lines but delays no request. Lost lines are counted, and their number is
+// written once the sink accepts lines again.
 type logWriter struct {
 	sink io.Writer
 
@@ -63,7 +63,7 @@
 	return len(line), nil
 }
 
-// drain writes what gathers, in as few system calls as it can.
+// drain writes buffered lines to the sink, all that are there with one call.
 func (l *logWriter) drain() {
 	defer close(l.done)
 	var out []byte
@@ -84,12 +84,12 @@
 			out = fmt.Appendf(out, "{\"level\":\"WARN\",\"msg\":\"log lines lost\",\"lines\":%d}\n", lost)
 		}
 		if _, err := l.sink.Write(out); err != nil {
-			return // nobody reads any more
+			return // the sink is closed
 		}
 	}
 }
 
-// Close writes what is left.
+// Close writes the lines that are left, and returns once they are written.
 func (l *logWriter) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -98,8 +98,8 @@
 	<-l.done
 }
 
-// rateLimitedHandler lets so many lines of each kind (message) through and tells now
-// and then how many were left out.
+// rateLimitedHandler limits the rate of lines with the same message. A line that passes
+// after others were suppressed carries their number.
 type rateLimitedHandler struct {
 	slog.Handler
 	limits *messageLimits
--- a/internal/node/logs_test.go
+++ b/internal/node/logs_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// stalledSink is a reader that reads nothing until it is told to.
+// stalledSink blocks every write until its gate is closed.
 type stalledSink struct {
 	mu   sync.Mutex
 	out  bytes.Buffer
@@ -24,9 +24,9 @@
 	return s.out.Write(p)
 }
 
-// Whoever reads the log stalls. Callers must not wait for it: lines are lost
-// beyond the buffer, and their number is told when the reader is back.
-func TestAStalledReaderCostsLinesAndNothingElse(t *testing.T) {
+// The log's sink stalls. Requests must not wait for it: lines beyond the buffer are lost, and
+// their number is written once the sink accepts lines again.
+func TestStalledSinkLosesLinesWithoutBlocking(t *testing.T) {
 	sink := &stalledSink{gate: make(chan struct{})}
 	l := newLogWriter(sink)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
@@ -44,8 +44,8 @@
 	assert.Assert(t, sink.out.Len() <= 3*maxLogBuffer)
 }
 
-// One fault repeats one line thousands of times and must not hide the others.
-func TestLinesOfOneKindAreBoundedAndCounted(t *testing.T) {
+// A fault that repeats one line thousands of times must not hide other lines.
+func TestRepeatedMessagesAreLimitedAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	h := newRateLimitedHandler(slog.NewJSONHandler(&out, nil))
 	log := slog.New(h)
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -11,11 +11,11 @@
 	"github.com/pumicestage/pumicestage/internal/engine"
 )
 
-// metrics are the counters of one entry VM, published by expvar.
+// metrics holds the counters of one entry VM, published by expvar.
 type metrics struct {
 	engine   *engine.Metrics
 	requests *expvar.Map // by method and status
-	// keyRefusals counts calls turned away by their keys, by reason.
+	// keyRefusals counts calls that were refused because of their key, by reason.
 	keyRefusals *expvar.Map
 	delay       *delayMeter
 
@@ -23,7 +23,7 @@
 	latency *hdrhistogram.Histogram // of callers' requests, in microseconds
 }
 
-// Range of the latency histogram.
+// Range of the latency histogram, in microseconds, and its significant digits.
 const (
 	maxLatencyUS  = int64(30 * time.Second / time.Microsecond)
 	latencyDigits = 2
@@ -49,22 +49,25 @@
 	return m
 }
 
+// recordRequest counts a caller's request and records its latency.
 func (m *metrics) recordRequest(method string, status int, took time.Duration) {
 	m.requests.Add(method+" "+strconv.Itoa(status), 1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// A request beyond the range counts as its end.
+	// A latency above the range is recorded as the maximum.
 	if err := m.latency.RecordValue(min(took.Microseconds(), maxLatencyUS)); err != nil {
 		m.requests.Add("unrecorded", 1)
 	}
 }
 
-// schedulingDelays tells how long what is ready to run schedulingDelays for the processor, in microseconds; 0
-// where this entry VM has no cell.
+// schedulingDelays returns the maximum and the minimum recent scheduling delay, i.e. how long
+// a runnable goroutine waits for the processor, in microseconds; 0 while this entry VM owns
+// no cell.
 func (m *metrics) schedulingDelays() any {
 	return map[string]int64{"longest": m.delay.Behind().Microseconds(), "standing": m.delay.Standing().Microseconds()}
 }
 
+// latencyQuantiles returns the count and quantiles of callers' requests, in microseconds.
 func (m *metrics) latencyQuantiles() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,15 +27,16 @@
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
-	// platformTimeout ends a call to the platform without an answer. Callers
-	// of the store set tighter ones of their own.
+	// platformTimeout ends a call to the platform that is not answered. Code that calls
+	// the store sets shorter timeouts of its own.
 	platformTimeout = 1500 * time.Millisecond
-	// memoryShare is the part of the VM's memory at which the collector works
-	// harder; the rest is for stacks, buffers of the kernel and bursts.
+	// memoryShare is the share of the VM's memory that is set as the garbage collector's
+	// soft limit; the rest is for stacks, kernel buffers and bursts.
 	memoryShare = 0.75
 )
 
-// Node is one entry VM.
+// Node is the process of one entry VM: it serves callers, and runs the engines of the cells
+// that it owns.
 type Node struct {
 	settings *Settings
 	log      logr.Logger
@@ -65,7 +66,8 @@
 	shuttingDown atomic.Bool
 }
 
-// New opens the listeners and wires the parts.
+// New opens the listeners and creates the components; Run starts them. Log lines are written
+// to out as JSON. The error tells which address could not be opened.
 func New(s *Settings, out io.Writer) (*Node, error) {
 	logs := newLogWriter(out)
 	handler := newRateLimitedHandler(slog.NewJSONHandler(logs, &slog.HandlerOptions{Level: decisionLevel}))
@@ -133,7 +135,8 @@
 	})
 }
 
-// Run serves until ctx ends, then leaves gracefully.
+// Run serves until ctx ends, then shuts down gracefully. It returns an error if a listener
+// fails, or if callers' connections did not end within the time allowed.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.logs.Close()
 	n.log.Info("start", "zone", n.settings.Zone, "callers", n.settings.Callers, "store", n.settings.Store)
@@ -197,8 +200,8 @@
 	return &http.Server{Handler: ingress.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// serveReady answers the balancer: ready once the configuration is known, unless callers
-// are better served elsewhere.
+// serveReady answers the balancer's readiness probe: ready once the configuration is known,
+// unless this entry VM is shutting down or cut off from the other zones.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	c, _ := n.operator.current()
 	if c == nil || n.shuttingDown.Load() || n.reach.cutOff.Load() {
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -21,18 +21,20 @@
 )
 
 const (
-	// confirmTimeout ends a read of the configuration for which a caller waits.
+	// confirmTimeout ends a read of the configuration that a caller waits for.
 	confirmTimeout = 600 * time.Millisecond
-	// confirmRetryInterval separates such reads where they fail: calls with unknown keys come at any
-	// rate, also while the store turns this entry VM away.
+	// confirmRetryInterval is the minimum time between such a read that failed and the
+	// next: calls with unknown keys may come at any rate while the store refuses this
+	// entry VM's reads.
 	confirmRetryInterval = 250 * time.Millisecond
 )
 
-// errStoreUnresponsive: the store is not asked, as it did not answer a moment ago.
+// errStoreUnresponsive is returned without a call to the store, as one has just failed.
 var errStoreUnresponsive = errors.New("node: the store did not answer a moment ago")
 
-// operatorState holds what the operatorState wrote, as this entry VM knows it. The
-// configuration never steps back.
+// operatorState holds the operator's configuration and ordered waves, as far as this entry VM
+// knows them. A configuration is only ever replaced by a newer version. A wave is an
+// operator's order to take a list of VMs out of service, some at a time.
 type operatorState struct {
 	store infra.Store
 	clock engine.Clock
@@ -41,15 +43,16 @@
 	// onChange is called after each change of the configuration.
 	onChange func()
 
-	catchingUp      atomic.Bool   // a read is under way as another entry VM has a newer one
-	confirmMu       sync.Mutex    // held while the configuration is read on demand
-	confirmFailedAt time.Duration // when such a read last failed; 0: it did not
+	catchingUp      atomic.Bool   // a read is in progress because another entry VM has a newer version
+	confirmMu       sync.Mutex    // held while the configuration is read on demand; guards confirmFailedAt
+	confirmFailedAt time.Duration // when the last such read failed; 0: it succeeded
 
 	mu     sync.Mutex
 	config *jobfront.Config
 	routes *jobfront.Routes
 	waves  map[string]fleetowner.OrderedWave
-	// confirmedAt is when the configuration was last known to be the newest; 0: never.
+	// confirmedAt is the last time at which the configuration was known to be the
+	// newest; 0: never.
 	confirmedAt time.Duration
 }
 
@@ -74,7 +77,7 @@
 	})
 }
 
-// confirm notes that the configuration was the newest at that time.
+// confirm records that the configuration was the newest at that time.
 func (o *operatorState) confirm(at time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -83,7 +86,8 @@
 	}
 }
 
-// Confirmed is when the configuration was last known to be the newest.
+// Confirmed returns the last time at which the configuration was known to be the newest; 0
+// means never.
 func (o *operatorState) Confirmed() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,7 +111,7 @@
 	o.confirmMu.Lock()
 	defer o.confirmMu.Unlock()
 	if o.Confirmed() >= asked {
-		return nil // another caller's read began after this one asked
+		return nil // a read for another caller began after this call
 	}
 	if o.confirmFailedAt != 0 && o.clock.Now() < o.confirmFailedAt+confirmRetryInterval {
 		return errStoreUnresponsive
@@ -146,7 +150,7 @@
 	c, _ := o.current()
 	raw, err := msgpack.Marshal(c)
 	if err != nil {
-		o.log.Error(err, "configuration not packed for another entry VM")
+		o.log.Error(err, "configuration not encoded for another entry VM")
 		return nil
 	}
 	return raw
@@ -160,7 +164,7 @@
 	go func() {
 		defer o.catchingUp.Store(false)
 		if err := o.Confirm(context.Background()); err != nil {
-			o.log.Info("another entry VM has a newer configuration, and the store does not tell it", "error", err.Error())
+			o.log.Info("another entry VM has a newer configuration, but reading it from the store failed", "error", err.Error())
 		}
 	}()
 }
@@ -182,7 +186,7 @@
 func (o *operatorState) Take(packed []byte, s ownerlink.Standing, sent time.Duration) {
 	c := new(jobfront.Config)
 	if err := msgpack.Unmarshal(packed, c); err != nil {
-		o.log.Error(err, "another entry VM's configuration is malformed")
+		o.log.Error(err, "malformed configuration from another entry VM")
 		return
 	}
 	if !o.adopt(c, jobfront.NewRoutes(c.Routes)) {
@@ -193,6 +197,7 @@
 	o.onChange()
 }
 
+// apply takes over one of the operator's keys: the configuration, or a wave not yet known.
 func (o *operatorState) apply(kv infra.KV) {
 	if kv.Key == platform.ConfigKey {
 		o.applyConfig(kv)
@@ -200,7 +205,7 @@
 	}
 	w, isWave, err := platform.WaveOf(kv)
 	if err != nil {
-		o.log.Error(err, "wave is malformed", "key", kv.Key)
+		o.log.Error(err, "malformed wave", "key", kv.Key)
 		return
 	}
 	if !isWave {
@@ -217,7 +222,7 @@
 func (o *operatorState) applyConfig(kv infra.KV) {
 	c, err := platform.ConfigOf(kv.Value)
 	if err != nil {
-		o.log.Error(err, "configuration is malformed; the last one stays in force", "revision", int64(kv.ModRevision))
+		o.log.Error(err, "malformed configuration; the previous one stays in force", "revision", int64(kv.ModRevision))
 		return
 	}
 	routes := jobfront.NewRoutes(c.Routes)
@@ -228,6 +233,7 @@
 	o.onChange()
 }
 
+// adopt puts the configuration in force; false if the one in force is as new or newer.
 func (o *operatorState) adopt(c *jobfront.Config, routes *jobfront.Routes) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -238,12 +244,15 @@
 	return true
 }
 
+// current returns the configuration in force and its routes; nil while none is known.
 func (o *operatorState) current() (*jobfront.Config, *jobfront.Routes) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.config, o.routes
 }
 
+// declared returns what the operator declared for engines; the zero value while no
+// configuration is known.
 func (o *operatorState) declared() engine.Declared {
 	c, _ := o.current()
 	if c == nil {
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -23,7 +23,7 @@
 func (c *manualClock) Now() time.Duration { return c.now }
 func (c *manualClock) Wall() time.Time    { return time.Unix(0, 0) }
 
-// Two configurations of the operator's, the first of which gives a workspace more.
+// Two versions of a configuration; the first has one key and three tasks more for a workspace.
 var (
 	configOne = declared(1, standin.Workspace{Name: "red", Keys: []string{"k1", "k2"}, Tasks: 4})
 	configTwo = declared(4, standin.Workspace{Name: "red", Keys: []string{"k2"}, Tasks: 1})
@@ -32,7 +32,7 @@
 func declared(version int, w standin.Workspace) []byte {
 	raw, err := standin.Configuration(version, []standin.Service{{Name: "s"}}, []standin.Queue{{Name: "q", Service: "s", Keyed: true}}, []standin.Workspace{w})
 	if err != nil {
-		panic(err) // strings and numbers: it can't fail
+		panic(err) // plain strings and numbers always encode
 	}
 	return raw
 }
@@ -63,9 +63,9 @@
 	return known
 }
 
-// A caller whose key was taken away is served again: an entry VM that had the newer
-// configuration from another one was brought back to the older one by its own late watch.
-func TestTheConfigurationNeverStepsBack(t *testing.T) {
+// A caller whose key had been revoked was served again: an entry VM that had received the
+// newer configuration from another one returned to the older version with its own late watch.
+func TestOlderConfigurationsAreIgnored(t *testing.T) {
 	r, other := newOperatorFixture(t), newOperatorFixture(t)
 	other.declare(t, configTwo)
 	other.clock.now += time.Second
@@ -78,12 +78,12 @@
 	r.apply(infra.KV{Key: platform.ConfigKey, Value: configOne, ModRevision: 1})
 	assert.Assert(t, !r.knows("k1"))
 	r.Take([]byte("no configuration"), other.Standing(), r.clock.now)
-	assert.Assert(t, r.knows("k2"), "one that can't be read leaves the last in force")
+	assert.Assert(t, r.knows("k2"), "a malformed one leaves the last in force")
 }
 
-// Entry VMs that the store turns away confirm each other's configuration from what they last
-// heard: none may count as newer than the one that it came from.
-func TestAConfirmationIsNoNewerThanWhereItComesFrom(t *testing.T) {
+// Entry VMs whose reads the store refuses confirm each other's configuration. A confirmation
+// that comes from another entry VM must not count as newer than that one's own.
+func TestConfirmationIsNoNewerThanItsSource(t *testing.T) {
 	r, other := newOperatorFixture(t), newOperatorFixture(t)
 	other.clock.now += 3 * time.Second // since it read the store
 	r.clock.now += 10 * time.Second
@@ -92,9 +92,9 @@
 	assert.Assert(t, r.Age() < 4*time.Second)
 }
 
-// A store that turns this entry VM away is not asked for each of thousands of calls whose keys
-// it does not know.
-func TestReadsOnDemandPauseWhereTheyFail(t *testing.T) {
+// While the store refuses this entry VM's reads, thousands of calls with unknown keys must not
+// cause a read each.
+func TestFailedReadsOnDemandAreNotRepeatedAtOnce(t *testing.T) {
 	r := newOperatorFixture(t)
 	r.clock.now += time.Minute
 	r.store.SetDown(true)
@@ -108,7 +108,7 @@
 	assert.Equal(t, r.Age(), time.Duration(0))
 }
 
-// blockedReads counts reads and lets none end before it is told to.
+// blockedReads counts reads and blocks them until its gate is closed.
 type blockedReads struct {
 	infra.Store
 	mu    sync.Mutex
@@ -124,7 +124,8 @@
 	return s.Store.Get(ctx, key)
 }
 
-// Callers who ask while a read is under way wait for it; the first of them makes the next.
+// Calls that arrive while a read is in progress wait for it; one more read, made by the first
+// of them, then serves all.
 func TestCallersShareAReadOfTheConfiguration(t *testing.T) {
 	r := newOperatorFixture(t)
 	slow := &blockedReads{Store: r.store, gate: make(chan struct{})}
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -14,43 +14,45 @@
 	"github.com/pumicestage/pumicestage/policy/cutoff"
 )
 
-// Pace of the looks that tell whether this entry VM is cut off.
+// Times of the probes that tell whether this entry VM is cut off.
 const (
-	// probeInterval separates looks. A look is one stale read of the store, which costs a
-	// tenth of a call; the balancer itself asks only once a second.
+	// probeInterval separates probes. A probe is one stale read of the store, which costs
+	// a tenth of a consistent one; the balancer probes readiness only once a second.
 	probeInterval = 250 * time.Millisecond
-	// probeTimeout ends each question. A slow store was seen to take a quarter of a
-	// second, an entry VM with a slowed processor less.
+	// probeTimeout ends a call of a probe. A slow store may take 250 ms to answer, an
+	// entry VM with a throttled processor less.
 	probeTimeout = 400 * time.Millisecond
-	// peerListMaxAge is how old the list of entry VMs may be: VMs are replaced a few times a
-	// day, and two of each zone are asked.
+	// peerListMaxAge is the age at which the list of entry VMs is read again. VMs are
+	// replaced a few times a day, and two of each zone are pinged.
 	peerListMaxAge = 10 * time.Second
 )
 
-// staleReader reads the store without certainty, at a tenth of the price.
+// staleReader reads the store without linearizability, at a tenth of the cost.
 type staleReader interface {
+	// Ping returns nil if the store answers.
 	Ping(ctx context.Context) error
-	// Peek returns the first page under the prefix.
+	// Peek returns the first page of keys under the prefix.
 	Peek(ctx context.Context, prefix string) ([]infra.KV, error)
 }
 
-// reachability knows whether this entry VM reaches the store, and whether it is cut off.
+// reachability tracks whether this entry VM reaches the store, and whether it is cut off from
+// the store and all other zones.
 type reachability struct {
-	zone  string // its own
+	zone  string // this entry VM's own
 	store staleReader
 	ping  func(ctx context.Context, address string) bool
-	// onCutOffChange is called when this entry VM is cut off, and when no longer. While it is,
-	// connections are closed after their answer: a caller's next one goes by the balancer,
-	// to an entry VM that may serve it.
+	// onCutOffChange is called whenever cutOff changes. While this entry VM is cut off,
+	// connections are closed after their current answer: the balancer sends the caller's
+	// next connection to an entry VM that may be able to serve it.
 	onCutOffChange func(cutOff bool)
 	clock          interface{ Now() time.Duration }
 	log            logr.Logger
 
 	peers         members.Directory
-	peersListedAt time.Duration // when the peers were last listed; 0: never
+	peersListedAt time.Duration // 0: never
 
 	cutOff           atomic.Bool
-	storeUnreachable atomic.Bool // at the last look
+	storeUnreachable atomic.Bool // at the last probe
 }
 
 func (r *reachability) run(ctx context.Context) {
@@ -96,7 +98,7 @@
 	return cutoff.Probe{Asked: len(peers), Answered: int(answered.Load())}
 }
 
-// probeStore asks for any answer, and now and then for the list of entry VMs.
+// probeStore pings the store, or reads the list of entry VMs if it is due.
 func (r *reachability) probeStore(ctx context.Context) error {
 	now := r.clock.Now()
 	if r.peersListedAt != 0 && now < r.peersListedAt+peerListMaxAge {
--- a/internal/node/reachability_test.go
+++ b/internal/node/reachability_test.go
@@ -17,12 +17,12 @@
 	"github.com/pumicestage/pumicestage/internal/jobfront"
 )
 
-// tickingClock is a clock that goes on by a minute at each look.
+// tickingClock is a clock that advances by a minute with each reading.
 type tickingClock struct{ now time.Duration }
 
 func (c *tickingClock) Now() time.Duration { c.now += time.Minute; return c.now }
 
-// failingStore is a store that answers unless it has an error.
+// failingStore is a store whose calls return err.
 type failingStore struct{ err error }
 
 func (s *failingStore) Ping(context.Context) error { return s.err }
@@ -36,9 +36,9 @@
 	return kvs, s.err
 }
 
-// Callers of a zone are refused for as long as it is cut off: its entry VMs say that they
-// are ready, and the balancer goes on sending callers there. They turn unready as the store
-// and all other zones fall silent, and ready with the first answer.
+// While a zone is cut off, its entry VMs can only refuse callers, but the balancer goes on
+// sending callers there as long as they report ready. They turn unready once neither the store
+// nor any other zone answers, and ready with the first answer.
 func TestAnEntryVMThatIsCutOffTurnsUnready(t *testing.T) {
 	store := &failingStore{}
 	answers := map[string]bool{"b:1": true, "c:1": true}
@@ -51,7 +51,7 @@
 	poll := func() bool { r.poll(t.Context()); return r.cutOff.Load() }
 	assert.Equal(t, poll(), false)
 	store.err = errors.New("silent")
-	assert.Equal(t, poll(), false, "an outage of the store: nobody does better elsewhere")
+	assert.Equal(t, poll(), false, "an outage of the store: other entry VMs are no better off")
 	assert.Equal(t, r.storeUnreachable.Load(), true)
 	answers["b:1"] = false
 	assert.Equal(t, poll(), false, "zone b is cut off during an outage of the store")
@@ -63,7 +63,7 @@
 	assert.DeepEqual(t, turns, []bool{true, false})
 }
 
-// The balancer is told: an entry VM that is cut off, or leaves, takes no new connections.
+// An entry VM that is cut off, shuts down, or has no configuration yet reports not ready.
 func TestReadiness(t *testing.T) {
 	n := &Node{operator: newOperatorState(nil, bootClock{}, logr.Discard(), func() {}), reach: &reachability{}}
 	status := func() int {
@@ -82,9 +82,9 @@
 	assert.Equal(t, status(), http.StatusServiceUnavailable)
 }
 
-// An entry VM leaves during an outage of the store. It keeps its duties until the store is
-// back, and hands them over in time if that does not come.
-func TestDutiesAreKeptWhileTheStoreIsAway(t *testing.T) {
+// An entry VM shuts down during an outage of the store. It keeps its duties until the store is
+// reachable again, but no longer than the shutdown allows.
+func TestDutiesAreKeptWhileTheStoreIsUnreachable(t *testing.T) {
 	n := &Node{settings: &Settings{ShutdownTimeout: time.Hour}, reach: &reachability{}}
 	n.awaitStore(n.clock.Now())
 	n.reach.storeUnreachable.Store(true)
@@ -92,7 +92,7 @@
 	go func() { n.awaitStore(n.clock.Now()); close(kept) }()
 	select {
 	case <-kept:
-		t.Fatal("handed over to nobody")
+		t.Fatal("duties handed over while the store is unreachable")
 	case <-time.After(3 * storePollInterval):
 	}
 	n.reach.storeUnreachable.Store(false)
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -15,8 +15,8 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// registry holds the registered workers while this entry VM owns a cell. One
-// watch serves all its cells.
+// registry holds the registered workers of all services while this entry VM owns a cell. One
+// watch serves all cells that it owns.
 type registry struct {
 	store    infra.Store
 	log      logr.Logger
@@ -24,13 +24,13 @@
 	watch    sharedTask
 
 	mu          sync.Mutex
-	listed      chan struct{}           // closed once the workers were listed
-	workers     map[string]registration // by key
-	confirmedAt time.Duration           // all that was registered by then is known; 0: nothing yet
-	lookingUp   map[work.WorkerID]bool  // being looked up
+	listed      chan struct{}           // closed after the first list
+	workers     map[string]registration // by key in the store
+	confirmedAt time.Duration           // every registration up to then is known; 0: none is
+	lookingUp   map[work.WorkerID]bool  // lookups in progress
 }
 
-// registration is a worker's entry and the revision at which it was read.
+// registration is a worker's entry and the revision of its key.
 type registration struct {
 	engine.WorkerInfo
 	revision infra.Revision
@@ -42,19 +42,19 @@
 	return r
 }
 
-// registryMinInterval gathers changes of registrations. Every worker writes its entry each
-// second or two, and each answer of a watch is a call to the store: a tenth of a second
-// apart they were four in ten of all calls. Workers that join are looked up sooner; one
-// that leaves takes tasks for two seconds from its notice.
+// registryMinInterval batches changes of registrations. Every worker writes its entry each
+// second or two, and each answer of a watch counts as a call to the store: at intervals of
+// 100 ms they were 40 % of all calls. The delay does no harm: workers that join are looked
+// up sooner, and a worker that drains still accepts tasks for two seconds.
 const registryMinInterval = 500 * time.Millisecond
 
-// firstListTimeout is how long a new owner waits for the first list of workers.
+// firstListTimeout is the maximum time that a new owner waits for the first list of workers.
 const firstListTimeout = 2 * time.Second
 
-// acquire follows the registrations until release.
+// acquire keeps the registry up to date until release is called.
 func (r *registry) acquire() { r.watch.acquire() }
 
-// waitListed returns once the workers were listed, or after registryWait.
+// waitListed returns once the workers were listed, after firstListTimeout, or when ctx ends.
 func (r *registry) waitListed(ctx context.Context) {
 	r.mu.Lock()
 	listed := r.listed
@@ -70,6 +70,7 @@
 
 func (r *registry) release() { r.watch.release() }
 
+// reset empties the registry before a new run of the watch.
 func (r *registry) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,22 +99,22 @@
 	})
 }
 
-// confirm notes that all that was registered by then has been taken over.
+// confirm records that every registration up to that time has been applied.
 func (r *registry) confirm(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmedAt = max(r.confirmedAt, at)
 }
 
-// knownUntil is until when all registrations are known.
+// knownUntil returns the time up to which every registration is known; 0 while none is.
 func (r *registry) knownUntil() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.confirmedAt
 }
 
-// replace takes the whole list over in one step: a new owner must not see a
-// part of it and think the rest empty.
+// replace applies the whole list in one step: a new owner must not take a part of it for
+// the whole fleet.
 func (r *registry) replace(kvs []infra.KV) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,8 +136,8 @@
 		return false
 	}
 	old, known := r.workers[ev.KV.Key]
-	// A watch that lags tells of a state from before a lookup: a worker that is leaving
-	// would be ready again for a while.
+	// A watch that lags may deliver a state older than a lookup's: a worker that is
+	// draining would seem ready again for a while.
 	if ev.KV.ModRevision < old.revision {
 		return false
 	}
@@ -149,11 +150,12 @@
 		old.Capacity != info.Capacity
 }
 
-// errNoIncarnation: a worker that told its life before registers without.
-var errNoIncarnation = errors.New("node: registration does not tell the worker's life")
+// errNoIncarnation: the registration has no incarnation, though the worker's last one had.
+var errNoIncarnation = errors.New("node: registration without the incarnation that the worker registered before")
 
-// parseLocked reads a registration; false where it names no worker. One that was readable
-// before names the worker that is known, which takes nothing new.
+// parseLocked decodes a registration; false if it is malformed and its worker not known. For
+// a known worker it returns the last valid entry marked Unreadable, so that the worker keeps
+// its tasks but gets no new ones.
 func (r *registry) parseLocked(kv infra.KV) (engine.WorkerInfo, bool) {
 	info, err := platform.WorkerOf(kv)
 	last, known := r.workers[kv.Key]
@@ -163,26 +165,27 @@
 	if err == nil {
 		return info, true
 	}
-	r.log.Error(err, "registration is malformed and names no worker", "key", kv.Key)
+	r.log.Error(err, "malformed registration", "key", kv.Key)
 	last.Unreadable = true
 	return last.WorkerInfo, known
 }
 
 const (
-	// lookupTimeout ends the read of one registration.
+	// lookupTimeout ends the read of a single registration.
 	lookupTimeout = 700 * time.Millisecond
-	// lookupRetryInterval separates reads of one that was not found: a VM is in the list moments
-	// before its worker registers, and one whose entry can't be read stays in it.
+	// lookupRetryInterval separates reads of a registration that brought nothing new: a VM
+	// is in the platform's list moments before its worker registers, and a VM whose entry
+	// is malformed stays in the list.
 	lookupRetryInterval = 1 * time.Second
-	// maxLookups bounds reads of registrations in progress. A burst that draws a whole
-	// fleet of today's sizes waits for ten of them one after the other, 40 ms in all.
+	// maxLookups bounds concurrent reads of registrations. A burst that requests a whole
+	// fleet of VMs at once needs ten rounds of them, 40 ms in all.
 	maxLookups = 32
 )
 
-// lookup reads the registrations of workers that the platform's list of VMs names and no
-// watch has told of. Watches are gathered, and may be silent for seconds while the platform
-// drops its history: VMs that a burst had drawn stood idle for up to 2.7 s, and callers
-// waited.
+// lookup reads the registrations of workers that are in the platform's list of VMs but that no
+// watch has delivered. Watches are batched, and may deliver nothing for seconds while the
+// platform compacts its history: VMs requested for a burst stayed idle for up to 2.7 s while
+// callers waited. It does not wait for the reads.
 func (r *registry) lookup(ids []work.WorkerID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -18,9 +18,9 @@
 	return infra.KV{Key: platform.WorkerPrefix + id, Value: fmt.Appendf(nil, entry, state)}
 }
 
-// Jobs wait although workers are free: among the registrations are some that another
-// writer left. They name nobody; the others hold.
-func TestRegistrationsThatCantBeReadLeaveTheOthers(t *testing.T) {
+// Malformed registrations, written by another program, must not hide the valid ones: jobs would
+// wait although workers are free.
+func TestMalformedRegistrationsDoNotAffectOthers(t *testing.T) {
 	r := newRegistry(nil, logr.Discard(), nil)
 	r.replace([]infra.KV{registered("i-1", "ready"), {Key: platform.WorkerPrefix + "x", Value: []byte("\xff")}, registered("i-2", "odd")})
 	assert.Equal(t, len(r.list("a")), 1)
@@ -28,14 +28,14 @@
 	assert.Equal(t, len(r.list("a")), 1)
 }
 
-// A task goes to a worker of which nobody knows any more whether it takes tasks: its
-// registration was overwritten by one that can't be read. It stays known, as its tasks are
-// there, takes nothing new, and is back with its next registration of its own.
-func TestAWorkerWhoseRegistrationIsOverwrittenTakesNothingNew(t *testing.T) {
+// A worker's registration is overwritten by a malformed one, so that it is unknown whether the
+// worker still accepts tasks. It stays in the registry, as its tasks run on, gets no new ones,
+// and is available again with its next valid registration.
+func TestWorkerWithMalformedRegistrationGetsNoNewTasks(t *testing.T) {
 	r := newRegistry(nil, logr.Discard(), nil)
 	r.replace([]infra.KV{registered("i-1", "ready")})
 	odd := infra.Event{Kind: infra.EventPut, KV: registered("i-1", "odd")}
-	assert.Equal(t, r.apply(odd), true, "owners are told")
+	assert.Equal(t, r.apply(odd), true, "owners are notified")
 	assert.Equal(t, r.apply(odd), false, "once")
 	assert.Equal(t, r.list("a")[0].Unreadable, true)
 	r.replace([]infra.KV{odd.KV})
@@ -44,7 +44,7 @@
 	assert.Equal(t, r.list("a")[0].Unreadable, false)
 }
 
-// singleKeyStore is a store that has one key, and says when it is read.
+// singleKeyStore is a store with one key; it reports every read.
 type singleKeyStore struct {
 	infra.Store
 	kv    infra.KV
@@ -59,10 +59,10 @@
 	return infra.KV{Key: key}, 1, nil
 }
 
-// Callers wait while VMs that were drawn for them stand idle: the watch that tells of
-// registrations is silent for seconds. The list of VMs names the workers, and their
-// registrations are read one by one; a worker that has none yet is asked for again.
-func TestAWorkerThatNoWatchTellsOfIsLookedUp(t *testing.T) {
+// Callers waited while VMs requested for them were idle: the watch of registrations delivered
+// nothing for seconds. The registrations of workers in the platform's list of VMs are read one
+// by one; a worker that has none yet is looked up again.
+func TestWorkerThatNoWatchDeliveredIsLookedUp(t *testing.T) {
 	store := &singleKeyStore{kv: registered("i-1", "ready"), reads: make(chan string)}
 	store.kv.ModRevision = 1
 	changed := make(chan struct{})
@@ -78,9 +78,9 @@
 	assert.Equal(t, len(r.list("a")), 1)
 }
 
-// A task goes to a worker that is leaving: it was looked up as leaving, and the watch, which
-// lags, told of it as ready afterwards. What is older than what was read changes nothing.
-func TestALaggingWatchDoesNotMakeALeavingWorkerReady(t *testing.T) {
+// A task was sent to a draining worker: a lookup had found it draining, and the watch, which
+// lags, delivered its older state afterwards. States older than what was read are ignored.
+func TestLaggingWatchDoesNotMakeADrainingWorkerReady(t *testing.T) {
 	r := newRegistry(nil, logr.Discard(), nil)
 	put := func(state string, at infra.Revision) infra.Event {
 		kv := registered("i-1", state)
@@ -93,9 +93,9 @@
 	assert.Equal(t, r.apply(put("ready", 8)), true)
 }
 
-// A task goes to a worker that has no room for it any more: its registration told of less
-// room, and its owner heard of it only with the next worker that joined.
-func TestOwnersAreToldOfAWorkerWhoseRoomChanges(t *testing.T) {
+// A task was sent to a worker without enough capacity: its registration had announced a smaller
+// capacity, but its owner was notified only when the next worker joined.
+func TestOwnersAreNotifiedOfChangedCapacity(t *testing.T) {
 	r := newRegistry(nil, logr.Discard(), nil)
 	with := func(cpu int) infra.Event {
 		const entry = `{"service":"a","address":"10.0.0.1:80","state":"ready","capacity":{"cpu":%d}}`
@@ -103,13 +103,13 @@
 	}
 	assert.Equal(t, r.apply(with(8000)), true)
 	assert.Equal(t, r.apply(with(8000)), false, "nothing changed")
-	assert.Equal(t, r.apply(with(2000)), true, "less room")
+	assert.Equal(t, r.apply(with(2000)), true, "smaller capacity")
 	assert.Equal(t, r.list("a")[0].Capacity.MilliCPU, int64(2000))
-	assert.Equal(t, r.apply(with(8000)), true, "more room")
+	assert.Equal(t, r.apply(with(8000)), true, "larger capacity")
 }
 
-// A worker that starts again under its ID is taken for the life before.
-func TestOwnersAreToldOfAWorkerThatStartsAgain(t *testing.T) {
+// A worker that restarts under the same ID must not be taken for its previous incarnation.
+func TestOwnersAreNotifiedOfARestartedWorker(t *testing.T) {
 	r := newRegistry(nil, logr.Discard(), nil)
 	born := func(ms string) infra.Event {
 		const entry = `{"service":"a","address":"10.0.0.1:80","state":"ready","capacity":{"cpu":8000}%s}`
@@ -119,7 +119,7 @@
 	assert.Equal(t, r.apply(born(`,"born":1000`)), false)
 	assert.Equal(t, r.apply(born(`,"born":2000`)), true)
 	assert.Equal(t, r.list("a")[0].Life, work.Incarnation(2000))
-	assert.Equal(t, r.apply(born("")), true, "an entry that lacks what the worker told before")
+	assert.Equal(t, r.apply(born("")), true, "an entry without the incarnation that the worker registered before")
 	assert.Equal(t, r.list("a")[0].Unreadable, true)
 	assert.Equal(t, r.apply(born(`,"born":2000`)), true)
 	assert.Equal(t, r.list("a")[0].Unreadable, false)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The operator changes the settings of a running entry VM: what counts at once does,
-// and the log names all that changed. A file with a mistake changes nothing.
-func TestReloadTakesOverWhatItCanAndNamesTheRest(t *testing.T) {
+// A reload applies the memory limit and logs all changed keys, also those that take effect at
+// the next start. A file with a mistake changes nothing.
+func TestReloadAppliesTheMemoryLimitAndLogsChangedKeys(t *testing.T) {
 	old := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(old)
 	s, err := loadText(t, validSettings)
@@ -37,7 +37,7 @@
 	assert.Assert(t, strings.Contains(lines[1], "the settings in force stay"), lines[1])
 }
 
-// The settings change and nobody sends a signal.
+// A changed settings file is reloaded without a signal.
 func TestSettingsThatChangeWithoutASignalAreReloaded(t *testing.T) {
 	old := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(old)
--- a/internal/node/schedulingdelay.go
+++ b/internal/node/schedulingdelay.go
@@ -10,8 +10,8 @@
 	"github.com/pumicestage/pumicestage/policy/overload"
 )
 
-// delayMeter measures the scheduling delay of this process while it has a cell: how long what
-// is ready to run waits for the processor.
+// delayMeter measures this process's scheduling delay while it owns a cell: how long a
+// runnable goroutine waits for the processor.
 type delayMeter struct {
 	clock   engine.Clock
 	probing sharedTask
@@ -46,8 +46,9 @@
 	}
 }
 
-// probe waits in line once. The runtime runs the newest goroutine next and lets the others
-// wait; the second one here takes that place, so that the first waits as answers do.
+// probe measures one goroutine's wait for the processor. The runtime runs the goroutine that
+// was started last before all others that are runnable. The second one here takes that
+// place, so that the first waits at the end of the run queue, as answers to calls do.
 func (p *delayMeter) probe() {
 	ran := make(chan struct{})
 	p.mu.Lock()
--- a/internal/node/schedulingdelay_test.go
+++ b/internal/node/schedulingdelay_test.go
@@ -14,8 +14,8 @@
 	"github.com/pumicestage/pumicestage/policy/overload"
 )
 
-// A probe ends also on a VM that does nothing else, and is counted.
-func TestAProbeIsMeasured(t *testing.T) {
+// A probe also ends on a VM that does nothing else, and is recorded.
+func TestProbeMeasuresTheDelay(t *testing.T) {
 	p := newDelayMeter(bootClock{})
 	p.probe()
 	assert.Assert(t, p.Behind() > 0)
@@ -24,11 +24,12 @@
 	assert.Assert(t, is && waits["longest"] >= waits["standing"])
 }
 
-// Answers wait behind what is ready already, and the probe passes it: the runtime runs the
-// newest goroutine next. The probe must wait in line as answers do. Under the race detector the
-// runtime shuffles what is ready: a probe in line passes it in one round of eight, one that is
-// not in one of four; without the detector in none and in all.
-func TestAProbeWaitsInLine(t *testing.T) {
+// Answers to calls wait behind all runnable goroutines, but a probe that overtakes them would
+// measure no delay: the runtime runs the newest goroutine next. The probe must wait in the run
+// queue as answers do. Under the race detector the runtime shuffles runnable goroutines: a
+// probe that waits overtakes them in one round of eight, one that does not in one of four;
+// without the detector it is none and all.
+func TestProbeWaitsInTheRunQueue(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const ready, rounds, minInLine = 50, 2000, 1640
 	p := newDelayMeter(bootClock{})
@@ -48,9 +49,9 @@
 	assert.Assert(t, inLine >= minInLine, "in line in %d of %d rounds", inLine, rounds)
 }
 
-// A cell goes from a VM that is behind to a smaller one, or to one with a cell of its own,
-// and is worse off.
-func TestADutyGoesToAVMThatCanBearIt(t *testing.T) {
+// An overloaded VM must not hand its cell over to a smaller VM, or to one that owns another
+// cell: the cell would be worse off there.
+func TestSuccessorIsAtLeastAsLargeAndOwnsNothing(t *testing.T) {
 	n := &Node{settings: &Settings{Name: "e1", CPUShare: 0.8}, directory: &ownership.Directory{Log: logr.Discard()}}
 	n.members = newEntryVMs(nil, logr.Discard())
 	member := func(name, weight string) {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,7 +1,7 @@
-// Package node puts one entry VM on the users' platform together: the callers'
-// listener, readiness, the link between entry VMs, the election of the owner and
-// the engine of the one that is. It wires and orders start and stop; it decides
-// nothing.
+// Package node assembles the process of one entry VM on the users' platform: the callers'
+// listener, the readiness probe, the link between entry VMs, the election of the cells'
+// owners and the engines of the cells that this entry VM owns. It connects these components
+// and orders their start and stop; decisions are made by the policy packages.
 package node
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/pumicestage/pumicestage/internal/settings"
 )
 
-// Settings are what an entry VM on the users' platform is told at its start.
+// Settings holds an entry VM's settings file. Optional settings that are absent are zero.
 type Settings struct {
 	Name    string
 	Zone    string
-	Address string // own IP address
-	Callers string // host:port
-	Ready   string // host:port of readiness
+	Address string // this entry VM's own IP address
+	Callers string // host:port of the callers' listener
+	Ready   string // host:port of the readiness probe
 	Metrics string // host:port of counters and histograms; empty: none
 	Peers   [2]int // first and last port for other entry VMs
 
@@ -31,29 +31,31 @@
 	Advisor string // host:port of the advisor; empty: none
 
 	MinTTL          time.Duration // shortest lease that the store grants
-	ListRate        float64       // reads of the list of VMs that the platform takes a second; 0: any number
-	CPUShare        float64       // of a core; VMs with more take duties sooner
-	LinkMbps        float64       // of the VM's link, likewise
+	ListRate        float64       // reads of the list of VMs that the platform allows a second; 0: no limit
+	CPUShare        float64       // share of a processor core; VMs with more are preferred as owners
+	LinkMbps        float64       // bandwidth of the VM's link in Mbit/s; likewise
 	MemoryMB        int
-	ShutdownTimeout time.Duration // until a stopping process is killed
-	MaxLease        time.Duration // longest lease of a worker
-	PaceDelay       time.Duration // until a change of pace shows
-	StopGrace       time.Duration // a worker's stop of a task takes at most
-	// MaxCapacityAge is how old what workers say of their room may be where they don't guard it.
+	ShutdownTimeout time.Duration // from the stop signal until the process is killed
+	MaxLease        time.Duration // longest lease that a worker accepts
+	PaceDelay       time.Duration // until a changed pace of a task takes effect
+	StopGrace       time.Duration // maximum time that a worker takes to stop a task
+	// MaxCapacityAge is the maximum age of the free capacity that workers last reported, for
+	// services whose workers don't refuse tasks beyond their capacity; 0: no limit.
 	MaxCapacityAge  time.Duration
-	StatusRetention time.Duration // for how long a job's state may be asked after its end
+	StatusRetention time.Duration // how long a job's state can be queried after its end
 
-	// RevokeEverywhere: an entry VM that could not confirm its configuration for RevokeWithin
-	// accepts no keys, as one may have been taken away meanwhile.
+	// RevokeEverywhere makes an entry VM that could not confirm its configuration for
+	// RevokeWithin refuse all keys, as any of them may have been revoked meanwhile.
 	RevokeEverywhere bool
 	RevokeWithin     time.Duration
-	// ConfigWithin is the time within which a configuration is in force everywhere.
+	// ConfigWithin is the time within which a new configuration must be in force on all
+	// entry VMs.
 	ConfigWithin time.Duration
 
-	values map[string]string // as the file has them, by section and key
+	values map[string]string // as written in the file, by section.key
 }
 
-// settingField is one key of the file.
+// settingField is one key of the settings file; set returns false if the text is not valid.
 type settingField struct {
 	section, key string
 	required     bool
@@ -103,8 +105,8 @@
 	{"limits", "pace-delay-ms", false, expectsMS, duration(time.Millisecond, func(s *Settings) *time.Duration { return &s.PaceDelay })},
 }
 
-// LoadSettings reads and checks a settings file. All mistakes are reported at
-// once, each by section and key; the error is then *settings.Error.
+// LoadSettings reads and checks a settings file. All mistakes are reported at once, each with
+// its section and key, in a *settings.Error.
 func LoadSettings(file string) (*Settings, error) {
 	f, err := ini.Load(file)
 	if err != nil {
@@ -204,12 +206,12 @@
 	}
 }
 
-// fullWeightLinkMbps is the link from which processor time alone limits a cell's owner.
-// Five hundred starts a second, each with a specification of a kilobyte or two
-// and its answers, take some ten megabits; a link of that size queues for seconds.
+// fullWeightLinkMbps is the bandwidth from which processor time alone limits a cell's owner.
+// 500 starts a second, each with a specification of one or two kilobytes and its answers,
+// take some 10 Mbit/s; on a link of just that bandwidth they queue for seconds.
 const fullWeightLinkMbps = 100
 
-// weight is how soon this VM takes duties against others.
+// weight is this VM's preference as an owner, relative to other entry VMs; more is better.
 func (s *Settings) weight() float64 {
 	if s.LinkMbps == 0 {
 		return s.CPUShare
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -49,7 +49,7 @@
 	assert.Equal(t, s.MaxLease, 10*time.Second)
 	assert.Equal(t, s.StopGrace, 400*time.Millisecond)
 	assert.Equal(t, s.StatusRetention, 2*time.Minute)
-	assert.Assert(t, s.weight() < 0.05, "a link of 10 Mbit/s can't carry a cell")
+	assert.Assert(t, s.weight() < 0.05, "a link of 10 Mbit/s is too slow for a cell's owner")
 }
 
 func TestEveryMistakeIsNamedAtOnce(t *testing.T) {
--- a/internal/node/sharedtask.go
+++ b/internal/node/sharedtask.go
@@ -5,11 +5,12 @@
 	"sync"
 )
 
-// sharedTask runs something while at least one duty of this entry VM needs it.
+// sharedTask runs a function in the background while at least one duty of this entry VM
+// holds it.
 type sharedTask struct {
-	// reset is called before each run, with no other run in progress.
+	// reset is called before each run, while no run is in progress.
 	reset func()
-	run   func(ctx context.Context)
+	run   func(ctx context.Context) // returns when ctx ends
 
 	mu    sync.Mutex
 	users int
@@ -17,6 +18,7 @@
 	done  chan struct{}
 }
 
+// acquire starts the run for the first holder.
 func (s *sharedTask) acquire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +36,7 @@
 	}()
 }
 
-// release returns once the run has ended, if nobody else needs it.
+// release stops the run if there is no other holder, and returns once it has ended.
 func (s *sharedTask) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,20 +8,21 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// Times of a graceful shutdown. The balancer takes two misses of a probe a
-// second to send new connections elsewhere; until then they must be answered.
+// Times of a graceful shutdown. The balancer probes readiness once a second and sends new
+// connections elsewhere after two failed probes; until then they must be answered.
 const (
 	unreadyPeriod = 2600 * time.Millisecond
-	drainMargin   = 700 * time.Millisecond // before the process would be killed
-	// handoverMargin is what handing duties over takes while the store is away, a call to it
-	// and one to each of some entry VMs that may be silent, and the last answers.
+	drainMargin   = 700 * time.Millisecond // left before the process would be killed
+	// handoverMargin is the time that a hand-over of duties takes while the store is
+	// unreachable: a call to the store, one to each of several entry VMs that may not
+	// answer, and the last answers to callers.
 	handoverMargin = 1800 * time.Millisecond
-	// storePollInterval separates looks at whether the store is back.
+	// storePollInterval separates checks of whether the store is reachable again.
 	storePollInterval = 50 * time.Millisecond
 )
 
-// awaitStore waits while the store is away, for as long as the shutdown allows: duties can't
-// be handed over without it, and what waits in this VM's cells would stand still.
+// awaitStore waits while the store is unreachable, for as long as the shutdown allows:
+// duties can't be handed over without the store, and jobs in this VM's cells would stall.
 func (n *Node) awaitStore(startedAt time.Duration) {
 	until := startedAt + n.settings.ShutdownTimeout - drainMargin - handoverMargin
 	for n.reach.storeUnreachable.Load() && n.clock.Now() < until {
@@ -29,12 +30,13 @@
 	}
 }
 
-// shutDown hands its duties over, at once unless the store is away, and goes on answering
-// until the balancer has noticed; connections are closed after their present answer.
+// shutDown hands this entry VM's duties over, at once unless the store is unreachable, and
+// goes on answering callers until the balancer has stopped sending new connections.
+// Connections are closed after their current answer.
 func (n *Node) shutDown(callers *http.Server, stopElections func()) error {
 	startedAt := n.clock.Now()
 	n.shuttingDown.Store(true)
-	n.log.Info("leaving", "within", n.settings.ShutdownTimeout.String())
+	n.log.Info("shutting down", "within", n.settings.ShutdownTimeout.String())
 	n.awaitStore(startedAt)
 	stopElections()
 	n.duties.wg.Wait()
