--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -24,7 +24,7 @@
 func (s *unavailableAtFirst) Revoke(_ context.Context, lease infra.LeaseID) error {
 	if s.failures > 0 {
 		s.failures--
-		return infra.Errorf("revoke", infra.KindUnavailable, "away")
+		return infra.Errorf("revoke", infra.KindUnavailable, "unreachable")
 	}
 	s.revoked = append(s.revoked, lease)
 	return nil
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -48,7 +48,7 @@
 	}
 	changed := changedKeys(n.settings, next)
 	limitMemory(next.MemoryMB)
-	n.log.Info("settings reloaded", "file", file, "changed", changed, "memory mb", next.MemoryMB)
+	n.log.Info("reload", "file", file, "changed", changed, "memory mb", next.MemoryMB)
 }
 
 func limitMemory(mb int) { debug.SetMemoryLimit(int64(float64(mb) * memoryShare * (1 << 20))) }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -36,7 +36,7 @@
 func (n *Node) shutDown(callers *http.Server, stopElections func()) error {
 	startedAt := n.clock.Now()
 	n.shuttingDown.Store(true)
-	n.log.Info("shutting down", "within", n.settings.ShutdownTimeout.String())
+	n.log.Info("leaving", "within", n.settings.ShutdownTimeout.String())
 	n.awaitStore(startedAt)
 	stopElections()
 	n.duties.wg.Wait()
