--- a/cmd/pumicestage/explain.go
+++ b/cmd/pumicestage/explain.go
@@ -147,8 +147,8 @@
 
 func printReport(w io.Writer, r *jobfront.Report) {
 	fmt.Fprintf(w, "job %s of service %s\n", r.Job, r.Cell)
-	if r.Stored != "" {
-		fmt.Fprintf(w, "the store says: %s at %s\n", r.Stored, r.Ended.Format(time.RFC3339Nano))
+	if r.StoredState != "" {
+		fmt.Fprintf(w, "the store says: %s at %s\n", r.StoredState, r.Ended.Format(time.RFC3339Nano))
 	}
 	e := r.Explanation
 	if e == nil {
--- a/internal/jobfront/explain.go
+++ b/internal/jobfront/explain.go
@@ -14,8 +14,8 @@
 type Report struct {
 	Job  work.JobID `json:"job"`
 	Cell string     `json:"cell"` // the service that took it
-	// Stored is the end that the store knows; empty while it knows none.
-	Stored work.State `json:"stored,omitempty"`
+	// StoredState is the end that the store knows; empty while it knows none.
+	StoredState work.State `json:"stored,omitempty"`
 	Ended  time.Time  `json:"ended,omitzero"`
 	// Owner is the entry VM that owns the cell; empty: nobody does.
 	Owner       string              `json:"owner,omitempty"`
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Job: id, Cell: stub.Cell, Stored: stub.State, Ended: stub.Ended}
+	r := &Report{Job: id, Cell: stub.Cell, StoredState: stub.State, Ended: stub.Ended}
 	if owner, known := f.Owners(stub.Cell); known {
 		r.Owner = owner.Entry
 	}
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -206,7 +206,7 @@
 	assert.NilError(t, r.front.storeCancel(ctx, "j1", cell, ""))
 	report, err = r.front.Explain(ctx, "j1")
 	assert.NilError(t, err)
-	assert.Equal(t, report.Stored, work.Cancelled)
+	assert.Equal(t, report.StoredState, work.Cancelled)
 }
 
 // An operator looks at all cells while one has no owner: that one is named, with why.
