--- a/cmd/pumicestage/explain.go
+++ b/cmd/pumicestage/explain.go
@@ -152,7 +152,7 @@
 	}
 	e := r.Explanation
 	if e == nil {
-		fmt.Fprintf(w, "owner %s does not explain it: %s\n", orNobody(r.Owner), r.Missing)
+		fmt.Fprintf(w, "owner %s does not explain it: %s\n", orNobody(r.Owner), r.MissingReason)
 		return
 	}
 	fmt.Fprintf(w, "owner %s, token %d, configuration %d\n", orNobody(r.Owner), e.Token, e.Config)
--- a/cmd/pumicestage/explain_test.go
+++ b/cmd/pumicestage/explain_test.go
@@ -69,7 +69,7 @@
 func TestExplainJobWithoutAnOwnerSaysWhatTheStoreKnows(t *testing.T) {
 	ended := time.Date(2026, 5, 4, 8, 0, 0, 0, time.UTC)
 	status, out, _ := explainFrom(t, &jobfront.Report{
-		Job: "5c0e7a21d94b36f8", Cell: "weighting", StoredState: work.Completed, Ended: ended, Missing: "engine: not ready",
+		Job: "5c0e7a21d94b36f8", Cell: "weighting", StoredState: work.Completed, Ended: ended, MissingReason: "engine: not ready",
 	})
 	assert.Equal(t, status, exitDone)
 	assert.Equal(t, out, `job 5c0e7a21d94b36f8 of service weighting
--- a/internal/jobfront/explain.go
+++ b/internal/jobfront/explain.go
@@ -20,8 +20,8 @@
 	// Owner is the entry VM that owns the cell; empty: nobody does.
 	Owner       string              `json:"owner,omitempty"`
 	Explanation *engine.Explanation `json:"explanation,omitempty"`
-	// Missing says why there is no explanation.
-	Missing string `json:"missing,omitempty"`
+	// MissingReason says why there is no explanation.
+	MissingReason string `json:"missing,omitempty"`
 }
 
 // Explain says where a job stands and why: by the store, and by its cell's owner
@@ -47,7 +47,7 @@
 		return err
 	})
 	if err != nil {
-		r.Missing = err.Error()
+		r.MissingReason = err.Error()
 	}
 	return r, nil
 }
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -196,7 +196,7 @@
 	report, err := r.front.Explain(ctx, "j1")
 	assert.NilError(t, err)
 	assert.Equal(t, report.Cell, cell)
-	assert.Equal(t, report.Missing, engine.ErrNotReady.Error())
+	assert.Equal(t, report.MissingReason, engine.ErrNotReady.Error())
 	r.owner.err, r.owner.state = nil, work.Queued
 	report, err = r.front.Explain(ctx, "j1")
 	assert.NilError(t, err)
