--- a/cmd/pumicestage/explain.go
+++ b/cmd/pumicestage/explain.go
@@ -79,7 +79,7 @@
 	fmt.Fprintln(w, "WORKSPACE\tCELL\tUSED HERE\tALLOWED HERE\tLIMIT IN ALL\tWAITS FOR IT")
 	for _, r := range reports {
 		if r.Summary == nil {
-			fmt.Fprintf(w, "\t%s\t%s\t\t\t\n", r.Cell, r.Missing)
+			fmt.Fprintf(w, "\t%s\t%s\t\t\t\n", r.Cell, r.MissingReason)
 			continue
 		}
 		for _, u := range r.Summary.Workspaces {
@@ -96,7 +96,7 @@
 		s := r.Summary
 		if s == nil {
 			// Empty cells keep the columns of the rows around it in line.
-			fmt.Fprintf(w, "%s\t%s\t%s\t\t\t\t\t\t\n", r.Cell, orNobody(r.Owner), r.Missing)
+			fmt.Fprintf(w, "%s\t%s\t%s\t\t\t\t\t\t\n", r.Cell, orNobody(r.Owner), r.MissingReason)
 			continue
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.0f\t%.0f\n", r.Cell, orNobody(r.Owner),
--- a/cmd/pumicestage/explain_test.go
+++ b/cmd/pumicestage/explain_test.go
@@ -88,7 +88,7 @@
 func TestExplainWorkspacesPrintsWhatEachUsesWhere(t *testing.T) {
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		assert.Check(t, json.NewEncoder(w).Encode([]jobfront.CellReport{
-			{Cell: "booking", Missing: "engine: not ready"},
+			{Cell: "booking", MissingReason: "engine: not ready"},
 			{Cell: "weighting", Summary: &engine.Summary{Workspaces: []engine.WorkspaceUse{{
 				Workspace: "red", Used: work.Resources{MilliCPU: 1500}, May: work.Resources{MilliCPU: 2000}, Limit: work.Resources{MilliCPU: 8000}, Waits: true,
 			}}}},
@@ -113,7 +113,7 @@
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/cells")
 		assert.Check(t, json.NewEncoder(w).Encode([]jobfront.CellReport{
-			{Cell: "booking", Missing: "engine: not ready"},
+			{Cell: "booking", MissingReason: "engine: not ready"},
 			{Cell: "weighting", Owner: "entry-2", Summary: &engine.Summary{
 				Jobs: map[work.State]int{work.Queued: 3, work.Running: 8}, Oldest: 1234567 * time.Microsecond, Workers: 9, Busy: 7, Silent: 1, Used: 71.5, Backlog: 12,
 			}},
--- a/internal/jobfront/explain.go
+++ b/internal/jobfront/explain.go
@@ -57,7 +57,7 @@
 	Cell    string          `json:"cell"`
 	Owner   string          `json:"owner,omitempty"` // empty: nobody
 	Summary *engine.Summary `json:"summary,omitempty"`
-	Missing string          `json:"missing,omitempty"` // why there is no summary
+	MissingReason string          `json:"missing,omitempty"` // why there is no summary
 }
 
 // Cells says how each cell stands, in the order given.
@@ -88,7 +88,7 @@
 		return err
 	})
 	if err != nil {
-		r.Missing = err.Error()
+		r.MissingReason = err.Error()
 	}
 	return r
 }
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -222,7 +222,7 @@
 	assert.Equal(t, len(cells), 2)
 	assert.Equal(t, cells[0].Summary.Workers, 3)
 	assert.Assert(t, cells[1].Summary == nil)
-	assert.Equal(t, cells[1].Missing, engine.ErrNotReady.Error())
+	assert.Equal(t, cells[1].MissingReason, engine.ErrNotReady.Error())
 }
 
 // A caller guesses the ID of another workspace's job. It is told nothing of it and can't cancel
