--- a/internal/jobfront/explain.go
+++ b/internal/jobfront/explain.go
@@ -10,24 +10,25 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Report is what is known of a job, for operators.
+// Report explains a job's state to operators.
 type Report struct {
 	Job  work.JobID `json:"job"`
-	Cell string     `json:"cell"` // the service that took it
-	// StoredState is the end that the store knows; empty while it knows none.
+	Cell string     `json:"cell"` // the service whose cell accepted it
+	// StoredState is the job's final state in the store; empty while it has none.
 	StoredState work.State `json:"stored,omitempty"`
-	Ended  time.Time  `json:"ended,omitzero"`
-	// Owner is the entry VM that owns the cell; empty: nobody does.
+	Ended       time.Time  `json:"ended,omitzero"`
+	// Owner is the entry VM that owns the cell; empty: none does.
 	Owner       string              `json:"owner,omitempty"`
 	Explanation *engine.Explanation `json:"explanation,omitempty"`
-	// MissingReason says why there is no explanation.
+	// MissingReason tells why there is no Explanation.
 	MissingReason string `json:"missing,omitempty"`
 }
 
-// Explain says where a job stands and why: by the store, and by its cell's owner
-// where that answers.
+// Explain reports a job's state and its reasons, as far as the store and the cell's owner know
+// them. The error is ErrUnknownJob, or a *Refusal if the store does not answer; if only the
+// owner does not answer, the report tells why in MissingReason.
 func (f *Front) Explain(ctx context.Context, id work.JobID) (*Report, error) {
-	stub, _, err := f.stored(ctx, id)
+	stub, _, err := f.readStub(ctx, id)
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +36,7 @@
 	if owner, known := f.Owners(stub.Cell); known {
 		r.Owner = owner.Entry
 	}
-	err = f.askOwner(ctx, stub.Cell, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
+	err = f.callOwner(ctx, stub.Cell, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
 		ask := func() (engine.Explanation, error) { return f.Link.Explain(ctx, p, id) }
 		if o != nil {
 			ask = func() (engine.Explanation, error) { return o.Explain(id) }
@@ -52,31 +53,31 @@
 	return r, nil
 }
 
-// CellReport is what is known of a cell, for operators.
+// CellReport summarizes a cell for operators.
 type CellReport struct {
-	Cell    string          `json:"cell"`
-	Owner   string          `json:"owner,omitempty"` // empty: nobody
-	Summary *engine.Summary `json:"summary,omitempty"`
-	MissingReason string          `json:"missing,omitempty"` // why there is no summary
+	Cell          string          `json:"cell"`
+	Owner         string          `json:"owner,omitempty"` // entry VM; empty: none
+	Summary       *engine.Summary `json:"summary,omitempty"`
+	MissingReason string          `json:"missing,omitempty"` // why there is no Summary
 }
 
-// Cells says how each cell stands, in the order given.
+// Cells reports on each cell, in the order given. All owners are asked at the same time.
 func (f *Front) Cells(ctx context.Context, cells []string) []CellReport {
 	out := make([]CellReport, len(cells))
-	var asks sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, cell := range cells {
-		asks.Go(func() { out[i] = f.cell(ctx, cell) })
+		calls.Go(func() { out[i] = f.reportCell(ctx, cell) })
 	}
-	asks.Wait()
+	calls.Wait()
 	return out
 }
 
-func (f *Front) cell(ctx context.Context, cell string) CellReport {
+func (f *Front) reportCell(ctx context.Context, cell string) CellReport {
 	r := CellReport{Cell: cell}
 	if owner, known := f.Owners(cell); known {
 		r.Owner = owner.Entry
 	}
-	err := f.askOwner(ctx, cell, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
+	err := f.callOwner(ctx, cell, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
 		ask := func() (engine.Summary, error) { return f.Link.Summary(ctx, p) }
 		if o != nil {
 			ask = o.Summary
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -19,14 +19,15 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// ErrUnknownJob: no such job.
+// ErrUnknownJob means that the job does not exist, or that it is another workspace's.
 var ErrUnknownJob = errors.New("jobfront: no such job")
 
-// ErrUncertain: whether the change took effect is not known. The caller may
-// repeat it at any entry VM.
+// ErrUncertain means that it is unknown whether the change took effect. The caller may repeat
+// the request at any entry VM.
 var ErrUncertain = errors.New("jobfront: outcome not known")
 
-// Refusal says that nothing was done nor will be, and when to come back.
+// Refusal is the error of a request that had no effect and will have none. RetryAfter is the
+// time after which the caller should try again.
 type Refusal struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -39,74 +40,77 @@
 
 // Times of one call.
 const (
-	// ownerTimeout ends a call to the owner. It answers in milliseconds; what
-	// is left of the caller's time goes to settling the matter with the store.
+	// ownerTimeout ends a call to the owner, which normally answers in milliseconds. The
+	// rest of the caller's time is needed to complete the request by the store.
 	ownerTimeout = 700 * time.Millisecond
 	// storeTimeout ends a call to the store.
 	storeTimeout = 600 * time.Millisecond
-	// storePause separates tries while an outcome is unknown.
-	storePause = 100 * time.Millisecond
-	// storeBack is when to come back while the store is away: its outages
-	// last seconds.
-	storeBack = 1 * time.Second
-	// waitingFor is how long a count stays good while the owner can't be
-	// asked; the deployments allow two seconds.
-	waitingFor = 1800 * time.Millisecond
+	// storeRetryInterval separates attempts while the outcome of a change is unknown.
+	storeRetryInterval = 100 * time.Millisecond
+	// storeRetryAfter is the RetryAfter of refusals while the store is unreachable: its
+	// outages last seconds.
+	storeRetryAfter = 1 * time.Second
+	// maxCountAge is how long the last count of waiting jobs is used while the owner
+	// does not answer; deployments allow counts to be up to two seconds old.
+	maxCountAge = 1800 * time.Millisecond
 )
 
-// Owner answers where the workers are owned by this very entry VM.
+// Owner is the engine of a cell that this entry VM itself owns.
 type Owner = ownerlink.Owner
 
-// Options are what a Front is made of.
+// Options configures a Front.
 type Options struct {
 	Store infra.Store
-	// Owners returns who owns the cell; false where nobody does.
+	// Owners returns the cell's owner; false if none is known.
 	Owners func(cell string) (ownership.Record, bool)
-	Local  func(cell string) Owner // nil result: not the owner
+	Local  func(cell string) Owner // nil if this entry VM does not own the cell
 	Link   *ownerlink.Client
-	Self   string // own name
+	Self   string // this entry VM's name
 	Clock  engine.Clock
 	Log    logr.Logger
 }
 
-// Front carries callers' requests out.
+// Front carries out callers' requests on any entry VM: by the cell's owner, here or on another
+// entry VM, or by the store while the owner does not answer.
 type Front struct {
 	Options
-	counts counts
+	counts countCache
 
-	mu    sync.Mutex
-	store breaker.Breaker
+	mu           sync.Mutex
+	storeBreaker breaker.Breaker
 }
 
-// New returns a front.
-func New(o Options) *Front { return &Front{Options: o, counts: counts{m: make(map[string]count)}} }
+// New returns a Front.
+func New(o Options) *Front { return &Front{Options: o, counts: countCache{m: make(map[string]count)}} }
 
-// Submit accepts a job. nil means that it is stored; a *Refusal, ErrOtherWorkspace or ErrBehind
-// that it is not and will not be; ErrUncertain that the caller should repeat it.
+// Submit accepts a job. It returns nil if the job is stored; a *Refusal,
+// engine.ErrOtherWorkspace or engine.ErrBehind if it is not and will not be; ErrUncertain if the
+// caller should repeat the request.
 func (f *Front) Submit(ctx context.Context, j *work.Job, q engine.Queue) error {
-	err := f.askOwner(ctx, q.Service, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
+	err := f.callOwner(ctx, q.Service, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
 		if o != nil {
 			return o.Submit(ctx, j, q)
 		}
 		return f.Link.Submit(ctx, p, j, q)
 	})
-	if err == nil || settled(err) {
+	if err == nil || isFinal(err) {
 		return err
 	}
-	// The owner may be away, or cut from the store while this VM is not.
-	certain := !errors.Is(err, engine.ErrUncertain)
-	f.Log.Info("job stored without the owner", "job", j.ID, "cause", err.Error())
-	return f.storeJob(ctx, j, q, certain)
+	// The owner may be down, or unable to reach the store while this entry VM can.
+	notCreated := !errors.Is(err, engine.ErrUncertain)
+	f.Log.Info("storing the job without its owner", "job", j.ID, "cause", err.Error())
+	return f.createInStore(ctx, j, q, notCreated)
 }
 
-// settled reports whether an owner's error is the last word, whatever the store says: the
-// request is another workspace's, or was decided by a configuration that is not in force.
-func settled(err error) bool {
+// isFinal reports whether an owner's error ends the request without recourse to the store: the
+// job is another workspace's, or this entry VM's configuration is older than the owner's.
+func isFinal(err error) bool {
 	return errors.Is(err, engine.ErrOtherWorkspace) || errors.Is(err, engine.ErrBehind)
 }
 
-// askOwner calls the cell's owner, wherever it is.
-func (f *Front) askOwner(ctx context.Context, cell string, call func(ctx context.Context, o Owner, p ownerlink.Peer) error) error {
+// callOwner calls the cell's owner, which is either o, in this process, or the peer p; o is nil
+// then. It returns engine.ErrNotReady if no owner is known.
+func (f *Front) callOwner(ctx context.Context, cell string, call func(ctx context.Context, o Owner, p ownerlink.Peer) error) error {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	if local := f.Local(cell); local != nil {
@@ -119,10 +123,11 @@
 	return call(ctx, nil, ownerlink.Peer{Cell: cell, Address: owner.Address})
 }
 
-// storeJob creates the job in the store. certain says that no earlier try of
-// this request can have taken effect. Creating is idempotent: the same
-// condition that makes a second try fail proves that the first took effect.
-func (f *Front) storeJob(ctx context.Context, j *work.Job, q engine.Queue, certain bool) error {
+// createInStore creates the job in the store, and a message in the cell's inbox, from which
+// the next owner, or this one, learns of it. notCreated tells that no earlier attempt of this
+// request can have taken effect. Creation is idempotent: the condition that makes a second
+// attempt fail proves that the first one took effect.
+func (f *Front) createInStore(ctx context.Context, j *work.Job, q engine.Queue, notCreated bool) error {
 	ops, err := engine.CreateOps(q.Service, j, q)
 	if err != nil {
 		return &Refusal{Reason: "job can't be stored: " + err.Error()}
@@ -133,46 +138,46 @@
 		Else: []infra.Op{infra.Read(infra.WorkJobKey(string(j.ID)))},
 	}
 	for {
-		res, err := f.txn(ctx, txn)
+		res, err := f.runTxn(ctx, txn)
 		switch {
 		case err == nil && res.Succeeded:
 			return nil
-		case err == nil && len(res.Reads) > 0: // there before: one ID is one job
+		case err == nil && len(res.Reads) > 0: // it exists already: an ID belongs to one job
 			return engine.SameWorkspace(res.Reads[0].Value, j)
 		case err == nil:
 			return nil
 		}
 		if infra.IsKind(err, infra.KindUnknown) {
-			certain = false
+			notCreated = false
 		}
-		if certain {
-			return &Refusal{Reason: "the platform's store does not take the job: " + err.Error(), RetryAfter: storeBack}
+		if notCreated {
+			return &Refusal{Reason: "the platform's store does not take the job: " + err.Error(), RetryAfter: storeRetryAfter}
 		}
-		if !sleep.For(ctx, storePause) {
+		if !sleep.For(ctx, storeRetryInterval) {
 			return ErrUncertain
 		}
 	}
 }
 
-func (f *Front) txn(ctx context.Context, t infra.Txn) (res infra.TxnResult, err error) {
-	err = f.tryStore(ctx, "txn", func(ctx context.Context) error {
+func (f *Front) runTxn(ctx context.Context, t infra.Txn) (res infra.TxnResult, err error) {
+	err = f.callStore(ctx, "txn", func(ctx context.Context) error {
 		res, err = f.Store.Txn(ctx, t)
 		return err
 	})
 	return res, err
 }
 
-// errStoreAway is the cause of a call that was not tried.
-var errStoreAway = errors.New("it did not answer a moment ago")
+// errStoreUnresponsive is the cause of a call to the store that was not attempted.
+var errStoreUnresponsive = errors.New("it did not answer a moment ago")
 
-// tryStore calls the store, unless it did not answer a moment ago: then the call
-// is certain not to have been made.
-func (f *Front) tryStore(ctx context.Context, op string, call func(ctx context.Context) error) error {
+// callStore calls the store, with storeTimeout. While the circuit breaker is open it returns
+// an infra.KindUnavailable error at once: the call has certainly not been made.
+func (f *Front) callStore(ctx context.Context, op string, call func(ctx context.Context) error) error {
 	f.mu.Lock()
-	allowed := f.store.Allow(f.Clock.Now())
+	allowed := f.storeBreaker.Allow(f.Clock.Now())
 	f.mu.Unlock()
 	if !allowed {
-		return infra.Errorf(op, infra.KindUnavailable, "%w", errStoreAway)
+		return infra.Errorf(op, infra.KindUnavailable, "%w", errStoreUnresponsive)
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -181,23 +186,24 @@
 	defer f.mu.Unlock()
 	switch infra.KindOf(err) {
 	case infra.KindUnavailable, infra.KindUnknown, infra.KindRateLimited:
-		f.store.Failed(f.Clock.Now())
+		f.storeBreaker.Failed(f.Clock.Now())
 	default:
-		f.store.Succeeded()
+		f.storeBreaker.Succeeded()
 	}
 	return err
 }
 
-// State returns what a caller of the workspace is told of the job. q is the queue that the
-// request came by.
-func (f *Front) State(ctx context.Context, id work.JobID, q engine.Queue, by work.WorkspaceName) (work.State, error) {
-	state, err := f.ownerState(ctx, id, q.Service, by)
-	if err == nil || settled(err) {
+// State returns the job's state as callers of the workspace may see it. q is the queue of the
+// request's route. The error is ErrUnknownJob, engine.ErrOtherWorkspace, engine.ErrBehind, or a
+// *Refusal.
+func (f *Front) State(ctx context.Context, id work.JobID, q engine.Queue, workspace work.WorkspaceName) (work.State, error) {
+	state, err := f.stateFromOwner(ctx, id, q.Service, workspace)
+	if err == nil || isFinal(err) {
 		return state, err
 	}
-	// The owner knows open jobs alone, and may not have read yet what another
-	// entry VM stored.
-	stub, _, err := f.storedFor(ctx, id, by)
+	// The owner knows only open jobs, and may not have read yet what another entry VM
+	// stored.
+	stub, _, err := f.readStubFor(ctx, id, workspace)
 	if err != nil {
 		return "", err
 	}
@@ -205,90 +211,91 @@
 		return stub.State, nil
 	}
 	if stub.Cell != q.Service {
-		if state, err := f.ownerState(ctx, id, stub.Cell, by); err == nil {
+		if state, err := f.stateFromOwner(ctx, id, stub.Cell, workspace); err == nil {
 			return state, nil
 		}
 	}
 	return work.Running, nil
 }
 
-func (f *Front) ownerState(ctx context.Context, id work.JobID, cell string, by work.WorkspaceName) (state work.State, err error) {
-	err = f.askOwner(ctx, cell, func(ctx context.Context, o Owner, p ownerlink.Peer) (err error) {
+func (f *Front) stateFromOwner(ctx context.Context, id work.JobID, cell string, workspace work.WorkspaceName) (state work.State, err error) {
+	err = f.callOwner(ctx, cell, func(ctx context.Context, o Owner, p ownerlink.Peer) (err error) {
 		if o != nil {
-			state, err = o.State(id, by)
+			state, err = o.State(id, workspace)
 			return err
 		}
-		state, err = f.Link.State(ctx, p, id, by)
+		state, err = f.Link.State(ctx, p, id, workspace)
 		return err
 	})
 	return state, err
 }
 
-// storedFor reads the job's stub for a caller of the workspace. Another workspace's job is none
-// to them: that an ID is taken is nobody else's business.
-func (f *Front) storedFor(ctx context.Context, id work.JobID, by work.WorkspaceName) (*engine.JobStub, infra.Revision, error) {
-	stub, rev, err := f.stored(ctx, id)
-	if err == nil && !engine.Shows(stub.Workspace, by) {
-		f.Log.Info("another workspace's job was asked for", "job", id, "workspace", stub.Workspace, "by", by)
+// readStubFor reads the job's stub for a caller of the workspace. It returns ErrUnknownJob for
+// another workspace's job: callers must not learn which IDs other workspaces use.
+func (f *Front) readStubFor(ctx context.Context, id work.JobID, workspace work.WorkspaceName) (*engine.JobStub, infra.Revision, error) {
+	stub, rev, err := f.readStub(ctx, id)
+	if err == nil && !engine.Shows(stub.Workspace, workspace) {
+		f.Log.Info("request for another workspace's job", "job", id, "workspace", stub.Workspace, "by", workspace)
 		return nil, 0, ErrUnknownJob
 	}
 	return stub, rev, err
 }
 
-// stored reads the job's stub from the store.
-func (f *Front) stored(ctx context.Context, id work.JobID) (*engine.JobStub, infra.Revision, error) {
+// readStub reads the job's stub, i.e. its short record, and its revision from the store.
+func (f *Front) readStub(ctx context.Context, id work.JobID) (*engine.JobStub, infra.Revision, error) {
 	var kv infra.KV
-	err := f.tryStore(ctx, "get", func(ctx context.Context) (err error) {
+	err := f.callStore(ctx, "get", func(ctx context.Context) (err error) {
 		kv, _, err = f.Store.Get(ctx, infra.WorkJobKey(string(id)))
 		return err
 	})
 	if err != nil {
-		return nil, 0, &Refusal{Reason: "neither the owner nor the platform's store answers: " + err.Error(), RetryAfter: storeBack}
+		return nil, 0, &Refusal{Reason: "neither the owner nor the platform's store answers: " + err.Error(), RetryAfter: storeRetryAfter}
 	}
 	if kv.ModRevision == 0 {
 		return nil, 0, ErrUnknownJob
 	}
 	stub := new(engine.JobStub)
 	if err := json.Unmarshal(kv.Value, stub); err != nil {
-		f.Log.Error(err, "job's key is malformed", "job", id)
-		return nil, 0, &Refusal{Reason: "job's key is malformed", RetryAfter: storeBack}
+		f.Log.Error(err, "malformed job record in the store", "job", id)
+		return nil, 0, &Refusal{Reason: "job's key is malformed", RetryAfter: storeRetryAfter}
 	}
 	return stub, kv.ModRevision, nil
 }
 
-// Cancel cancels the job for a caller of the workspace. nil means that it is cancelled or had
-// ended.
-func (f *Front) Cancel(ctx context.Context, id work.JobID, q engine.Queue, by work.WorkspaceName) error {
-	err := f.ownerCancel(ctx, id, q.Service, by)
-	if err == nil || settled(err) {
+// Cancel cancels the job for a caller of the workspace. It returns nil if the job is cancelled
+// or had ended before, ErrUncertain if the caller should repeat the request, and otherwise the
+// same errors as State.
+func (f *Front) Cancel(ctx context.Context, id work.JobID, q engine.Queue, workspace work.WorkspaceName) error {
+	err := f.cancelByOwner(ctx, id, q.Service, workspace)
+	if err == nil || isFinal(err) {
 		return err
 	}
-	return f.storeCancel(ctx, id, q.Service, by)
+	return f.cancelInStore(ctx, id, q.Service, workspace)
 }
 
-func (f *Front) ownerCancel(ctx context.Context, id work.JobID, cell string, by work.WorkspaceName) error {
-	return f.askOwner(ctx, cell, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
+func (f *Front) cancelByOwner(ctx context.Context, id work.JobID, cell string, workspace work.WorkspaceName) error {
+	return f.callOwner(ctx, cell, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
 		if o != nil {
-			return o.Cancel(ctx, id, by)
+			return o.Cancel(ctx, id, workspace)
 		}
-		return f.Link.Cancel(ctx, p, id, by)
+		return f.Link.Cancel(ctx, p, id, workspace)
 	})
 }
 
-// storeCancel ends the job in the store itself, so that no later owner starts
-// any of it, and leaves a note for the present one. asked is the cell whose owner
-// was asked in vain.
-func (f *Front) storeCancel(ctx context.Context, id work.JobID, asked string, by work.WorkspaceName) error {
+// cancelInStore ends the job in the store itself, so that no later owner starts any of its
+// tasks, and leaves an inbox message for the current owner. triedCell is the cell whose owner
+// has already failed to cancel it.
+func (f *Front) cancelInStore(ctx context.Context, id work.JobID, triedCell string, workspace work.WorkspaceName) error {
 	for {
-		stub, rev, err := f.storedFor(ctx, id, by)
+		stub, rev, err := f.readStubFor(ctx, id, workspace)
 		if err != nil {
 			return err
 		}
 		if stub.State != "" {
 			return nil
 		}
-		if stub.Cell != asked {
-			if err := f.ownerCancel(ctx, id, stub.Cell, by); err == nil {
+		if stub.Cell != triedCell {
+			if err := f.cancelByOwner(ctx, id, stub.Cell, workspace); err == nil {
 				return nil
 			}
 		}
@@ -297,7 +304,7 @@
 		if err != nil {
 			return &Refusal{Reason: "cancellation can't be stored: " + err.Error()}
 		}
-		res, err := f.txn(ctx, infra.Txn{
+		res, err := f.runTxn(ctx, infra.Txn{
 			If:   []infra.Cond{{Key: infra.WorkJobKey(string(id)), ModRevision: rev}},
 			Then: append(ops, infra.Put(infra.WorkInboxKey(stub.Cell, engine.NoteCancel, string(id)), nil)),
 		})
@@ -307,16 +314,17 @@
 		if err != nil {
 			f.Log.Info("cancellation not confirmed", "job", id, "error", err.Error())
 		}
-		if !sleep.For(ctx, storePause) {
+		if !sleep.For(ctx, storeRetryInterval) {
 			return ErrUncertain
 		}
 	}
 }
 
-// Waiting counts the queue's jobs of which no task has started.
+// Waiting returns the number of the queue's jobs of which no task has started. While the owner
+// does not answer, it returns the last count, if that is recent enough, or a *Refusal.
 func (f *Front) Waiting(ctx context.Context, q engine.Queue) (int, error) {
 	n, queue := 0, q.Name
-	err := f.askOwner(ctx, q.Service, func(ctx context.Context, o Owner, p ownerlink.Peer) (err error) {
+	err := f.callOwner(ctx, q.Service, func(ctx context.Context, o Owner, p ownerlink.Peer) (err error) {
 		if o != nil {
 			n, err = o.Waiting(queue)
 			return err
@@ -325,7 +333,7 @@
 		return err
 	})
 	now := f.Clock.Now()
-	if settled(err) {
+	if isFinal(err) {
 		return 0, err
 	}
 	if err == nil {
@@ -335,5 +343,5 @@
 	if n, ok := f.counts.get(queue, now); ok {
 		return n, nil
 	}
-	return 0, &Refusal{Reason: "the owner does not answer: " + err.Error(), RetryAfter: storeBack}
+	return 0, &Refusal{Reason: "the owner does not answer: " + err.Error(), RetryAfter: storeRetryAfter}
 }
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -22,26 +22,26 @@
 
 var queue = engine.Queue{Name: "weights", Service: cell}
 
-type clock struct{ now time.Duration }
+type fakeClock struct{ now time.Duration }
 
-func (c *clock) Now() time.Duration { return c.now }
-func (c *clock) Wall() time.Time    { return time.Unix(0, 0) }
+func (c *fakeClock) Now() time.Duration { return c.now }
+func (c *fakeClock) Wall() time.Time    { return time.Unix(0, 0) }
 
-// owner answers as the test says.
+// owner is an Owner whose answers are set by the test.
 type owner struct {
-	err    error
-	state  work.State
-	count  int
-	cancel int
+	err     error
+	state   work.State
+	waiting int
+	cancels int
 }
 
 func (o *owner) Submit(context.Context, *work.Job, engine.Queue) error    { return o.err }
 func (o *owner) State(work.JobID, work.WorkspaceName) (work.State, error) { return o.state, o.err }
 func (o *owner) Cancel(context.Context, work.JobID, work.WorkspaceName) error {
-	o.cancel++
+	o.cancels++
 	return o.err
 }
-func (o *owner) Waiting(string) (int, error)                     { return o.count, o.err }
+func (o *owner) Waiting(string) (int, error)                     { return o.waiting, o.err }
 func (o *owner) Sync(engine.CellSync) (engine.CellAnswer, error) { return engine.CellAnswer{}, o.err }
 
 func (o *owner) LookAtLimits([]work.WorkspaceName) error { return o.err }
@@ -54,16 +54,16 @@
 	return engine.Summary{Cell: cell, Workers: 3}, o.err
 }
 
-type rig struct {
+type fixture struct {
 	front *Front
 	store *faulty.Store
 	owner *owner
-	clock *clock
+	clock *fakeClock
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	r := &rig{store: faulty.Wrap(memstore.New(clockwork.NewFakeClock())), owner: &owner{}, clock: &clock{now: time.Minute}}
+	r := &fixture{store: faulty.Wrap(memstore.New(clockwork.NewFakeClock())), owner: &owner{}, clock: &fakeClock{now: time.Minute}}
 	r.front = New(Options{
 		Store: r.store, Clock: r.clock, Log: logr.Discard(), Self: "e1",
 		Owners: func(string) (ownership.Record, bool) { return ownership.Record{}, false },
@@ -77,50 +77,50 @@
 	return r
 }
 
-func job(id work.JobID) *work.Job {
+func newJob(id work.JobID) *work.Job {
 	return &work.Job{ID: id, Queue: queue.Name, Steps: []work.Step{{Count: 1}}}
 }
 
-func (r *rig) stored(t *testing.T, key string) bool {
+func (r *fixture) stored(t *testing.T, key string) bool {
 	t.Helper()
 	kv, _, err := r.store.Get(context.Background(), key)
 	assert.NilError(t, err)
 	return kv.ModRevision != 0
 }
 
-// Callers would be refused for as long as no entry VM owns the cell; the job is
-// stored with a note for the next owner instead.
-func TestWithoutAnOwnerTheJobIsStoredWithANote(t *testing.T) {
-	r := newRig(t)
+// While no entry VM owns the cell, jobs are not refused but stored, with an inbox message for
+// the next owner.
+func TestWithoutAnOwnerTheJobIsStoredWithAnInboxMessage(t *testing.T) {
+	r := newFixture(t)
 	r.owner.err = engine.ErrNotReady
-	assert.NilError(t, r.front.Submit(context.Background(), job("j1"), queue))
+	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue))
 	assert.Assert(t, r.stored(t, infra.WorkOpenKey(cell, "j1")))
 	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")))
-	assert.NilError(t, r.front.Submit(context.Background(), job("j1"), queue), "a repeat is the same job")
+	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue), "a repeat is the same job")
 }
 
-// The owner did not answer and may have stored the job; the store says that it
-// has. Another answer than acceptance would be false.
-func TestAnUncertainOwnerIsSettledByTheStore(t *testing.T) {
-	r := newRig(t)
-	ops, err := engine.CreateOps(cell, job("j1"), queue)
+// The owner did not answer in time but has stored the job. The job must be reported as
+// accepted, as the store shows that it is.
+func TestAJobStoredByAnUncertainOwnerIsAccepted(t *testing.T) {
+	r := newFixture(t)
+	ops, err := engine.CreateOps(cell, newJob("j1"), queue)
 	assert.NilError(t, err)
 	_, err = r.store.Txn(context.Background(), infra.Txn{Then: ops})
 	assert.NilError(t, err)
 	r.owner.err = engine.ErrUncertain
-	assert.NilError(t, r.front.Submit(context.Background(), job("j1"), queue))
-	assert.Assert(t, !r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")), "it was there before")
+	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue))
+	assert.Assert(t, !r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")), "the job existed already")
 }
 
 func TestStatesAndCancellationsWithoutAnOwner(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	r.owner.err = engine.ErrNotReady
 	ctx := context.Background()
 	_, err := r.front.State(ctx, "j1", queue, "")
 	assert.Assert(t, errors.Is(err, ErrUnknownJob))
 	assert.Assert(t, errors.Is(r.front.Cancel(ctx, "j1", queue, ""), ErrUnknownJob))
 
-	assert.NilError(t, r.front.Submit(ctx, job("j1"), queue))
+	assert.NilError(t, r.front.Submit(ctx, newJob("j1"), queue))
 	state, err := r.front.State(ctx, "j1", queue, "")
 	assert.NilError(t, err)
 	assert.Equal(t, state, work.Running)
@@ -129,17 +129,17 @@
 	state, err = r.front.State(ctx, "j1", queue, "")
 	assert.NilError(t, err)
 	assert.Equal(t, state, work.Cancelled)
-	assert.Assert(t, !r.stored(t, infra.WorkOpenKey(cell, "j1")), "no later owner starts it")
+	assert.Assert(t, !r.stored(t, infra.WorkOpenKey(cell, "j1")), "a later owner would start it")
 	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.NoteCancel, "j1")))
-	assert.NilError(t, r.front.Cancel(ctx, "j1", queue, ""), "it has ended")
+	assert.NilError(t, r.front.Cancel(ctx, "j1", queue, ""), "it has ended already")
 }
 
-// A job's queue leads to another service since it was accepted: its state is with
-// the owner of the cell that took it, not with the one that is asked first.
-func TestAJobIsFoundInTheCellThatTookIt(t *testing.T) {
-	r := newRig(t)
+// A job's queue was moved to another service after the job was accepted. The job's state is
+// known to the owner of the cell that accepted it, not to the owner that is asked first.
+func TestAJobIsFoundInTheCellThatAcceptedIt(t *testing.T) {
+	r := newFixture(t)
 	r.owner.err = engine.ErrNotReady
-	assert.NilError(t, r.front.Submit(context.Background(), job("j1"), queue))
+	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue))
 	first := r.owner
 	r.front.Local = func(asked string) Owner {
 		if asked == cell {
@@ -153,14 +153,14 @@
 	assert.Equal(t, state, work.Queued)
 }
 
-func TestTheLastCountIsGoodForAMoment(t *testing.T) {
-	r := newRig(t)
-	r.owner.count = 12
+func TestTheLastCountIsUsedUpToItsMaximumAge(t *testing.T) {
+	r := newFixture(t)
+	r.owner.waiting = 12
 	n, err := r.front.Waiting(context.Background(), queue)
 	assert.NilError(t, err)
 	assert.Equal(t, n, 12)
 	r.owner.err = engine.ErrNotReady
-	r.clock.now += waitingFor
+	r.clock.now += maxCountAge
 	n, err = r.front.Waiting(context.Background(), queue)
 	assert.NilError(t, err)
 	assert.Equal(t, n, 12)
@@ -170,7 +170,7 @@
 	assert.Assert(t, errors.As(err, &refusal))
 }
 
-func TestTheLongestPrefixLeadsToTheQueue(t *testing.T) {
+func TestTheLongestMatchingPrefixSelectsTheQueue(t *testing.T) {
 	routes := NewRoutes([]Route{
 		{Host: "h", Prefix: "/a/", Queue: "short"}, {Host: "h", Prefix: "/a/b/", Queue: "long"}, {Host: "i", Prefix: "/a/", Queue: "other"},
 	})
@@ -184,15 +184,15 @@
 	}
 }
 
-// An operator asks about a job whose owner was lost: what the store knows is told,
-// and why there is no more.
+// An operator asks about a job while its cell has no owner: the report contains what the store
+// knows, and why it contains no more.
 func TestAJobIsExplainedByItsOwnerAndByTheStore(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	ctx := context.Background()
 	_, err := r.front.Explain(ctx, "j1")
 	assert.Assert(t, errors.Is(err, ErrUnknownJob))
 	r.owner.err = engine.ErrNotReady
-	assert.NilError(t, r.front.Submit(ctx, job("j1"), queue))
+	assert.NilError(t, r.front.Submit(ctx, newJob("j1"), queue))
 	report, err := r.front.Explain(ctx, "j1")
 	assert.NilError(t, err)
 	assert.Equal(t, report.Cell, cell)
@@ -203,15 +203,16 @@
 	assert.Equal(t, report.Explanation.State, work.Queued)
 	assert.NilError(t, r.front.Cancel(ctx, "j1", queue, ""))
 	r.owner.err = engine.ErrUnknownJob
-	assert.NilError(t, r.front.storeCancel(ctx, "j1", cell, ""))
+	assert.NilError(t, r.front.cancelInStore(ctx, "j1", cell, ""))
 	report, err = r.front.Explain(ctx, "j1")
 	assert.NilError(t, err)
 	assert.Equal(t, report.StoredState, work.Cancelled)
 }
 
-// An operator looks at all cells while one has no owner: that one is named, with why.
+// An operator lists all cells while one has no owner: that one is listed too, with the reason
+// why it has no summary.
 func TestEveryCellIsListedWithOrWithoutItsOwner(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	r.front.Local = func(asked string) Owner {
 		if asked == cell {
 			return r.owner
@@ -225,14 +226,14 @@
 	assert.Equal(t, cells[1].MissingReason, engine.ErrNotReady.Error())
 }
 
-// A caller guesses the ID of another workspace's job. It is told nothing of it and can't cancel
-// it, neither by the owner, which knows the job, nor by the store; nor does a submission under
-// that ID look accepted.
+// A caller guesses the ID of another workspace's job. It can neither see nor cancel the job, be
+// it by the owner, which knows the job, or by the store, and a submission with that ID must not
+// look accepted.
 func TestAnotherWorkspacesJobIsNeitherShownNorCancelled(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	ctx := context.Background()
 	r.owner.err = engine.ErrNotReady
-	theirs := job("j1")
+	theirs := newJob("j1")
 	theirs.Workspace = "red"
 	assert.NilError(t, r.front.Submit(ctx, theirs, queue))
 	for _, err := range []error{engine.ErrNotReady, engine.ErrUnknownJob} {
@@ -241,7 +242,7 @@
 		assert.Assert(t, errors.Is(state, ErrUnknownJob))
 		assert.Assert(t, errors.Is(r.front.Cancel(ctx, "j1", queue, "blue"), ErrUnknownJob))
 	}
-	ours := job("j1")
+	ours := newJob("j1")
 	ours.Workspace = "blue"
 	assert.Assert(t, errors.Is(r.front.Submit(ctx, ours, queue), engine.ErrOtherWorkspace))
 	assert.NilError(t, r.front.Submit(ctx, theirs, queue), "a repeat is the same job")
@@ -250,13 +251,14 @@
 	assert.Equal(t, state, work.Running)
 	assert.NilError(t, r.front.Cancel(ctx, "j1", queue, "red"))
 	_, err = r.front.State(ctx, "j1", queue, "blue")
-	assert.Assert(t, errors.Is(err, ErrUnknownJob), "nor is its end shown")
+	assert.Assert(t, errors.Is(err, ErrUnknownJob), "its final state is shown")
 }
 
-// The owner goes by a newer configuration: the job must not be stored behind its back.
-func TestACallDecidedByAnOldConfigurationIsNotCarriedOutByTheStore(t *testing.T) {
-	r := newRig(t)
+// The owner refuses a job because this entry VM's configuration is older than its own: the job
+// must not be stored without the owner.
+func TestAJobRefusedForAnOldConfigurationIsNotStored(t *testing.T) {
+	r := newFixture(t)
 	r.owner.err = engine.ErrBehind
-	assert.Assert(t, errors.Is(r.front.Submit(context.Background(), job("j1"), queue), engine.ErrBehind))
+	assert.Assert(t, errors.Is(r.front.Submit(context.Background(), newJob("j1"), queue), engine.ErrBehind))
 	assert.Assert(t, !r.stored(t, infra.WorkJobKey("j1")))
 }
--- a/internal/jobfront/routes.go
+++ b/internal/jobfront/routes.go
@@ -1,6 +1,6 @@
-// Package jobfront is the callers' path for jobs on every entry VM: which queue
-// a request is for, and how a job is accepted, asked about and cancelled
-// whichever entry VM owns the workers, or while none does.
+// Package jobfront handles callers' requests on every entry VM: it finds the queue of a request,
+// checks its key, and submits, queries and cancels jobs, whichever entry VM owns the cell, or
+// while none does.
 package jobfront
 
 import (
@@ -12,26 +12,26 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// Route leads requests to a queue.
+// Route maps requests with a host and a path prefix to a queue.
 type Route struct {
 	Host   string
 	Prefix string
 	Queue  string
 }
 
-// Config is the operator's configuration as entry VMs use it.
+// Config is the operator's configuration in the form that entry VMs use and exchange.
 type Config struct {
 	engine.Declared
 	Routes []Route
 	Keys   workspace.Keys
 }
 
-// Routes finds the queue of a request. The zero value has no routes.
+// Routes finds the queue of a request by its host and path. The zero value has no routes.
 type Routes struct {
 	byHost map[string][]Route // longest prefix first
 }
 
-// NewRoutes indexes the routes.
+// NewRoutes returns an index of the routes.
 func NewRoutes(routes []Route) *Routes {
 	r := &Routes{byHost: make(map[string][]Route)}
 	for _, route := range routes {
@@ -43,8 +43,8 @@
 	return r
 }
 
-// Find returns the queue of the longest prefix that the path begins with, and
-// the rest of the path.
+// Find returns the queue whose route has the longest prefix of the path, and the path after
+// that prefix; ok is false if no route matches.
 func (r *Routes) Find(host, path string) (queue, rest string, ok bool) {
 	for _, route := range r.byHost[host] {
 		if rest, ok := strings.CutPrefix(path, route.Prefix); ok {
