--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -56,7 +56,7 @@
 		return nil
 	}
 	in := f.input(w, r)
-	if len(in.Due) == 0 && in.Away == 0 {
+	if len(in.Remaining) == 0 && in.Unavailable == 0 {
 		r.Completed = true
 		clear(r.emptying)
 		f.Log.Info("wave completed", "wave", w.Name, "took", (f.Clock.Now() - w.Seen).String())
@@ -84,8 +84,8 @@
 
 func (f *Fleet) input(w OrderedWave, r *waveRun) upkeep.Input {
 	in := upkeep.Input{
-		Left:       w.Seen + w.Duration - f.Clock.Now(),
-		Each:       emptyTime + maintenanceTime,
+		TimeLeft:   w.Seen + w.Duration - f.Clock.Now(),
+		TimePerVM:  emptyTime + maintenanceTime,
 		MaxAtATime: w.MaxAtATime,
 	}
 	for _, id := range w.VMs {
@@ -93,10 +93,10 @@
 		o := f.orderOf(id)
 		switch {
 		case o != nil && o.wave == w.Name, exists && vm.State == work.VMMaintenance:
-			in.Away++
+			in.Unavailable++
 		case !exists || r.Done[id]:
 		default:
-			in.Due = append(in.Due, f.candidate(r, vm, o != nil))
+			in.Remaining = append(in.Remaining, f.candidate(r, vm, o != nil))
 			f.due[vm.Worker] = true
 		}
 	}
@@ -109,18 +109,18 @@
 	since, closed := r.emptying[vm.ID]
 	c := upkeep.Candidate{VM: vm, Parked: f.parked(vm.Pool), Cordoned: closed}
 	if closed {
-		c.Emptying = f.Clock.Now() - since
+		c.CordonedFor = f.Clock.Now() - since
 	}
 	if view := f.cells[vm.Pool]; view != nil {
 		c.Backlog = view.Backlog > 0
-		c.Serial = time.Duration(view.Serial) * lastingMove
+		c.SerialMoveTime = time.Duration(view.Serial) * lastingMove
 	}
 	report := f.worker(vm)
 	switch {
 	case ordered || !c.Parked && (report == nil || !report.Heard):
 		c.VM.State = work.VMMoving
 	case report != nil:
-		c.Tasks, c.Lasting = report.Tasks, report.Lasting
+		c.Tasks, c.LongRunning = report.Tasks, report.Lasting
 	}
 	return c
 }
@@ -129,7 +129,7 @@
 // with all that nobody keeps closed.
 func (f *Fleet) empty(r *waveRun, d upkeep.Decision) []cellOrder {
 	for id := range r.emptying {
-		if !slices.Contains(d.Empty, id) && !slices.Contains(d.Maintain, id) {
+		if !slices.Contains(d.Drain, id) && !slices.Contains(d.Maintain, id) {
 			delete(r.emptying, id)
 		}
 	}
@@ -138,7 +138,7 @@
 		vm := f.vms[id]
 		out = append(out, cellOrder{cell: vm.Pool, order: engine.CellOrder{Kind: kind, Worker: vm.Worker}})
 	}
-	for _, id := range d.Empty {
+	for _, id := range d.Drain {
 		if _, closed := r.emptying[id]; !closed {
 			r.emptying[id] = f.Clock.Now()
 		}
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -186,9 +186,9 @@
 	defer f.mu.Unlock()
 	switch infra.KindOf(err) {
 	case infra.KindUnavailable, infra.KindUnknown, infra.KindRateLimited:
-		f.storeBreaker.Failed(f.Clock.Now())
+		f.storeBreaker.RecordFailure(f.Clock.Now())
 	default:
-		f.storeBreaker.Succeeded()
+		f.storeBreaker.RecordSuccess()
 	}
 	return err
 }
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -203,7 +203,7 @@
 		o.applyConfig(kv)
 		return
 	}
-	w, isWave, err := platform.WaveOf(kv)
+	w, isWave, err := platform.DecodeWave(kv)
 	if err != nil {
 		o.log.Error(err, "malformed wave", "key", kv.Key)
 		return
@@ -220,7 +220,7 @@
 }
 
 func (o *operatorState) applyConfig(kv infra.KV) {
-	c, err := platform.ConfigOf(kv.Value)
+	c, err := platform.DecodeConfig(kv.Value)
 	if err != nil {
 		o.log.Error(err, "malformed configuration; the previous one stays in force", "revision", int64(kv.ModRevision))
 		return
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -157,7 +157,7 @@
 // a known worker it returns the last valid entry marked Unreadable, so that the worker keeps
 // its tasks but gets no new ones.
 func (r *registry) parseLocked(kv infra.KV) (engine.WorkerInfo, bool) {
-	info, err := platform.WorkerOf(kv)
+	info, err := platform.DecodeWorker(kv)
 	last, known := r.workers[kv.Key]
 	if err == nil && known && last.Life != 0 && info.Life == 0 {
 		err = errNoIncarnation
--- a/policy/dispatch/choice.go
+++ b/policy/dispatch/choice.go
@@ -68,7 +68,7 @@
 // such a report is not stale for long.
 func (d *Dispatcher) unavailable(t *target, now time.Time) bool {
 	switch {
-	case !t.serving, t.unreachable, t.leaving.Out(now), t.health.Ejected(now):
+	case !t.serving, t.unreachable, t.leaving.Unready(now), t.health.Ejected(now):
 		return true
 	}
 	return d.cfg.Peers != nil && d.cfg.Peers.Leaving(t.id)
@@ -102,7 +102,9 @@
 	return mean / time.Duration(slots)
 }
 
-// slotCapacity returns the free and the usable slots of available targets.
+// slotCapacity returns how many requests this entry VM may send to available
+// targets now (free), and how many it may have there at once (total): its shares
+// of the targets' slots, with loans.
 func slotCapacity(ts []routing.Target) (free, total int) {
 	for i := range ts {
 		if !ts[i].Unavailable {
@@ -129,7 +131,7 @@
 	states := make([]TargetState, 0, len(d.sortedTargets))
 	for _, t := range d.sortedTargets {
 		states = append(states, TargetState{
-			VM: t.id, InFlight: t.inFlight, Limit: t.limit, Leaving: t.leaving.Says(),
+			VM: t.id, InFlight: t.inFlight, Limit: t.limit, Leaving: t.leaving.ReportsLeaving(),
 			Ejected: t.health.Ejected(now), Out: d.unavailable(t, now),
 		})
 	}
--- a/policy/dispatch/fleet.go
+++ b/policy/dispatch/fleet.go
@@ -84,6 +84,7 @@
 	}
 }
 
+// withSelf returns the entry VMs, with self added if it is missing.
 func withSelf(entries []slots.Entry, self slots.Entry) []slots.Entry {
 	if slices.ContainsFunc(entries, func(e slots.Entry) bool { return e.ID == self.ID }) {
 		return entries
@@ -103,7 +104,7 @@
 	}
 	entered := vm.Serving && !t.serving
 	if entered && (!unknown || len(d.services) > 0) {
-		t.health.Start(now)
+		t.health.BeginSlowStart(now)
 		t.latency = routing.LatencyEstimate{}
 	}
 	t.zone, t.address, t.serving = vm.Zone, vm.Address, vm.Serving
@@ -128,6 +129,9 @@
 	}
 }
 
+// updateService applies a service's declaration, sets its targets to those in its
+// pools (byPool holds the targets of each pool), and returns it. Queue and
+// estimates of a service that is already known stay.
 func (d *Dispatcher) updateService(decl model.Service, byPool map[model.PoolName][]*target) *service {
 	svc := d.services[decl.Name]
 	if svc == nil {
@@ -152,7 +156,8 @@
 // assignShare sets the target's slots, this entry VM's share of them, and
 // whether this entry VM probes the target. Share and prober are hashed over all
 // entry VMs, so they are recomputed only if an input changed: with thousands of
-// VMs, a new Fleet that differs in a single VM may come every second.
+// VMs, a new Fleet that differs in a single VM may come every second. It changes t
+// in place and returns it.
 func (d *Dispatcher) assignShare(t *target, decl model.Service) *target {
 	n := decl.Slots
 	if n <= 0 {
--- a/policy/dispatch/target.go
+++ b/policy/dispatch/target.go
@@ -25,7 +25,7 @@
 	inFlight    int // requests of this entry VM at the target now
 	latency     routing.LatencyEstimate
 	health      health.Target
-	leaving     health.Leaving
+	leaving     health.Readiness
 	unreachable bool // probes get no response, and the availability budget allows its removal
 
 	probedAt  time.Time
@@ -76,10 +76,10 @@
 	switch u.Kind {
 	case Answered:
 		t.latency.Observe(u.ResponseLatency, now)
-		t.leaving.Accepted()
+		t.leaving.RecordAccepted()
 		t.health.Observe(true, now)
 	case Refused, NotSent:
-		t.leaving.Refused(u.RetryAfter, now)
+		t.leaving.RecordRefusal(u.RetryAfter, now)
 	case Errored, Failed:
 		t.health.Observe(false, now)
 		d.penalize(svc, t, u, now)
@@ -110,7 +110,7 @@
 			peers = append(peers, &other.health)
 		}
 	}
-	health.Judge(&t.health, peers, d.budgetAllowsRemoval(svc, now), now)
+	health.EjectOutlier(&t.health, peers, d.budgetAllowsRemoval(svc, now), now)
 }
 
 // budgetAllowsRemoval reports whether the service's availability budget allows
@@ -123,17 +123,17 @@
 		}
 	}
 	total := len(svc.targets)
-	return health.MayLeave(total, out, svc.decl.Budget.MinAvailable.Of(total))
+	return health.MayEject(total, out, svc.decl.Budget.MinAvailable.Of(total))
 }
 
 // ObserveProbe records the result of a health probe. It does nothing if the
 // target is unknown.
-func (d *Dispatcher) ObserveProbe(vm model.VMID, a health.Answer, now time.Time) {
+func (d *Dispatcher) ObserveProbe(vm model.VMID, a health.ProbeResult, now time.Time) {
 	t := d.targets[vm]
 	if t == nil {
 		return
 	}
-	recovered := t.leaving.Probed(a, now)
+	recovered := t.leaving.RecordProbe(a, now)
 	if t.unreachable && !t.leaving.Unreachable() {
 		t.unreachable, recovered = false, true
 	}
@@ -141,7 +141,7 @@
 		t.unreachable = d.allBudgetsAllowRemoval(t, now)
 	}
 	if recovered {
-		t.health.Start(now)
+		t.health.BeginSlowStart(now)
 	}
 }
 
@@ -182,7 +182,7 @@
 	var due []ProbeTarget
 	for _, t := range d.targets {
 		interval := remoteProbeInterval
-		suspect := t.leaving.Out(now) || t.unreachable
+		suspect := t.leaving.Unready(now) || t.unreachable
 		if t.zone == d.cfg.Zone || suspect {
 			interval = probeInterval
 		}
