--- a/internal/jobfront/gate.go
+++ b/internal/jobfront/gate.go
@@ -38,8 +38,8 @@
 	Confirm(ctx context.Context) error
 }
 
-// Gate determines a call's workspace from its key, and refuses calls without a valid key.
-type Gate struct {
+// KeyAuthenticator determines a call's workspace from its key, and refuses calls without a valid key.
+type KeyAuthenticator struct {
 	Configs Configs
 	// MaxConfigAge is the maximum age of the configuration's last confirmation with which
 	// keys are accepted; 0: no limit, so that a cut-off entry VM goes on accepting the keys
@@ -56,7 +56,7 @@
 // Admit returns the workspace of a call to the queue with the key; an empty key means none. The
 // error is ErrNoKey, ErrUnknownKey, or a *Refusal if this entry VM can't tell whether the key is
 // valid.
-func (g *Gate) Admit(ctx context.Context, q engine.Queue, key string) (work.WorkspaceName, error) {
+func (g *KeyAuthenticator) Admit(ctx context.Context, q engine.Queue, key string) (work.WorkspaceName, error) {
 	digest := DigestOf(key)
 	name, verdict := g.check(q, digest)
 	if verdict == workspace.RefreshFirst || verdict == workspace.Unconfirmed {
@@ -76,12 +76,12 @@
 	return "", g.countRefusal(q, "key not confirmed", &Refusal{Reason: "the configuration may be out of date", RetryAfter: unconfirmedRetryAfter})
 }
 
-func (g *Gate) check(q engine.Queue, key workspace.Digest) (work.WorkspaceName, workspace.Verdict) {
+func (g *KeyAuthenticator) check(q engine.Queue, key workspace.Digest) (work.WorkspaceName, workspace.Verdict) {
 	return g.Configs.Keys().Admit(key, q.Open, workspace.Confirmation{Age: g.Configs.Age(), MaxAge: g.MaxConfigAge})
 }
 
 // countRefusal counts and logs a refusal, and returns err.
-func (g *Gate) countRefusal(q engine.Queue, reason string, err error) error {
+func (g *KeyAuthenticator) countRefusal(q engine.Queue, reason string, err error) error {
 	if g.Refused != nil {
 		g.Refused.Add(reason, 1)
 	}
--- a/internal/jobfront/gate_test.go
+++ b/internal/jobfront/gate_test.go
@@ -38,8 +38,8 @@
 	openQueue  = engine.Queue{Name: "open", Open: true}
 )
 
-func newGate(c *fakeConfigs) *Gate {
-	return &Gate{Configs: c, Log: logr.Discard(), Refused: new(expvar.Map).Init()}
+func newGate(c *fakeConfigs) *KeyAuthenticator {
+	return &KeyAuthenticator{Configs: c, Log: logr.Discard(), Refused: new(expvar.Map).Init()}
 }
 
 // A key that was declared a moment ago was refused as unknown, because the entry VM's watch had
