--- a/internal/jobfront/gate.go
+++ b/internal/jobfront/gate.go
@@ -20,8 +20,8 @@
 	ErrUnknownKey = errors.New("jobfront: no workspace has the key")
 )
 
-// DigestOf returns the SHA-256 digest of a key; empty for an empty key.
-func DigestOf(key string) workspace.Digest {
+// KeyDigest returns the SHA-256 digest of a key; empty for an empty key.
+func KeyDigest(key string) workspace.Digest {
 	if key == "" {
 		return ""
 	}
@@ -57,7 +57,7 @@
 // error is ErrNoKey, ErrUnknownKey, or a *Refusal if this entry VM can't tell whether the key is
 // valid.
 func (g *KeyAuthenticator) Admit(ctx context.Context, q engine.Queue, key string) (work.WorkspaceName, error) {
-	digest := DigestOf(key)
+	digest := KeyDigest(key)
 	name, verdict := g.check(q, digest)
 	if verdict == workspace.RefreshFirst || verdict == workspace.Unconfirmed {
 		if err := g.Configs.Confirm(ctx); err != nil {
--- a/internal/jobfront/gate_test.go
+++ b/internal/jobfront/gate_test.go
@@ -45,7 +45,7 @@
 // A key that was declared a moment ago was refused as unknown, because the entry VM's watch had
 // not delivered the new configuration. The configuration is read before a key is refused.
 func TestTheConfigurationIsReadBeforeAKeyIsRefused(t *testing.T) {
-	c := &fakeConfigs{keys: workspace.Keys{}, newest: workspace.Keys{DigestOf("new"): "red"}, age: time.Second}
+	c := &fakeConfigs{keys: workspace.Keys{}, newest: workspace.Keys{KeyDigest("new"): "red"}, age: time.Second}
 	name, err := newGate(c).Admit(t.Context(), keyedQueue, "new")
 	assert.NilError(t, err)
 	assert.Equal(t, name, work.WorkspaceName("red"))
@@ -67,7 +67,7 @@
 // The store refuses this entry VM's reads while keys change. A call with a key unknown to it is
 // not refused for good but told to retry, as other entry VMs may know the key.
 func TestAnUnconfirmedConfigurationDoesNotMakeAKeyUnknown(t *testing.T) {
-	c := &fakeConfigs{keys: workspace.Keys{DigestOf("old"): "red"}, age: time.Second, err: errors.New("busy")}
+	c := &fakeConfigs{keys: workspace.Keys{KeyDigest("old"): "red"}, age: time.Second, err: errors.New("busy")}
 	g := newGate(c)
 	_, err := g.Admit(t.Context(), keyedQueue, "new")
 	var refusal *Refusal
@@ -82,7 +82,7 @@
 // keys are revoked everywhere, such an entry VM accepts no keys once its configuration is older
 // than allowed; calls to open routes are still accepted.
 func TestWithMaxConfigAgeACutOffEntryVMAcceptsNoKeys(t *testing.T) {
-	c := &fakeConfigs{keys: workspace.Keys{DigestOf("old"): "red"}, age: 5*time.Second + 1, err: errors.New("cut off")}
+	c := &fakeConfigs{keys: workspace.Keys{KeyDigest("old"): "red"}, age: 5*time.Second + 1, err: errors.New("cut off")}
 	g := newGate(c)
 	g.MaxConfigAge = 5 * time.Second
 	_, err := g.Admit(t.Context(), keyedQueue, "old")
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -59,7 +59,7 @@
 }
 
 func (r *operatorFixture) knows(key string) bool {
-	_, known := r.Keys()[jobfront.DigestOf(key)]
+	_, known := r.Keys()[jobfront.KeyDigest(key)]
 	return known
 }
 
