--- a/internal/jobfront/gate.go
+++ b/internal/jobfront/gate.go
@@ -46,7 +46,7 @@
 	// that it knows.
 	MaxConfigAge time.Duration
 	Log          logr.Logger
-	Refused      *expvar.Map // by reason; nil: not counted
+	Refusals      *expvar.Map // by reason; nil: not counted
 }
 
 // unconfirmedRetryAfter is the RetryAfter of an entry VM that can't tell whether a key is
@@ -82,8 +82,8 @@
 
 // countRefusal counts and logs a refusal, and returns err.
 func (g *KeyAuthenticator) countRefusal(q engine.Queue, reason string, err error) error {
-	if g.Refused != nil {
-		g.Refused.Add(reason, 1)
+	if g.Refusals != nil {
+		g.Refusals.Add(reason, 1)
 	}
 	g.Log.Info("call refused because of its key", "queue", q.Name, "reason", reason, "config age", g.Configs.Age().String())
 	return err
--- a/internal/jobfront/gate_test.go
+++ b/internal/jobfront/gate_test.go
@@ -39,7 +39,7 @@
 )
 
 func newGate(c *fakeConfigs) *KeyAuthenticator {
-	return &KeyAuthenticator{Configs: c, Log: logr.Discard(), Refused: new(expvar.Map).Init()}
+	return &KeyAuthenticator{Configs: c, Log: logr.Discard(), Refusals: new(expvar.Map).Init()}
 }
 
 // A key that was declared a moment ago was refused as unknown, because the entry VM's watch had
@@ -61,7 +61,7 @@
 		assert.Assert(t, errors.Is(err, ErrUnknownKey))
 	}
 	assert.Equal(t, c.reads, 1)
-	assert.Equal(t, g.Refused.Get("unknown key").String(), "5000")
+	assert.Equal(t, g.Refusals.Get("unknown key").String(), "5000")
 }
 
 // The store refuses this entry VM's reads while keys change. A call with a key unknown to it is
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -190,7 +190,7 @@
 }
 
 func (n *Node) callerServer() *http.Server {
-	gate := &jobfront.KeyAuthenticator{Configs: n.operator, Log: n.log.WithName("gate"), Refused: n.metrics.keyRefusals}
+	gate := &jobfront.KeyAuthenticator{Configs: n.operator, Log: n.log.WithName("gate"), Refusals: n.metrics.keyRefusals}
 	if n.settings.RevokeEverywhere {
 		gate.MaxConfigAge = n.settings.RevokeWithin
 	}
