--- a/internal/jobfront/gate.go
+++ b/internal/jobfront/authenticator.go
@@ -38,7 +38,8 @@
 	Confirm(ctx context.Context) error
 }
 
-// KeyAuthenticator determines a call's workspace from its key, and refuses calls without a valid key.
+// KeyAuthenticator determines a call's workspace from its key, and refuses calls without a valid
+// key, unless their route is open.
 type KeyAuthenticator struct {
 	Configs Configs
 	// MaxConfigAge is the maximum age of the configuration's last confirmation with which
@@ -46,7 +47,7 @@
 	// that it knows.
 	MaxConfigAge time.Duration
 	Log          logr.Logger
-	Refusals      *expvar.Map // by reason; nil: not counted
+	Refusals     *expvar.Map // by reason; nil: not counted
 }
 
 // unconfirmedRetryAfter is the RetryAfter of an entry VM that can't tell whether a key is
@@ -56,35 +57,35 @@
 // Admit returns the workspace of a call to the queue with the key; an empty key means none. The
 // error is ErrNoKey, ErrUnknownKey, or a *Refusal if this entry VM can't tell whether the key is
 // valid.
-func (g *KeyAuthenticator) Admit(ctx context.Context, q engine.Queue, key string) (work.WorkspaceName, error) {
+func (a *KeyAuthenticator) Admit(ctx context.Context, q engine.Queue, key string) (work.WorkspaceName, error) {
 	digest := KeyDigest(key)
-	name, verdict := g.check(q, digest)
+	name, verdict := a.check(q, digest)
 	if verdict == workspace.RefreshFirst || verdict == workspace.Unconfirmed {
-		if err := g.Configs.Confirm(ctx); err != nil {
-			g.Log.Info("configuration not confirmed", "age", g.Configs.Age().String(), "error", err.Error())
+		if err := a.Configs.Confirm(ctx); err != nil {
+			a.Log.Info("configuration not confirmed", "age", a.Configs.Age().String(), "error", err.Error())
 		}
-		name, verdict = g.check(q, digest)
+		name, verdict = a.check(q, digest)
 	}
 	switch verdict {
 	case workspace.Admitted:
 		return name, nil
 	case workspace.NoKey:
-		return "", g.countRefusal(q, "no key", ErrNoKey)
+		return "", a.countRefusal(q, "no key", ErrNoKey)
 	case workspace.UnknownKey:
-		return "", g.countRefusal(q, "unknown key", ErrUnknownKey)
+		return "", a.countRefusal(q, "unknown key", ErrUnknownKey)
 	}
-	return "", g.countRefusal(q, "key not confirmed", &Refusal{Reason: "the configuration may be out of date", RetryAfter: unconfirmedRetryAfter})
+	return "", a.countRefusal(q, "key not confirmed", &Refusal{Reason: "the configuration may be out of date", RetryAfter: unconfirmedRetryAfter})
 }
 
-func (g *KeyAuthenticator) check(q engine.Queue, key workspace.Digest) (work.WorkspaceName, workspace.Verdict) {
-	return g.Configs.Keys().Admit(key, q.Open, workspace.Confirmation{Age: g.Configs.Age(), MaxAge: g.MaxConfigAge})
+func (a *KeyAuthenticator) check(q engine.Queue, key workspace.Digest) (work.WorkspaceName, workspace.Verdict) {
+	return a.Configs.Keys().Admit(key, q.Open, workspace.Confirmation{Age: a.Configs.Age(), MaxAge: a.MaxConfigAge})
 }
 
 // countRefusal counts and logs a refusal, and returns err.
-func (g *KeyAuthenticator) countRefusal(q engine.Queue, reason string, err error) error {
-	if g.Refusals != nil {
-		g.Refusals.Add(reason, 1)
+func (a *KeyAuthenticator) countRefusal(q engine.Queue, reason string, err error) error {
+	if a.Refusals != nil {
+		a.Refusals.Add(reason, 1)
 	}
-	g.Log.Info("call refused because of its key", "queue", q.Name, "reason", reason, "config age", g.Configs.Age().String())
+	a.Log.Info("call refused because of its key", "queue", q.Name, "reason", reason, "config age", a.Configs.Age().String())
 	return err
 }
--- a/internal/jobfront/gate_test.go
+++ b/internal/jobfront/authenticator_test.go
@@ -38,7 +38,7 @@
 	openQueue  = engine.Queue{Name: "open", Open: true}
 )
 
-func newGate(c *fakeConfigs) *KeyAuthenticator {
+func newAuthenticator(c *fakeConfigs) *KeyAuthenticator {
 	return &KeyAuthenticator{Configs: c, Log: logr.Discard(), Refusals: new(expvar.Map).Init()}
 }
 
@@ -46,7 +46,7 @@
 // not delivered the new configuration. The configuration is read before a key is refused.
 func TestTheConfigurationIsReadBeforeAKeyIsRefused(t *testing.T) {
 	c := &fakeConfigs{keys: workspace.Keys{}, newest: workspace.Keys{KeyDigest("new"): "red"}, age: time.Second}
-	name, err := newGate(c).Admit(t.Context(), keyedQueue, "new")
+	name, err := newAuthenticator(c).Admit(t.Context(), keyedQueue, "new")
 	assert.NilError(t, err)
 	assert.Equal(t, name, work.WorkspaceName("red"))
 }
@@ -55,7 +55,7 @@
 // read serves all attempts within half a second.
 func TestABurstOfUnknownKeysCausesOneRead(t *testing.T) {
 	c := &fakeConfigs{keys: workspace.Keys{}, age: time.Minute}
-	g := newGate(c)
+	g := newAuthenticator(c)
 	for range 5000 {
 		_, err := g.Admit(t.Context(), keyedQueue, "false")
 		assert.Assert(t, errors.Is(err, ErrUnknownKey))
@@ -68,7 +68,7 @@
 // not refused for good but told to retry, as other entry VMs may know the key.
 func TestAnUnconfirmedConfigurationDoesNotMakeAKeyUnknown(t *testing.T) {
 	c := &fakeConfigs{keys: workspace.Keys{KeyDigest("old"): "red"}, age: time.Second, err: errors.New("busy")}
-	g := newGate(c)
+	g := newAuthenticator(c)
 	_, err := g.Admit(t.Context(), keyedQueue, "new")
 	var refusal *Refusal
 	assert.Assert(t, errors.As(err, &refusal))
@@ -83,7 +83,7 @@
 // than allowed; calls to open routes are still accepted.
 func TestWithMaxConfigAgeACutOffEntryVMAcceptsNoKeys(t *testing.T) {
 	c := &fakeConfigs{keys: workspace.Keys{KeyDigest("old"): "red"}, age: 5*time.Second + 1, err: errors.New("cut off")}
-	g := newGate(c)
+	g := newAuthenticator(c)
 	g.MaxConfigAge = 5 * time.Second
 	_, err := g.Admit(t.Context(), keyedQueue, "old")
 	var refusal *Refusal
@@ -96,6 +96,6 @@
 }
 
 func TestARouteThatIsNotOpenRequiresAKey(t *testing.T) {
-	_, err := newGate(&fakeConfigs{}).Admit(t.Context(), keyedQueue, "")
+	_, err := newAuthenticator(&fakeConfigs{}).Admit(t.Context(), keyedQueue, "")
 	assert.Assert(t, errors.Is(err, ErrNoKey))
 }
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -108,8 +108,8 @@
 	return errors.Is(err, engine.ErrOtherWorkspace) || errors.Is(err, engine.ErrBehind)
 }
 
-// callOwner calls the cell's owner, which is either o, in this process, or the peer p; o is nil
-// then. It returns engine.ErrNotReady if no owner is known.
+// callOwner runs call for the cell's owner: with the engine o if the owner is this entry VM,
+// otherwise with the peer p and a nil o. It returns engine.ErrNotReady if no owner is known.
 func (f *Front) callOwner(ctx context.Context, cell string, call func(ctx context.Context, o Owner, p ownerlink.Peer) error) error {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -190,12 +190,12 @@
 }
 
 func (n *Node) callerServer() *http.Server {
-	gate := &jobfront.KeyAuthenticator{Configs: n.operator, Log: n.log.WithName("gate"), Refusals: n.metrics.keyRefusals}
+	authenticator := &jobfront.KeyAuthenticator{Configs: n.operator, Log: n.log.WithName("gate"), Refusals: n.metrics.keyRefusals}
 	if n.settings.RevokeEverywhere {
-		gate.MaxConfigAge = n.settings.RevokeWithin
+		authenticator.MaxConfigAge = n.settings.RevokeWithin
 	}
 	ingress := &platform.Ingress{
-		Jobs: n.front, Authenticator: gate, Config: n.operator.current, Wall: n.clock.Wall, Log: n.log.WithName("callers"), Observe: n.metrics.recordRequest,
+		Jobs: n.front, Authenticator: authenticator, Config: n.operator.current, Wall: n.clock.Wall, Log: n.log.WithName("callers"), Observe: n.metrics.recordRequest,
 	}
 	return &http.Server{Handler: ingress.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -34,7 +34,7 @@
 
 // operatorState holds the operator's configuration and ordered waves, as far as this entry VM
 // knows them. A configuration is only ever replaced by a newer version. A wave is an
-// operator's order to take a list of VMs out of service, some at a time.
+// operator's order to maintain a set of VMs, some at a time.
 type operatorState struct {
 	store infra.Store
 	clock engine.Clock
--- a/internal/node/schedulingdelay_test.go
+++ b/internal/node/schedulingdelay_test.go
@@ -20,8 +20,8 @@
 	p.probe()
 	assert.Assert(t, p.Behind() > 0)
 	assert.Assert(t, p.Standing() <= p.Behind())
-	waits, is := newMetrics(p).schedulingDelays().(map[string]int64)
-	assert.Assert(t, is && waits["longest"] >= waits["standing"])
+	waits, ok := newMetrics(p).schedulingDelays().(map[string]int64)
+	assert.Assert(t, ok && waits["longest"] >= waits["standing"])
 }
 
 // Answers to calls wait behind all runnable goroutines, but a probe that overtakes them would
