--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -132,21 +132,21 @@
 	return nil
 }
 
-// Standing implements ownerlink.Configs.
-func (o *operatorState) Standing() ownerlink.Standing {
+// Status implements ownerlink.Configs.
+func (o *operatorState) Status() ownerlink.ConfigStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil {
-		return ownerlink.Standing{}
+		return ownerlink.ConfigStatus{}
 	}
-	return ownerlink.Standing{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmedAt).Milliseconds() + 1}
+	return ownerlink.ConfigStatus{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmedAt).Milliseconds() + 1}
 }
 
 // Now implements ownerlink.Configs.
 func (o *operatorState) Now() time.Duration { return o.clock.Now() }
 
-// Packed implements ownerlink.Configs.
-func (o *operatorState) Packed() []byte {
+// Encoded implements ownerlink.Configs.
+func (o *operatorState) Encoded() []byte {
 	c, _ := o.current()
 	raw, err := msgpack.Marshal(c)
 	if err != nil {
@@ -156,8 +156,8 @@
 	return raw
 }
 
-// Behind implements ownerlink.Configs.
-func (o *operatorState) Behind() {
+// NotifyOutdated implements ownerlink.Configs.
+func (o *operatorState) NotifyOutdated() {
 	if !o.catchingUp.CompareAndSwap(false, true) {
 		return
 	}
@@ -169,8 +169,8 @@
 	}()
 }
 
-// Heard implements ownerlink.Configs.
-func (o *operatorState) Heard(s ownerlink.Standing, sent time.Duration) bool {
+// Observe implements ownerlink.Configs.
+func (o *operatorState) Observe(s ownerlink.ConfigStatus, sent time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil || s.Version > o.config.Version {
@@ -182,8 +182,8 @@
 	return false
 }
 
-// Take implements ownerlink.Configs.
-func (o *operatorState) Take(packed []byte, s ownerlink.Standing, sent time.Duration) {
+// Install implements ownerlink.Configs.
+func (o *operatorState) Install(packed []byte, s ownerlink.ConfigStatus, sent time.Duration) {
 	c := new(jobfront.Config)
 	if err := msgpack.Unmarshal(packed, c); err != nil {
 		o.log.Error(err, "malformed configuration from another entry VM")
