--- a/internal/jobfront/authenticator.go
+++ b/internal/jobfront/authenticator.go
@@ -38,8 +38,8 @@
 	Confirm(ctx context.Context) error
 }
 
-// KeyAuthenticator determines a call's workspace from its key, and refuses calls without a valid
-// key, unless their route is open.
+// KeyAuthenticator determines a call's workspace from its key. It refuses unknown keys, and calls
+// without a key to queues whose route is not open.
 type KeyAuthenticator struct {
 	Configs Configs
 	// MaxConfigAge is the maximum age of the configuration's last confirmation with which
--- a/internal/node/logs.go
+++ b/internal/node/logs.go
@@ -18,7 +18,7 @@
 // Bounds of the log.
 const (
 	// messageRate and messageBurst bound the lines with the same message. An owner orders
-	// some 200 starts a second in a burst and logs each; a fault that repeats a line
+	// some 200 starts a second in a burst, with a line each; a fault that repeats a line
 	// thousands of times costs no more than that.
 	messageRate  = 250 // lines a second
 	messageBurst = 500
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -183,9 +183,9 @@
 }
 
 // Install implements ownerlink.Configs.
-func (o *operatorState) Install(packed []byte, s ownerlink.ConfigStatus, sent time.Duration) {
+func (o *operatorState) Install(encoded []byte, s ownerlink.ConfigStatus, sent time.Duration) {
 	c := new(jobfront.Config)
-	if err := msgpack.Unmarshal(packed, c); err != nil {
+	if err := msgpack.Unmarshal(encoded, c); err != nil {
 		o.log.Error(err, "malformed configuration from another entry VM")
 		return
 	}
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -127,7 +127,7 @@
 	r.workers = workers
 }
 
-// apply takes one apply over; false where nothing of it matters.
+// apply applies one change; false if owners need not be notified of it.
 func (r *registry) apply(ev infra.Event) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
