--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// revoke revokes the lease as soon as the store answers, or gives up after revokeTimeout.
+// revoke revokes the lease as soon as the store answers, or gives up after revokeTimeout. A lease
+// that has expired meanwhile counts as revoked.
 func (l *leaseEnder) revoke(ctx context.Context, lease infra.LeaseID) {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
@@ -55,11 +56,11 @@
 		err := l.store.Revoke(call, lease)
 		done()
 		if err == nil || infra.IsKind(err, infra.KindLeaseNotFound) {
-			l.log.Info("lease of another entry VM revoked", "lease", int64(lease))
+			l.log.Info("lease of another entry VM ended", "lease", int64(lease))
 			return
 		}
 		if !sleep.For(ctx, revokeRetryInterval) {
-			l.log.Info("lease of another entry VM not revoked", "lease", int64(lease), "error", err.Error())
+			l.log.Info("lease of another entry VM not ended", "lease", int64(lease), "error", err.Error())
 			return
 		}
 	}
