--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -15,8 +15,8 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// The fleet's duty stands beside the cells', which bear their services' names
-// after a prefix, so that no service can be mistaken for it.
+// Names of duties in the store. A cell's duty is its service's name after a prefix, so
+// that no service's name can collide with the fleet's duty.
 const (
 	fleetDuty  = "fleet"
 	cellPrefix = "cell/"
@@ -24,60 +24,62 @@
 
 func cellDuty(service string) string { return cellPrefix + service }
 
-// duties are the electors of this entry VM and what it has.
+// duties runs this entry VM's electors, and holds the engines of the cells that it owns.
+// A duty is a cell or the fleet; one entry VM at a time owns it.
 type duties struct {
 	node *Node
 
-	mu      sync.Mutex
-	ctx     context.Context // electors run until it ends; nil before the start
-	running map[string]bool
-	engines map[string]*engine.Engine // by cell
-	load    ownership.Load
-	wg      sync.WaitGroup
+	mu       sync.Mutex
+	ctx      context.Context           // electors run until it ends; nil before start is called
+	electing map[string]bool           // duties with an elector
+	engines  map[string]*engine.Engine // by cell
+	load     ownership.Load
+	wg       sync.WaitGroup
 }
 
-// start lets this entry VM try for duties until ctx ends.
+// start makes this entry VM stand for election to duties until ctx ends.
 func (d *duties) start(ctx context.Context) {
 	d.mu.Lock()
 	d.ctx = ctx
 	d.mu.Unlock()
-	d.ensure()
+	d.ensureElectors()
 }
 
-// ensure runs an elector for the fleet and for every service of the
-// configuration. Those of services that went away stay: their jobs go on.
-func (d *duties) ensure() {
+// ensureElectors starts the missing electors: one for the fleet and one for every service
+// of the configuration. Electors of services that were removed stay, as the jobs of those
+// services still run.
+func (d *duties) ensureElectors() {
 	declared := d.node.operator.declared()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ctx == nil || d.ctx.Err() != nil || len(declared.Services) == 0 {
 		return
 	}
-	d.runLocked(fleetDuty, d.ownFleet)
+	d.startElectorLocked(fleetDuty, d.ownFleet)
 	for name, s := range declared.Services {
 		if s.Standby {
 			continue
 		}
-		d.runLocked(cellDuty(name), func(ctx context.Context, t *ownership.Term) { d.ownCell(ctx, name, t) })
+		d.startElectorLocked(cellDuty(name), func(ctx context.Context, t *ownership.Term) { d.ownCell(ctx, name, t) })
 	}
 }
 
-func (d *duties) runLocked(duty string, own func(context.Context, *ownership.Term)) {
-	if d.running[duty] {
+func (d *duties) startElectorLocked(duty string, own func(context.Context, *ownership.Term)) {
+	if d.electing[duty] {
 		return
 	}
-	d.running[duty] = true
+	d.electing[duty] = true
 	n := d.node
 	e := ownership.New(ownership.Options{
 		Duty: duty, Store: n.store, Directory: n.directory, Self: n.self, Weight: n.settings.weight(),
 		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Load: &d.load,
-		LeastTTL: n.settings.LeastTTL, Own: own, HandOver: n.leases.handOver, Behind: n.pressure.Behind,
+		LeastTTL: n.settings.MinTTL, Own: own, HandOver: n.leases.handOver, Behind: n.delay.Behind,
 	})
 	ctx := d.ctx
 	d.wg.Go(func() { e.Run(ctx) })
 }
 
-// engine returns the cell's engine while this entry VM owns it.
+// engine returns the cell's engine while this entry VM owns the cell, otherwise nil.
 func (d *duties) engine(cell string) *engine.Engine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,7 +93,7 @@
 	return nil
 }
 
-func (d *duties) set(cell string, e *engine.Engine) {
+func (d *duties) setEngine(cell string, e *engine.Engine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e == nil {
@@ -113,15 +115,15 @@
 	}
 }
 
-// ownCell runs the cell's engine for one term.
+// ownCell runs the cell's engine for one term, i.e. for one ownership of the cell.
 func (d *duties) ownCell(ctx context.Context, cell string, t *ownership.Term) {
 	n := d.node
-	n.registry.hold()
+	n.registry.acquire()
 	defer n.registry.release()
-	n.members.follow.hold()
-	defer n.members.follow.release()
-	n.pressure.follow.hold()
-	defer n.pressure.follow.release()
+	n.members.watch.acquire()
+	defer n.members.watch.release()
+	n.delay.probing.acquire()
+	defer n.delay.probing.release()
 	e := engine.New(engine.Options{
 		Cell:     cell,
 		Store:    n.store,
@@ -132,24 +134,24 @@
 		Log:      n.log.WithName("engine").WithValues("cell", cell),
 		Bounds: engine.Bounds{
 			MaxHold: n.settings.MaxLease, PaceDelay: n.settings.PaceDelay, StopGrace: n.settings.StopGrace,
-			ConfigWithin: n.settings.ConfigWithin, RoomWithin: n.settings.RoomWithin,
+			ConfigWithin: n.settings.ConfigWithin, RoomWithin: n.settings.MaxCapacityAge,
 		},
 		Term:     t,
-		Listed:   n.registry.wait,
+		Listed:   n.registry.waitListed,
 		Registry: func() []engine.WorkerInfo { return n.registry.list(cell) },
-		Known:    n.registry.current,
+		Known:    n.registry.knownUntil,
 		Lookup:   n.registry.lookup,
 		Declared: n.operator.declared,
 		Configs:  n.operator, OwnerKey: infra.WorkOwnerKey(cellDuty(cell)),
-		TellCells: func(names []work.WorkspaceName) { d.tellCells(cell, names) },
+		TellCells: func(names []work.WorkspaceName) { d.notifyCells(cell, names) },
 		Metrics:   n.metrics.engine,
 		ListRate:  n.settings.ListRate,
-		Pressure:  n.pressure, Successor: n.successor,
+		Pressure:  n.delay, Successor: n.successor,
 	})
-	d.set(cell, e)
+	d.setEngine(cell, e)
 	err := e.Run(ctx)
-	d.set(cell, nil)
-	n.log.Info("engine ended", "cell", cell, "token", t.Token(), "reason", endReason(err))
+	d.setEngine(cell, nil)
+	n.log.Info("engine stopped", "cell", cell, "token", t.Token(), "reason", endReason(err))
 }
 
 func endReason(err error) string {
@@ -159,13 +161,14 @@
 	return err.Error()
 }
 
-// ownFleet looks after VMs, and after what the store keeps of ended jobs, for one term.
+// ownFleet manages the fleet's VMs, and removes the stored states of ended jobs once they
+// have expired, for one term.
 func (d *duties) ownFleet(ctx context.Context, t *ownership.Term) {
 	n := d.node
-	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), Status: n.settings.Status}
-	var beside sync.WaitGroup
-	beside.Go(func() { retention.Run(ctx) })
-	defer beside.Wait()
+	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), Status: n.settings.StatusRetention}
+	var background sync.WaitGroup
+	background.Go(func() { retention.Run(ctx) })
+	defer background.Wait()
 	machines := n.machines()
 	if machines == nil {
 		<-ctx.Done()
@@ -190,24 +193,26 @@
 	return d.node.link.Sync(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, s)
 }
 
-// tellTimeout ends the word to another cell's owner; one that misses it looks by itself.
-const tellTimeout = 500 * time.Millisecond
+// notifyTimeout ends one notification to another cell's owner. An owner that misses it
+// finds the change with its own next read.
+const notifyTimeout = 500 * time.Millisecond
 
-// tellCells tells the owners of all other cells to look at the ledgers of the workspaces.
-func (d *duties) tellCells(from string, names []work.WorkspaceName) {
+// notifyCells tells the owners of all other cells to read the limit ledgers of the
+// workspaces again. It does not wait for them.
+func (d *duties) notifyCells(from string, names []work.WorkspaceName) {
 	for cell, s := range d.node.operator.declared().Services {
 		if cell == from || s.Standby {
 			continue
 		}
 		go func() {
-			if err := d.tellCell(cell, names); err != nil {
-				d.node.log.V(1).Info("cell not told of limits", "cell", cell, "error", err.Error())
+			if err := d.notifyCell(cell, names); err != nil {
+				d.node.log.V(1).Info("cell's owner not notified of changed limits", "cell", cell, "error", err.Error())
 			}
 		}()
 	}
 }
 
-func (d *duties) tellCell(cell string, names []work.WorkspaceName) error {
+func (d *duties) notifyCell(cell string, names []work.WorkspaceName) error {
 	if e := d.engine(cell); e != nil {
 		return e.LookAtLimits(names)
 	}
@@ -215,7 +220,7 @@
 	if !known || owner.Entry == d.node.self.Entry {
 		return engine.ErrNotReady
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	return d.node.link.LookAtLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
 }
@@ -224,13 +229,14 @@
 	return d.node.directory.Owner(cellDuty(cell))
 }
 
-// followOwners keeps the directory of owners.
+// followOwners keeps the directory of owners up to date until ctx ends.
 func (n *Node) followOwners(ctx context.Context) {
-	follow(ctx, n.store, n.log.WithName("owners"), source{
-		prefix: infra.WorkOwnerPrefix, all: n.directory.Replace, each: n.directory.Change,
+	followPrefix(ctx, n.store, n.log.WithName("owners"), source{
+		prefix: infra.WorkOwnerPrefix, replace: n.directory.Replace, apply: n.directory.Change,
 	})
 }
 
+// machines returns the client of the platform's VM service; nil if none is configured.
 func (n *Node) machines() engine.Machines {
 	if n.settings.VMs == "" {
 		return nil
@@ -238,6 +244,7 @@
 	return platform.NewMachines(n.settings.VMs, n.settings.Name, platformTimeout, n.log.WithName("vms"))
 }
 
+// advisor returns the client of the advisor; nil if none is configured.
 func (n *Node) advisor() engine.Advisor {
 	if n.settings.Advisor == "" {
 		return nil
