--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -95,6 +95,7 @@
 	return w.info, h, true
 }
 
+// wait returns how long the answer to the next poll may wait for the end of a run.
 func (w *worker) wait() time.Duration {
 	serving, bestEffort, short := false, false, false
 	if len(w.orphanedRuns) > 0 {
@@ -331,6 +332,8 @@
 	}
 }
 
+// taskDone processes the end of a run that did its work. current reports that it is the run
+// recorded for the task.
 func (c *Core) taskDone(w *worker, t *task, e *RunEnd, current bool, now time.Duration) {
 	w.failures.recordSuccess()
 	if t.state == taskDone {
@@ -395,6 +398,8 @@
 	maxRestartPause     = 800 * time.Millisecond
 )
 
+// taskFailed processes the end of a run that failed. Each run counts once. current reports
+// that it is the run recorded for the task.
 func (c *Core) taskFailed(w *worker, t *task, e *RunEnd, current bool, now time.Duration) {
 	if slices.Contains(t.failed, e.Run) {
 		return
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -34,6 +34,8 @@
 	c.endIncarnation(w, why, cause, now)
 }
 
+// endIncarnation removes the worker, with the reason why and the cause of its lost runs. A
+// registration of another incarnation that is known takes its place.
 func (c *Core) endIncarnation(w *worker, why string, cause lossCause, now time.Duration) {
 	if w.gone {
 		return
@@ -88,6 +90,7 @@
 	startUnconfirmed  bool          // silentBeforeStart is so long that the crash says little about the run
 }
 
+// lostRunOf describes the run of the task as lost with the worker.
 func (w *worker) lostRunOf(t *task, now time.Duration) lostRun {
 	l := lostRun{task: t, run: t.run, minRunTime: w.observedRunTime(t), unsent: t.answered == 0 && t.left == 0}
 	if !t.shown && t.state != taskActive {
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -40,6 +40,8 @@
 // gaugeWindow is the time that a worker's gauge covers.
 const gaugeWindow = 500 * time.Millisecond
 
+// pacingLoad returns how far the serving tasks of the worker are from their latency targets,
+// and its best-effort tasks.
 func pacingLoad(w *worker) (pacing.Load, []*task) {
 	var load pacing.Load
 	var bestEffort []*task
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -61,6 +61,8 @@
 	}
 }
 
+// startSending records that the start is about to be sent; it returns false if the run was
+// given up.
 func (e *Engine) startSending(o StartOrder) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// wake has the session of the worker check at once whether a poll is due.
 func (e *Engine) wake(id work.WorkerID) {
 	if s := e.session(id); s != nil {
 		kick(s.kick)
@@ -116,6 +117,7 @@
 // wake-up was missed while orders were not allowed.
 const idleCheckInterval = 1 * time.Second
 
+// idle waits until the session is woken, idleCheckInterval has passed or ctx ends.
 func (s *session) idle(ctx context.Context) {
 	t := time.NewTimer(idleCheckInterval)
 	defer t.Stop()
@@ -136,6 +138,7 @@
 	return 0
 }
 
+// poll sends one poll and records its outcome; it reports whether the worker answered.
 func (s *session) poll(ctx context.Context, info *WorkerInfo, h Hold) bool {
 	e := s.engine
 	if !e.ordersAllowed() {
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -109,6 +109,9 @@
 	return false
 }
 
+// suspect reports whether the recorded crashes make the task a suspect. Suspects are tried:
+// they start on few workers at a time, and their worker takes no other task until they have
+// run long enough to be trusted.
 func (t *task) suspect() bool { return t.suspected }
 
 // onTrial reports whether it is stored, or on its way to the store, that the task may crash a
@@ -128,6 +131,7 @@
 	}
 }
 
+// requestTrial has it stored that the next start of the task may crash a worker.
 func (c *Core) requestTrial(t *task) {
 	j := t.step.job
 	j.evidence++
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -139,6 +139,7 @@
 	return w.clock + time.Duration(float64(now-w.clockAt)*(1-maxClockDrift))
 }
 
+// observeClock records the clock that an answer told; one that is 0 or less was not told.
 func (w *worker) observeClock(clock, now time.Duration) {
 	if clock <= 0 {
 		return
@@ -184,6 +185,7 @@
 	}
 }
 
+// add places the task on the worker; it does nothing if the task is there already.
 func (w *worker) add(t *task) {
 	if w.tasks[t.ref] != nil {
 		return
@@ -193,6 +195,7 @@
 	t.count(1)
 }
 
+// remove takes the task off the worker; it does nothing if the task is not there.
 func (w *worker) remove(t *task) {
 	if w.tasks[t.ref] == nil {
 		return
@@ -230,6 +233,7 @@
 // every further order to it waits for a timeout.
 const maxUnansweredStarts = 2
 
+// tooManyUnansweredStarts reports whether the worker has left maxUnansweredStarts unanswered.
 func (w *worker) tooManyUnansweredStarts() bool {
 	n := 0
 	for _, t := range w.tasks {
@@ -240,6 +244,7 @@
 	return n >= maxUnansweredStarts
 }
 
+// closed reports whether the worker takes no new tasks now.
 func (w *worker) closed(now time.Duration) bool {
 	return w.tooManyUnansweredStarts() || w.ownershipUncertain || w.nextIncarnation != nil || w.unregistered || !w.contacted || w.unlisted || w.gone || w.info.Draining || w.info.Unreadable || w.cordon.Closes() || w.missedPolls > 0 ||
 		w.full || now < w.closedUntil || now < w.failures.until || len(w.orphanedRuns) > 0 || w.runsTrial((*task).suspect)
@@ -253,6 +258,8 @@
 	workerFailurePause   = 3 * time.Second
 )
 
+// recordFailure counts a failed run of the job, and pauses the worker once the thresholds are
+// reached or it fails its probe.
 func (s *consecutiveFailures) recordFailure(id work.JobID, now time.Duration) {
 	s.count++
 	if !slices.Contains(s.jobs, id) {
@@ -264,4 +271,5 @@
 	}
 }
 
+// recordSuccess forgets the failures before.
 func (s *consecutiveFailures) recordSuccess() { *s = consecutiveFailures{} }
