--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -28,9 +28,9 @@
 	ErrUnknownJob = errors.New("engine: no such job")
 	// ErrOtherWorkspace: a job of another workspace has the ID. Nothing was stored.
 	ErrOtherWorkspace = errors.New("engine: the ID is a job of another workspace")
-	// ErrBehind: the caller's entry VM goes by an older configuration than the owner's. Nothing
+	// ErrStaleConfig: the caller's entry VM goes by an older configuration than the owner's. Nothing
 	// was done; it is told what is in force and decides anew.
-	ErrBehind = errors.New("engine: a newer configuration is in force")
+	ErrStaleConfig = errors.New("engine: a newer configuration is in force")
 )
 
 // Clock is where an engine's time comes from.
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -102,7 +102,7 @@
 // settled reports whether an owner's error is the last word, whatever the store says: the
 // request is another workspace's, or was decided by a configuration that is not in force.
 func settled(err error) bool {
-	return errors.Is(err, engine.ErrOtherWorkspace) || errors.Is(err, engine.ErrBehind)
+	return errors.Is(err, engine.ErrOtherWorkspace) || errors.Is(err, engine.ErrStaleConfig)
 }
 
 // askOwner calls the cell's owner, wherever it is.
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -256,7 +256,7 @@
 // The owner goes by a newer configuration: the job must not be stored behind its back.
 func TestACallDecidedByAnOldConfigurationIsNotCarriedOutByTheStore(t *testing.T) {
 	r := newRig(t)
-	r.owner.err = engine.ErrBehind
-	assert.Assert(t, errors.Is(r.front.Submit(context.Background(), job("j1"), queue), engine.ErrBehind))
+	r.owner.err = engine.ErrStaleConfig
+	assert.Assert(t, errors.Is(r.front.Submit(context.Background(), job("j1"), queue), engine.ErrStaleConfig))
 	assert.Assert(t, !r.stored(t, infra.WorkJobKey("j1")))
 }
--- a/internal/ownerlink/configs_test.go
+++ b/internal/ownerlink/configs_test.go
@@ -90,7 +90,7 @@
 	p := serveConfigs(t, o, newer)
 	c := &Client{Log: logr.Discard(), Configs: older}
 	err := c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{})
-	assert.Assert(t, errors.Is(err, engine.ErrBehind))
+	assert.Assert(t, errors.Is(err, engine.ErrStaleConfig))
 	assert.Equal(t, older.Standing().Version, int64(8))
 	assert.NilError(t, c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}))
 	assert.Equal(t, older.taken, 1)
@@ -116,7 +116,7 @@
 	newer := &configs{standing: Standing{Version: 8}}
 	c := &Client{Log: logr.Discard(), Configs: older}
 	p := serveConfigs(t, &owner{}, newer)
-	assert.Assert(t, errors.Is(c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}), engine.ErrBehind))
+	assert.Assert(t, errors.Is(c.Submit(t.Context(), p, &work.Job{ID: "j1"}, engine.Queue{}), engine.ErrStaleConfig))
 	assert.Equal(t, older.Standing().Version, int64(8))
 	assert.Equal(t, newer.packed, 0)
 }
--- a/internal/ownerlink/ownerlink.go
+++ b/internal/ownerlink/ownerlink.go
@@ -130,7 +130,7 @@
 	case resultOtherWorkspace:
 		return engine.ErrOtherWorkspace
 	case resultBehind:
-		return engine.ErrBehind
+		return engine.ErrStaleConfig
 	}
 	return engine.ErrUncertain
 }
