--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -16,7 +16,7 @@
 func grown(b *testing.B, workers, jobs int) (*Core, time.Duration) {
 	b.Helper()
 	now := time.Hour
-	c := NewCore(service, token, Bounds{MaxHold: 10 * time.Second}, logr.Discard())
+	c := NewCore(service, token, Bounds{MaxLease: 10 * time.Second}, logr.Discard())
 	c.Declare(Declared{Version: 1, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 3, Stretch: 1.6}}})
 	c.AllowUntil(now + 1000*time.Hour)
 	c.SetCertain(true)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -15,7 +15,7 @@
 
 // Bounds are the deployment's figures that the engine keeps to.
 type Bounds struct {
-	MaxHold   time.Duration // longest lease a worker grants
+	MaxLease  time.Duration // longest lease a worker grants
 	PaceDelay time.Duration // until a change of pace shows
 	StopGrace time.Duration // a stop takes at most
 	// ConfigWithin is the time within which a configuration is in force everywhere; 0: not
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -36,7 +36,7 @@
 // successor returns a core of another owner under the token.
 func (b *rig) successor(token int64) *Core { return b.successorWithin(token, rigBounds) }
 
-var rigBounds = Bounds{MaxHold: 10 * time.Second, PaceDelay: 100 * time.Millisecond, StopGrace: 400 * time.Millisecond}
+var rigBounds = Bounds{MaxLease: 10 * time.Second, PaceDelay: 100 * time.Millisecond, StopGrace: 400 * time.Millisecond}
 
 func (b *rig) successorWithin(token int64, bounds Bounds) *Core {
 	c := NewCore(service, token, bounds, rigLog)
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -85,7 +85,7 @@
 	// A worker that did not answer gets no further extension: what it runs
 	// must be certain to end, so that it can start elsewhere.
 	if len(w.tasks) > 0 && w.missed == 0 {
-		h.Deadline = w.clockNow(now) + min(LeaseAhead, c.bounds.MaxHold)
+		h.Deadline = w.clockNow(now) + min(LeaseAhead, c.bounds.MaxLease)
 		w.deadline = max(w.deadline, h.Deadline)
 	}
 	// These waits mean that the list is to settle or to pace something.
--- a/internal/engine/lives.go
+++ b/internal/engine/lives.go
@@ -152,7 +152,7 @@
 // strayLease is how long work may go on that an order keeps which was meant for the life
 // before: that life's clock was ahead, so that the worker grants its longest lease.
 func (c *Core) strayLease() time.Duration {
-	return lateOrders + time.Duration(float64(c.bounds.MaxHold)*(1+clockError)) + expirySlack
+	return lateOrders + time.Duration(float64(c.bounds.MaxLease)*(1+clockError)) + expirySlack
 }
 
 // startedAgain ends the worker's life, as another answered a poll under its ID, and returns
--- a/internal/engine/lives_test.go
+++ b/internal/engine/lives_test.go
@@ -249,7 +249,7 @@
 	b.look("w1", Listing{Life: secondLife})
 	b.startOn("j1", OutcomeOK)
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
-	b.now += rigBounds.MaxHold
+	b.now += rigBounds.MaxLease
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	assert.Equal(t, len(b.core.workers["w1"].tasks), 1)
 	b.now += b.core.strayLease()
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -41,7 +41,7 @@
 	run := c.nextRun(t, out)
 	c.attach(t, w, run, taskStarting, now)
 	t.sent, t.left, t.answered, t.ranBefore, t.shown = now, 0, 0, 0, false
-	t.deadline = w.clockNow(now) + min(startAhead, c.bounds.MaxHold)
+	t.deadline = w.clockNow(now) + min(startAhead, c.bounds.MaxLease)
 	w.deadline = max(w.deadline, t.deadline)
 	j := t.step.job
 	c.log.V(1).Info("start", "task", t.ref.String(), "run", run, "worker", w.info.ID, "waited", (now - j.accepted).String(),
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -131,7 +131,7 @@
 		Clock:    n.clock,
 		Log:      n.log.WithName("engine").WithValues("cell", cell),
 		Bounds: engine.Bounds{
-			MaxHold: n.settings.MaxLease, PaceDelay: n.settings.PaceDelay, StopGrace: n.settings.StopGrace,
+			MaxLease: n.settings.MaxLease, PaceDelay: n.settings.PaceDelay, StopGrace: n.settings.StopGrace,
 			ConfigWithin: n.settings.ConfigWithin, RoomWithin: n.settings.RoomWithin,
 		},
 		Term:     t,
