--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -18,9 +18,9 @@
 	MaxLease  time.Duration // longest lease a worker grants
 	PaceDelay time.Duration // until a change of pace shows
 	StopGrace time.Duration // a stop takes at most
-	// ConfigWithin is the time within which a configuration is in force everywhere; 0: not
+	// MaxConfigDelay is the time within which a configuration is in force everywhere; 0: not
 	// bounded.
-	ConfigWithin time.Duration
+	MaxConfigDelay time.Duration
 	// RoomWithin is how old what unguarded workers say of their room may be; 0: not bounded.
 	RoomWithin time.Duration
 }
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -126,7 +126,7 @@
 // missed that the limit was cut, and would begin work far above it.
 func (c *Core) share(a *account, now time.Duration) workspace.Parts {
 	share := a.share(len(c.cells))
-	if within := c.bounds.ConfigWithin; within > 0 && now > c.limits.confirmed+within {
+	if within := c.bounds.MaxConfigDelay; within > 0 && now > c.limits.confirmed+within {
 		return min(share, workspace.ProvisionalShare(len(c.cells)))
 	}
 	return share
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -227,7 +227,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			m := newModel(t, seed)
 			m.overlap = true
-			m.bounds.ConfigWithin = configWithin
+			m.bounds.MaxConfigDelay = configWithin
 			m.limited = newLimitWorld(m)
 			m.takeOver(false)
 			for range 3000 {
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -28,7 +28,7 @@
 
 func (r *limitRig) limitedCore(token, tasks int64) *Core {
 	bounds := rigBounds
-	bounds.ConfigWithin = configWithin
+	bounds.MaxConfigDelay = configWithin
 	c := r.successorWithin(token, bounds)
 	r.limit(c, 2, tasks)
 	return c
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -41,7 +41,7 @@
 
 // confirmConfig reads the configuration before what the cell has can't be used for want of it.
 func (e *Engine) confirmConfig(ctx context.Context) {
-	within := e.Bounds.ConfigWithin
+	within := e.Bounds.MaxConfigDelay
 	if e.Configs == nil || within == 0 || e.Clock.Now() < e.Configs.Confirmed()+within-confirmAhead {
 		return
 	}
