--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -21,8 +21,8 @@
 	// MaxConfigDelay is the time within which a configuration is in force everywhere; 0: not
 	// bounded.
 	MaxConfigDelay time.Duration
-	// RoomWithin is how old what unguarded workers say of their room may be; 0: not bounded.
-	RoomWithin time.Duration
+	// MaxCapacityAge is how old what unguarded workers say of their room may be; 0: not bounded.
+	MaxCapacityAge time.Duration
 }
 
 // Core is the engine's state machine. It has no clock, network or goroutine:
--- a/internal/engine/room.go
+++ b/internal/engine/room.go
@@ -9,5 +9,5 @@
 // where workers start all that they are told to: one that shrank while its owner did not
 // hear from the store would be overcommitted.
 func (c *Core) roomInDoubt(now time.Duration) bool {
-	return c.declared.Services[c.cell].Unguarded && c.bounds.RoomWithin > 0 && now > c.roomKnown+c.bounds.RoomWithin
+	return c.declared.Services[c.cell].Unguarded && c.bounds.MaxCapacityAge > 0 && now > c.roomKnown+c.bounds.MaxCapacityAge
 }
--- a/internal/engine/room_test.go
+++ b/internal/engine/room_test.go
@@ -51,7 +51,7 @@
 	const within = 3 * time.Second
 	for _, unguarded := range []bool{false, true} {
 		b := newRig(t)
-		b.core = b.successorWithin(token, Bounds{MaxLease: rigBounds.MaxLease, StopGrace: rigBounds.StopGrace, RoomWithin: within})
+		b.core = b.successorWithin(token, Bounds{MaxLease: rigBounds.MaxLease, StopGrace: rigBounds.StopGrace, MaxCapacityAge: within})
 		d := b.core.declared
 		d.Version, d.Services = 2, map[string]Service{service: {Name: service, Unguarded: unguarded}}
 		b.core.Declare(d)
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -132,7 +132,7 @@
 		Log:      n.log.WithName("engine").WithValues("cell", cell),
 		Bounds: engine.Bounds{
 			MaxLease: n.settings.MaxLease, PaceDelay: n.settings.PaceDelay, StopGrace: n.settings.StopGrace,
-			MaxConfigDelay: n.settings.ConfigWithin, RoomWithin: n.settings.RoomWithin,
+			MaxConfigDelay: n.settings.ConfigWithin, MaxCapacityAge: n.settings.RoomWithin,
 		},
 		Term:     t,
 		Listed:   n.registry.wait,
