--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -75,9 +75,9 @@
 	Log      logr.Logger
 	Bounds   Bounds
 	Term     Term
-	// Listed returns once the registered workers were listed, or could not be for a
+	// WaitForRegistry returns once the registered workers were listed, or could not be for a
 	// while.
-	Listed func(ctx context.Context)
+	WaitForRegistry func(ctx context.Context)
 	// Registry returns the service's workers that are registered now.
 	Registry func() []WorkerInfo
 	// Known is until when all registrations are in Registry, on the engine's clock; nil: always.
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -154,8 +154,8 @@
 	readers.Go(func() { progress, _, progressErr = e.Store.Range(ctx, infra.WorkProgressPrefix(e.Cell)) })
 	readers.Go(func() { jobs, _, jobsErr = e.Store.Range(ctx, infra.WorkOpenPrefix(e.Cell)) })
 	readers.Go(func() { ledgers, _, ledgersErr = e.Store.Range(ctx, infra.WorkLimitPrefix) })
-	if e.Listed != nil {
-		readers.Go(func() { e.Listed(ctx) })
+	if e.WaitForRegistry != nil {
+		readers.Go(func() { e.WaitForRegistry(ctx) })
 	}
 	readers.Wait()
 	return progress, jobs, ledgers, trace.NewAggregate(progressErr, jobsErr, ledgersErr)
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -310,7 +310,7 @@
 	e, store := newEngine(t, &fakeTerm{certain: true})
 	m := &meeting{Store: store}
 	m.all.Add(4)
-	e.Store, e.Listed = m, func(ctx context.Context) { assert.Check(t, m.join(ctx)) }
+	e.Store, e.WaitForRegistry = m, func(ctx context.Context) { assert.Check(t, m.join(ctx)) }
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	assert.NilError(t, e.load(ctx, true))
