--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -80,8 +80,8 @@
 	WaitForRegistry func(ctx context.Context)
 	// Registry returns the service's workers that are registered now.
 	Registry func() []WorkerInfo
-	// Known is until when all registrations are in Registry, on the engine's clock; nil: always.
-	Known func() time.Duration
+	// RegistryCompleteAt is until when all registrations are in Registry, on the engine's clock; nil: always.
+	RegistryCompleteAt func() time.Duration
 	// Lookup has the registrations of these workers read one by one, without waiting for
 	// them; nil: it can't.
 	Lookup func(ids []work.WorkerID)
@@ -218,8 +218,8 @@
 	if e.Configs != nil {
 		e.core.Confirm(e.Configs.Confirmed())
 	}
-	if e.Known != nil {
-		e.core.RoomKnown(e.Known())
+	if e.RegistryCompleteAt != nil {
+		e.core.RoomKnown(e.RegistryCompleteAt())
 	}
 	e.core.Strain(e.standing(), now)
 	e.core.LimitStarts(int(e.starts.Load()))
