--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -89,9 +89,9 @@
 	Declared func() Declared
 	// Configs tells how sure it is that the configuration is the newest; nil: always.
 	Configs Configs
-	// TellCells tells the owners of the other cells to look at the ledgers of these workspaces,
+	// NotifyCells tells the owners of the other cells to look at the ledgers of these workspaces,
 	// without waiting for them; nil: it can't.
-	TellCells func(names []work.WorkspaceName)
+	NotifyCells func(names []work.WorkspaceName)
 	// OwnerKey is the key of the cell's owner, whose revision is the term's token.
 	OwnerKey string
 	Metrics  *Metrics
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -129,7 +129,7 @@
 // back what another waits for: they look at the ledgers, which they do on their own only while
 // they have more than their even share.
 func (e *Engine) tellCells(claims []shareClaim) {
-	if e.TellCells == nil {
+	if e.NotifyCells == nil {
 		return
 	}
 	var names []work.WorkspaceName
@@ -139,7 +139,7 @@
 		}
 	}
 	if len(names) > 0 {
-		e.TellCells(names)
+		e.NotifyCells(names)
 	}
 }
 
