--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -95,7 +95,7 @@
 	// OwnerKey is the key of the cell's owner, whose revision is the term's token.
 	OwnerKey string
 	Metrics  *Metrics
-	Pressure Pressure // nil: not measured
+	Pressure DelayMeter // nil: not measured
 	// Successor tells what other entry VM could take the cell over; nil: none.
 	Successor func() overload.Successor
 	// ListRate is how many reads of the list of VMs the platform takes a second, from
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -100,8 +100,8 @@
 	OutcomeNotSent   // no connection was had; nothing was done
 )
 
-// Pressure tells how long what is ready to run waits for this VM's processor.
-type Pressure interface {
+// DelayMeter tells how long what is ready to run waits for this VM's processor.
+type DelayMeter interface {
 	// Behind is the longest wait of the last second.
 	Behind() time.Duration
 	// Standing is the least wait of late.
