--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -10,17 +10,17 @@
 
 // behind is the longest that anything waited for the processor of late.
 func (e *Engine) behind() time.Duration {
-	if e.Pressure == nil {
+	if e.SchedulingDelay == nil {
 		return 0
 	}
-	return e.Pressure.Behind()
+	return e.SchedulingDelay.Behind()
 }
 
 func (e *Engine) standing() time.Duration {
-	if e.Pressure == nil {
+	if e.SchedulingDelay == nil {
 		return 0
 	}
-	return e.Pressure.Standing()
+	return e.SchedulingDelay.Standing()
 }
 
 // within gives a call so much time, and more while this owner is behind.
--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -23,7 +23,7 @@
 func TestAnOwnerThatIsBehindTakesNoWorkerForSilent(t *testing.T) {
 	e, _ := newEngine(t, &fakeTerm{certain: true})
 	vm := &pressed{behind: time.Second}
-	e.Pressure = vm
+	e.SchedulingDelay = vm
 	e.Workers = silentWorkers{}
 	e.core.WorkerSeen(info("w1"))
 	e.core.AllowUntil(time.Hour)
@@ -92,7 +92,7 @@
 	term := &fakeTerm{certain: true}
 	e, _ := newEngine(t, term)
 	e.Clock = &running{now: time.Minute}
-	e.Pressure = &pressed{behind: time.Second, standing: time.Second}
+	e.SchedulingDelay = &pressed{behind: time.Second, standing: time.Second}
 	e.Successor = func() overload.Successor { return overload.EqualSuccessor }
 	usual := e.core.pollPause()
 	assert.ErrorIs(t, e.planLoop(t.Context()), ErrNotReady)
@@ -143,7 +143,7 @@
 // An owner that reads answers late gives its calls the usual time, and all of them fail.
 func TestAnOwnerThatIsBehindWaitsLongerForAnswers(t *testing.T) {
 	e, _ := newEngine(t, &fakeTerm{certain: true})
-	e.Pressure = &pressed{behind: time.Hour}
+	e.SchedulingDelay = &pressed{behind: time.Hour}
 	w := &asked{}
 	e.Workers = w
 	e.stop(t.Context(), StopOrder{Worker: info("w1")})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -93,9 +93,9 @@
 	// without waiting for them; nil: it can't.
 	NotifyCells func(names []work.WorkspaceName)
 	// OwnerKey is the key of the cell's owner, whose revision is the term's token.
-	OwnerKey string
-	Metrics  *Metrics
-	Pressure DelayMeter // nil: not measured
+	OwnerKey        string
+	Metrics         *Metrics
+	SchedulingDelay DelayMeter // nil: not measured
 	// Successor tells what other entry VM could take the cell over; nil: none.
 	Successor func() overload.Successor
 	// ListRate is how many reads of the list of VMs the platform takes a second, from
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -141,10 +141,10 @@
 		Lookup:             n.registry.lookup,
 		Declared:           n.operator.declared,
 		Configs:            n.operator, OwnerKey: infra.WorkOwnerKey(cellDuty(cell)),
-		NotifyCells: func(names []work.WorkspaceName) { d.tellCells(cell, names) },
-		Metrics:     n.metrics.engine,
-		ListRate:    n.settings.ListRate,
-		Pressure:    n.pressure, Successor: n.successor,
+		NotifyCells:     func(names []work.WorkspaceName) { d.tellCells(cell, names) },
+		Metrics:         n.metrics.engine,
+		ListRate:        n.settings.ListRate,
+		SchedulingDelay: n.pressure, Successor: n.successor,
 	})
 	d.set(cell, e)
 	err := e.Run(ctx)
