--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -14,16 +14,16 @@
 // which of them is over only the worker itself and the platform's list can say. ask reports
 // that the worker is to be polled to tell.
 func (c *Core) WorkerSeen(info WorkerInfo) (ask bool) {
-	if c.isOver(info.ID, info.Life) {
+	if c.isOver(info.ID, info.Incarnation) {
 		return false
 	}
 	w := c.workers[info.ID]
 	switch {
 	case w == nil:
 		c.join(info)
-	case info.Life == 0 || w.info.Life == 0 || info.Life == w.info.Life:
-		if info.Life == 0 {
-			info.Life = w.info.Life
+	case info.Incarnation == 0 || w.info.Incarnation == 0 || info.Incarnation == w.info.Incarnation:
+		if info.Incarnation == 0 {
+			info.Incarnation = w.info.Incarnation
 		}
 		w.info, w.unregistered, w.next = info, false, nil
 	default:
@@ -69,7 +69,7 @@
 		h.AckedThrough = w.stored
 	}
 	if w.next != nil {
-		h.next = w.next.Life
+		h.next = w.next.Incarnation
 	}
 	if !w.heard {
 		return w.info, h, true
@@ -165,20 +165,20 @@
 		return
 	}
 	c.now = now
-	if l.Life != 0 && l.Life != w.info.Life {
+	if l.Life != 0 && l.Life != w.info.Incarnation {
 		switch {
 		case c.isOver(id, l.Life):
 			return
-		case w.info.Life == 0:
-			w.info.Life = l.Life
+		case w.info.Incarnation == 0:
+			w.info.Incarnation = l.Life
 		default:
 			w = c.startedAgain(w, l.Life, now)
 			h.AckedThrough = 0 // counts the ends of the life before
 		}
 	}
 	// The registration was there before this answer was asked for: its life was an earlier one.
-	if w.next != nil && l.Life == w.info.Life && h.next == w.next.Life {
-		c.over[id] = append(c.over[id], w.next.Life)
+	if w.next != nil && l.Life == w.info.Incarnation && h.next == w.next.Incarnation {
+		c.over[id] = append(c.over[id], w.next.Incarnation)
 		w.next = nil
 	}
 	w.clockSaid(l.Clock, now)
--- a/internal/engine/lives.go
+++ b/internal/engine/lives.go
@@ -170,12 +170,12 @@
 		mayCome[ref] = max(mayCome[ref], s.run)
 	}
 	info, registered := old.info, false
-	if old.next != nil && old.next.Life == life {
+	if old.next != nil && old.next.Incarnation == life {
 		info, registered = *old.next, true
 	}
 	old.next = nil
 	c.WorkerGone(old.info.ID, "it started again", now)
-	info.Life = life
+	info.Incarnation = life
 	w := c.join(info)
 	w.cordon, w.unregistered = old.cordon, !registered
 	w.inherited = max(w.inherited, now+c.strayLease())
--- a/internal/engine/lives_test.go
+++ b/internal/engine/lives_test.go
@@ -19,7 +19,7 @@
 
 func infoOf(id work.WorkerID, life work.Incarnation) WorkerInfo {
 	i := info(id)
-	i.Life = life
+	i.Incarnation = life
 	return i
 }
 
@@ -131,7 +131,7 @@
 	b.look("w1", Listing{Life: firstLife})
 	assert.Equal(t, b.core.WorkerSeen(infoOf("w1", firstLife)), false)
 	assert.Equal(t, b.core.find(start.Start.Task).state, taskActive)
-	assert.Equal(t, b.core.workers["w1"].info.Life, secondLife)
+	assert.Equal(t, b.core.workers["w1"].info.Incarnation, secondLife)
 }
 
 // A worker that starts again twice between two polls is known by neither.
@@ -143,7 +143,7 @@
 	b.now += time.Second
 	b.look("w1", Listing{Life: thirdLife})
 	assert.Equal(t, b.core.find(ref).state, taskPending)
-	assert.Equal(t, b.core.workers["w1"].info.Life, thirdLife)
+	assert.Equal(t, b.core.workers["w1"].info.Incarnation, thirdLife)
 	b.now += time.Second
 	assert.Equal(t, len(b.plan().Starts), 1, "it takes tasks as soon as it told which life it is")
 }
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -39,7 +39,7 @@
 		return
 	}
 	w.gone = true
-	c.over[w.info.ID] = append(c.over[w.info.ID], w.info.Life)
+	c.over[w.info.ID] = append(c.over[w.info.ID], w.info.Incarnation)
 	c.log.Info("worker gone", "worker", w.info.ID, "service", w.info.Service, "tasks", len(w.tasks), "reason", why, "cause", cause)
 	if cause == lossCrash {
 		c.lostUnheard = c.lostUnheard || !w.heard
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -241,7 +241,7 @@
 	}
 	w := m.worker(s.Worker.ID)
 	lost := !m.calm && m.chance(15) || o.cut[s.Worker.ID]
-	if w == nil || w.life != s.Worker.Life && o != m.current() {
+	if w == nil || w.life != s.Worker.Incarnation && o != m.current() {
 		o.core.StartAnswered(s, OutcomeOtherLife, 0, m.now)
 		return
 	}
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -14,14 +14,14 @@
 
 // WorkerInfo is what a worker's registration says.
 type WorkerInfo struct {
-	ID       work.WorkerID
-	Life     work.Incarnation
-	Service  string
-	Address  string // host:port
-	Zone     string
-	Capacity work.Resources
-	Labels   []string
-	Draining bool
+	ID          work.WorkerID
+	Incarnation work.Incarnation
+	Service     string
+	Address     string // host:port
+	Zone        string
+	Capacity    work.Resources
+	Labels      []string
+	Draining    bool
 	// Unreadable: its registration was overwritten by one that can't be read. What runs
 	// there goes on; it takes nothing new until it registers again.
 	Unreadable bool
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -145,7 +145,7 @@
 		return false
 	}
 	r.workers[ev.KV.Key] = registration{WorkerInfo: info, at: ev.KV.ModRevision}
-	return !known || old.Draining != info.Draining || old.Address != info.Address || old.Life != info.Life || old.Unreadable != info.Unreadable ||
+	return !known || old.Draining != info.Draining || old.Address != info.Address || old.Incarnation != info.Incarnation || old.Unreadable != info.Unreadable ||
 		old.Capacity != info.Capacity
 }
 
@@ -157,7 +157,7 @@
 func (r *registry) readLocked(kv infra.KV) (engine.WorkerInfo, bool) {
 	info, err := platform.WorkerOf(kv)
 	last, known := r.workers[kv.Key]
-	if err == nil && known && last.Life != 0 && info.Life == 0 {
+	if err == nil && known && last.Incarnation != 0 && info.Incarnation == 0 {
 		err = errNoLife
 	}
 	if err == nil {
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -118,7 +118,7 @@
 	assert.Equal(t, r.change(born(`,"born":1000`)), true)
 	assert.Equal(t, r.change(born(`,"born":1000`)), false)
 	assert.Equal(t, r.change(born(`,"born":2000`)), true)
-	assert.Equal(t, r.list("a")[0].Life, work.Incarnation(2000))
+	assert.Equal(t, r.list("a")[0].Incarnation, work.Incarnation(2000))
 	assert.Equal(t, r.change(born("")), true, "an entry that lacks what the worker told before")
 	assert.Equal(t, r.list("a")[0].Unreadable, true)
 	assert.Equal(t, r.change(born(`,"born":2000`)), true)
