--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -99,7 +99,7 @@
 	}},
 	{"a run that is not higher than one that was stopped is old", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 4, 5), engine.OutcomeOK)
-		assert.Equal(t, w.start(t, start(0, 4, 5, long)), engine.OutcomeOld)
+		assert.Equal(t, w.start(t, start(0, 4, 5, long)), engine.OutcomeOldRun)
 		assert.Equal(t, w.start(t, start(0, 5, 5, long)), engine.OutcomeOK)
 	}},
 	{"a stopped run is listed as stopped", func(t *testing.T, w *Workers) {
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -24,7 +24,7 @@
 }
 
 var outcomeNames = map[Outcome]string{
-	OutcomeUnknown: "unanswered", OutcomeOK: "ok", OutcomeFenced: "fenced", OutcomeOld: "old_run", OutcomeLate: "late",
+	OutcomeUnknown: "unanswered", OutcomeOK: "ok", OutcomeFenced: "fenced", OutcomeOldRun: "old_run", OutcomeLate: "late",
 	OutcomeNoRoom: "no_room", OutcomeNoTicket: "no_ticket", OutcomeRefused: "refused", OutcomeOtherLife: "other_life",
 	OutcomeNotSent: "not_sent",
 }
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -275,7 +275,7 @@
 	case st.Token < w.token:
 		return OutcomeFenced
 	case st.Run <= w.highest[st.Task] || runs && live > st.Run:
-		return OutcomeOld
+		return OutcomeOldRun
 	case st.Deadline < w.clock(m.now):
 		return OutcomeLate
 	case runs:
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -175,7 +175,7 @@
 		c.WorkerGone(o.Worker.ID, "another life answers", now)
 		return
 	}
-	answered := out == OutcomeOK || out == OutcomeOld
+	answered := out == OutcomeOK || out == OutcomeOldRun
 	if w := c.workers[o.Worker.ID]; w != nil && answered {
 		if s := w.strays[o.Task]; s != nil && s.run <= o.Run {
 			s.stopOK = now
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -91,7 +91,7 @@
 	OutcomeUnknown Outcome = iota
 	OutcomeOK
 	OutcomeFenced    // a later owner was here
-	OutcomeOld       // the worker ended or stopped that run or a later one
+	OutcomeOldRun    // the worker ended or stopped that run or a later one
 	OutcomeLate      // the deadline had passed
 	OutcomeNoRoom    // not enough left of its capacity
 	OutcomeNoTicket  // the advisor's ticket is missing or has expired
