--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -122,7 +122,7 @@
 	{"a start without room is refused", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOK)
 		assert.Equal(t, w.start(t, start(1, 1, 5, long)), engine.OutcomeOK)
-		assert.Equal(t, w.start(t, start(2, 1, 5, long)), engine.OutcomeNoRoom)
+		assert.Equal(t, w.start(t, start(2, 1, 5, long)), engine.OutcomeNoCapacity)
 	}},
 	{"a start without its ticket is refused", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.start(t, start(0, 1, 5, w.Advised)), engine.OutcomeNoTicket)
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -152,7 +152,7 @@
 func (c *Core) notStarted(t *task, w *worker, out Outcome, now time.Duration) {
 	c.log.Info("start refused", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "outcome", out.String())
 	switch out {
-	case OutcomeNoRoom:
+	case OutcomeNoCapacity:
 		w.full = true
 		w.closedUntil = now + pollSoon
 	case OutcomeRefused, OutcomeNotSent:
