--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -145,10 +145,10 @@
 	}},
 	{"another life answers for itself alone", func(t *testing.T, w *Workers) {
 		w.Worker.ID = "another"
-		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOtherLife)
-		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 1, 5), engine.OutcomeOtherLife)
+		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOtherIncarnation)
+		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 1, 5), engine.OutcomeOtherIncarnation)
 		_, out := w.Client.Hold(t.Context(), &w.Worker, engine.Hold{Token: 5})
-		assert.Equal(t, out, engine.OutcomeOtherLife)
+		assert.Equal(t, out, engine.OutcomeOtherIncarnation)
 	}},
 	{"a call without an answer is of unknown outcome", func(t *testing.T, w *Workers) {
 		w.Silence()
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -152,7 +152,7 @@
 	b := newRig(t)
 	b.worker("w1")
 	b.accept("j1", short(1))
-	b.answer(b.plan(), OutcomeOtherLife)
+	b.answer(b.plan(), OutcomeOtherIncarnation)
 	assert.Equal(t, len(b.core.find(work.TaskRef{StepRef: work.StepRef{Job: "j1"}}).crashes), 0)
 }
 
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -132,7 +132,7 @@
 	case OutcomeFenced:
 		c.deposed = true
 		return
-	case OutcomeOtherLife:
+	case OutcomeOtherIncarnation:
 		c.WorkerGone(id, "another life answers", now)
 		return
 	}
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -25,7 +25,7 @@
 
 var outcomeNames = map[Outcome]string{
 	OutcomeUnknown: "unanswered", OutcomeOK: "ok", OutcomeFenced: "fenced", OutcomeOldRun: "old_run", OutcomeLate: "late",
-	OutcomeNoCapacity: "no_room", OutcomeNoTicket: "no_ticket", OutcomeRefused: "refused", OutcomeOtherLife: "other_life",
+	OutcomeNoCapacity: "no_room", OutcomeNoTicket: "no_ticket", OutcomeRefused: "refused", OutcomeOtherIncarnation: "other_life",
 	OutcomeNotSent: "not_sent",
 }
 
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -242,7 +242,7 @@
 	w := m.worker(s.Worker.ID)
 	lost := !m.calm && m.chance(15) || o.cut[s.Worker.ID]
 	if w == nil || w.life != s.Worker.Incarnation && o != m.current() {
-		o.core.StartAnswered(s, OutcomeOtherLife, 0, m.now)
+		o.core.StartAnswered(s, OutcomeOtherIncarnation, 0, m.now)
 		return
 	}
 	if lost {
@@ -271,7 +271,7 @@
 	live, runs := w.running[st.Task]
 	switch {
 	case w.dead:
-		return OutcomeOtherLife
+		return OutcomeOtherIncarnation
 	case st.Token < w.token:
 		return OutcomeFenced
 	case st.Run <= w.highest[st.Task] || runs && live > st.Run:
@@ -305,7 +305,7 @@
 func (m *model) stop(o *modelOwner, s StopOrder) {
 	w := m.worker(s.Worker.ID)
 	if w == nil {
-		o.core.StopAnswered(s, OutcomeOtherLife, m.now)
+		o.core.StopAnswered(s, OutcomeOtherIncarnation, m.now)
 		return
 	}
 	if !m.calm && m.chance(15) || o.cut[w.id] {
@@ -350,7 +350,7 @@
 	}
 	switch {
 	case w.dead:
-		o.core.HoldFailed(w.id, OutcomeOtherLife, m.now)
+		o.core.HoldFailed(w.id, OutcomeOtherIncarnation, m.now)
 		return
 	case o.cut[w.id]:
 		o.core.HoldFailed(w.id, OutcomeUnknown, m.now)
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -113,7 +113,7 @@
 		c.startAnswered(t, w, out, now)
 	}
 	// After the start: it did not begin there, and the life's end says nothing of its task.
-	if out == OutcomeOtherLife {
+	if out == OutcomeOtherIncarnation {
 		c.WorkerGone(o.Worker.ID, "another life answers", now)
 	}
 }
@@ -171,7 +171,7 @@
 	case OutcomeFenced:
 		c.deposed = true
 		return
-	case OutcomeOtherLife:
+	case OutcomeOtherIncarnation:
 		c.WorkerGone(o.Worker.ID, "another life answers", now)
 		return
 	}
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -90,14 +90,14 @@
 	// carried out.
 	OutcomeUnknown Outcome = iota
 	OutcomeOK
-	OutcomeFenced     // a later owner was here
-	OutcomeOldRun     // the worker ended or stopped that run or a later one
-	OutcomeLate       // the deadline had passed
-	OutcomeNoCapacity // not enough left of its capacity
-	OutcomeNoTicket   // the advisor's ticket is missing or has expired
-	OutcomeRefused    // the worker is unhealthy or did not understand; nothing was done
-	OutcomeOtherLife  // the worker at that address is another life
-	OutcomeNotSent    // no connection was had; nothing was done
+	OutcomeFenced           // a later owner was here
+	OutcomeOldRun           // the worker ended or stopped that run or a later one
+	OutcomeLate             // the deadline had passed
+	OutcomeNoCapacity       // not enough left of its capacity
+	OutcomeNoTicket         // the advisor's ticket is missing or has expired
+	OutcomeRefused          // the worker is unhealthy or did not understand; nothing was done
+	OutcomeOtherIncarnation // the worker at that address is another life
+	OutcomeNotSent          // no connection was had; nothing was done
 )
 
 // DelayMeter tells how long what is ready to run waits for this VM's processor.
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -146,7 +146,7 @@
 	}
 	assert.Equal(t, len(b.core.workers["next"].tasks), 1)
 
-	b.core.HoldFailed("old", OutcomeOtherLife, b.now)
+	b.core.HoldFailed("old", OutcomeOtherIncarnation, b.now)
 	b.core.WorkerSeen(info("old"))
 	assert.Assert(t, b.core.workers["old"] == nil, "an ID that is over does not come back")
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -169,7 +169,7 @@
 	got, out := r.owner.Hold(ctx, worker(i), engine.Hold{Token: 3, Deadline: time.Hour, Wait: time.Second})
 	assert.Equal(t, out, engine.OutcomeOK)
 	assert.DeepEqual(t, got, want)
-	for _, o := range []engine.Outcome{engine.OutcomeOK, engine.OutcomeNoCapacity, engine.OutcomeFenced, engine.OutcomeOtherLife} {
+	for _, o := range []engine.Outcome{engine.OutcomeOK, engine.OutcomeNoCapacity, engine.OutcomeFenced, engine.OutcomeOtherIncarnation} {
 		r.others[0].set(o)
 		out, clock := r.owner.Start(ctx, worker(i), engine.Start{Task: ref, Deadline: 5 * time.Second})
 		assert.Equal(t, out, o)
