--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -241,7 +241,7 @@
 	})
 	t.Run("a service without a connection did nothing", func(t *testing.T) {
 		m := fresh(t)
-		assert.Equal(t, m.Away.Move(t.Context(), m.VM, m.Pools[1], token), engine.VMLater)
+		assert.Equal(t, m.Away.Move(t.Context(), m.VM, m.Pools[1], token), engine.VMRefused)
 		_, err := m.Away.List(t.Context())
 		assert.Assert(t, err != nil)
 	})
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -133,11 +133,11 @@
 	VMFenced
 	VMBusy    // not up, or leaving
 	VMInvalid // no such VM, wave or pool for it
-	VMLater   // refused unread: rate or trouble
+	VMRefused // refused unread: rate or trouble
 )
 
 var vmOutcomeNames = map[VMOutcome]string{
-	VMUnknown: "unanswered", VMDone: "ok", VMFenced: "fenced", VMBusy: "busy", VMInvalid: "invalid", VMLater: "refused",
+	VMUnknown: "unanswered", VMDone: "ok", VMFenced: "fenced", VMBusy: "busy", VMInvalid: "invalid", VMRefused: "refused",
 }
 
 // String returns the outcome as logs show it.
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -167,7 +167,7 @@
 		}
 	case engine.VMFenced:
 		f.Term.End("the platform knows a later owner")
-	case engine.VMBusy, engine.VMLater, engine.VMInvalid:
+	case engine.VMBusy, engine.VMRefused, engine.VMInvalid:
 		f.mu.Lock()
 		delete(f.orders, id)
 		f.mu.Unlock()
@@ -185,7 +185,7 @@
 		f.wg.Go(func() {
 			// Asked again right before it leaves: claims took a while.
 			if !f.Term.Certain() {
-				f.outcome(context.Background(), id, booked[id], engine.VMLater)
+				f.outcome(context.Background(), id, booked[id], engine.VMRefused)
 				return
 			}
 			do(id, booked[id])
