--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -9,12 +9,12 @@
 
 // CellReport is what the owner of the fleet hears from the owner of a cell.
 type CellReport struct {
-	Used     float64        `msgpack:"u"`           // cores in use
-	Backlog  float64        `msgpack:"b"`           // core-seconds that wait for room and are still of use
-	Leftover float64        `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
-	Arriving float64        `msgpack:"a"`           // core-seconds a second that came of late
-	Short    int            `msgpack:"s"`           // VMs that lasting tasks lack, whatever is free on the others
-	Workers  []WorkerReport `msgpack:"w"`
+	Used           float64        `msgpack:"u"`           // cores in use
+	Backlog        float64        `msgpack:"b"`           // core-seconds that wait for room and are still of use
+	ExpiredBacklog float64        `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
+	Arriving       float64        `msgpack:"a"`           // core-seconds a second that came of late
+	Short          int            `msgpack:"s"`           // VMs that lasting tasks lack, whatever is free on the others
+	Workers        []WorkerReport `msgpack:"w"`
 	// Spare is how many empty VMs it could use while no other cell lacks any.
 	Spare int `msgpack:"p,omitempty"`
 	// Serial is how many moves must follow one on the other until no lasting task is on
@@ -230,7 +230,7 @@
 		useful, leftover = 0, coreSeconds
 	}
 	r.Backlog += useful
-	r.Leftover += leftover
+	r.ExpiredBacklog += leftover
 	if label := s.spec.Requires; label != "" {
 		b := r.Bound[label]
 		b.Backlog += useful
@@ -240,7 +240,7 @@
 }
 
 // Waits reports whether anything waits for room.
-func (r *CellReport) Waits() bool { return r.Backlog > 0 || r.Leftover > 0 }
+func (r *CellReport) Waits() bool { return r.Backlog > 0 || r.ExpiredBacklog > 0 }
 
 // mostCapacity is, for each kind of resource by itself, the most that any VM known
 // to the cell has.
--- a/internal/engine/leftover_test.go
+++ b/internal/engine/leftover_test.go
@@ -26,7 +26,7 @@
 	b.core.workers["w1"].closedUntil = b.now + time.Hour
 	b.plan()
 	r := b.core.report(b.now)
-	assert.Assert(t, r.Leftover > 0)
+	assert.Assert(t, r.ExpiredBacklog > 0)
 	assert.Assert(t, r.Backlog > 0)
 	assert.Assert(t, r.Waits())
 }
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -403,6 +403,6 @@
 		r.pass(f)
 		return f.candidate(&waveRun{}, r.vms[0], false).Backlog
 	}
-	assert.Equal(t, waits(engine.CellReport{Leftover: 20}), false)
+	assert.Equal(t, waits(engine.CellReport{ExpiredBacklog: 20}), false)
 	assert.Equal(t, waits(engine.CellReport{Backlog: 20}), true)
 }
