--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -26,9 +26,9 @@
 
 // BoundLoad is load that asks for a label.
 type BoundLoad struct {
-	Used     float64 `msgpack:"u"`           // cores in use
-	Backlog  float64 `msgpack:"b"`           // core-seconds that wait for room and are still of use
-	Leftover float64 `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
+	Used           float64 `msgpack:"u"`           // cores in use
+	Backlog        float64 `msgpack:"b"`           // core-seconds that wait for room and are still of use
+	ExpiredBacklog float64 `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
 }
 
 // WorkerReport is one worker of a cell.
@@ -234,7 +234,7 @@
 	if label := s.spec.Requires; label != "" {
 		b := r.Bound[label]
 		b.Backlog += useful
-		b.Leftover += leftover
+		b.ExpiredBacklog += leftover
 		r.Bound[label] = b
 	}
 }
