--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -20,8 +20,8 @@
 	// Serial is how many moves must follow one on the other until no lasting task is on
 	// a worker whose VM a wave has yet to take.
 	Serial int `msgpack:"m,omitempty"`
-	// Bound is the part of the load that only workers with the label can take.
-	Bound map[string]BoundLoad `msgpack:"l,omitempty"`
+	// ByLabel is the part of the load that only workers with the label can take.
+	ByLabel map[string]BoundLoad `msgpack:"l,omitempty"`
 }
 
 // BoundLoad is load that asks for a label.
@@ -182,7 +182,7 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), Short: c.short(now), Spare: c.wantedForTrials(now), Serial: c.serialMoves(), Bound: make(map[string]BoundLoad)}
+	r := CellReport{Arriving: c.arrivalRate(now), Short: c.short(now), Spare: c.wantedForTrials(now), Serial: c.serialMoves(), ByLabel: make(map[string]BoundLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
@@ -215,9 +215,9 @@
 	}
 	for _, t := range w.tasks {
 		if label := t.step.spec.Requires; label != "" {
-			b := r.Bound[label]
+			b := r.ByLabel[label]
 			b.Used += t.reserved().Cores()
-			r.Bound[label] = b
+			r.ByLabel[label] = b
 		}
 	}
 	r.Used += w.load.reserved.Cores()
@@ -232,10 +232,10 @@
 	r.Backlog += useful
 	r.ExpiredBacklog += leftover
 	if label := s.spec.Requires; label != "" {
-		b := r.Bound[label]
+		b := r.ByLabel[label]
 		b.Backlog += useful
 		b.ExpiredBacklog += leftover
-		r.Bound[label] = b
+		r.ByLabel[label] = b
 	}
 }
 
