--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -21,11 +21,11 @@
 	// a worker whose VM a wave has yet to take.
 	Serial int `msgpack:"m,omitempty"`
 	// ByLabel is the part of the load that only workers with the label can take.
-	ByLabel map[string]BoundLoad `msgpack:"l,omitempty"`
+	ByLabel map[string]LabelLoad `msgpack:"l,omitempty"`
 }
 
-// BoundLoad is load that asks for a label.
-type BoundLoad struct {
+// LabelLoad is load that asks for a label.
+type LabelLoad struct {
 	Used           float64 `msgpack:"u"`           // cores in use
 	Backlog        float64 `msgpack:"b"`           // core-seconds that wait for room and are still of use
 	ExpiredBacklog float64 `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
@@ -182,7 +182,7 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), Short: c.short(now), Spare: c.wantedForTrials(now), Serial: c.serialMoves(), ByLabel: make(map[string]BoundLoad)}
+	r := CellReport{Arriving: c.arrivalRate(now), Short: c.short(now), Spare: c.wantedForTrials(now), Serial: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -74,7 +74,7 @@
 	return out
 }
 
-func boundOf(loads map[string]engine.BoundLoad) map[string]pools.LabelDemand {
+func boundOf(loads map[string]engine.LabelLoad) map[string]pools.LabelDemand {
 	out := make(map[string]pools.LabelDemand, len(loads))
 	for label, l := range loads {
 		out[label] = pools.LabelDemand{Used: l.Used, Backlog: l.Backlog, LateBacklog: l.ExpiredBacklog}
