--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -13,7 +13,7 @@
 	Backlog        float64        `msgpack:"b"`           // core-seconds that wait for room and are still of use
 	ExpiredBacklog float64        `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
 	Arriving       float64        `msgpack:"a"`           // core-seconds a second that came of late
-	Short          int            `msgpack:"s"`           // VMs that lasting tasks lack, whatever is free on the others
+	MissingVMs     int            `msgpack:"s"`           // VMs that lasting tasks lack, whatever is free on the others
 	Workers        []WorkerReport `msgpack:"w"`
 	// Spare is how many empty VMs it could use while no other cell lacks any.
 	Spare int `msgpack:"p,omitempty"`
@@ -182,7 +182,7 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), Short: c.short(now), Spare: c.wantedForTrials(now), Serial: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
+	r := CellReport{Arriving: c.arrivalRate(now), MissingVMs: c.short(now), Spare: c.wantedForTrials(now), Serial: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -43,10 +43,10 @@
 		r.Percent = fullPercent
 		b.look(s.Worker.ID, Listing{Running: []Run{r}})
 	}
-	assert.Equal(t, b.core.report(b.now).Short, 0)
+	assert.Equal(t, b.core.report(b.now).MissingVMs, 0)
 	b.core.obey(CellOrder{Kind: OrderVacate, Worker: o.Starts[0].Worker.ID}, token, b.now)
 	assert.Equal(t, len(b.plan().Stops), 0)
-	assert.Equal(t, b.core.report(b.now).Short, 1)
+	assert.Equal(t, b.core.report(b.now).MissingVMs, 1)
 	b.worker("w3")
 	assert.Equal(t, len(b.plan().Stops), 1)
 }
@@ -101,7 +101,7 @@
 			b.core.obey(CellOrder{Kind: OrderVacate, Worker: s.Worker.ID}, token, b.now)
 		}
 	}
-	assert.Equal(t, b.core.report(b.now).Short, 2)
+	assert.Equal(t, b.core.report(b.now).MissingVMs, 2)
 }
 
 // How long a wave's lasting tasks take goes by the step with the most of them on VMs
