--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -15,8 +15,8 @@
 	Arriving       float64        `msgpack:"a"`           // core-seconds a second that came of late
 	MissingVMs     int            `msgpack:"s"`           // VMs that lasting tasks lack, whatever is free on the others
 	Workers        []WorkerReport `msgpack:"w"`
-	// Spare is how many empty VMs it could use while no other cell lacks any.
-	Spare int `msgpack:"p,omitempty"`
+	// TrialVMs is how many empty VMs it could use while no other cell lacks any.
+	TrialVMs int `msgpack:"p,omitempty"`
 	// Serial is how many moves must follow one on the other until no lasting task is on
 	// a worker whose VM a wave has yet to take.
 	Serial int `msgpack:"m,omitempty"`
@@ -182,7 +182,7 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), MissingVMs: c.short(now), Spare: c.wantedForTrials(now), Serial: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
+	r := CellReport{Arriving: c.arrivalRate(now), MissingVMs: c.short(now), TrialVMs: c.wantedForTrials(now), Serial: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
