--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -17,9 +17,9 @@
 	Workers        []WorkerReport `msgpack:"w"`
 	// TrialVMs is how many empty VMs it could use while no other cell lacks any.
 	TrialVMs int `msgpack:"p,omitempty"`
-	// Serial is how many moves must follow one on the other until no lasting task is on
+	// SerialMoves is how many moves must follow one on the other until no lasting task is on
 	// a worker whose VM a wave has yet to take.
-	Serial int `msgpack:"m,omitempty"`
+	SerialMoves int `msgpack:"m,omitempty"`
 	// ByLabel is the part of the load that only workers with the label can take.
 	ByLabel map[string]LabelLoad `msgpack:"l,omitempty"`
 }
@@ -182,7 +182,7 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), MissingVMs: c.short(now), TrialVMs: c.wantedForTrials(now), Serial: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
+	r := CellReport{Arriving: c.arrivalRate(now), MissingVMs: c.short(now), TrialVMs: c.wantedForTrials(now), SerialMoves: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -116,11 +116,11 @@
 	step.MaxUnavailable = 2
 	b.accept("j1", step)
 	b.answer(b.plan(), OutcomeOK)
-	assert.Equal(t, b.core.report(b.now).Serial, 0)
+	assert.Equal(t, b.core.report(b.now).SerialMoves, 0)
 	for _, id := range ids[:3] {
 		b.core.obey(CellOrder{Kind: OrderDue, Worker: id}, token, b.now)
 	}
-	assert.Equal(t, b.core.report(b.now).Serial, 2)
+	assert.Equal(t, b.core.report(b.now).SerialMoves, 2)
 }
 
 // A caller's task runs twice: it had ended well, its worker's VM was moved while the
--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -113,7 +113,7 @@
 	}
 	if view := f.cells[vm.Pool]; view != nil {
 		c.Backlog = view.Backlog > 0
-		c.SerialMoveTime = time.Duration(view.Serial) * lastingMove
+		c.SerialMoveTime = time.Duration(view.SerialMoves) * lastingMove
 	}
 	report := f.worker(vm)
 	switch {
