--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -120,7 +120,7 @@
 	case ordered || !c.Parked && (report == nil || !report.Heard):
 		c.VM.State = work.VMMoving
 	case report != nil:
-		c.Tasks, c.LongRunning = report.Tasks, report.Lasting
+		c.Tasks, c.LongRunning = report.Tasks, report.LongRunning
 	}
 	return c
 }
