--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -39,7 +39,7 @@
 	EmptyFor    time.Duration `msgpack:"e"` // 0 while it has tasks
 	Cordon      Cordon        `msgpack:"c"`
 	Draining    bool          `msgpack:"d"`
-	Heard       bool          `msgpack:"h"`
+	Polled      bool          `msgpack:"h"`
 }
 
 // Cordon says that the fleet's owner keeps new tasks off a worker, and why.
@@ -208,7 +208,7 @@
 
 func (r *CellReport) addWorker(w *worker, now time.Duration) {
 	wr := WorkerReport{
-		ID: w.info.ID, Tasks: len(w.tasks) + len(w.strays), LongRunning: w.load.lasting, Cordon: w.cordon, Draining: w.info.Draining, Heard: w.heard,
+		ID: w.info.ID, Tasks: len(w.tasks) + len(w.strays), LongRunning: w.load.lasting, Cordon: w.cordon, Draining: w.info.Draining, Polled: w.heard,
 	}
 	if wr.Tasks == 0 {
 		wr.EmptyFor = now - w.emptySince
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -134,7 +134,7 @@
 func empty(ids ...string) []engine.WorkerReport {
 	var out []engine.WorkerReport
 	for _, id := range ids {
-		out = append(out, engine.WorkerReport{ID: work.WorkerID("w-" + id), Heard: true, EmptyFor: time.Second})
+		out = append(out, engine.WorkerReport{ID: work.WorkerID("w-" + id), Polled: true, EmptyFor: time.Second})
 	}
 	return out
 }
--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -97,7 +97,7 @@
 	}
 	w := f.worker(vm)
 	switch {
-	case vm.State == work.VMMoving || vm.State == work.VMUp && !p.Parked && (w == nil || !w.Heard):
+	case vm.State == work.VMMoving || vm.State == work.VMUp && !p.Parked && (w == nil || !w.Polled):
 		p.Incoming = append(p.Incoming, out)
 	case vm.State != work.VMUp:
 	case p.Parked:
--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -117,7 +117,7 @@
 	}
 	report := f.worker(vm)
 	switch {
-	case ordered || !c.Parked && (report == nil || !report.Heard):
+	case ordered || !c.Parked && (report == nil || !report.Polled):
 		c.VM.State = work.VMMoving
 	case report != nil:
 		c.Tasks, c.LongRunning = report.Tasks, report.LongRunning
