--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -54,10 +54,10 @@
 
 // The kinds of cordon.
 const (
-	Open    CordonKind = iota
-	Vacated            // no new tasks; lasting ones leave
-	Claimed            // empty, and an order for its VM may be under way
-	Due                // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
+	CordonNone CordonKind = iota
+	Vacated               // no new tasks; lasting ones leave
+	Claimed               // empty, and an order for its VM may be under way
+	Due                   // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
 )
 
 // Closes reports whether the worker takes nothing new.
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -102,7 +102,7 @@
 	for cell, c := range f.cells {
 		for i := range c.Workers {
 			w := &c.Workers[i]
-			kind, order := engine.Open, engine.OrderOpen
+			kind, order := engine.CordonNone, engine.OrderOpen
 			if f.due[w.ID] {
 				kind, order = engine.Due, engine.OrderDue
 			}
