--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -54,14 +54,14 @@
 
 // The kinds of cordon.
 const (
-	CordonNone CordonKind = iota
-	Vacated               // no new tasks; lasting ones leave
-	Claimed               // empty, and an order for its VM may be under way
-	Due                   // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
+	CordonNone   CordonKind = iota
+	CordonVacate            // no new tasks; lasting ones leave
+	Claimed                 // empty, and an order for its VM may be under way
+	Due                     // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
 )
 
 // Closes reports whether the worker takes nothing new.
-func (c Cordon) Closes() bool { return c.Kind == Vacated || c.Kind == Claimed }
+func (c Cordon) Closes() bool { return c.Kind == CordonVacate || c.Kind == Claimed }
 
 // CellOrderKind names what the fleet's owner asks of a cell's.
 type CellOrderKind uint8
@@ -140,7 +140,7 @@
 	}
 	switch o.Kind {
 	case OrderVacate:
-		c.setCordon(w, Cordon{Kind: Vacated, Token: token})
+		c.setCordon(w, Cordon{Kind: CordonVacate, Token: token})
 	case OrderEvict:
 		c.evict(w)
 	case OrderClaim:
@@ -312,7 +312,7 @@
 	}
 	n := 0
 	for _, t := range s.tasks {
-		if t.where != nil && (t.where.cordon.Kind == Due || t.where.cordon.Kind == Vacated) {
+		if t.where != nil && (t.where.cordon.Kind == Due || t.where.cordon.Kind == CordonVacate) {
 			n++
 		}
 	}
@@ -343,7 +343,7 @@
 func (c *Core) stuckTasks(s *step, now time.Duration) int {
 	n := 0
 	for _, t := range s.tasks {
-		if !s.spec.LongRunning || t.state != taskActive || t.where.cordon.Kind != Vacated {
+		if !s.spec.LongRunning || t.state != taskActive || t.where.cordon.Kind != CordonVacate {
 			continue
 		}
 		if n == 0 && c.hasPlace(t, now) {
--- a/internal/engine/vacate.go
+++ b/internal/engine/vacate.go
@@ -8,7 +8,7 @@
 // start elsewhere, as far as each step's limit on unavailable tasks allows.
 func (c *Core) vacate(now time.Duration) {
 	for _, w := range c.workers {
-		if w.gone || w.missed > 0 || w.cordon.Kind != Vacated && !w.info.Draining {
+		if w.gone || w.missed > 0 || w.cordon.Kind != CordonVacate && !w.info.Draining {
 			continue
 		}
 		for _, t := range w.tasks {
