--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -54,14 +54,14 @@
 
 // The kinds of cordon.
 const (
-	CordonNone   CordonKind = iota
-	CordonVacate            // no new tasks; lasting ones leave
-	Claimed                 // empty, and an order for its VM may be under way
-	Due                     // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
+	CordonNone    CordonKind = iota
+	CordonVacate             // no new tasks; lasting ones leave
+	CordonClaimed            // empty, and an order for its VM may be under way
+	Due                      // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
 )
 
 // Closes reports whether the worker takes nothing new.
-func (c Cordon) Closes() bool { return c.Kind == CordonVacate || c.Kind == Claimed }
+func (c Cordon) Closes() bool { return c.Kind == CordonVacate || c.Kind == CordonClaimed }
 
 // CellOrderKind names what the fleet's owner asks of a cell's.
 type CellOrderKind uint8
@@ -151,7 +151,7 @@
 		if !w.heard || w.missed > 0 || len(w.tasks)+len(w.strays) > 0 || w.stored < w.seen {
 			return false
 		}
-		c.setCordon(w, Cordon{Kind: Claimed, Token: token})
+		c.setCordon(w, Cordon{Kind: CordonClaimed, Token: token})
 	case OrderOpen:
 		c.setCordon(w, Cordon{})
 	case OrderDue:
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -318,7 +318,7 @@
 	r.vm("v2", "a")
 	closed := empty("v1", "v2")
 	closed[0].Cordon = engine.Cordon{Kind: engine.CordonVacate, Token: 4}
-	closed[1].Cordon = engine.Cordon{Kind: engine.Claimed, Token: 4}
+	closed[1].Cordon = engine.Cordon{Kind: engine.CordonClaimed, Token: 4}
 	r.reports["a"] = engine.CellReport{Workers: closed}
 	f := r.fleet()
 	r.pass(f)
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -110,7 +110,7 @@
 				continue
 			}
 			foreign := w.Cordon.Token != f.Term.Token()
-			if w.Cordon.Kind == engine.Claimed && foreign && f.Clock.Now() < f.began+orderOver {
+			if w.Cordon.Kind == engine.CordonClaimed && foreign && f.Clock.Now() < f.began+orderOver {
 				continue
 			}
 			out = append(out, cellOrder{cell: cell, order: engine.CellOrder{Kind: order, Worker: w.ID}})
