--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -54,10 +54,10 @@
 
 // The kinds of cordon.
 const (
-	CordonNone    CordonKind = iota
-	CordonVacate             // no new tasks; lasting ones leave
-	CordonClaimed            // empty, and an order for its VM may be under way
-	Due                      // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
+	CordonNone           CordonKind = iota
+	CordonVacate                    // no new tasks; lasting ones leave
+	CordonClaimed                   // empty, and an order for its VM may be under way
+	CordonMaintenanceDue            // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
 )
 
 // Closes reports whether the worker takes nothing new.
@@ -155,7 +155,7 @@
 	case OrderOpen:
 		c.setCordon(w, Cordon{})
 	case OrderDue:
-		c.setCordon(w, Cordon{Kind: Due, Token: token})
+		c.setCordon(w, Cordon{Kind: CordonMaintenanceDue, Token: token})
 	case OrderGone:
 		c.lifeOver(w, "its VM is taken away", lossPlanned, now)
 	}
@@ -312,7 +312,7 @@
 	}
 	n := 0
 	for _, t := range s.tasks {
-		if t.where != nil && (t.where.cordon.Kind == Due || t.where.cordon.Kind == CordonVacate) {
+		if t.where != nil && (t.where.cordon.Kind == CordonMaintenanceDue || t.where.cordon.Kind == CordonVacate) {
 			n++
 		}
 	}
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -211,7 +211,7 @@
 
 		LongRunning: w.load.lasting, Serving: w.load.serving, BestEffort: w.load.filling,
 		Slowness:       w.slowness.Factor(),
-		MaintenanceDue: w.cordon.Kind == Due,
+		MaintenanceDue: w.cordon.Kind == CordonMaintenanceDue,
 		Tasks:          len(w.tasks),
 	}
 	if n := len(w.info.Labels); n > 0 {
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -301,7 +301,7 @@
 	r.pass(f)
 	r.pass(f)
 	assert.DeepEqual(t, r.orders[0], engine.CellOrder{Kind: engine.OrderDue, Worker: "w-v1"})
-	reports[0].Cordon = engine.Cordon{Kind: engine.Due, Token: r.Token()}
+	reports[0].Cordon = engine.Cordon{Kind: engine.CordonMaintenanceDue, Token: r.Token()}
 	r.orders = nil
 	r.pass(f)
 	assert.Equal(t, len(r.orders), 0)
