--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -68,12 +68,12 @@
 
 // The kinds of CellOrder.
 const (
-	OrderVacate CellOrderKind = iota + 1 // close it, and empty it
-	OrderEvict                           // stop its short tasks as well
-	OrderClaim                           // close it if it is empty; fails otherwise
-	OrderOpen                            // take new tasks again
-	OrderGone                            // its life is over
-	OrderDue                             // its VM's maintenance is to come
+	OrderVacate        CellOrderKind = iota + 1 // close it, and empty it
+	OrderEvict                                  // stop its short tasks as well
+	OrderClaim                                  // close it if it is empty; fails otherwise
+	OrderOpen                                   // take new tasks again
+	OrderWorkerRemoved                          // its life is over
+	OrderDue                                    // its VM's maintenance is to come
 )
 
 // CellOrder is one order for one worker.
@@ -136,7 +136,7 @@
 func (c *Core) obey(o CellOrder, token int64, now time.Duration) bool {
 	w := c.workers[o.Worker]
 	if w == nil {
-		return o.Kind == OrderGone || o.Kind == OrderOpen
+		return o.Kind == OrderWorkerRemoved || o.Kind == OrderOpen
 	}
 	switch o.Kind {
 	case OrderVacate:
@@ -156,7 +156,7 @@
 		c.setCordon(w, Cordon{})
 	case OrderDue:
 		c.setCordon(w, Cordon{Kind: CordonMaintenanceDue, Token: token})
-	case OrderGone:
+	case OrderWorkerRemoved:
 		c.lifeOver(w, "its VM is taken away", lossPlanned, now)
 	}
 	return true
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -169,7 +169,7 @@
 			b.core.obey(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
 			b.core.WorkerGone("w1", "test", b.now)
 		},
-		"taken away": func(b *rig) { b.core.obey(CellOrder{Kind: OrderGone, Worker: "w1"}, 1, b.now) },
+		"taken away": func(b *rig) { b.core.obey(CellOrder{Kind: OrderWorkerRemoved, Worker: "w1"}, 1, b.now) },
 	}
 	for name, by := range leave {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -381,14 +381,14 @@
 		r.pass(f)
 	}
 	assert.DeepEqual(t, r.calls, []string{"maintain v1", "maintain v2"})
-	assert.Equal(t, r.ordered(engine.OrderGone), 0)
+	assert.Equal(t, r.ordered(engine.OrderWorkerRemoved), 0)
 	r.set("v2", work.VMMaintenance, "")
 	r.pass(f)
-	assert.Equal(t, r.ordered(engine.OrderGone), 1)
+	assert.Equal(t, r.ordered(engine.OrderWorkerRemoved), 1)
 	r.set("v2", work.VMUp, "w-next")
 	r.pass(f)
 	r.pass(f)
-	assert.Equal(t, r.ordered(engine.OrderGone), 1, "told once")
+	assert.Equal(t, r.ordered(engine.OrderWorkerRemoved), 1, "told once")
 }
 
 // A wave misses its end: it leaves VMs alone while work waits, and what is too late to be of use
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -57,7 +57,7 @@
 		vm, exists := f.vms[id]
 		if !o.ended && (!exists || vm.State != work.VMUp || vm.Worker != o.life) {
 			o.ended = true
-			gone = append(gone, cellOrder{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderGone, Worker: o.life}})
+			gone = append(gone, cellOrder{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderWorkerRemoved, Worker: o.life}})
 		}
 		switch {
 		case !exists:
@@ -163,7 +163,7 @@
 		o.ended = o.ended || move
 		f.mu.Unlock()
 		if move && !f.parked(o.cell) {
-			f.send(ctx, []cellOrder{{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderGone, Worker: o.life}}})
+			f.send(ctx, []cellOrder{{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderWorkerRemoved, Worker: o.life}}})
 		}
 	case engine.VMFenced:
 		f.Term.End("the platform knows a later owner")
