--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -68,12 +68,12 @@
 
 // The kinds of CellOrder.
 const (
-	OrderVacate        CellOrderKind = iota + 1 // close it, and empty it
-	OrderEvict                                  // stop its short tasks as well
-	OrderClaim                                  // close it if it is empty; fails otherwise
-	OrderOpen                                   // take new tasks again
-	OrderWorkerRemoved                          // its life is over
-	OrderDue                                    // its VM's maintenance is to come
+	OrderVacate         CellOrderKind = iota + 1 // close it, and empty it
+	OrderEvict                                   // stop its short tasks as well
+	OrderClaim                                   // close it if it is empty; fails otherwise
+	OrderOpen                                    // take new tasks again
+	OrderWorkerRemoved                           // its life is over
+	OrderMaintenanceDue                          // its VM's maintenance is to come
 )
 
 // CellOrder is one order for one worker.
@@ -154,7 +154,7 @@
 		c.setCordon(w, Cordon{Kind: CordonClaimed, Token: token})
 	case OrderOpen:
 		c.setCordon(w, Cordon{})
-	case OrderDue:
+	case OrderMaintenanceDue:
 		c.setCordon(w, Cordon{Kind: CordonMaintenanceDue, Token: token})
 	case OrderWorkerRemoved:
 		c.lifeOver(w, "its VM is taken away", lossPlanned, now)
--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -118,7 +118,7 @@
 	b.answer(b.plan(), OutcomeOK)
 	assert.Equal(t, b.core.report(b.now).SerialMoves, 0)
 	for _, id := range ids[:3] {
-		b.core.obey(CellOrder{Kind: OrderDue, Worker: id}, token, b.now)
+		b.core.obey(CellOrder{Kind: OrderMaintenanceDue, Worker: id}, token, b.now)
 	}
 	assert.Equal(t, b.core.report(b.now).SerialMoves, 2)
 }
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -300,7 +300,7 @@
 	f := r.fleet()
 	r.pass(f)
 	r.pass(f)
-	assert.DeepEqual(t, r.orders[0], engine.CellOrder{Kind: engine.OrderDue, Worker: "w-v1"})
+	assert.DeepEqual(t, r.orders[0], engine.CellOrder{Kind: engine.OrderMaintenanceDue, Worker: "w-v1"})
 	reports[0].Cordon = engine.Cordon{Kind: engine.CordonMaintenanceDue, Token: r.Token()}
 	r.orders = nil
 	r.pass(f)
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -104,7 +104,7 @@
 			w := &c.Workers[i]
 			kind, order := engine.CordonNone, engine.OrderOpen
 			if f.due[w.ID] {
-				kind, order = engine.CordonMaintenanceDue, engine.OrderDue
+				kind, order = engine.CordonMaintenanceDue, engine.OrderMaintenanceDue
 			}
 			if w.Cordon.Kind == kind || wanted[w.ID] {
 				continue
