--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -52,8 +52,8 @@
 	Certain() bool
 	// End gives the term up.
 	End(reason string)
-	// HandOver gives it up to another entry VM, as this one is behind its work.
-	HandOver()
+	// Relieve gives it up to another entry VM, as this one is behind its work.
+	Relieve()
 }
 
 // Configs tells how sure the entry VM is of its configuration.
@@ -203,7 +203,7 @@
 			return ErrNotReady
 		}
 		if e.relieved() {
-			e.Term.HandOver()
+			e.Term.Relieve()
 			return ErrNotReady
 		}
 	}
--- a/internal/engine/writer_test.go
+++ b/internal/engine/writer_test.go
@@ -143,4 +143,4 @@
 func (laterTerm) AllowedUntil() time.Duration { return time.Hour }
 func (laterTerm) Certain() bool               { return true }
 func (laterTerm) End(string)                  {}
-func (laterTerm) HandOver()                   {}
+func (laterTerm) Relieve()                    {}
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -44,7 +44,7 @@
 func (r *rig) AllowedUntil() time.Duration { return r.now + time.Hour }
 func (r *rig) Certain() bool               { return r.certain }
 func (r *rig) End(string)                  { r.certain = false }
-func (r *rig) HandOver()                   { r.certain = false }
+func (r *rig) Relieve()                    { r.certain = false }
 
 func (r *rig) List(context.Context) ([]work.VM, error) {
 	r.lists++
