--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -13,7 +13,7 @@
 	if e.SchedulingDelay == nil {
 		return 0
 	}
-	return e.SchedulingDelay.Behind()
+	return e.SchedulingDelay.MaxDelay()
 }
 
 func (e *Engine) standing() time.Duration {
--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -15,7 +15,7 @@
 // pressed is a VM on which what is ready waits as the test says.
 type pressed struct{ behind, standing time.Duration }
 
-func (p *pressed) Behind() time.Duration   { return p.behind }
+func (p *pressed) MaxDelay() time.Duration { return p.behind }
 func (p *pressed) Standing() time.Duration { return p.standing }
 
 // An owner reads answers a second late. Workers that answered in time would pass for silent:
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -102,8 +102,8 @@
 
 // DelayMeter tells how long what is ready to run waits for this VM's processor.
 type DelayMeter interface {
-	// Behind is the longest wait of the last second.
-	Behind() time.Duration
+	// MaxDelay is the longest wait of the last second.
+	MaxDelay() time.Duration
 	// Standing is the least wait of late.
 	Standing() time.Duration
 }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -71,7 +71,7 @@
 	e := ownership.New(ownership.Options{
 		Duty: duty, Store: n.store, Directory: n.directory, Self: n.self, Weight: n.settings.weight(),
 		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Load: &d.load,
-		LeastTTL: n.settings.LeastTTL, Own: own, HandOver: n.leases.handOver, Behind: n.pressure.Behind,
+		LeastTTL: n.settings.LeastTTL, Own: own, HandOver: n.leases.handOver, Behind: n.pressure.MaxDelay,
 	})
 	ctx := d.ctx
 	d.wg.Go(func() { e.Run(ctx) })
--- a/internal/node/entryvms.go
+++ b/internal/node/entryvms.go
@@ -67,6 +67,6 @@
 func (n *Node) workersOf(cell string) engine.Workers {
 	return forward.New(forward.Options{
 		Direct: n.workers, Link: n.link, Peers: n.members, Self: n.settings.Name, Clock: n.clock,
-		Log: n.log.WithName("forward").WithValues("cell", cell), Behind: n.pressure.Behind,
+		Log: n.log.WithName("forward").WithValues("cell", cell), Behind: n.pressure.MaxDelay,
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 	n.duties = &duties{node: n, running: make(map[string]bool), engines: make(map[string]*engine.Engine)}
 	n.duties.load.May = func() bool { return !n.leaving.Load() }
 	n.operator = newOperator(n.store, n.clock, n.log.WithName("operator"), n.duties.ensure)
-	n.link = &ownerlink.Client{Log: n.log.WithName("link"), Behind: n.pressure.Behind, Configs: n.operator}
+	n.link = &ownerlink.Client{Log: n.log.WithName("link"), Behind: n.pressure.MaxDelay, Configs: n.operator}
 	n.registry = newRegistry(n.store, n.log.WithName("registry"), n.duties.registryChanged)
 	n.members = newEntryVMs(n.store, n.log.WithName("members"))
 	n.reach = &reach{
--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -26,8 +26,8 @@
 	return p
 }
 
-// Behind implements engine.Pressure.
-func (p *pressure) Behind() time.Duration {
+// MaxDelay implements engine.Pressure.
+func (p *pressure) MaxDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.meter.MaxDelay(p.clock.Now())
--- a/internal/node/pressure_test.go
+++ b/internal/node/pressure_test.go
@@ -18,8 +18,8 @@
 func TestAProbeIsMeasured(t *testing.T) {
 	p := newPressure(bootClock{})
 	p.probe()
-	assert.Assert(t, p.Behind() > 0)
-	assert.Assert(t, p.Standing() <= p.Behind())
+	assert.Assert(t, p.MaxDelay() > 0)
+	assert.Assert(t, p.Standing() <= p.MaxDelay())
 	waits, is := newMetrics(p).waits().(map[string]int64)
 	assert.Assert(t, is && waits["longest"] >= waits["standing"])
 }
