--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -20,7 +20,7 @@
 	if e.SchedulingDelay == nil {
 		return 0
 	}
-	return e.SchedulingDelay.Standing()
+	return e.SchedulingDelay.MinDelay()
 }
 
 // within gives a call so much time, and more while this owner is behind.
--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -16,7 +16,7 @@
 type pressed struct{ behind, standing time.Duration }
 
 func (p *pressed) MaxDelay() time.Duration { return p.behind }
-func (p *pressed) Standing() time.Duration { return p.standing }
+func (p *pressed) MinDelay() time.Duration { return p.standing }
 
 // An owner reads answers a second late. Workers that answered in time would pass for silent:
 // their leases are not extended, their tasks lapse and are done again.
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -104,8 +104,8 @@
 type DelayMeter interface {
 	// MaxDelay is the longest wait of the last second.
 	MaxDelay() time.Duration
-	// Standing is the least wait of late.
-	Standing() time.Duration
+	// MinDelay is the least wait of late.
+	MinDelay() time.Duration
 }
 
 // Workers gives orders to workers.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -62,7 +62,7 @@
 // waits tells how long what is ready to run waits for the processor, in microseconds; 0
 // where this entry VM has no cell.
 func (m *metrics) waits() any {
-	return map[string]int64{"longest": m.pressure.MaxDelay().Microseconds(), "standing": m.pressure.Standing().Microseconds()}
+	return map[string]int64{"longest": m.pressure.MaxDelay().Microseconds(), "standing": m.pressure.MinDelay().Microseconds()}
 }
 
 func (m *metrics) quantiles() any {
--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -33,8 +33,8 @@
 	return p.meter.MaxDelay(p.clock.Now())
 }
 
-// Standing implements engine.Pressure.
-func (p *pressure) Standing() time.Duration {
+// MinDelay implements engine.Pressure.
+func (p *pressure) MinDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.meter.MinDelay(p.clock.Now())
--- a/internal/node/pressure_test.go
+++ b/internal/node/pressure_test.go
@@ -19,7 +19,7 @@
 	p := newPressure(bootClock{})
 	p.probe()
 	assert.Assert(t, p.MaxDelay() > 0)
-	assert.Assert(t, p.Standing() <= p.MaxDelay())
+	assert.Assert(t, p.MinDelay() <= p.MaxDelay())
 	waits, is := newMetrics(p).waits().(map[string]int64)
 	assert.Assert(t, is && waits["longest"] >= waits["standing"])
 }
