--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -41,8 +41,8 @@
 	return e.relief.Due(level, e.Successor, held, now) || resting && e.relief.DueWhenIdle(e.Successor, held, now)
 }
 
-// Strain takes over how long what is ready to run waits for the processor at the least.
-func (c *Core) Strain(standing, now time.Duration) {
+// AdjustLoad takes over how long what is ready to run waits for the processor at the least.
+func (c *Core) AdjustLoad(standing, now time.Duration) {
 	before := c.governor.Level()
 	c.governor.Adjust(standing, now)
 	after := c.governor.Level()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -221,7 +221,7 @@
 	if e.RegistryCompleteAt != nil {
 		e.core.RoomKnown(e.RegistryCompleteAt())
 	}
-	e.core.Strain(e.standing(), now)
+	e.core.AdjustLoad(e.standing(), now)
 	e.core.LimitStarts(int(e.starts.Load()))
 	orders := e.core.Plan(now, e.Clock.Wall())
 	deposed := e.core.Deposed()
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -179,7 +179,7 @@
 
 func (o *owner) plan() {
 	if o.guarded {
-		o.core.Strain(o.meter.MinDelay(o.now), o.now)
+		o.core.AdjustLoad(o.meter.MinDelay(o.now), o.now)
 		o.core.LimitStarts(o.starts)
 	}
 	orders := o.core.Plan(o.now, o.wall)
