--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -35,7 +35,7 @@
 	}
 	now := e.Clock.Now()
 	e.mu.Lock()
-	level, resting := e.core.Level(), len(e.core.open) == 0
+	level, resting := e.core.OverloadLevel(), len(e.core.open) == 0
 	e.mu.Unlock()
 	held := now - e.began
 	return e.relief.Due(level, e.Successor, held, now) || resting && e.relief.DueWhenIdle(e.Successor, held, now)
@@ -51,8 +51,8 @@
 	}
 }
 
-// Level is by how much less this owner does as it is behind; 1 is nothing less.
-func (c *Core) Level() float64 { return c.governor.Level() }
+// OverloadLevel is by how much less this owner does as it is behind; 1 is nothing less.
+func (c *Core) OverloadLevel() float64 { return c.governor.Level() }
 
 // LimitStarts bounds the starts of the next plan; underWay have no answer yet.
 func (c *Core) LimitStarts(underWay int) { c.mayStart = c.governor.StartsLeft(underWay) }
--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -97,7 +97,7 @@
 	usual := e.core.pollPause()
 	assert.ErrorIs(t, e.planLoop(t.Context()), ErrNotReady)
 	assert.Equal(t, term.ended, "relieved")
-	assert.Assert(t, e.core.Level() > 1)
+	assert.Assert(t, e.core.OverloadLevel() > 1)
 	assert.Assert(t, e.core.pollPause() > usual)
 	assert.Assert(t, e.core.mayStart < overload.MaxStarts)
 }
