--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -60,5 +60,5 @@
 // pollPause is the pause between two polls of a worker.
 func (c *Core) pollPause() time.Duration { return c.governor.PollPause(polling.MinInterval(c.busy)) }
 
-// Held reports whether the last plan kept starts back until others are answered.
-func (c *Core) Held() bool { return c.held }
+// StartsDeferred reports whether the last plan kept starts back until others are answered.
+func (c *Core) StartsDeferred() bool { return c.held }
--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -62,13 +62,13 @@
 	b.core.LimitStarts(overload.MaxStarts - 5)
 	first := b.plan()
 	assert.Equal(t, len(first.Starts), 8, "jobs are begun whole")
-	assert.Assert(t, b.core.Held())
+	assert.Assert(t, b.core.StartsDeferred())
 	b.core.LimitStarts(overload.MaxStarts)
 	assert.Equal(t, len(b.plan().Starts), 0)
 	b.answer(first, OutcomeOK)
 	b.core.LimitStarts(0)
 	assert.Equal(t, len(b.plan().Starts), 4)
-	assert.Assert(t, !b.core.Held())
+	assert.Assert(t, !b.core.StartsDeferred())
 }
 
 // running is a clock on which each look takes a while.
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -208,7 +208,7 @@
 			out = OutcomeUnknown
 		}
 		o.core.StartAnswered(s, out, o.now, o.now)
-		if out != OutcomeOK || o.core.Held() {
+		if out != OutcomeOK || o.core.StartsDeferred() {
 			o.kick()
 		}
 	})
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -52,7 +52,7 @@
 	e.Metrics.start(out)
 	e.mu.Lock()
 	e.core.StartAnswered(o, out, clock, e.Clock.Now())
-	held := e.core.Held()
+	held := e.core.StartsDeferred()
 	e.mu.Unlock()
 	e.wake(o.Worker.ID)
 	if out != OutcomeOK || held {
