--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -219,7 +219,7 @@
 		e.core.Confirm(e.Configs.Confirmed())
 	}
 	if e.RegistryCompleteAt != nil {
-		e.core.RoomKnown(e.RegistryCompleteAt())
+		e.core.CapacityKnownAt(e.RegistryCompleteAt())
 	}
 	e.core.AdjustLoad(e.standing(), now)
 	e.core.LimitStarts(int(e.starts.Load()))
--- a/internal/engine/room.go
+++ b/internal/engine/room.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RoomKnown says until when all that workers said of their room was taken over.
-func (c *Core) RoomKnown(at time.Duration) { c.roomKnown = at }
+// CapacityKnownAt says until when all that workers said of their room was taken over.
+func (c *Core) CapacityKnownAt(at time.Duration) { c.roomKnown = at }
 
 // roomInDoubt reports whether a worker may have less room than is known here. It matters
 // where workers start all that they are told to: one that shrank while its owner did not
--- a/internal/engine/room_test.go
+++ b/internal/engine/room_test.go
@@ -55,7 +55,7 @@
 		d := b.core.declared
 		d.Version, d.Services = 2, map[string]Service{service: {Name: service, Unguarded: unguarded}}
 		b.core.Declare(d)
-		b.core.RoomKnown(b.now)
+		b.core.CapacityKnownAt(b.now)
 		b.worker("w1")
 		b.accept("j1", short(1))
 		assert.Equal(t, len(b.plan().Starts), 1)
@@ -63,7 +63,7 @@
 		b.now += within
 		b.accept("j2", short(1))
 		assert.Equal(t, len(b.plan().Starts) == 0, unguarded)
-		b.core.RoomKnown(b.now)
+		b.core.CapacityKnownAt(b.now)
 		b.accept("j3", short(1))
 		assert.Assert(t, len(b.plan().Starts) > 0)
 	}
