--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -17,7 +17,7 @@
 	b.Helper()
 	now := time.Hour
 	c := NewCore(service, token, Bounds{MaxLease: 10 * time.Second}, logr.Discard())
-	c.Declare(Declared{Version: 1, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 3, Stretch: 1.6}}})
+	c.Configure(Declared{Version: 1, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 3, Stretch: 1.6}}})
 	c.AllowUntil(now + 1000*time.Hour)
 	c.SetCertain(true)
 	for i := range workers {
@@ -63,7 +63,7 @@
 				name := work.WorkspaceName(fmt.Sprintf("ws%d", i))
 				d.Workspaces[name] = workspace.Workspace{Name: name, Limit: short(1).Size.Times(c.limit)}
 			}
-			core.Declare(d)
+			core.Configure(d)
 			for i := range waiting {
 				name := work.WorkspaceName(fmt.Sprintf("ws%d", i%workspaces))
 				j := &work.Job{ID: work.JobID(fmt.Sprintf("%016x", i)), Queue: queue, Workspace: name, Steps: []work.Step{short(8)}}
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// Declare takes the operator's configuration over. A job stays with the service
+// Configure takes the operator's configuration over. A job stays with the service
 // that its queue led to when it was accepted.
-func (c *Core) Declare(d Declared) {
+func (c *Core) Configure(d Declared) {
 	if c.declared.Version == d.Version {
 		return
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -214,7 +214,7 @@
 	now := e.Clock.Now()
 	e.mu.Lock()
 	e.authority()
-	e.core.Declare(e.Declared())
+	e.core.Configure(e.Declared())
 	if e.Configs != nil {
 		e.core.Confirm(e.Configs.Confirmed())
 	}
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -40,7 +40,7 @@
 
 func (b *rig) successorWithin(token int64, bounds Bounds) *Core {
 	c := NewCore(service, token, bounds, rigLog)
-	c.Declare(Declared{
+	c.Configure(Declared{
 		Version:  1,
 		Queues:   map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 3, Stretch: 1.6, Slack: 600 * time.Millisecond}},
 		Services: map[string]Service{service: {Name: service}},
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -95,7 +95,7 @@
 
 // hear lets the owner know the configuration in force.
 func (w *limitWorld) hear(o *modelOwner) {
-	o.core.Declare(Declared{
+	o.core.Configure(Declared{
 		Version: int64(len(w.limits)) + 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}},
 		Services:   map[string]Service{service: {Name: service}, otherCell: {Name: otherCell}},
 		Workspaces: map[work.WorkspaceName]workspace.Workspace{limitedName: {Name: limitedName, Limit: w.limit()}},
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -36,7 +36,7 @@
 
 // limit declares a limit of so many tasks of short's size.
 func (r *limitRig) limit(c *Core, version, tasks int64) {
-	c.Declare(Declared{
+	c.Configure(Declared{
 		Version: version, Queues: c.declared.Queues,
 		Services:   map[string]Service{service: {Name: service}, otherCell: {Name: otherCell}},
 		Workspaces: map[work.WorkspaceName]workspace.Workspace{redName: {Name: redName, Limit: short(1).Size.Times(tasks)}},
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -144,7 +144,7 @@
 	}
 	b := &rig{t: m.t, now: m.now, wall: epoch}
 	o := &modelOwner{core: b.successorWithin(m.token, m.bounds), cut: make(map[work.WorkerID]bool)}
-	o.core.Declare(Declared{Version: 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}}})
+	o.core.Configure(Declared{Version: 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}}})
 	if m.limited != nil {
 		m.limited.hear(o)
 		o.core.RestoreLedger(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: m.limited.value, ModRevision: m.limited.rev})
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -121,7 +121,7 @@
 	now, wall := e.Clock.Now(), e.Clock.Wall()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Declare(e.Declared())
+	e.core.Configure(e.Declared())
 	for _, kv := range ledgers {
 		e.core.RestoreLedger(kv)
 	}
--- a/internal/engine/room_test.go
+++ b/internal/engine/room_test.go
@@ -54,7 +54,7 @@
 		b.core = b.successorWithin(token, Bounds{MaxLease: rigBounds.MaxLease, StopGrace: rigBounds.StopGrace, MaxCapacityAge: within})
 		d := b.core.declared
 		d.Version, d.Services = 2, map[string]Service{service: {Name: service, Unguarded: unguarded}}
-		b.core.Declare(d)
+		b.core.Configure(d)
 		b.core.CapacityKnownAt(b.now)
 		b.worker("w1")
 		b.accept("j1", short(1))
--- a/internal/engine/weights_test.go
+++ b/internal/engine/weights_test.go
@@ -27,7 +27,7 @@
 	for _, w := range workspaces {
 		declared.Workspaces[w.Name] = w
 	}
-	b.core.Declare(declared)
+	b.core.Configure(declared)
 	ids := []work.WorkerID{"w1", "w2"}
 	for _, id := range ids {
 		b.worker(id)
