--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -239,8 +239,8 @@
 	}
 }
 
-// Waits reports whether anything waits for room.
-func (r *CellReport) Waits() bool { return r.Backlog > 0 || r.ExpiredBacklog > 0 }
+// HasBacklog reports whether anything waits for room.
+func (r *CellReport) HasBacklog() bool { return r.Backlog > 0 || r.ExpiredBacklog > 0 }
 
 // mostCapacity is, for each kind of resource by itself, the most that any VM known
 // to the cell has.
--- a/internal/engine/leftover_test.go
+++ b/internal/engine/leftover_test.go
@@ -28,5 +28,5 @@
 	r := b.core.report(b.now)
 	assert.Assert(t, r.ExpiredBacklog > 0)
 	assert.Assert(t, r.Backlog > 0)
-	assert.Assert(t, r.Waits())
+	assert.Assert(t, r.HasBacklog())
 }
--- a/internal/fleetowner/fleet.go
+++ b/internal/fleetowner/fleet.go
@@ -126,7 +126,7 @@
 		return true
 	}
 	for _, c := range f.cells {
-		if c.Waits() || c.Arriving > 0 || c.MissingVMs > 0 || c.TrialVMs > 0 {
+		if c.HasBacklog() || c.Arriving > 0 || c.MissingVMs > 0 || c.TrialVMs > 0 {
 			return true
 		}
 	}
