--- a/internal/engine/advice.go
+++ b/internal/engine/advice.go
@@ -10,8 +10,8 @@
 // Advice is asked for in small batches: each worker asked about takes the
 // advisor's time, and the deployments' objectives count one call on 30.
 const (
-	adviceBatch = 30
-	adviceAgain = 1500 * time.Millisecond
+	maxAdviceBatch      = 30
+	adviceRetryInterval = 1500 * time.Millisecond
 	// ticketMargin keeps a start from arriving with a ticket that just ran out.
 	ticketMargin = 150 * time.Millisecond
 )
@@ -30,19 +30,19 @@
 // askAdvice orders a question about workers with room where the step has fewer
 // tickets than tasks that wait.
 func (s *step) askAdvice(workers []*taskplan.Worker, permitted map[work.WorkerID]bool, now time.Duration, out *Orders) {
-	if s.asking || len(permitted) >= s.pending || s.asked != 0 && now < s.asked+adviceAgain {
+	if s.advicePending || len(permitted) >= s.pending || s.adviceAskedAt != 0 && now < s.adviceAskedAt+adviceRetryInterval {
 		return
 	}
 	var ask []work.WorkerID
 	for _, w := range workers {
-		if !permitted[w.ID] && taskplan.Reserved(s.spec).Fits(w.Free) && len(ask) < adviceBatch {
+		if !permitted[w.ID] && taskplan.Reserved(s.spec).Fits(w.Free) && len(ask) < maxAdviceBatch {
 			ask = append(ask, w.ID)
 		}
 	}
 	if len(ask) == 0 {
 		return
 	}
-	s.asking, s.asked = true, now
+	s.advicePending, s.adviceAskedAt = true, now
 	out.Advice = append(out.Advice, AdviceOrder{Step: s.ref(), Workers: ask})
 }
 
@@ -53,7 +53,7 @@
 		return
 	}
 	s := t.step
-	s.asking = false
+	s.advicePending = false
 	if s.tickets == nil {
 		s.tickets = make(map[work.WorkerID]ticket)
 	}
--- a/internal/engine/advise_test.go
+++ b/internal/engine/advise_test.go
@@ -35,6 +35,6 @@
 	b.core.workers["w1"].closedUntil = b.now + refusedPause
 	b.core.Accept(&work.Job{ID: "j1", Queue: queue, Steps: []work.Step{short(1)}}, Queue{Name: queue, Service: service, Advised: true}, b.now)
 	assert.Equal(t, len(b.plan().Advice), 0, "no worker is open")
-	b.now += refusedPause + explainEvery + adviceAgain
+	b.now += refusedPause + explainInterval + adviceRetryInterval
 	assert.Equal(t, len(b.plan().Advice), 1)
 }
--- a/internal/engine/arrivals.go
+++ b/internal/engine/arrivals.go
@@ -60,10 +60,10 @@
 	if s.spec.LongRunning {
 		return pools.DrainTime
 	}
-	held := c.learned.estimate(s)
+	held := c.durationRatios.estimate(s)
 	for _, t := range s.tasks {
 		if t.state == taskActive {
-			held = max(held, now-t.answered)
+			held = max(held, now-t.answeredAt)
 		}
 	}
 	return held
--- a/internal/engine/behind.go
+++ b/internal/engine/behind.go
@@ -8,28 +8,28 @@
 	"github.com/pumicestage/pumicestage/policy/polling"
 )
 
-// behind is the longest that anything waited for the processor of late.
-func (e *Engine) behind() time.Duration {
+// maxSchedulingDelay is the longest that anything waited for the processor of late.
+func (e *Engine) maxSchedulingDelay() time.Duration {
 	if e.SchedulingDelay == nil {
 		return 0
 	}
 	return e.SchedulingDelay.MaxDelay()
 }
 
-func (e *Engine) standing() time.Duration {
+func (e *Engine) minSchedulingDelay() time.Duration {
 	if e.SchedulingDelay == nil {
 		return 0
 	}
 	return e.SchedulingDelay.MinDelay()
 }
 
-// within gives a call so much time, and more while this owner is behind.
-func (e *Engine) within(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, d+overload.ExtraTimeout(e.behind()))
+// withExtraTimeout gives a call so much time, and more while this owner is behind.
+func (e *Engine) withExtraTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, d+overload.ExtraTimeout(e.maxSchedulingDelay()))
 }
 
-// relieved reports whether the cell is to be handed over to a VM that can bear it.
-func (e *Engine) relieved() bool {
+// handOverDue reports whether the cell is to be handed over to a VM that can bear it.
+func (e *Engine) handOverDue() bool {
 	if e.Successor == nil {
 		return false
 	}
@@ -37,8 +37,8 @@
 	e.mu.Lock()
 	level, resting := e.core.OverloadLevel(), len(e.core.open) == 0
 	e.mu.Unlock()
-	held := now - e.began
-	return e.relief.Due(level, e.Successor, held, now) || resting && e.relief.DueWhenIdle(e.Successor, held, now)
+	held := now - e.startedAt
+	return e.handover.Due(level, e.Successor, held, now) || resting && e.handover.DueWhenIdle(e.Successor, held, now)
 }
 
 // AdjustLoad takes over how long what is ready to run waits for the processor at the least.
@@ -47,7 +47,7 @@
 	c.governor.Adjust(standing, now)
 	after := c.governor.Level()
 	if (before == 1) != (after == 1) {
-		c.log.Info("owner behind its work", "behind", after > 1, "waits", standing.String(), "unread", c.unread, "workers", len(c.workers), "open", len(c.open))
+		c.log.Info("owner behind its work", "behind", after > 1, "waits", standing.String(), "unread", c.unreadPolls, "workers", len(c.workers), "open", len(c.open))
 	}
 }
 
@@ -55,10 +55,12 @@
 func (c *Core) OverloadLevel() float64 { return c.governor.Level() }
 
 // LimitStarts bounds the starts of the next plan; underWay have no answer yet.
-func (c *Core) LimitStarts(underWay int) { c.mayStart = c.governor.StartsLeft(underWay) }
+func (c *Core) LimitStarts(underWay int) { c.startsLeft = c.governor.StartsLeft(underWay) }
 
 // pollPause is the pause between two polls of a worker.
-func (c *Core) pollPause() time.Duration { return c.governor.PollPause(polling.MinInterval(c.busy)) }
+func (c *Core) pollPause() time.Duration {
+	return c.governor.PollPause(polling.MinInterval(c.busyWorkers))
+}
 
 // StartsDeferred reports whether the last plan kept starts back until others are answered.
-func (c *Core) StartsDeferred() bool { return c.held }
+func (c *Core) StartsDeferred() bool { return c.startsDeferred }
--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -12,17 +12,17 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// pressed is a VM on which what is ready waits as the test says.
-type pressed struct{ behind, standing time.Duration }
+// fakeDelayMeter is a VM on which what is ready waits as the test says.
+type fakeDelayMeter struct{ behind, standing time.Duration }
 
-func (p *pressed) MaxDelay() time.Duration { return p.behind }
-func (p *pressed) MinDelay() time.Duration { return p.standing }
+func (p *fakeDelayMeter) MaxDelay() time.Duration { return p.behind }
+func (p *fakeDelayMeter) MinDelay() time.Duration { return p.standing }
 
 // An owner reads answers a second late. Workers that answered in time would pass for silent:
 // their leases are not extended, their tasks lapse and are done again.
 func TestAnOwnerThatIsBehindTakesNoWorkerForSilent(t *testing.T) {
 	e, _ := newEngine(t, &fakeTerm{certain: true})
-	vm := &pressed{behind: time.Second}
+	vm := &fakeDelayMeter{behind: time.Second}
 	e.SchedulingDelay = vm
 	e.Workers = silentWorkers{}
 	e.core.WorkerSeen(info("w1"))
@@ -71,35 +71,35 @@
 	assert.Assert(t, !b.core.StartsDeferred())
 }
 
-// running is a clock on which each look takes a while.
-type running struct {
+// advancingClock is a clock on which each look takes a while.
+type advancingClock struct {
 	mu  sync.Mutex
 	now time.Duration
 }
 
-func (r *running) Now() time.Duration {
+func (r *advancingClock) Now() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.now += 100 * time.Millisecond
 	return r.now
 }
 
-func (r *running) Wall() time.Time { return epoch }
+func (r *advancingClock) Wall() time.Time { return epoch }
 
 // A cell's owner stays behind while another VM is free, and keeps the cell: its callers wait
 // until its processor is back. It sheds load, and then gives the cell up.
 func TestAnOwnerThatStaysBehindGivesItsCellUp(t *testing.T) {
 	term := &fakeTerm{certain: true}
 	e, _ := newEngine(t, term)
-	e.Clock = &running{now: time.Minute}
-	e.SchedulingDelay = &pressed{behind: time.Second, standing: time.Second}
+	e.Clock = &advancingClock{now: time.Minute}
+	e.SchedulingDelay = &fakeDelayMeter{behind: time.Second, standing: time.Second}
 	e.Successor = func() overload.Successor { return overload.EqualSuccessor }
 	usual := e.core.pollPause()
 	assert.ErrorIs(t, e.planLoop(t.Context()), ErrNotReady)
 	assert.Equal(t, term.ended, "relieved")
 	assert.Assert(t, e.core.OverloadLevel() > 1)
 	assert.Assert(t, e.core.pollPause() > usual)
-	assert.Assert(t, e.core.mayStart < overload.MaxStarts)
+	assert.Assert(t, e.core.startsLeft < overload.MaxStarts)
 }
 
 // Starts are kept back until others are answered. Nobody plans as they are, and the rest
@@ -111,30 +111,30 @@
 	starts := b.plan().Starts
 	assert.Equal(t, len(starts), 2)
 	e, _ := newEngine(t, &fakeTerm{certain: true})
-	e.Workers, e.core = willing{}, b.core
-	e.core.held = true
+	e.Workers, e.core = acceptingWorkers{}, b.core
+	e.core.startsDeferred = true
 	e.start(t.Context(), starts[0])
 	assert.Equal(t, len(e.planKick), 1)
 	<-e.planKick
-	e.core.held = false
+	e.core.startsDeferred = false
 	e.start(t.Context(), starts[1])
 	assert.Equal(t, len(e.planKick), 0)
 }
 
-// willing workers start what they are told to.
-type willing struct{ Workers }
+// acceptingWorkers workers start what they are told to.
+type acceptingWorkers struct{ Workers }
 
-func (willing) Start(context.Context, *WorkerInfo, Start) (Outcome, time.Duration) {
+func (acceptingWorkers) Start(context.Context, *WorkerInfo, Start) (Outcome, time.Duration) {
 	return OutcomeOK, 0
 }
 
-// asked is a worker that notes how long its answer was waited for.
-type asked struct {
+// stopTimeoutRecorder is a worker that notes how long its answer was waited for.
+type stopTimeoutRecorder struct {
 	Workers
 	within time.Duration
 }
 
-func (a *asked) Stop(ctx context.Context, _ *WorkerInfo, _ work.TaskRef, _ int, _ int64) Outcome {
+func (a *stopTimeoutRecorder) Stop(ctx context.Context, _ *WorkerInfo, _ work.TaskRef, _ int, _ int64) Outcome {
 	end, _ := ctx.Deadline()
 	a.within = time.Until(end)
 	return OutcomeOK
@@ -143,8 +143,8 @@
 // An owner that reads answers late gives its calls the usual time, and all of them fail.
 func TestAnOwnerThatIsBehindWaitsLongerForAnswers(t *testing.T) {
 	e, _ := newEngine(t, &fakeTerm{certain: true})
-	e.SchedulingDelay = &pressed{behind: time.Hour}
-	w := &asked{}
+	e.SchedulingDelay = &fakeDelayMeter{behind: time.Hour}
+	w := &stopTimeoutRecorder{}
 	e.Workers = w
 	e.stop(t.Context(), StopOrder{Worker: info("w1")})
 	assert.Assert(t, w.within > orderTimeout, "%s", w.within)
--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -110,30 +110,30 @@
 	e.fleetToken = s.Token
 	var a CellAnswer
 	for _, o := range s.Orders {
-		a.Taken = append(a.Taken, e.core.obey(o, s.Token, now))
+		a.Taken = append(a.Taken, e.core.applyOrder(o, s.Token, now))
 	}
 	if len(s.Orders) > 0 {
 		kick(e.planKick)
 	}
-	if unknown := e.core.unknown(s.Joined); len(unknown) > 0 && e.Lookup != nil {
+	if unknown := e.core.unknownWorkers(s.Joined); len(unknown) > 0 && e.Lookup != nil {
 		e.Lookup(unknown)
 	}
 	a.Report = e.core.report(now)
 	return a, nil
 }
 
-// unknown returns those of the workers that were neither seen nor are over.
-func (c *Core) unknown(ids []work.WorkerID) []work.WorkerID {
+// unknownWorkers returns those of the workers that were neither seen nor are over.
+func (c *Core) unknownWorkers(ids []work.WorkerID) []work.WorkerID {
 	var out []work.WorkerID
 	for _, id := range ids {
-		if c.workers[id] == nil && len(c.over[id]) == 0 {
+		if c.workers[id] == nil && len(c.endedIncarnations[id]) == 0 {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func (c *Core) obey(o CellOrder, token int64, now time.Duration) bool {
+func (c *Core) applyOrder(o CellOrder, token int64, now time.Duration) bool {
 	w := c.workers[o.Worker]
 	if w == nil {
 		return o.Kind == OrderWorkerRemoved || o.Kind == OrderOpen
@@ -182,11 +182,11 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), MissingVMs: c.short(now), TrialVMs: c.wantedForTrials(now), SerialMoves: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
+	r := CellReport{Arriving: c.arrivalRate(now), MissingVMs: c.missingVMs(now), TrialVMs: c.wantedForTrials(now), SerialMoves: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
-	most := c.mostCapacity()
+	most := c.maxCapacity()
 	settled := c.settled(now)
 	for _, j := range c.open {
 		// What may not start yet waits for workers that are not heard, not for room. A pool
@@ -194,11 +194,11 @@
 		if j.restored && !settled {
 			continue
 		}
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				// What fits on no VM would draw VMs for ever.
 				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(most) && !c.atLimit(s) {
-					r.addWaiting(s, o.tier, float64(n)*c.waitsFor(s, now).Seconds()*s.spec.Size.Cores())
+					r.addBacklog(s, o.tier, float64(n)*c.waitsFor(s, now).Seconds()*s.spec.Size.Cores())
 				}
 			}
 		}
@@ -224,7 +224,7 @@
 	r.Workers = append(r.Workers, wr)
 }
 
-func (r *CellReport) addWaiting(s *step, tier joborder.Tier, coreSeconds float64) {
+func (r *CellReport) addBacklog(s *step, tier joborder.Tier, coreSeconds float64) {
 	useful, leftover := coreSeconds, 0.0
 	if tier == joborder.TierExpired {
 		useful, leftover = 0, coreSeconds
@@ -242,9 +242,9 @@
 // HasBacklog reports whether anything waits for room.
 func (r *CellReport) HasBacklog() bool { return r.Backlog > 0 || r.ExpiredBacklog > 0 }
 
-// mostCapacity is, for each kind of resource by itself, the most that any VM known
+// maxCapacity is, for each kind of resource by itself, the most that any VM known
 // to the cell has.
-func (c *Core) mostCapacity() work.Resources {
+func (c *Core) maxCapacity() work.Resources {
 	most := c.largestVM
 	for _, w := range c.workers {
 		most = most.Max(w.info.Capacity)
@@ -252,36 +252,36 @@
 	return most
 }
 
-// shortAfter is how long a lasting task waits before it counts as one that finds
+// placementGrace is how long a lasting task waits before it counts as one that finds
 // no place: a plan comes within some milliseconds.
-const shortAfter = 200 * time.Millisecond
+const placementGrace = 200 * time.Millisecond
 
-// short is how many more VMs the lasting tasks need. Cores that are free don't
+// missingVMs is how many more VMs the lasting tasks need. Cores that are free don't
 // tell: a step's limit of tasks on one VM asks for different VMs, and a task that
 // is to leave a VM for maintenance needs a place before it may.
-func (c *Core) short(now time.Duration) int {
+func (c *Core) missingVMs(now time.Duration) int {
 	need := 0
 	for _, j := range c.open {
-		if !j.LongRunning() || now < j.accepted+shortAfter {
+		if !j.LongRunning() || now < j.accepted+placementGrace {
 			continue
 		}
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
-				need = max(need, s.unplaced(now))
+				need = max(need, s.vmsForPending(now))
 			}
 		}
 	}
-	return need + c.stuckVMs(now)
+	return need + c.vmsForBlockedMoves(now)
 }
 
-// unplaced is how many VMs the step's waiting tasks need if none has room.
-func (s *step) unplaced(now time.Duration) int {
+// vmsForPending is how many VMs the step's waiting tasks need if none has room.
+func (s *step) vmsForPending(now time.Duration) int {
 	if !s.spec.LongRunning || s.pending == 0 || !s.ready() {
 		return 0
 	}
 	waiting := 0
 	for _, t := range s.tasks {
-		if t.state == taskPending && now >= t.notBefore+shortAfter {
+		if t.state == taskPending && now >= t.notBefore+placementGrace {
 			waiting++
 		}
 	}
@@ -297,7 +297,7 @@
 		if !j.LongRunning() {
 			continue
 		}
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				most = max(most, s.serialMoves())
 			}
@@ -320,33 +320,33 @@
 	return (n + each - 1) / each
 }
 
-// stuckVMs is how many VMs would let the VMs that are to be emptied go on: as many as
+// vmsForBlockedMoves is how many VMs would let the VMs that are to be emptied go on: as many as
 // one step may have tasks on the move at a time. With one at a time a wave over a
 // large pool is late, as each takes seconds to come. Steps share what comes.
-func (c *Core) stuckVMs(now time.Duration) int {
+func (c *Core) vmsForBlockedMoves(now time.Duration) int {
 	need := 0
 	for _, j := range c.open {
 		if !j.LongRunning() {
 			continue
 		}
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
-				need = max(need, min(c.stuckTasks(s, now), max(1, s.spec.MaxUnavailable)))
+				need = max(need, min(c.blockedMoves(s, now), max(1, s.spec.MaxUnavailable)))
 			}
 		}
 	}
 	return need
 }
 
-// stuckTasks counts the step's lasting tasks that are to leave their VMs and have no
+// blockedMoves counts the step's lasting tasks that are to leave their VMs and have no
 // place to go.
-func (c *Core) stuckTasks(s *step, now time.Duration) int {
+func (c *Core) blockedMoves(s *step, now time.Duration) int {
 	n := 0
 	for _, t := range s.tasks {
 		if !s.spec.LongRunning || t.state != taskActive || t.where.cordon.Kind != CordonVacate {
 			continue
 		}
-		if n == 0 && c.hasPlace(t, now) {
+		if n == 0 && c.canBePlaced(t, now) {
 			return 0
 		}
 		n++
--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -18,14 +18,14 @@
 	b.accept("j1", short(1))
 	o := b.plan()
 	claim := CellOrder{Kind: OrderClaim, Worker: "w1"}
-	assert.Assert(t, !b.core.obey(claim, token, b.now))
+	assert.Assert(t, !b.core.applyOrder(claim, token, b.now))
 	b.answer(o, OutcomeOK)
-	b.look("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
+	b.poll("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
 	b.flush()
-	assert.Assert(t, b.core.obey(claim, token, b.now))
+	assert.Assert(t, b.core.applyOrder(claim, token, b.now))
 	b.accept("j2", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
-	b.core.obey(CellOrder{Kind: OrderOpen, Worker: "w1"}, token, b.now)
+	b.core.applyOrder(CellOrder{Kind: OrderOpen, Worker: "w1"}, token, b.now)
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
@@ -35,16 +35,16 @@
 	b := newRig(t)
 	b.worker("w1")
 	b.worker("w2")
-	b.accept("j1", lasting(2))
+	b.accept("j1", longRunning(2))
 	o := b.plan()
 	b.answer(o, OutcomeOK)
 	for _, s := range o.Starts {
 		r := run(s)
 		r.Percent = fullPercent
-		b.look(s.Worker.ID, Listing{Running: []Run{r}})
+		b.poll(s.Worker.ID, Listing{Running: []Run{r}})
 	}
 	assert.Equal(t, b.core.report(b.now).MissingVMs, 0)
-	b.core.obey(CellOrder{Kind: OrderVacate, Worker: o.Starts[0].Worker.ID}, token, b.now)
+	b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: o.Starts[0].Worker.ID}, token, b.now)
 	assert.Equal(t, len(b.plan().Stops), 0)
 	assert.Equal(t, b.core.report(b.now).MissingVMs, 1)
 	b.worker("w3")
@@ -88,7 +88,7 @@
 	for _, id := range []work.WorkerID{"w1", "w2", "w3", "w4"} {
 		b.worker(id)
 	}
-	step := lasting(4)
+	step := longRunning(4)
 	step.MaxUnavailable = 2
 	b.accept("j1", step)
 	o := b.plan()
@@ -96,9 +96,9 @@
 	for i, s := range o.Starts {
 		r := run(s)
 		r.Percent = fullPercent
-		b.look(s.Worker.ID, Listing{Running: []Run{r}})
+		b.poll(s.Worker.ID, Listing{Running: []Run{r}})
 		if i < 3 {
-			b.core.obey(CellOrder{Kind: OrderVacate, Worker: s.Worker.ID}, token, b.now)
+			b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: s.Worker.ID}, token, b.now)
 		}
 	}
 	assert.Equal(t, b.core.report(b.now).MissingVMs, 2)
@@ -112,13 +112,13 @@
 	for _, id := range ids {
 		b.worker(id)
 	}
-	step := lasting(5)
+	step := longRunning(5)
 	step.MaxUnavailable = 2
 	b.accept("j1", step)
 	b.answer(b.plan(), OutcomeOK)
 	assert.Equal(t, b.core.report(b.now).SerialMoves, 0)
 	for _, id := range ids[:3] {
-		b.core.obey(CellOrder{Kind: OrderMaintenanceDue, Worker: id}, token, b.now)
+		b.core.applyOrder(CellOrder{Kind: OrderMaintenanceDue, Worker: id}, token, b.now)
 	}
 	assert.Equal(t, b.core.report(b.now).SerialMoves, 2)
 }
@@ -132,13 +132,13 @@
 	b.accept("j1", short(1))
 	o := b.plan()
 	b.answer(o, OutcomeOK)
-	b.look("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
+	b.poll("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
 	claim := CellOrder{Kind: OrderClaim, Worker: "w1"}
-	assert.Assert(t, !b.core.obey(claim, token, b.now), "it ended, and that is not stored")
+	assert.Assert(t, !b.core.applyOrder(claim, token, b.now), "it ended, and that is not stored")
 	under := b.core.TakeFlush(100)
-	assert.Assert(t, !b.core.obey(claim, token, b.now), "it is on its way")
+	assert.Assert(t, !b.core.applyOrder(claim, token, b.now), "it is on its way")
 	b.core.Flushed(under, nil)
-	assert.Assert(t, b.core.obey(claim, token, b.now))
+	assert.Assert(t, b.core.applyOrder(claim, token, b.now))
 }
 
 // Maintenance ends tasks that a new owner of the cell had not heard of yet. It
@@ -146,14 +146,14 @@
 func TestOnlyWhatIsKnownToBeEmptyIsClaimed(t *testing.T) {
 	b := newRig(t)
 	claim := CellOrder{Kind: OrderClaim, Worker: "w1"}
-	assert.Assert(t, !b.core.obey(claim, token, b.now), "not registered here")
+	assert.Assert(t, !b.core.applyOrder(claim, token, b.now), "not registered here")
 	b.core.WorkerSeen(info("w1"))
-	assert.Assert(t, !b.core.obey(claim, token, b.now), "not heard yet")
-	b.look("w1", Listing{})
+	assert.Assert(t, !b.core.applyOrder(claim, token, b.now), "not heard yet")
+	b.poll("w1", Listing{})
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
-	assert.Assert(t, !b.core.obey(claim, token, b.now), "does not answer")
-	b.look("w1", Listing{})
-	assert.Assert(t, b.core.obey(claim, token, b.now))
+	assert.Assert(t, !b.core.applyOrder(claim, token, b.now), "does not answer")
+	b.poll("w1", Listing{})
+	assert.Assert(t, b.core.applyOrder(claim, token, b.now))
 }
 
 // A whole fleet is parked before the first caller comes, and VMs that have just been drawn
@@ -174,5 +174,5 @@
 	b.worker("known")
 	b.worker("over")
 	b.core.WorkerGone("over", "test", b.now)
-	assert.DeepEqual(t, b.core.unknown([]work.WorkerID{"known", "over", "new"}), []work.WorkerID{"new"})
+	assert.DeepEqual(t, b.core.unknownWorkers([]work.WorkerID{"known", "over", "new"}), []work.WorkerID{"new"})
 }
--- a/internal/engine/committer.go
+++ b/internal/engine/committer.go
@@ -174,7 +174,7 @@
 func (c *committer) succeeded(b *batch, rev infra.Revision) {
 	c.rev = rev
 	for _, create := range b.creates {
-		c.w.engine.accepted(create.job, create.queue)
+		c.w.engine.jobStored(create.job, create.queue)
 		create.done <- nil
 	}
 	c.w.finishFlush(b, nil)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -34,71 +34,71 @@
 	log     logr.Logger
 	metrics *Metrics
 
-	declared Declared
-	jobs     map[work.JobID]*job
-	open     []*job // not ended, oldest first
-	workers  map[work.WorkerID]*worker
-	sorted   []*worker                            // these by ID; nil: to be sorted anew
-	over     map[work.WorkerID][]work.Incarnation // lives that have ended
-	stale    []staleJob                           // ended jobs, oldest first
-	learned  durations
-	sizes    map[string]*meanSize
-	limits   *limits
-	cells    []string  // among which limits are divided
-	arrivals []arrival // of late
-
-	dirty     map[work.JobID]*job
-	flying    map[work.JobID]int64  // jobs with a change under way to the store, and when each was touched
-	endings   int64                 // ends taken in so far, of all workers
-	now       time.Duration         // of the last plan or answer
-	explained time.Duration         // when work that waits was last logged
-	busy      int                   // workers with tasks, as of the last plan
-	judged    time.Duration         // when running tasks were last judged
-	astray    map[work.TaskRef]bool // tasks with a run that is to be stopped, as of this plan
-	deposed   bool
-	// startsUntil: no orders beyond it, as the owner's lease is no longer
+	declared          Declared
+	jobs              map[work.JobID]*job
+	open              []*job // not ended, oldest first
+	workers           map[work.WorkerID]*worker
+	sorted            []*worker                            // these by ID; nil: to be sorted anew
+	endedIncarnations map[work.WorkerID][]work.Incarnation // lives that have ended
+	endedJobs         []staleJob                           // ended jobs, oldest first
+	durationRatios    estimateRatios
+	sizes             map[string]*meanSize
+	limits            *limits
+	cells             []string  // among which limits are divided
+	arrivals          []arrival // of late
+
+	dirty             map[work.JobID]*job
+	storing           map[work.JobID]int64  // jobs with a change under way to the store, and when each was touched
+	endsSeen          int64                 // ends taken in so far, of all workers
+	now               time.Duration         // of the last plan or answer
+	explainedAt       time.Duration         // when work that waits was last logged
+	busyWorkers       int                   // workers with tasks, as of the last plan
+	progressCheckedAt time.Duration         // when running tasks were last judged
+	orphaned          map[work.TaskRef]bool // tasks with a run that is to be stopped, as of this plan
+	deposed           bool
+	// ordersUntil: no orders beyond it, as the owner's lease is no longer
 	// certain and a successor may rely on our silence.
-	startsUntil      time.Duration
+	ordersUntil      time.Duration
 	inherited        time.Duration // see Inherit
 	fleetKnown       bool          // the platform's list of VMs was read
-	roomKnown        time.Duration // see RoomKnown
+	capacityKnownAt  time.Duration // see RoomKnown
 	crashRate        crashes.Rate  // of workers, by themselves
 	kinds            map[kindKey]*crashes.Kind
-	unjudged         []crash
-	silences         crashes.CorrelatedLosses
+	unattributed     []crash
+	correlatedLosses crashes.CorrelatedLosses
 	trials           crashes.Trials
-	othersWaited     time.Duration // when short work other than suspects last waited
-	onsets           crashes.TimesToCrash
-	lostUnheard      bool                     // a worker crashed that this owner never heard
+	othersWaitedAt   time.Duration // when short work other than suspects last waited
+	timesToCrash     crashes.TimesToCrash
+	lostUnpolled     bool                     // a worker crashed that this owner never heard
 	presumedResolved bool                     // see resolvePresumed
-	alive            map[work.WorkerID]string // pools of the workers that it says are up
+	upWorkers        map[work.WorkerID]string // pools of the workers that it says are up
 	largestVM        work.Resources           // the most that any VM of that list has, by kind
 	certain          bool                     // no later owner can exist, see SetCertain
 	governor         overload.Governor
-	unread           int                      // polls without an answer while this owner was behind
-	mayStart         int                      // starts in a plan
-	held             bool                     // the last plan kept starts back
-	sought           map[string]time.Duration // labels that steps asked for, and when last
+	unreadPolls      int                      // polls without an answer while this owner was behind
+	startsLeft       int                      // starts in a plan
+	startsDeferred   bool                     // the last plan kept starts back
+	labelWantedAt    map[string]time.Duration // labels that steps asked for, and when last
 }
 
 // NewCore returns a core of the service that gives its orders under token.
 func NewCore(cell string, token int64, bounds Bounds, log logr.Logger) *Core {
 	return &Core{
 		cell: cell, token: token, bounds: bounds, log: log,
-		jobs:    make(map[work.JobID]*job),
-		workers: make(map[work.WorkerID]*worker),
-		over:    make(map[work.WorkerID][]work.Incarnation),
-		learned: make(durations),
-		sizes:   make(map[string]*meanSize),
-		kinds:   make(map[kindKey]*crashes.Kind),
-		limits:  newLimits(),
-		sought:  make(map[string]time.Duration),
-
-		mayStart: math.MaxInt,
-
-		dirty:  make(map[work.JobID]*job),
-		flying: make(map[work.JobID]int64),
-		astray: make(map[work.TaskRef]bool),
+		jobs:              make(map[work.JobID]*job),
+		workers:           make(map[work.WorkerID]*worker),
+		endedIncarnations: make(map[work.WorkerID][]work.Incarnation),
+		durationRatios:    make(estimateRatios),
+		sizes:             make(map[string]*meanSize),
+		kinds:             make(map[kindKey]*crashes.Kind),
+		limits:            newLimits(),
+		labelWantedAt:     make(map[string]time.Duration),
+
+		startsLeft: math.MaxInt,
+
+		dirty:    make(map[work.JobID]*job),
+		storing:  make(map[work.JobID]int64),
+		orphaned: make(map[work.TaskRef]bool),
 	}
 }
 
@@ -120,7 +120,7 @@
 
 // AllowUntil lets the core give orders until then; an earlier time than before
 // takes permission back.
-func (c *Core) AllowUntil(t time.Duration) { c.startsUntil = t }
+func (c *Core) AllowUntil(t time.Duration) { c.ordersUntil = t }
 
 // SetCertain says whether it is certain that no later owner exists. While it is
 // not, what ran on unreachable workers is not restarted: a successor on the
@@ -138,7 +138,7 @@
 	added := newJob(j, q, now)
 	c.add(added)
 	if a := added.account; a != nil {
-		added.beyond = !a.arrivals.Take(c.declared.Workspaces[a.name].Weight, now)
+		added.overShare = !a.arrivals.Take(c.declared.Workspaces[a.name].Weight, now)
 	}
 	c.arrived(added, now)
 }
@@ -152,7 +152,7 @@
 		return
 	}
 	c.open = append(c.open, j)
-	c.size(j.Queue).add(j.size)
+	c.queueSize(j.Queue).add(j.size)
 }
 
 // Known reports whether the job is one of ours.
@@ -215,22 +215,22 @@
 	if state == work.Completed {
 		c.kindOf(j).Completed(c.now)
 	}
-	c.touch(j)
+	c.markDirty(j)
 	c.open = slices.DeleteFunc(c.open, func(o *job) bool { return o == j })
 	j.eachTask(func(t *task) {
 		switch t.state {
-		case taskActive, taskStarting, taskDoubtful:
+		case taskActive, taskStarting, taskUncertain:
 			t.step.set(t, taskStopping)
 		}
 	})
 	c.log.Info("job ends", "job", j.ID, "state", state, "queue", j.Queue, "after", (c.now - j.accepted).String(), "config", c.declared.Version)
 }
 
-// touch notes that the job has something to store.
-func (c *Core) touch(j *job) {
+// markDirty notes that the job has something to store.
+func (c *Core) markDirty(j *job) {
 	if c.dirty[j.ID] == nil {
 		c.dirty[j.ID] = j
-		j.touched = c.endings
+		j.dirtySinceEnd = c.endsSeen
 	}
 }
 
@@ -242,8 +242,8 @@
 		t.where.emptySince = c.now
 		t.where = nil
 	}
-	t.stopsOver = 0
-	t.stopSent, t.stopOK, t.percent, t.gauge, t.pace = 0, 0, 0, 0, fullPercent
+	t.stopsListedFrom = 0
+	t.stopSentAt, t.stopAnsweredAt, t.percent, t.gauge, t.pace = 0, 0, 0, 0, fullPercent
 }
 
 // requeue lets the task start anew, if its job goes on.
@@ -258,12 +258,12 @@
 		t.where.remove(t)
 	}
 	t.where, t.run = w, run
-	t.movedAt = now
-	t.trialLasts = c.onsets.TrialDuration()
+	t.progressedAt = now
+	t.trialDuration = c.timesToCrash.TrialDuration()
 	w.add(t)
 	t.step.set(t, state)
 	if state == taskActive {
-		t.answered = now
+		t.answeredAt = now
 		t.step.job.begun = true
 	}
 }
@@ -276,7 +276,7 @@
 	return j.task(ref)
 }
 
-func (c *Core) size(queue string) *meanSize {
+func (c *Core) queueSize(queue string) *meanSize {
 	m := c.sizes[queue]
 	if m == nil {
 		m = &meanSize{}
@@ -300,14 +300,14 @@
 	return m.sum / float64(m.n)
 }
 
-// durations holds how long tasks really take against their estimates, by what
+// estimateRatios holds how long tasks really take against their estimates, by what
 // they run.
-type durations map[string]float64
+type estimateRatios map[string]float64
 
-// learnShare is the weight of the newest task. Jobs of one queue differ by half
+// learnWeight is the weight of the newest task. Jobs of one queue differ by half
 // their estimate and more; a tenth follows a change within some thirty tasks
 // and is not thrown by one.
-const learnShare = 0.1
+const learnWeight = 0.1
 
 func learnKey(t *step) string {
 	if t.spec.Image != "" {
@@ -316,26 +316,26 @@
 	return t.job.Queue
 }
 
-func (d durations) ratio(s *step) float64 {
+func (d estimateRatios) ratio(s *step) float64 {
 	if r, known := d[learnKey(s)]; known {
 		return r
 	}
 	return 1
 }
 
-func (d durations) learn(s *step, took time.Duration) {
+func (d estimateRatios) learn(s *step, took time.Duration) {
 	if s.spec.Estimate <= 0 || s.spec.LongRunning {
 		return
 	}
 	ratio := float64(took) / float64(s.spec.Estimate)
 	key := learnKey(s)
 	if old, known := d[key]; known {
-		ratio = old + learnShare*(ratio-old)
+		ratio = old + learnWeight*(ratio-old)
 	}
 	d[key] = ratio
 }
 
-func (d durations) estimate(s *step) time.Duration {
+func (d estimateRatios) estimate(s *step) time.Duration {
 	return time.Duration(float64(s.spec.Estimate) * d.ratio(s))
 }
 
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -19,14 +19,14 @@
 	first := b.plan()
 	assert.Equal(t, len(first.Starts), 2)
 	b.answer(first, OutcomeOK)
-	b.look("w1", Listing{Running: []Run{run(first.Starts[1])}, Ended: []RunEnd{ended(1, first.Starts[0], work.Done)}})
+	b.poll("w1", Listing{Running: []Run{run(first.Starts[1])}, Ended: []RunEnd{ended(1, first.Starts[0], work.Done)}})
 	assert.Equal(t, len(b.plan().Starts), 0, "the second step waits for all of the first")
-	b.look("w1", Listing{Ended: []RunEnd{ended(2, first.Starts[1], work.Done)}})
+	b.poll("w1", Listing{Ended: []RunEnd{ended(2, first.Starts[1], work.Done)}})
 	last := b.plan()
 	assert.Equal(t, len(last.Starts), 1)
 	assert.Equal(t, last.Starts[0].Start.Task.Step, 1)
 	b.answer(last, OutcomeOK)
-	b.look("w1", Listing{Ended: []RunEnd{ended(3, last.Starts[0], work.Done)}})
+	b.poll("w1", Listing{Ended: []RunEnd{ended(3, last.Starts[0], work.Done)}})
 
 	state, _ := b.core.State("j1")
 	assert.Equal(t, state, work.Running)
@@ -45,14 +45,14 @@
 	o := b.plan()
 	b.answer(o, OutcomeOK)
 	end := Listing{Running: []Run{run(o.Starts[1])}, Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}}
-	b.look("w1", end)
-	assert.Equal(t, b.look("w1", end).AckedThrough, int64(0))
+	b.poll("w1", end)
+	assert.Equal(t, b.poll("w1", end).AckedThrough, int64(0))
 
 	f := b.core.TakeFlush(100)
 	b.core.Flushed(f, ErrUncertain)
-	assert.Equal(t, b.look("w1", end).AckedThrough, int64(0), "not stored: not acknowledged")
+	assert.Equal(t, b.poll("w1", end).AckedThrough, int64(0), "not stored: not acknowledged")
 	b.flush()
-	assert.Equal(t, b.look("w1", end).AckedThrough, int64(1))
+	assert.Equal(t, b.poll("w1", end).AckedThrough, int64(1))
 }
 
 // The caller sees one task run twice at the same time. A start got no answer, so
@@ -65,15 +65,15 @@
 	o := b.plan()
 	b.answer(o, OutcomeUnknown)
 	assert.Equal(t, len(b.plan().Stops), 0, "a poll tells first whether it runs")
-	b.look("w1", Listing{})
+	b.poll("w1", Listing{})
 	stop := b.plan()
 	assert.Equal(t, len(stop.Stops), 1)
 	assert.Equal(t, len(stop.Starts), 0)
 	b.core.StopAnswered(stop.Stops[0], OutcomeOK, b.now)
 
-	b.look("w1", Listing{Running: []Run{run(o.Starts[0])}})
+	b.poll("w1", Listing{Running: []Run{run(o.Starts[0])}})
 	assert.Equal(t, len(b.plan().Starts), 0, "it is still being stopped")
-	b.look("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Stopped)}})
+	b.poll("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Stopped)}})
 	again := b.plan()
 	assert.Equal(t, len(again.Starts), 1)
 	assert.Assert(t, again.Starts[0].Start.Run > o.Starts[0].Start.Run)
@@ -87,7 +87,7 @@
 	b.accept("j1", short(1))
 	o := b.plan()
 	b.answer(o, OutcomeUnknown)
-	b.look("w1", Listing{Running: []Run{run(o.Starts[0])}})
+	b.poll("w1", Listing{Running: []Run{run(o.Starts[0])}})
 	next := b.plan()
 	assert.Equal(t, len(next.Stops)+len(next.Starts), 0)
 }
@@ -99,7 +99,7 @@
 	b.worker("w1")
 	b.accept("j1", short(1))
 	b.answer(b.plan(), OutcomeOK)
-	h := b.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
+	h := b.poll("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
 	assert.Assert(t, h.Deadline > 0)
 	b.worker("w2")
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
@@ -122,24 +122,24 @@
 	for _, id := range []work.WorkerID{"w1", "w2", "w3", "w4"} {
 		b.worker(id)
 	}
-	b.accept("j1", lasting(3))
+	b.accept("j1", longRunning(3))
 	o := b.plan()
 	assert.Equal(t, len(o.Starts), 3)
 	b.answer(o, OutcomeOK)
 	list := func(s StartOrder, percent int) {
 		r := run(s)
 		r.Percent = percent
-		b.look(s.Worker.ID, Listing{Running: []Run{r}})
+		b.poll(s.Worker.ID, Listing{Running: []Run{r}})
 	}
 	list(o.Starts[0], 100)
 	list(o.Starts[1], 100)
 	list(o.Starts[2], 40)
-	b.core.obey(CellOrder{Kind: OrderVacate, Worker: o.Starts[0].Worker.ID}, token, b.now)
+	b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: o.Starts[0].Worker.ID}, token, b.now)
 	assert.Equal(t, len(b.plan().Stops), 0, "the third is not at work yet")
 	list(o.Starts[2], 100)
 	moved := b.plan()
 	assert.Equal(t, len(moved.Stops), 1)
-	b.core.obey(CellOrder{Kind: OrderVacate, Worker: o.Starts[1].Worker.ID}, token, b.now)
+	b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: o.Starts[1].Worker.ID}, token, b.now)
 	assert.Equal(t, len(b.plan().Stops), 0, "one is away already")
 }
 
@@ -176,7 +176,7 @@
 	for i, s := range o.Starts {
 		ends = append(ends, ended(int64(i+1), s, work.Faulted))
 	}
-	b.look("bad", Listing{Ended: ends})
+	b.poll("bad", Listing{Ended: ends})
 	assert.Equal(t, len(b.plan().Starts), 0)
 	b.worker("good")
 	assert.Equal(t, len(b.plan().Starts), 3)
@@ -215,7 +215,7 @@
 	for i, s := range o.Starts {
 		id := s.Worker.ID
 		ends[id] = append(ends[id], ended(int64(len(ends[id])+1), s, work.Done))
-		b.look(id, Listing{Ended: ends[id]})
+		b.poll(id, Listing{Ended: ends[id]})
 		if i%3 == 2 {
 			b.core.Flushed(b.core.TakeFlush(endEntries), nil)
 		}
@@ -238,7 +238,7 @@
 	b.answer(b.plan(), OutcomeUnknown)
 	b.accept("j2", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
-	b.look("dark", Listing{})
+	b.poll("dark", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 1, "a poll was answered")
 }
 
@@ -249,7 +249,7 @@
 	b.accept("j1", short(1))
 	o := b.plan()
 	b.answer(o, OutcomeOK)
-	b.look("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
+	b.poll("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
 	b.flush()
 	b.now += keepEnded / 2
 	b.plan()
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -68,7 +68,7 @@
 		}
 		return time.Second
 	}
-	w.submit("lasts", lasting(4))
+	w.submit("lasts", longRunning(4))
 	w.submit("bad", short(3))
 	for _, id := range []work.JobID{"s1", "s2", "s3"} {
 		w.submit(id, short(3))
@@ -99,7 +99,7 @@
 	w := newCrashWorld(t, 8)
 	w.takes = func(work.TaskRef) time.Duration { return 0 }
 	w.faulty(crashTick, "bad")
-	step := lasting(3)
+	step := longRunning(3)
 	step.AntiAffinity = 0
 	w.submit("bad", step)
 	w.run(40 * time.Second)
@@ -166,10 +166,10 @@
 			b.core.WorkerGone("w1", "test", b.now)
 		},
 		"vacated": func(b *rig) {
-			b.core.obey(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
+			b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
 			b.core.WorkerGone("w1", "test", b.now)
 		},
-		"taken away": func(b *rig) { b.core.obey(CellOrder{Kind: OrderWorkerRemoved, Worker: "w1"}, 1, b.now) },
+		"taken away": func(b *rig) { b.core.applyOrder(CellOrder{Kind: OrderWorkerRemoved, Worker: "w1"}, 1, b.now) },
 	}
 	for name, by := range leave {
 		t.Run(name, func(t *testing.T) {
@@ -194,7 +194,7 @@
 		return 600 * time.Millisecond
 	}
 	w.faulty(crashTick, "bad")
-	w.submit("lasts", lasting(4))
+	w.submit("lasts", longRunning(4))
 	for _, id := range soundJobs {
 		w.submit(id, short(4))
 	}
@@ -298,7 +298,7 @@
 	small := work.Resources{MilliCPU: 500, MemoryMB: 200}
 	first, second := short(6), short(4)
 	first.Size, second.Size, second.After = small, small, []int{0}
-	lasts := lasting(5)
+	lasts := longRunning(5)
 	lasts.Size = small
 	for i := range 3 {
 		w.submit(work.JobID(fmt.Sprintf("l%d", i)), lasts)
@@ -408,7 +408,7 @@
 	assert.Equal(t, len(b.plan().Starts), 0)
 	_, _, due := b.core.HoldFor("w1", b.now)
 	assert.Equal(t, due, true, "it is asked")
-	b.look("w1", Listing{})
+	b.poll("w1", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
@@ -422,7 +422,7 @@
 	w.takeOver()
 	task := w.core.find(work.TaskRef{StepRef: work.StepRef{Job: "bad"}})
 	before := len(task.crashes)
-	assert.Assert(t, task.presumed != 0)
+	assert.Assert(t, task.presumedRun != 0)
 	w.core.clearPresumed(task, 1)
 	assert.Equal(t, len(task.crashes), before)
 	w.core.clearPresumed(task, 2)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -116,9 +116,9 @@
 	// fleetToken is of the last owner of the fleet that gave orders.
 	fleetToken int64
 
-	relief overload.Handover
-	began  time.Duration // of the term
-	starts atomic.Int64  // given and not answered yet
+	handover         overload.Handover
+	startedAt        time.Duration // of the term
+	unansweredStarts atomic.Int64  // given and not answered yet
 
 	planKick  chan struct{}
 	storeKick chan struct{}
@@ -153,11 +153,11 @@
 		e.wg.Wait()
 	}()
 	e.ctx = ctx
-	e.began = e.Clock.Now()
+	e.startedAt = e.Clock.Now()
 	if err := e.restore(ctx); err != nil {
 		return err
 	}
-	e.Log.Info("took over", "cell", e.Cell, "token", e.Term.Token(), "jobs", len(e.core.jobs), "open", len(e.core.open), "took", (e.Clock.Now() - e.began).String())
+	e.Log.Info("took over", "cell", e.Cell, "token", e.Term.Token(), "jobs", len(e.core.jobs), "open", len(e.core.open), "took", (e.Clock.Now() - e.startedAt).String())
 	e.mu.Lock()
 	e.restored = true
 	e.mu.Unlock()
@@ -173,18 +173,18 @@
 
 // Pace of planning.
 const (
-	// planEvery replans although nothing happened: leases run out, pauses end.
-	planEvery = 100 * time.Millisecond
+	// planInterval replans although nothing happened: leases run out, pauses end.
+	planInterval = 100 * time.Millisecond
 	// planPause lets what happens together be planned together.
 	planPause = 2 * time.Millisecond
-	// planShare bounds the share of time that plans take, as one to so many:
+	// planTimeDivisor bounds the share of time that plans take, as one to so many:
 	// at every answer of a hundred busy workers a long plan would take the
 	// processor from the answers themselves, and leases would run out.
-	planShare = 5
+	planTimeDivisor = 5
 )
 
 func (e *Engine) planLoop(ctx context.Context) error {
-	tick := time.NewTicker(planEvery)
+	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	pause := planPause
 	for {
@@ -197,12 +197,12 @@
 		}
 		began := e.Clock.Now()
 		ok := e.plan(ctx)
-		pause = min(planEvery, max(planPause, planShare*(e.Clock.Now()-began)))
+		pause = min(planInterval, max(planPause, planTimeDivisor*(e.Clock.Now()-began)))
 		if !ok {
 			e.Term.End("a later owner is known")
 			return ErrNotReady
 		}
-		if e.relieved() {
+		if e.handOverDue() {
 			e.Term.Relieve()
 			return ErrNotReady
 		}
@@ -213,7 +213,7 @@
 func (e *Engine) plan(ctx context.Context) bool {
 	now := e.Clock.Now()
 	e.mu.Lock()
-	e.authority()
+	e.updateAuthority()
 	e.core.Configure(e.Declared())
 	if e.Configs != nil {
 		e.core.Confirm(e.Configs.Confirmed())
@@ -221,8 +221,8 @@
 	if e.RegistryCompleteAt != nil {
 		e.core.CapacityKnownAt(e.RegistryCompleteAt())
 	}
-	e.core.AdjustLoad(e.standing(), now)
-	e.core.LimitStarts(int(e.starts.Load()))
+	e.core.AdjustLoad(e.minSchedulingDelay(), now)
+	e.core.LimitStarts(int(e.unansweredStarts.Load()))
 	orders := e.core.Plan(now, e.Clock.Wall())
 	deposed := e.core.Deposed()
 	all, final := e.core.Dirty()
@@ -242,8 +242,8 @@
 	return true
 }
 
-// authority tells the core how far its orders may go. The engine is locked.
-func (e *Engine) authority() {
+// updateAuthority tells the core how far its orders may go. The engine is locked.
+func (e *Engine) updateAuthority() {
 	e.core.AllowUntil(e.Term.AllowedUntil())
 	e.core.SetCertain(e.Term.Certain())
 }
@@ -264,8 +264,8 @@
 	return e.writer.create(ctx, j, q)
 }
 
-// accepted hands a stored job to the core.
-func (e *Engine) accepted(j *work.Job, q Queue) {
+// jobStored hands a stored job to the core.
+func (e *Engine) jobStored(j *work.Job, q Queue) {
 	e.mu.Lock()
 	e.core.Accept(j, q, e.Clock.Now())
 	e.mu.Unlock()
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -90,7 +90,7 @@
 }
 
 var taskStateNames = map[taskState]string{
-	taskPending: "waiting", taskStarting: "starting", taskDoubtful: "in doubt", taskActive: "running", taskStopping: "stopping", taskDone: "done",
+	taskPending: "waiting", taskStarting: "starting", taskUncertain: "in doubt", taskActive: "running", taskStopping: "stopping", taskDone: "done",
 }
 
 // Explain says where the job stands; false where it is not known here.
@@ -104,8 +104,8 @@
 		Age: now - j.accepted, Restored: j.restored, Settled: c.settled(now),
 	}
 	workers := c.snapshots(now)
-	for _, o := range j.live {
-		described := c.orderOf(j, o, now)
+	for _, o := range j.liveOccurrences {
+		described := c.rankInput(j, o, now)
 		e.Objective, e.Left = described.Objective, described.CriticalPath
 		e.Tier = joborder.RankOf(described).Tier.String()
 		for _, s := range o.steps {
@@ -127,7 +127,7 @@
 		}
 		out.Runs = append(out.Runs, RunExplanation{
 			Task: t.ref.String(), Run: t.run, Worker: t.where.info.ID, State: taskStateNames[t.state], Percent: t.percent,
-			For: now - t.sent, Failures: len(t.failed), Silent: t.where.missed,
+			For: now - t.orderedAt, Failures: len(t.failedRuns), Silent: t.where.missed,
 		})
 	}
 	if s.pending == 0 {
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -52,15 +52,15 @@
 
 func (b *rig) worker(id work.WorkerID) {
 	b.core.WorkerSeen(info(id))
-	b.look(id, Listing{})
+	b.poll(id, Listing{})
 }
 
 func info(id work.WorkerID) WorkerInfo {
 	return WorkerInfo{ID: id, Service: service, Address: string(id) + ":80", Capacity: work.Resources{MilliCPU: 8000, MemoryMB: 16000}, Labels: []string{"a", "r1"}}
 }
 
-// look has the worker answer a poll that is sent and answered now.
-func (b *rig) look(id work.WorkerID, l Listing) Hold {
+// poll has the worker answer a poll that is sent and answered now.
+func (b *rig) poll(id work.WorkerID, l Listing) Hold {
 	b.t.Helper()
 	b.now += time.Millisecond
 	_, h, _ := b.core.HoldFor(id, b.now)
@@ -106,7 +106,7 @@
 	return work.Step{Count: count, Size: work.Resources{MilliCPU: 2000, MemoryMB: 1000}, Estimate: time.Second}
 }
 
-func lasting(count int) work.Step {
+func longRunning(count int) work.Step {
 	s := short(count)
 	s.LongRunning, s.AntiAffinity, s.MaxUnavailable = true, 1, 1
 	return s
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -12,11 +12,11 @@
 type taskState uint8
 
 const (
-	taskPending  taskState = iota
-	taskStarting           // ordered, no answer yet
-	taskDoubtful           // ordered, the answer was lost: it may run, or may yet start
-	taskActive             // its worker said that it runs
-	taskStopping           // it runs, and is to be stopped
+	taskPending   taskState = iota
+	taskStarting            // ordered, no answer yet
+	taskUncertain           // ordered, the answer was lost: it may run, or may yet start
+	taskActive              // its worker said that it runs
+	taskStopping            // it runs, and is to be stopped
 	taskDone
 )
 
@@ -28,51 +28,51 @@
 	run   int // number of the last run that was ordered or seen
 	where *worker
 
-	sent       time.Duration // when the start was ordered
-	left       time.Duration // when the start was sent; 0: not yet
-	shown      bool          // its worker's present life is known to have the run
-	answered   time.Duration // when the worker was first known to have it, or the start given up
-	ranBefore  time.Duration // how long it had run for certain as this owner first heard of the run
-	deadline   time.Duration // of the start order, on the worker's clock
-	stopSent   time.Duration // last stop order; 0: none
-	stopOK     time.Duration // when a stop was answered; 0: not yet
-	checkpoint string
-	savedRun   int // the run the checkpoint is of
-	percent    int
-	listedAt   time.Duration // when a poll last told its percent
-	movedAt    time.Duration // when percent last rose
-	gauge      int
-	// stopsOver: a list asked for after it tells of any stop by an earlier owner.
-	stopsOver time.Duration
-	pace      int // percent of its share it may use; 100 at its start
-	paceSent  time.Duration
-
-	// failed holds the numbers of the runs that failed. An end that was stored
+	orderedAt      time.Duration // when the start was ordered
+	sentAt         time.Duration // when the start was sent; 0: not yet
+	confirmed      bool          // its worker's present life is known to have the run
+	answeredAt     time.Duration // when the worker was first known to have it, or the start given up
+	ranBefore      time.Duration // how long it had run for certain as this owner first heard of the run
+	deadline       time.Duration // of the start order, on the worker's clock
+	stopSentAt     time.Duration // last stop order; 0: none
+	stopAnsweredAt time.Duration // when a stop was answered; 0: not yet
+	checkpoint     string
+	checkpointRun  int // the run the checkpoint is of
+	percent        int
+	listedAt       time.Duration // when a poll last told its percent
+	progressedAt   time.Duration // when percent last rose
+	gauge          int
+	// stopsListedFrom: a list asked for after it tells of any stop by an earlier owner.
+	stopsListedFrom time.Duration
+	pace            int // percent of its share it may use; 100 at its start
+	paceSentAt      time.Duration
+
+	// failedRuns holds the numbers of the runs that failedRuns. An end that was stored
 	// and not acknowledged is listed again to the next owner: counted twice it
 	// would fail a good job with attempts left.
-	failed    []int
-	avoid     []work.WorkerID
-	notBefore time.Duration // pause before the next start, for tasks that keep failing
-	losses    int           // runs of this term that ended with their worker's life or lease
+	failedRuns []int
+	avoid      []work.WorkerID
+	notBefore  time.Duration // pause before the next start, for tasks that keep failing
+	losses     int           // runs of this term that ended with their worker's life or lease
 
 	crashes crashes.Record // of workers under the task
 	// trial is the job's evidence that says that the next start may crash a worker; 0: none.
 	trial int
-	// trialLasts is how long its run must be seen to go on to be trusted.
-	trialLasts time.Duration
-	suspected  bool     // what is known of the crashes makes it a suspect
-	crashedAt  []string // addresses of the workers that crashed under it
-	// presumed is the run by which the crash is noted that a start by an earlier owner is
+	// trialDuration is how long its run must be seen to go on to be trusted.
+	trialDuration time.Duration
+	suspected     bool     // what is known of the crashes makes it a suspect
+	crashedAt     []string // addresses of the workers that crashed under it
+	// presumedRun is the run by which the crash is noted that a start by an earlier owner is
 	// taken to have caused; 0: none.
-	presumed int
+	presumedRun int
 }
 
-// atWork reports whether a lasting task serves for certain: its start-up is over,
+// serving reports whether a lasting task serves for certain: its start-up is over,
 // its worker answers, and no stop of an earlier owner can be under way there. A
 // worker lists a run that is being stopped as it lists any other; a new owner that
 // took it to be at work stopped a second one beside it.
-func (t *task) atWork() bool {
-	return t.state == taskActive && t.percent >= fullPercent && t.where.missed == 0 && t.where.listedAt >= t.stopsOver
+func (t *task) serving() bool {
+	return t.state == taskActive && t.percent >= fullPercent && t.where.missed == 0 && t.where.listedAt >= t.stopsListedFrom
 }
 
 // fullPercent is what a worker lists for a lasting task once it is at work.
@@ -80,16 +80,16 @@
 
 // step is a step of one occurrence.
 type step struct {
-	job     *job
-	occ     *occurrence
-	number  int
-	spec    *work.Step
-	tasks   []*task
-	done    int
-	pending int
-	tickets map[work.WorkerID]ticket
-	asked   time.Duration // when the advisor was last asked; 0: never
-	asking  bool
+	job           *job
+	occ           *occurrence
+	number        int
+	spec          *work.Step
+	tasks         []*task
+	done          int
+	pending       int
+	tickets       map[work.WorkerID]ticket
+	adviceAskedAt time.Duration // when the advisor was last asked; 0: never
+	advicePending bool
 }
 
 type ticket struct {
@@ -145,10 +145,10 @@
 // job is an accepted job.
 type job struct {
 	work.Job
-	queue    Queue    // as last configured
-	account  *account // of its workspace; nil: it has none
-	beyond   bool     // its workspace had handed in more than its weight when it came
-	accepted time.Duration
+	queue     Queue    // as last configured
+	account   *account // of its workspace; nil: it has none
+	overShare bool     // its workspace had handed in more than its weight when it came
+	accepted  time.Duration
 	// restored is set on jobs that were accepted before this owner took over:
 	// an earlier owner may have tasks of theirs running.
 	restored bool
@@ -158,8 +158,8 @@
 	begun   bool
 	size    float64 // core-seconds in all, by estimate
 
-	live []*occurrence
-	next int // number of the next occurrence
+	liveOccurrences []*occurrence
+	nextOccurrence  int // number of the next occurrence
 
 	// final is the state the job ended in; it is shown only once it is stored.
 	final  work.State
@@ -170,8 +170,8 @@
 	// of that so much is under way to the store, and stored.
 	evidence, evidenceSent, evidenceStored int
 
-	kept    bool  // some progress of it may be stored
-	touched int64 // ends taken in when it first had something to store
+	progressStored bool  // some progress of it may be stored
+	dirtySinceEnd  int64 // ends taken in when it first had something to store
 }
 
 // newJob returns a job at rest; its occurrences are added when they are due.
@@ -188,8 +188,8 @@
 }
 
 func (j *job) addOccurrence(due time.Duration) *occurrence {
-	o := &occurrence{number: j.next, due: due}
-	j.next++
+	o := &occurrence{number: j.nextOccurrence, due: due}
+	j.nextOccurrence++
 	for i := range j.Steps {
 		s := &step{job: j, occ: o, number: i, spec: &j.Steps[i]}
 		for n := range s.spec.Count {
@@ -199,12 +199,12 @@
 		s.pending = len(s.tasks)
 		o.steps = append(o.steps, s)
 	}
-	j.live = append(j.live, o)
+	j.liveOccurrences = append(j.liveOccurrences, o)
 	return o
 }
 
 func (j *job) occurrence(number int) *occurrence {
-	for _, o := range j.live {
+	for _, o := range j.liveOccurrences {
 		if o.number == number {
 			return o
 		}
@@ -233,7 +233,7 @@
 
 // tasks calls f for every task of the live occurrences.
 func (j *job) eachTask(f func(*task)) {
-	for _, o := range j.live {
+	for _, o := range j.liveOccurrences {
 		for _, s := range o.steps {
 			for _, t := range s.tasks {
 				f(t)
--- a/internal/engine/leftover_test.go
+++ b/internal/engine/leftover_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// lateRig has a job that waits for room for so long that nobody has a use for it any more.
-func lateRig(t *testing.T) *rig {
+// rigWithLateJob has a job that waits for room for so long that nobody has a use for it any more.
+func rigWithLateJob(t *testing.T) *rig {
 	b := newRig(t)
 	b.worker("w1")
 	b.core.workers["w1"].closedUntil = b.now + time.Hour
@@ -21,7 +21,7 @@
 
 // Jobs too late to be of use are told apart from those that VMs are to be drawn for.
 func TestAReportTellsWhatIsStillOfUse(t *testing.T) {
-	b := lateRig(t)
+	b := rigWithLateJob(t)
 	b.accept("j2", short(2))
 	b.core.workers["w1"].closedUntil = b.now + time.Hour
 	b.plan()
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -196,8 +196,8 @@
 // unheardRoom is what the workers that were not heard can run; false while it is not known
 // which there are.
 func (c *Core) unheardRoom() (room work.Resources, known bool) {
-	for id, pool := range c.alive {
-		if w := c.workers[id]; pool == c.cell && w == nil && len(c.over[id]) == 0 {
+	for id, pool := range c.upWorkers {
+		if w := c.workers[id]; pool == c.cell && w == nil && len(c.endedIncarnations[id]) == 0 {
 			room = room.Plus(c.largestVM)
 		}
 	}
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -151,7 +151,7 @@
 	r.worker("w2")
 	r.acceptRed("j1", short(4))
 	assert.Equal(t, len(r.plan().Starts), 0, "three may run on w1, and three are the cell's")
-	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
+	r.poll("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
 	assert.Equal(t, len(r.plan().Starts), 2, "one did")
 }
 
@@ -167,7 +167,7 @@
 	r.core.Cancel("j1", func(error) {})
 	r.acceptRed("j2", short(3))
 	assert.Equal(t, len(r.plan().Starts), 0)
-	r.look("w1", Listing{Running: []Run{run(o.Starts[0])}, Ended: []RunEnd{ended(1, o.Starts[1], work.Stopped), ended(2, o.Starts[2], work.Stopped)}})
+	r.poll("w1", Listing{Running: []Run{run(o.Starts[0])}, Ended: []RunEnd{ended(1, o.Starts[1], work.Stopped), ended(2, o.Starts[2], work.Stopped)}})
 	assert.Equal(t, len(r.plan().Starts), 2)
 	r.core.workers["w1"].strayed(o.Starts[1].Start.Task, 1)
 	r.core.openAccounts(r.now)
@@ -187,7 +187,7 @@
 	l := r.store(r.core.Claims(r.now))
 	assert.Assert(t, l.Allocated[service] >= 3000)
 	for i := range o.Starts {
-		r.look("w1", Listing{Ended: []RunEnd{ended(int64(i+1), o.Starts[i], work.Done)}})
+		r.poll("w1", Listing{Ended: []RunEnd{ended(int64(i+1), o.Starts[i], work.Done)}})
 	}
 	r.flush()
 	r.plan()
@@ -208,7 +208,7 @@
 	r.plan()
 	r.account().need = 0
 	r.core.WorkerSeen(info("w1"))
-	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
+	r.poll("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
 	l := r.store(r.core.Claims(r.now))
 	assert.Equal(t, l.Allocated[service], workspace.Parts(1000))
@@ -250,7 +250,7 @@
 	assert.Equal(t, len(claims), 1)
 	r.core.ClaimFailed(claims[0], true)
 	r.core.Cancel("j1", func(error) {})
-	for _, s := range r.core.jobs["j1"].live[0].steps {
+	for _, s := range r.core.jobs["j1"].liveOccurrences[0].steps {
 		for _, task := range s.tasks {
 			r.core.release(task)
 		}
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -58,7 +58,7 @@
 // HoldFor returns the next poll of the worker, or false where none is needed.
 func (c *Core) HoldFor(id work.WorkerID, now time.Duration) (WorkerInfo, Hold, bool) {
 	w := c.workers[id]
-	if w == nil || w.gone || now > c.startsUntil {
+	if w == nil || w.gone || now > c.ordersUntil {
 		return WorkerInfo{}, Hold{}, false
 	}
 	if w.heard && len(w.tasks) == 0 && len(w.strays) == 0 && w.acked >= w.seen && w.missed == 0 && !w.unlisted && w.next == nil {
@@ -99,7 +99,7 @@
 		return pollSoon
 	}
 	for _, t := range w.tasks {
-		if t.state == taskDoubtful || t.state == taskStopping {
+		if t.state == taskUncertain || t.state == taskStopping {
 			return pollSoon
 		}
 		serving = serving || t.step.spec.Serving()
@@ -120,7 +120,7 @@
 // HoldUnread notes a poll whose answer did not come while this owner was behind its work:
 // it may lie here unread, and says nothing of the worker. Taken for silent, the worker
 // would not have its lease extended, and its work would end.
-func (c *Core) HoldUnread() { c.unread++ }
+func (c *Core) HoldUnread() { c.unreadPolls++ }
 
 // HoldFailed notes a poll that was not answered.
 func (c *Core) HoldFailed(id work.WorkerID, o Outcome, now time.Duration) {
@@ -178,7 +178,7 @@
 	}
 	// The registration was there before this answer was asked for: its life was an earlier one.
 	if w.next != nil && l.Life == w.info.Incarnation && h.next == w.next.Incarnation {
-		c.over[id] = append(c.over[id], w.next.Incarnation)
+		c.endedIncarnations[id] = append(c.endedIncarnations[id], w.next.Incarnation)
 		w.next = nil
 	}
 	w.clockSaid(l.Clock, now)
@@ -250,7 +250,7 @@
 		c.log.Info("run adopted", "task", r.Task.String(), "run", r.Run, "worker", w.info.ID)
 		delete(w.strays, r.Task)
 		c.attach(t, w, r.Run, taskActive, now)
-		t.stopsOver = now + c.bounds.StopGrace + expirySlack
+		t.stopsListedFrom = now + c.bounds.StopGrace + expirySlack
 		if t.step.spec.LongRunning && r.Percent >= fullPercent {
 			t.ranBefore = crashes.ClearedAfter
 		}
@@ -259,17 +259,17 @@
 		w.strayed(r.Task, r.Run)
 		return
 	}
-	if t.state == taskStarting || t.state == taskDoubtful {
+	if t.state == taskStarting || t.state == taskUncertain {
 		c.attach(t, w, r.Run, taskActive, now)
 	}
-	t.shown = true
+	t.confirmed = true
 	if r.Checkpoint != "" {
-		t.checkpoint, t.savedRun = r.Checkpoint, r.Run
+		t.checkpoint, t.checkpointRun = r.Checkpoint, r.Run
 	}
 	c.clearCrashes(t)
 	t.listedAt = now
 	if r.Percent != t.percent {
-		t.percent, t.movedAt = r.Percent, now
+		t.percent, t.progressedAt = r.Percent, now
 	}
 	t.gauge = r.Gauge
 }
@@ -280,18 +280,18 @@
 func (c *Core) notListed(t *task, sent, now time.Duration) {
 	switch t.state {
 	case taskActive:
-		if t.answered < sent {
+		if t.answeredAt < sent {
 			c.log.Info("run vanished", "task", t.ref.String(), "run", t.run)
 			c.ranOut(t, now)
 		}
-	case taskDoubtful:
+	case taskUncertain:
 		// It may yet start: the stop makes the worker reject it.
-		if t.answered < sent {
+		if t.answeredAt < sent {
 			t.step.set(t, taskStopping)
 		}
 	case taskStopping:
 		// Not at the stop's answer: a run goes on for a while after it.
-		if t.stopOK != 0 && t.stopOK < sent {
+		if t.stopAnsweredAt != 0 && t.stopAnsweredAt < sent {
 			c.ranOut(t, now)
 		}
 	}
@@ -302,15 +302,15 @@
 	if s := w.strays[e.Task]; s != nil && s.run <= e.Run {
 		delete(w.strays, e.Task)
 	}
-	c.endings++
-	w.unstored = append(w.unstored, endMark{seq: e.Seq, at: c.endings})
+	c.endsSeen++
+	w.unstored = append(w.unstored, endMark{seq: e.Seq, at: c.endsSeen})
 	t := c.find(e.Task)
 	if t == nil {
 		return
 	}
-	if e.Checkpoint != "" && e.Run >= t.savedRun {
-		t.checkpoint, t.savedRun = e.Checkpoint, e.Run
-		c.touch(t.step.job)
+	if e.Checkpoint != "" && e.Run >= t.checkpointRun {
+		t.checkpoint, t.checkpointRun = e.Checkpoint, e.Run
+		c.markDirty(t.step.job)
 	}
 	c.clearPresumed(t, e.Run)
 	current := t.where == w && t.run == e.Run
@@ -340,8 +340,8 @@
 		return
 	}
 	if current {
-		w.slowness = w.slowness.Observe(now-t.answered, c.learned.estimate(t.step))
-		c.learned.learn(t.step, now-t.answered)
+		w.slowness = w.slowness.Observe(now-t.answeredAt, c.durationRatios.estimate(t.step))
+		c.durationRatios.learn(t.step, now-t.answeredAt)
 	}
 	if t.step.spec.Gang {
 		// One member's end stands for all of its run.
@@ -366,7 +366,7 @@
 	}
 	c.release(t)
 	t.step.set(t, taskDone)
-	c.touch(t.step.job)
+	c.markDirty(t.step.job)
 }
 
 // advance ends occurrences and the job where all is done.
@@ -374,14 +374,14 @@
 	if j.final != "" {
 		return
 	}
-	live := j.live[:0]
-	for _, o := range j.live {
+	live := j.liveOccurrences[:0]
+	for _, o := range j.liveOccurrences {
 		if !o.finished() {
 			live = append(live, o)
 		}
 	}
-	j.live = live
-	if len(j.live) == 0 && j.next >= j.Occurrences() {
+	j.liveOccurrences = live
+	if len(j.liveOccurrences) == 0 && j.nextOccurrence >= j.Occurrences() {
 		c.finish(j, work.Completed)
 	}
 }
@@ -393,12 +393,12 @@
 )
 
 func (c *Core) taskFailed(w *worker, t *task, e *RunEnd, current bool, now time.Duration) {
-	if slices.Contains(t.failed, e.Run) {
+	if slices.Contains(t.failedRuns, e.Run) {
 		return
 	}
-	c.log.Info("run failed", "task", t.ref.String(), "run", e.Run, "worker", w.info.ID, "failures", len(t.failed)+1)
+	c.log.Info("run failed", "task", t.ref.String(), "run", e.Run, "worker", w.info.ID, "failures", len(t.failedRuns)+1)
 	w.strikes.failure(t.ref.Job, now)
-	t.failed = append(t.failed, e.Run)
+	t.failedRuns = append(t.failedRuns, e.Run)
 	t.avoid = append(t.avoid, w.info.ID)
 	if current {
 		c.ranOut(t, now)
@@ -407,12 +407,12 @@
 	if j.final != "" || t.state == taskDone {
 		return
 	}
-	c.touch(j)
+	c.markDirty(j)
 	if t.step.spec.LongRunning {
-		t.notBefore = now + min(mostPause, firstPause<<min(len(t.failed), 4))
+		t.notBefore = now + min(mostPause, firstPause<<min(len(t.failedRuns), 4))
 		return
 	}
-	if j.queue.MaxAttempts > 0 && len(t.failed) >= j.queue.MaxAttempts {
+	if j.queue.MaxAttempts > 0 && len(t.failedRuns) >= j.queue.MaxAttempts {
 		c.finish(j, work.Failed)
 	}
 }
--- a/internal/engine/lives.go
+++ b/internal/engine/lives.go
@@ -80,7 +80,7 @@
 // it lives, and what waits would go from one that crashed to the next.
 func (c *Core) endLives(sent, now time.Duration) {
 	for id, w := range c.workers {
-		_, up := c.alive[id]
+		_, up := c.upWorkers[id]
 		w.unlisted = !up && w.clockAt < sent
 		if w.unlisted && w.missed > 0 {
 			c.WorkerGone(id, "its VM has another life or none", now)
@@ -105,7 +105,7 @@
 
 // isOver reports whether that life of the worker is known to have ended.
 func (c *Core) isOver(id work.WorkerID, life work.Incarnation) bool {
-	return slices.Contains(c.over[id], life)
+	return slices.Contains(c.endedIncarnations[id], life)
 }
 
 // join adds a worker that was not known.
@@ -134,7 +134,7 @@
 // has seen.
 func (w *worker) mayReachNext() bool {
 	for _, t := range w.tasks {
-		if !t.shown {
+		if !t.confirmed {
 			return true
 		}
 	}
@@ -162,7 +162,7 @@
 func (c *Core) startedAgain(old *worker, life work.Incarnation, now time.Duration) *worker {
 	mayCome := make(map[work.TaskRef]int) // their runs
 	for ref, t := range old.tasks {
-		if !t.shown {
+		if !t.confirmed {
 			mayCome[ref] = t.run
 		}
 	}
--- a/internal/engine/lives_test.go
+++ b/internal/engine/lives_test.go
@@ -27,7 +27,7 @@
 func lifeRig(t *testing.T) *rig {
 	b := newRig(t)
 	b.core.WorkerSeen(infoOf("w1", firstLife))
-	b.look("w1", Listing{Life: firstLife})
+	b.poll("w1", Listing{Life: firstLife})
 	return b
 }
 
@@ -58,7 +58,7 @@
 
 			tell(b)
 			b.now += time.Second
-			b.look("w1", Listing{Life: secondLife})
+			b.poll("w1", Listing{Life: secondLife})
 			assert.Equal(t, b.core.find(ref).state, taskPending)
 			b.now += time.Second
 			o := b.plan()
@@ -72,13 +72,13 @@
 func TestEndsOfANewLifeAreNumberedAnew(t *testing.T) {
 	b := lifeRig(t)
 	first := b.startOn("j1", OutcomeOK)
-	b.look("w1", Listing{Life: firstLife, Ended: []RunEnd{ended(9, first, work.Done)}})
+	b.poll("w1", Listing{Life: firstLife, Ended: []RunEnd{ended(9, first, work.Done)}})
 	b.core.Flushed(b.core.TakeFlush(100), nil)
 	b.core.WorkerSeen(infoOf("w1", secondLife))
-	h := b.look("w1", Listing{Life: secondLife})
+	h := b.poll("w1", Listing{Life: secondLife})
 	assert.Equal(t, h.AckedThrough, int64(9), "as of the life before")
 	second := b.startOn("j2", OutcomeOK)
-	b.look("w1", Listing{Life: secondLife, Ended: []RunEnd{ended(1, second, work.Done)}})
+	b.poll("w1", Listing{Life: secondLife, Ended: []RunEnd{ended(1, second, work.Done)}})
 	assert.Equal(t, b.core.jobs["j2"].final, work.Completed)
 	_, h, due := b.core.HoldFor("w1", b.now)
 	assert.Equal(t, due, true)
@@ -95,14 +95,14 @@
 	b.core.workers["w2"].closedUntil = 0
 	b.core.WorkerSeen(infoOf("w1", secondLife))
 	b.now += time.Second
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	o := b.plan()
 	assert.Equal(t, len(o.Starts), 0, "not before it is certain not to run there")
 	assert.Equal(t, len(o.Stops), 1)
 	assert.Equal(t, o.Stops[0].Run, start.Start.Run)
 	b.core.StopAnswered(o.Stops[0], OutcomeOK, b.now)
 	b.now += time.Second
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	b.plan()
 	b.flush()
 	assert.Equal(t, len(b.plan().Starts), 1)
@@ -114,7 +114,7 @@
 	start := b.startOn("j1", OutcomeUnknown)
 	b.core.WorkerSeen(infoOf("w1", secondLife))
 	b.now += time.Second
-	b.look("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
+	b.poll("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
 	task := b.core.find(start.Start.Task)
 	assert.Equal(t, task.state, taskActive)
 	assert.Equal(t, len(b.plan().Stops), 0)
@@ -125,10 +125,10 @@
 func TestALateWordOfAnEarlierLifeChangesNothing(t *testing.T) {
 	b := lifeRig(t)
 	b.core.WorkerSeen(infoOf("w1", secondLife))
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	start := b.startOn("j1", OutcomeOK)
-	b.look("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
-	b.look("w1", Listing{Life: firstLife})
+	b.poll("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
+	b.poll("w1", Listing{Life: firstLife})
 	assert.Equal(t, b.core.WorkerSeen(infoOf("w1", firstLife)), false)
 	assert.Equal(t, b.core.find(start.Start.Task).state, taskActive)
 	assert.Equal(t, b.core.workers["w1"].info.Incarnation, secondLife)
@@ -141,7 +141,7 @@
 	b.core.WorkerSeen(infoOf("w1", secondLife))
 	b.core.WorkerSeen(infoOf("w1", thirdLife))
 	b.now += time.Second
-	b.look("w1", Listing{Life: thirdLife})
+	b.poll("w1", Listing{Life: thirdLife})
 	assert.Equal(t, b.core.find(ref).state, taskPending)
 	assert.Equal(t, b.core.workers["w1"].info.Incarnation, thirdLife)
 	b.now += time.Second
@@ -151,7 +151,7 @@
 // A life of another kind is given work by the room that the one before had.
 func TestANewLifeTakesNothingUntilItsRoomIsKnown(t *testing.T) {
 	b := lifeRig(t)
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
 	small := infoOf("w1", secondLife)
@@ -165,9 +165,9 @@
 // A VM that is to be maintained takes new work as its worker starts again, and the wave waits.
 func TestANewLifeStaysCordoned(t *testing.T) {
 	b := lifeRig(t)
-	b.core.obey(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
+	b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
 	b.core.WorkerSeen(infoOf("w1", secondLife))
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
 }
@@ -179,7 +179,7 @@
 	b.core.WorkerSeen(infoOf("w1", firstLife))
 	assert.Equal(t, len(b.core.workers), 0)
 	b.core.WorkerSeen(infoOf("w1", secondLife))
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
@@ -187,9 +187,9 @@
 // A registration that was overtaken, of a life between two others, closes the worker for good.
 func TestARegistrationOfALifeThatWasNeverHeardIsOver(t *testing.T) {
 	b := lifeRig(t)
-	b.look("w1", Listing{Life: thirdLife})
+	b.poll("w1", Listing{Life: thirdLife})
 	b.core.WorkerSeen(infoOf("w1", secondLife))
-	b.look("w1", Listing{Life: thirdLife})
+	b.poll("w1", Listing{Life: thirdLife})
 	b.core.WorkerSeen(infoOf("w1", thirdLife))
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 1)
@@ -201,7 +201,7 @@
 	b := lifeRig(t)
 	b.core.WorkerSeen(infoOf("w1", secondLife))
 	b.core.WorkerGone("w1", "test", b.now)
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
@@ -213,7 +213,7 @@
 	b.accept("j1", short(1))
 	start := b.plan().Starts[0]
 	b.core.WorkerSeen(infoOf("w1", secondLife))
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	assert.Equal(t, b.core.StartLeaves(start, b.now), false)
 	b.worker("w2")
 	next := b.startOn("j2", OutcomeOK)
@@ -225,7 +225,7 @@
 func TestNothingIsAcknowledgedWhileAStartMayHaveReachedTheNextLife(t *testing.T) {
 	b := lifeRig(t)
 	first := b.startOn("j1", OutcomeOK)
-	b.look("w1", Listing{Life: firstLife, Ended: []RunEnd{ended(1, first, work.Done)}})
+	b.poll("w1", Listing{Life: firstLife, Ended: []RunEnd{ended(1, first, work.Done)}})
 	b.flush()
 	b.accept("j2", short(1))
 	start := b.plan().Starts[0]
@@ -237,7 +237,7 @@
 	assert.Equal(t, acked(), int64(0), "it is under way")
 	b.core.StartAnswered(start, OutcomeOK, clockAnew/2, b.now)
 	assert.Equal(t, acked(), int64(0), "a clock that began anew answered")
-	b.look("w1", Listing{Life: firstLife, Running: []Run{run(start)}})
+	b.poll("w1", Listing{Life: firstLife, Running: []Run{run(start)}})
 	assert.Equal(t, acked(), int64(1), "it runs in this life")
 }
 
@@ -246,7 +246,7 @@
 func TestALeaseThatWasMeantForTheLifeBeforeIsWaitedFor(t *testing.T) {
 	b := lifeRig(t)
 	b.core.WorkerSeen(infoOf("w1", secondLife))
-	b.look("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: secondLife})
 	b.startOn("j1", OutcomeOK)
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	b.now += rigBounds.MaxLease
@@ -262,8 +262,8 @@
 func TestWhatMayComeLateIsStoppedInEachLifeThatFollows(t *testing.T) {
 	b := lifeRig(t)
 	start := b.startOn("j1", OutcomeUnknown)
-	b.look("w1", Listing{Life: secondLife})
-	b.look("w1", Listing{Life: thirdLife})
+	b.poll("w1", Listing{Life: secondLife})
+	b.poll("w1", Listing{Life: thirdLife})
 	o := b.plan()
 	assert.Equal(t, len(o.Starts), 0)
 	assert.Equal(t, len(o.Stops), 1)
@@ -275,7 +275,7 @@
 func TestARunThatGoesOnInTheNextLifeIsNotBlamed(t *testing.T) {
 	b := lifeRig(t)
 	start := b.startOn("j1", OutcomeUnknown)
-	b.look("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
+	b.poll("w1", Listing{Life: secondLife, Running: []Run{run(start)}})
 	b.now += crashes.CorrelationWindow
 	b.core.judgeCrashes(b.now)
 	assert.Equal(t, len(b.core.find(start.Start.Task).crashes), 0)
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -26,35 +26,35 @@
 
 // The cell: its workers bear all that is asked of them, so that the owner alone binds.
 const (
-	loadWorkers  = 130
-	loadRoom     = 32                     // tasks on one worker
-	loadTasks    = 8                      // of a job in the mean; the least has half of that, the most half more
-	loadTaskTime = 600 * time.Millisecond // in the mean; the others are up to a third off
-	loadTrip     = 2 * time.Millisecond   // to a worker, one way
-	loadJobsMost = 200.0                  // a second that the owner bears
+	loadWorkers     = 130
+	loadWorkerTasks = 32                     // tasks on one worker
+	loadTasks       = 8                      // of a job in the mean; the least has half of that, the most half more
+	loadTaskTime    = 600 * time.Millisecond // in the mean; the others are up to a third off
+	loadOneWayDelay = 2 * time.Millisecond   // to a worker, one way
+	loadMaxJobRate  = 200.0                  // a second that the owner bears
 )
 
-// owner is a core on a processor that does one thing at a time. What is ready waits in line.
-type owner struct {
+// simulatedOwner is a core on a processor that does one thing at a time. What is ready waits in line.
+type simulatedOwner struct {
 	*rig
-	guarded bool // it measures how far it is behind, and acts on it
-	slow    func(now time.Duration) float64
-
-	timers  timers
-	made    int // timers so far: those of the same time go in the order in which they were made
-	line    []chore
-	meter   overload.Meter
-	running map[work.WorkerID]map[work.TaskRef]fakeRun
-	ended   map[work.WorkerID][]RunEnd
-	polls   map[work.WorkerID]*fakePoll
-	starts  int // without an answer
-	planned bool
-	jobs    map[work.JobID]time.Duration // when it was handed in
-	inTime  map[time.Duration]int        // jobs that were in time, by the second in which they were handed in
+	shedding bool // it measures how far it is behind, and acts on it
+	slow     func(now time.Duration) float64
+
+	timers     timers
+	timersMade int // timers so far: those of the same time go in the order in which they were made
+	ready      []workItem
+	meter      overload.Meter
+	running    map[work.WorkerID]map[work.TaskRef]fakeRun
+	ended      map[work.WorkerID][]RunEnd
+	polls      map[work.WorkerID]*fakePoll
+	starts     int // without an answer
+	planned    bool
+	jobs       map[work.JobID]time.Duration // when it was handed in
+	inTime     map[time.Duration]int        // jobs that were in time, by the second in which they were handed in
 }
 
-// chore is something that the processor does.
-type chore struct {
+// workItem is something that the processor does.
+type workItem struct {
 	cost time.Duration
 	do   func()
 }
@@ -75,7 +75,7 @@
 type timer struct {
 	at time.Duration
 	n  int
-	chore
+	workItem
 }
 
 type timers []timer
@@ -92,20 +92,20 @@
 	return last
 }
 
-func newOwner(t *testing.T, guarded bool) *owner {
-	o := &owner{
-		rig: newRig(t), guarded: guarded, slow: func(time.Duration) float64 { return 1 },
+func newSimulatedOwner(t *testing.T, guarded bool) *simulatedOwner {
+	o := &simulatedOwner{
+		rig: newRig(t), shedding: guarded, slow: func(time.Duration) float64 { return 1 },
 		running: make(map[work.WorkerID]map[work.TaskRef]fakeRun), ended: make(map[work.WorkerID][]RunEnd),
 		polls: make(map[work.WorkerID]*fakePoll), jobs: make(map[work.JobID]time.Duration),
 		inTime: make(map[time.Duration]int),
 	}
 	for i := range loadWorkers {
 		w := info(work.WorkerID(fmt.Sprintf("w%03d", i)))
-		w.Capacity = work.Resources{MilliCPU: loadRoom * 1000, MemoryMB: 1 << 20}
+		w.Capacity = work.Resources{MilliCPU: loadWorkerTasks * 1000, MemoryMB: 1 << 20}
 		o.core.WorkerSeen(w)
-		o.look(w.ID, Listing{})
+		o.poll(w.ID, Listing{})
 		o.running[w.ID] = make(map[work.TaskRef]fakeRun)
-		o.every(w.ID)
+		o.pollRepeatedly(w.ID)
 	}
 	o.probe()
 	o.tick()
@@ -113,15 +113,15 @@
 }
 
 // after has the processor do something once it is its turn, not before the time is over.
-func (o *owner) after(d, cost time.Duration, do func()) {
-	o.made++
-	heap.Push(&o.timers, timer{at: o.now + d, n: o.made, chore: chore{cost: cost, do: do}})
+func (o *simulatedOwner) after(d, cost time.Duration, do func()) {
+	o.timersMade++
+	heap.Push(&o.timers, timer{at: o.now + d, n: o.timersMade, workItem: workItem{cost: cost, do: do}})
 }
 
-// world has something happen elsewhere, which costs the processor nothing.
-func (o *owner) world(d time.Duration, do func()) { o.after(d, 0, do) }
+// elsewhere has something happen elsewhere, which costs the processor nothing.
+func (o *simulatedOwner) elsewhere(d time.Duration, do func()) { o.after(d, 0, do) }
 
-func (o *owner) runUntil(end time.Duration) {
+func (o *simulatedOwner) runUntil(end time.Duration) {
 	for o.now < end {
 		for len(o.timers) > 0 && o.timers[0].at <= o.now {
 			next := heap.Pop(&o.timers).(timer)
@@ -129,79 +129,79 @@
 				next.do()
 				continue
 			}
-			o.line = append(o.line, next.chore)
+			o.ready = append(o.ready, next.workItem)
 		}
-		if len(o.line) == 0 {
+		if len(o.ready) == 0 {
 			if len(o.timers) == 0 {
 				return
 			}
 			o.now = max(o.now, o.timers[0].at)
 			continue
 		}
-		next := o.line[0]
-		o.line = o.line[1:]
+		next := o.ready[0]
+		o.ready = o.ready[1:]
 		o.now += time.Duration(float64(next.cost) * o.slow(o.now))
 		next.do()
 	}
 }
 
-func (o *owner) behind() time.Duration {
-	if !o.guarded {
+func (o *simulatedOwner) behind() time.Duration {
+	if !o.shedding {
 		return 0
 	}
 	return o.meter.MaxDelay(o.now)
 }
 
-func (o *owner) probe() {
+func (o *simulatedOwner) probe() {
 	o.after(overload.ProbeInterval, 0, func() {
 		o.meter.Begin(o.now)
-		o.line = append(o.line, chore{do: func() {
+		o.ready = append(o.ready, workItem{do: func() {
 			o.meter.End(o.now)
 			o.probe()
 		}})
 	})
 }
 
-func (o *owner) tick() {
-	o.after(planEvery, costPlan, func() {
+func (o *simulatedOwner) tick() {
+	o.after(planInterval, costPlan, func() {
 		o.plan()
 		o.tick()
 	})
 }
 
 // kick plans soon.
-func (o *owner) kick() {
+func (o *simulatedOwner) kick() {
 	if !o.planned {
 		o.planned = true
 		o.after(planPause, costPlan, func() { o.planned = false; o.plan() })
 	}
 }
 
-func (o *owner) plan() {
-	if o.guarded {
+func (o *simulatedOwner) plan() {
+	if o.shedding {
 		o.core.AdjustLoad(o.meter.MinDelay(o.now), o.now)
 		o.core.LimitStarts(o.starts)
 	}
 	orders := o.core.Plan(o.now, o.wall)
 	for _, s := range orders.Starts {
 		o.starts++
-		o.line = append(o.line, chore{cost: costStart + costPlace, do: func() { o.start(s) }})
+		o.ready = append(o.ready, workItem{cost: costStart + costPlace, do: func() { o.start(s) }})
 	}
 	for _, s := range orders.Stops {
-		o.line = append(o.line, chore{cost: costStart, do: func() { o.stop(s) }})
+		o.ready = append(o.ready, workItem{cost: costStart, do: func() { o.stop(s) }})
 	}
 	f := o.core.TakeFlush(1000)
 	o.core.Flushed(f, nil)
 }
 
-func (o *owner) start(s StartOrder) {
+func (o *simulatedOwner) start(s StartOrder) {
 	by := o.now + orderTimeout + overload.ExtraTimeout(o.behind())
 	takes := loadTaskTime * time.Duration(2+(len(o.core.jobs)+s.Start.Task.Index)%3) / 3
-	o.world(loadTrip, func() {
+	o.elsewhere(loadOneWayDelay, func() {
 		o.running[s.Worker.ID][s.Start.Task] = fakeRun{run: s.Start.Run, end: o.now + takes}
-		o.world(takes, func() { o.end(s.Worker.ID, s.Start.Task, s.Start.Run) })
+		o.elsewhere(takes, func() { o.end(s.Worker.ID, s.Start.Task, s.Start.Run) })
 	})
-	o.after(2*loadTrip, costAnswer, func() {
+	o.after(2*loadOneWayDelay, costAnswer, func() {
 		o.starts--
 		out := OutcomeOK
 		if o.now > by {
@@ -214,23 +214,23 @@
 	})
 }
 
-func (o *owner) stop(s StopOrder) {
+func (o *simulatedOwner) stop(s StopOrder) {
 	if r, runs := o.running[s.Worker.ID][s.Task]; runs && r.run == s.Run {
 		delete(o.running[s.Worker.ID], s.Task)
 		o.list(s.Worker.ID, s.Task, s.Run, work.Stopped)
 	}
-	o.after(2*loadTrip, costAnswer, func() { o.core.StopAnswered(s, OutcomeOK, o.now); o.kick() })
+	o.after(2*loadOneWayDelay, costAnswer, func() { o.core.StopAnswered(s, OutcomeOK, o.now); o.kick() })
 }
 
 // end is the end of a run on its worker, unless it was stopped before.
-func (o *owner) end(id work.WorkerID, ref work.TaskRef, run int) {
+func (o *simulatedOwner) end(id work.WorkerID, ref work.TaskRef, run int) {
 	if r, runs := o.running[id][ref]; runs && r.run == run {
 		delete(o.running[id], ref)
 		o.list(id, ref, run, work.Done)
 	}
 }
 
-func (o *owner) list(id work.WorkerID, ref work.TaskRef, run int, how work.End) {
+func (o *simulatedOwner) list(id work.WorkerID, ref work.TaskRef, run int, how work.End) {
 	seq := int64(len(o.ended[id]) + 1)
 	o.ended[id] = append(o.ended[id], RunEnd{Seq: seq, Task: ref, Run: run, How: how})
 	if p := o.polls[id]; p != nil {
@@ -238,17 +238,17 @@
 	}
 }
 
-// every polls the worker for as long as something is there, as a session does.
-func (o *owner) every(id work.WorkerID) {
+// pollRepeatedly polls the worker for as long as something is there, as a session does.
+func (o *simulatedOwner) pollRepeatedly(id work.WorkerID) {
 	_, h, due := o.core.HoldFor(id, o.now)
 	if !due {
-		o.world(5*time.Millisecond, func() { o.every(id) })
+		o.elsewhere(5*time.Millisecond, func() { o.pollRepeatedly(id) })
 		return
 	}
-	o.line = append(o.line, chore{cost: costPoll, do: func() {
+	o.ready = append(o.ready, workItem{cost: costPoll, do: func() {
 		p := &fakePoll{hold: h, sent: o.now, by: o.now + h.Wait + pollTimeout + overload.ExtraTimeout(o.behind())}
 		o.polls[id] = p
-		o.world(h.Wait, func() { o.answer(id, p) })
+		o.elsewhere(h.Wait, func() { o.answer(id, p) })
 		if len(o.ended[id]) > 0 && o.ended[id][len(o.ended[id])-1].Seq > h.AckedThrough {
 			o.answer(id, p)
 		}
@@ -256,7 +256,7 @@
 }
 
 // answer has the worker answer a poll, once.
-func (o *owner) answer(id work.WorkerID, p *fakePoll) {
+func (o *simulatedOwner) answer(id work.WorkerID, p *fakePoll) {
 	if p.done {
 		return
 	}
@@ -271,10 +271,10 @@
 			l.Ended = append(l.Ended, e)
 		}
 	}
-	o.after(2*loadTrip, costList, func() { o.took(id, p, l) })
+	o.after(2*loadOneWayDelay, costList, func() { o.pollAnswered(id, p, l) })
 }
 
-func (o *owner) took(id work.WorkerID, p *fakePoll, l Listing) {
+func (o *simulatedOwner) pollAnswered(id work.WorkerID, p *fakePoll, l Listing) {
 	l.Clock = o.now
 	pause := o.core.pollPause()
 	switch {
@@ -288,14 +288,14 @@
 	}
 	o.finish()
 	o.kick()
-	o.world(pause, func() { o.every(id) })
+	o.elsewhere(pause, func() { o.pollRepeatedly(id) })
 }
 
 // jobTime is what a job may take from being handed in: the objective of the rig's queue.
 const jobTime = 1560 * time.Millisecond
 
 // finish notes which jobs are done.
-func (o *owner) finish() {
+func (o *simulatedOwner) finish() {
 	for id, at := range o.jobs {
 		if s, _ := o.core.State(id); s == work.Completed || o.core.jobs[id].final == work.Completed {
 			if o.now <= at+jobTime {
@@ -307,7 +307,7 @@
 }
 
 // arrive has jobs come for a while, so many a second.
-func (o *owner) arrive(from, until time.Duration, rate float64) {
+func (o *simulatedOwner) arrive(from, until time.Duration, rate float64) {
 	n := 0
 	for at := from; at < until; at += time.Duration(float64(time.Second) / rate) {
 		id := work.JobID(fmt.Sprintf("%d-%d", from, n))
@@ -323,7 +323,7 @@
 }
 
 // goodput returns the jobs in time a second of those handed in within the span.
-func (o *owner) goodput(from, until time.Duration) float64 {
+func (o *simulatedOwner) goodput(from, until time.Duration) float64 {
 	n := 0
 	for s := from / time.Second; s < until/time.Second; s++ {
 		n += o.inTime[s]
@@ -331,9 +331,9 @@
 	return float64(n) / (until - from).Seconds()
 }
 
-// play has jobs come at a rate for five seconds and returns how many a second were in time.
-func play(t *testing.T, guarded bool, rate float64) float64 {
-	o := newOwner(t, guarded)
+// simulate has jobs come at a rate for five seconds and returns how many a second were in time.
+func simulate(t *testing.T, guarded bool, rate float64) float64 {
+	o := newSimulatedOwner(t, guarded)
 	from := o.now.Truncate(time.Second) + time.Second
 	until := from + 5*time.Second
 	o.arrive(from, until, rate)
@@ -347,20 +347,20 @@
 // and little waits after it is begun.
 func TestWhatIsInTimeStaysAsLoadGrows(t *testing.T) {
 	for _, times := range []float64{0.5, 1, 1.5, 2, 3} {
-		got := play(t, true, times*loadJobsMost)
-		t.Logf("%.1f times: %.0f jobs a second handed in, %.0f in time", times, times*loadJobsMost, got)
-		assert.Assert(t, got >= 0.95*min(1, times)*loadJobsMost, "%.1f times", times)
+		got := simulate(t, true, times*loadMaxJobRate)
+		t.Logf("%.1f times: %.0f jobs a second handed in, %.0f in time", times, times*loadMaxJobRate, got)
+		assert.Assert(t, got >= 0.95*min(1, times)*loadMaxJobRate, "%.1f times", times)
 	}
-	without := play(t, false, 2*loadJobsMost)
+	without := simulate(t, false, 2*loadMaxJobRate)
 	t.Logf("2.0 times: %.0f in time without the guard", without)
-	assert.Assert(t, without < loadJobsMost/2, "the guard is what keeps them in time")
+	assert.Assert(t, without < loadMaxJobRate/2, "the guard is what keeps them in time")
 }
 
 // A VM loses four fifths of its processor for six seconds while its cell is busy. The owner
 // does what it still can, takes no worker for silent as it reads answers late, and is at its
 // usual work a second after the processor is back.
 func TestAnOwnerThatWasSlowRecovers(t *testing.T) {
-	o := newOwner(t, true)
+	o := newSimulatedOwner(t, true)
 	from := o.now.Truncate(time.Second) + time.Second
 	slowFrom, slowUntil := from+2*time.Second, from+8*time.Second
 	o.slow = func(now time.Duration) float64 {
@@ -369,10 +369,10 @@
 		}
 		return 1
 	}
-	const rate = 0.3 * loadJobsMost
+	const rate = 0.3 * loadMaxJobRate
 	o.arrive(from, from+14*time.Second, rate)
 	o.runUntil(from + 18*time.Second)
-	assert.Assert(t, o.goodput(slowFrom+time.Second, slowUntil) >= 0.5*loadJobsMost/5, "while slow")
+	assert.Assert(t, o.goodput(slowFrom+time.Second, slowUntil) >= 0.5*loadMaxJobRate/5, "while slow")
 	assert.Assert(t, o.goodput(slowUntil+time.Second, from+14*time.Second) >= 0.9*rate, "after")
 	assert.Equal(t, o.core.anyMissed(), false)
 }
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -39,10 +39,10 @@
 		return
 	}
 	w.gone = true
-	c.over[w.info.ID] = append(c.over[w.info.ID], w.info.Incarnation)
+	c.endedIncarnations[w.info.ID] = append(c.endedIncarnations[w.info.ID], w.info.Incarnation)
 	c.log.Info("worker gone", "worker", w.info.ID, "service", w.info.Service, "tasks", len(w.tasks), "reason", why, "cause", cause)
 	if cause == lossCrash {
-		c.lostUnheard = c.lostUnheard || !w.heard
+		c.lostUnpolled = c.lostUnpolled || !w.heard
 		c.crashed(w, now)
 	}
 	c.dropTasks(w, cause, now)
@@ -71,10 +71,10 @@
 // seenRunning is how long the task had run there as the worker last answered; 0 where no
 // answer came since its start.
 func (w *worker) seenRunning(t *task) time.Duration {
-	if t.answered == 0 || t.state == taskStarting || t.state == taskDoubtful {
+	if t.answeredAt == 0 || t.state == taskStarting || t.state == taskUncertain {
 		return 0
 	}
-	return max(0, w.clockAt-t.answered) + t.ranBefore
+	return max(0, w.clockAt-t.answeredAt) + t.ranBefore
 }
 
 // lostRun is a run that was lost with its worker.
@@ -89,19 +89,19 @@
 }
 
 func (w *worker) lossOf(t *task, now time.Duration) lostRun {
-	l := lostRun{task: t, run: t.run, ran: w.seenRunning(t), unsent: t.answered == 0 && t.left == 0}
-	if !t.shown && t.state != taskActive {
-		l.before = max(0, t.left-w.clockAt)
+	l := lostRun{task: t, run: t.run, ran: w.seenRunning(t), unsent: t.answeredAt == 0 && t.sentAt == 0}
+	if !t.confirmed && t.state != taskActive {
+		l.before = max(0, t.sentAt-w.clockAt)
 		l.unseen = l.before > crashes.MaxTrialDuration
 	}
 	silent := w.silentAt(now)
 	switch {
 	case l.ran > 0:
 		l.most = l.ran + max(0, silent-w.clockAt)
-	case t.left > 0:
-		l.most = max(0, silent-t.left)
+	case t.sentAt > 0:
+		l.most = max(0, silent-t.sentAt)
 	default:
-		l.most = max(0, silent-t.answered)
+		l.most = max(0, silent-t.answeredAt)
 	}
 	return l
 }
@@ -110,7 +110,7 @@
 func (c *Core) fellSilent(w *worker, now time.Duration) {
 	if w.silentSince == 0 {
 		w.silentSince = now
-		c.silences.Record(now, now)
+		c.correlatedLosses.Record(now, now)
 	}
 }
 
@@ -143,7 +143,7 @@
 	for _, l := range lost {
 		l.task.notBefore = max(l.task.notBefore, at+crashes.CorrelationWindow)
 	}
-	c.unjudged = append(c.unjudged, crash{worker: w, at: at, lost: lost, tried: w.tries((*task).suspect)})
+	c.unattributed = append(c.unattributed, crash{worker: w, at: at, lost: lost, tried: w.tries((*task).suspect)})
 	c.judgeCrashes(now)
 }
 
@@ -151,14 +151,14 @@
 // were lost with them.
 func (c *Core) judgeCrashes(now time.Duration) {
 	var wait []crash
-	for _, cr := range c.unjudged {
+	for _, cr := range c.unattributed {
 		if now < cr.at+crashes.CorrelationWindow {
 			wait = append(wait, cr)
 			continue
 		}
 		c.blame(&cr, now)
 	}
-	c.unjudged = wait
+	c.unattributed = wait
 }
 
 // goesOnAfter reports whether the run was found in a life that followed the worker: its start had
@@ -172,7 +172,7 @@
 	w := cr.worker
 	cr.lost = slices.DeleteFunc(cr.lost, func(l lostRun) bool { return l.goesOnAfter(w) })
 	rate := c.crashRate.PerWorker(now)
-	if common := c.silences.Rate(cr.at, len(c.workers)); common > 0 {
+	if common := c.correlatedLosses.Rate(cr.at, len(c.workers)); common > 0 {
 		c.log.Info("worker crashed together with others", "worker", w.info.ID, "runs", len(cr.lost), "common rate", common)
 		rate += common
 	}
@@ -226,7 +226,7 @@
 		t.notBefore = now + min(mostCrashPause, firstCrashPause<<min(len(t.crashes), 5))
 	}
 	j.evidence++
-	c.touch(j)
+	c.markDirty(j)
 	c.log.Info("worker crashed under a task", "task", t.ref.String(), "run", l.run, "worker", w.info.ID, "factor", blamed.Factor, "presumed", blamed.Presumed,
 		"seen running for", l.ran.String(), "at most", l.most.String(), "crashes", len(t.crashes), "suspect", t.suspected)
 }
@@ -269,7 +269,7 @@
 		return
 	}
 	if prior := c.kindOf(j).Prior(now); t.crashes.Poison(prior) {
-		c.onsets.Add(t.crashes)
+		c.timesToCrash.Add(t.crashes)
 		c.log.Info("task given up", "task", t.ref.String(), "crashes", len(t.crashes), "share of such jobs", prior)
 		c.finish(j, work.Failed)
 		c.acquitBeside(t, now)
@@ -285,7 +285,7 @@
 			if left, changed := t.crashes.MarkExplained(lives); changed {
 				t.crashes = left
 				c.judgeRecord(t, now)
-				c.touch(j)
+				c.markDirty(j)
 			}
 		})
 	}
@@ -302,11 +302,11 @@
 	for _, j := range slices.Clone(c.open) {
 		j.eachTask(func(t *task) {
 			switch {
-			case t.presumed == 0 || j.final != "":
-			case c.lostUnheard:
+			case t.presumedRun == 0 || j.final != "":
+			case c.lostUnpolled:
 				c.giveUpPoison(t, now)
 			default:
-				c.clearPresumed(t, t.presumed)
+				c.clearPresumed(t, t.presumedRun)
 			}
 		})
 	}
@@ -321,7 +321,7 @@
 	run := crashes.LostRun{MinRunTime: t.where.seenRunning(t), LongRunning: t.step.spec.LongRunning}
 	if run.ProvenSound() {
 		t.crashes, t.crashedAt, t.suspected = nil, nil, false
-		c.touch(t.step.job)
+		c.markDirty(t.step.job)
 	}
 }
 
@@ -345,11 +345,11 @@
 // caused: its worker tells of a run of the task that is later than those under which workers
 // crashed.
 func (c *Core) clearPresumed(t *task, run int) {
-	if t.presumed == 0 || run <= t.crashes.Without(t.presumed).LatestRun() {
+	if t.presumedRun == 0 || run <= t.crashes.Without(t.presumedRun).LatestRun() {
 		return
 	}
-	t.crashes = t.crashes.Without(t.presumed)
-	t.presumed = 0
+	t.crashes = t.crashes.Without(t.presumedRun)
+	t.presumedRun = 0
 	c.judgeRecord(t, c.now)
-	c.touch(t.step.job)
+	c.markDirty(t.step.job)
 }
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -137,7 +137,7 @@
 	m.commit = m.token
 	for _, o := range m.owners {
 		o.core.SetCertain(false)
-		o.core.startsUntil = min(o.core.startsUntil, m.now+OwnerGrace)
+		o.core.ordersUntil = min(o.core.ordersUntil, m.now+OwnerGrace)
 		if m.chance(40) {
 			o.retired = true // it was killed
 		}
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -18,10 +18,10 @@
 			continue
 		}
 		for _, t := range w.tasks {
-			if t.state != taskStopping || t.stopOK != 0 || t.stopSent != 0 && now < t.stopSent+stopAgain {
+			if t.state != taskStopping || t.stopAnsweredAt != 0 || t.stopSentAt != 0 && now < t.stopSentAt+stopAgain {
 				continue
 			}
-			t.stopSent = now
+			t.stopSentAt = now
 			out.Stops = append(out.Stops, StopOrder{Worker: w.info, Task: t.ref, Run: t.run})
 		}
 		for ref, s := range w.strays {
@@ -40,7 +40,7 @@
 	t := c.find(work.TaskRef{StepRef: p.Step.Ref, Index: p.Index})
 	run := c.nextRun(t, out)
 	c.attach(t, w, run, taskStarting, now)
-	t.sent, t.left, t.answered, t.ranBefore, t.shown = now, 0, 0, 0, false
+	t.orderedAt, t.sentAt, t.answeredAt, t.ranBefore, t.confirmed = now, 0, 0, 0, false
 	t.deadline = w.clockNow(now) + min(startAhead, c.bounds.MaxLease)
 	w.deadline = max(w.deadline, t.deadline)
 	j := t.step.job
@@ -85,7 +85,7 @@
 	if t == nil || t.run != o.Start.Run || t.where == nil || t.where.info.ID != o.Worker.ID {
 		return false
 	}
-	t.left = now
+	t.sentAt = now
 	return true
 }
 
@@ -109,7 +109,7 @@
 	}
 	t := c.find(o.Start.Task)
 	if t != nil && w != nil && t.where == w && t.run == o.Start.Run {
-		t.shown = t.shown || out == OutcomeOK && same
+		t.confirmed = t.confirmed || out == OutcomeOK && same
 		c.startAnswered(t, w, out, now)
 	}
 	// After the start: it did not begin there, and the life's end says nothing of its task.
@@ -124,8 +124,8 @@
 		c.started(t, w, now)
 	case OutcomeUnknown:
 		if t.state == taskStarting {
-			t.step.set(t, taskDoubtful)
-			t.answered = now
+			t.step.set(t, taskUncertain)
+			t.answeredAt = now
 		}
 	default:
 		c.notStarted(t, w, out, now)
@@ -134,10 +134,10 @@
 
 func (c *Core) started(t *task, w *worker, now time.Duration) {
 	switch t.state {
-	case taskStarting, taskDoubtful:
+	case taskStarting, taskUncertain:
 		c.attach(t, w, t.run, taskActive, now)
 	case taskStopping:
-		t.answered = now
+		t.answeredAt = now
 	}
 	t.step.job.begun = true
 }
@@ -186,6 +186,6 @@
 		return
 	}
 	if answered {
-		t.stopOK = now
+		t.stopAnsweredAt = now
 	}
 }
--- a/internal/engine/pace.go
+++ b/internal/engine/pace.go
@@ -18,10 +18,10 @@
 		}
 		for _, t := range filling {
 			want := pacing.Next(t.pace, load)
-			if want == t.pace || t.paceSent != 0 && now < t.paceSent+c.paceEvery(want < t.pace) {
+			if want == t.pace || t.paceSentAt != 0 && now < t.paceSentAt+c.paceEvery(want < t.pace) {
 				continue
 			}
-			t.pace, t.paceSent = want, now
+			t.pace, t.paceSentAt = want, now
 			out.Paces = append(out.Paces, PaceOrder{Worker: w.info, Task: t.ref, Run: t.run, Percent: want})
 		}
 	}
@@ -48,7 +48,7 @@
 		}
 		if t.step.spec.BestEffort {
 			filling = append(filling, t)
-		} else if t.step.spec.Serving() && t.atWork() {
+		} else if t.step.spec.Serving() && t.serving() {
 			tail := time.Duration(t.gauge) * time.Millisecond
 			load.WorstTailRatio = max(load.WorstTailRatio, float64(tail)/float64(t.step.spec.TargetTail))
 		}
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -46,30 +46,30 @@
 	Advice []AdviceOrder
 }
 
-// judgeEvery separates looks at what every running task does. They go by what polls
+// progressCheckInterval separates looks at what every running task does. They go by what polls
 // tell, which is up to a second old; a busy cell plans a hundred times a second.
-const judgeEvery = 50 * time.Millisecond
+const progressCheckInterval = 50 * time.Millisecond
 
 // Plan decides what to order now. wall is the time of day, by which repeated
 // jobs are due.
 func (c *Core) Plan(now time.Duration, wall time.Time) Orders {
 	var out Orders
 	c.now = now
-	if c.deposed || now > c.startsUntil {
+	if c.deposed || now > c.ordersUntil {
 		return out
 	}
 	c.forgetEnded(now)
 	c.judgeCrashes(now)
 	c.openOccurrences(now, wall)
 	c.Expire(now)
-	if now >= c.judged+judgeEvery {
-		c.judged = now
-		c.stragglers(now)
+	if now >= c.progressCheckedAt+progressCheckInterval {
+		c.progressCheckedAt = now
+		c.stopStragglers(now)
 		c.planPaces(now, &out)
 	}
 	c.vacate(now)
 	c.planStops(now, &out)
-	c.findStrays()
+	c.findOrphanedRuns()
 	c.planWaiting(c.waitingSteps(now), now, &out)
 	return out
 }
@@ -77,10 +77,10 @@
 // openOccurrences adds what is due.
 func (c *Core) openOccurrences(now time.Duration, wall time.Time) {
 	for _, j := range c.open {
-		for j.next < j.Occurrences() {
+		for j.nextOccurrence < j.Occurrences() {
 			due := now
 			if j.Timed() {
-				if at := j.Schedule.Due(j.next); wall.Before(at) {
+				if at := j.Schedule.Due(j.nextOccurrence); wall.Before(at) {
 					break
 				}
 			} else {
@@ -91,14 +91,14 @@
 	}
 }
 
-type waiting struct {
+type waitingStep struct {
 	step *step
 	rank joborder.Rank
 }
 
 // waitingSteps returns the steps with tasks that may start now.
-func (c *Core) waitingSteps(now time.Duration) []waiting {
-	var out []waiting
+func (c *Core) waitingSteps(now time.Duration) []waitingStep {
+	var out []waitingStep
 	settled := c.settled(now)
 	if settled {
 		c.resolvePresumed(now)
@@ -108,41 +108,41 @@
 			continue
 		}
 		var rank *joborder.Rank
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				if s.pending == 0 || !s.ready() {
 					continue
 				}
 				if s.spec.Requires != "" {
-					c.sought[s.spec.Requires] = now
+					c.labelWantedAt[s.spec.Requires] = now
 				}
 				if rank == nil {
-					r := joborder.RankOf(c.orderOf(j, o, now))
+					r := joborder.RankOf(c.rankInput(j, o, now))
 					rank = &r
 					o.tier = r.Tier
 				}
-				out = append(out, waiting{step: s, rank: *rank})
+				out = append(out, waitingStep{step: s, rank: *rank})
 			}
 		}
 	}
 	return out
 }
 
-// orderOf describes a job to the order.
-func (c *Core) orderOf(j *job, o *occurrence, now time.Duration) joborder.Job {
+// rankInput describes a job to the order.
+func (c *Core) rankInput(j *job, o *occurrence, now time.Duration) joborder.Job {
 	out := joborder.Job{
 		Priority:    j.queue.Priority,
 		LongRunning: j.LongRunning(),
 		Started:     j.begun,
 		Age:         now - o.due,
 		TotalWork:   j.size,
-		MeanWork:    c.size(j.Queue).mean(),
-		OverShare:   j.beyond,
+		MeanWork:    c.queueSize(j.Queue).mean(),
+		OverShare:   j.overShare,
 	}
 	chains := make([]time.Duration, len(o.steps))
 	whole := make([]time.Duration, len(o.steps))
 	for i, s := range o.steps {
-		est := c.learned.estimate(s)
+		est := c.durationRatios.estimate(s)
 		left := len(s.tasks) - s.done
 		if left > 0 {
 			chains[i] = est
@@ -164,8 +164,8 @@
 }
 
 // planWaiting places the waiting steps.
-func (c *Core) planWaiting(ws []waiting, now time.Duration, out *Orders) {
-	slices.SortStableFunc(ws, func(a, b waiting) int {
+func (c *Core) planWaiting(ws []waitingStep, now time.Duration, out *Orders) {
+	slices.SortStableFunc(ws, func(a, b waitingStep) int {
 		if a.rank.Before(b.rank) {
 			return -1
 		}
@@ -174,7 +174,7 @@
 		}
 		return 0
 	})
-	c.held = false
+	c.startsDeferred = false
 	c.openAccounts(now)
 	defer c.closeAccounts()
 	workers := c.snapshots(now)
@@ -182,12 +182,12 @@
 		return
 	}
 	planner := taskplan.NewPlanner(workers)
-	if slices.ContainsFunc(ws, func(w waiting) bool { return w.step.suspects() > 0 }) {
+	if slices.ContainsFunc(ws, func(w waitingStep) bool { return w.step.suspects() > 0 }) {
 		planner.TrialWorkersLeft = c.trialRoom(now)
 	}
 	for _, v := range ws {
-		if len(out.Starts) >= c.mayStart {
-			c.held = true
+		if len(out.Starts) >= c.startsLeft {
+			c.startsDeferred = true
 			break
 		}
 		// Steps that find no room, or none within their workspace's limit, are passed over
@@ -216,13 +216,13 @@
 	c.explain(ws, workers, now)
 }
 
-// explainEvery bounds the log lines about work that waits.
-const explainEvery = 1 * time.Second
+// explainInterval bounds the log lines about work that waits.
+const explainInterval = 1 * time.Second
 
 // explain logs what keeps the first waiting step from running.
-func (c *Core) explain(ws []waiting, workers []*taskplan.Worker, now time.Duration) {
-	i := slices.IndexFunc(ws, func(w waiting) bool { return w.step.pending > 0 })
-	if i < 0 || now < c.explained+explainEvery {
+func (c *Core) explain(ws []waitingStep, workers []*taskplan.Worker, now time.Duration) {
+	i := slices.IndexFunc(ws, func(w waitingStep) bool { return w.step.pending > 0 })
+	if i < 0 || now < c.explainedAt+explainInterval {
 		return
 	}
 	st := ws[i].step
@@ -230,7 +230,7 @@
 	if s == nil {
 		return
 	}
-	c.explained = now
+	c.explainedAt = now
 	c.log.Info("work waits", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
 		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.CountRejections(workers, s))
 }
@@ -239,16 +239,16 @@
 	ordered := c.ordered()
 	snaps := make([]taskplan.Worker, len(ordered))
 	out := make([]*taskplan.Worker, len(ordered))
-	c.busy = 0
-	doubt, hazards := c.roomInDoubt(now), c.hazards(now)
+	c.busyWorkers = 0
+	doubt, hazards := c.capacityUncertain(now), c.hazards(now)
 	for i, w := range ordered {
 		if len(w.tasks) > 0 {
-			c.busy++
+			c.busyWorkers++
 		}
 		w.snapshot(&snaps[i], now)
 		snap := &snaps[i]
 		snap.Closed = snap.Closed || doubt
-		snap.LabelInDemand = c.seeks(w.info.Labels, now)
+		snap.LabelInDemand = c.labelInDemand(w.info.Labels, now)
 		if hazards {
 			snap.HazardousJob = c.freshOn(w, now)
 		}
@@ -265,42 +265,42 @@
 	return c.sorted
 }
 
-// soughtFor is how long room is kept for work that asks for a label after the last
+// labelDemandWindow is how long room is kept for work that asks for a label after the last
 // of it waited: steps of a job follow each other within seconds.
-const soughtFor = 10 * time.Second
+const labelDemandWindow = 10 * time.Second
 
-// seeks reports whether work asked for one of the labels of late.
-func (c *Core) seeks(labels []string, now time.Duration) bool {
-	return len(c.sought) > 0 && slices.ContainsFunc(labels, func(label string) bool {
-		at, known := c.sought[label]
-		return known && now < at+soughtFor
+// labelInDemand reports whether work asked for one of the labels of late.
+func (c *Core) labelInDemand(labels []string, now time.Duration) bool {
+	return len(c.labelWantedAt) > 0 && slices.ContainsFunc(labels, func(label string) bool {
+		at, known := c.labelWantedAt[label]
+		return known && now < at+labelDemandWindow
 	})
 }
 
-// mayBegin reports whether the task may start at all now. While a later owner can
+// startAllowed reports whether the task may start at all now. While a later owner can
 // exist, a task that was started before is its business: it may have adopted the
 // run, or acknowledged its end. One that was never started it leaves alone until
 // it has fenced every worker.
-func (c *Core) mayBegin(t *task) bool {
+func (c *Core) startAllowed(t *task) bool {
 	if !c.certain && (t.run > 0 || t.step.job.restored) {
 		return false
 	}
-	return !c.astray[t.ref]
+	return !c.orphaned[t.ref]
 }
 
-// findStrays notes of which tasks a run is still to be stopped somewhere.
-func (c *Core) findStrays() {
-	clear(c.astray)
+// findOrphanedRuns notes of which tasks a run is still to be stopped somewhere.
+func (c *Core) findOrphanedRuns() {
+	clear(c.orphaned)
 	for _, w := range c.workers {
 		for ref := range w.strays {
-			c.astray[ref] = true
+			c.orphaned[ref] = true
 		}
 	}
 }
 
 // isDue reports whether the task waits for a worker now.
 func (c *Core) isDue(t *task, now time.Duration) bool {
-	return t.state == taskPending && now >= t.notBefore && c.mayBegin(t)
+	return t.state == taskPending && now >= t.notBefore && c.startAllowed(t)
 }
 
 // planStep describes a step to the plan; nil where none of it may start yet.
--- a/internal/engine/poll_test.go
+++ b/internal/engine/poll_test.go
@@ -24,7 +24,7 @@
 	assert.Assert(t, due)
 	assert.Assert(t, h.Wait <= pollSoon)
 	assert.Equal(t, h.Deadline, time.Duration(0), "a worker that may be silent gets no more time")
-	b.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
+	b.poll("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
 	assert.Assert(t, !b.core.workers["w1"].closed(b.now), "one that lives takes tasks again")
 }
 
@@ -32,7 +32,7 @@
 // less often: each look has a price, each try of a silent worker a connection.
 func TestPollsOfLastingWorkAndOfSilentWorkersAreFew(t *testing.T) {
 	b := newRig(t)
-	b.running(lasting(1), "w1")
+	b.running(longRunning(1), "w1")
 	_, h, _ := b.core.HoldFor("w1", b.now)
 	assert.Equal(t, h.Wait, pollWait)
 	assert.Equal(t, pauseAfter(2, 0), failedPause)
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -63,7 +63,7 @@
 	switch {
 	case j.final == "":
 		return progressEntries
-	case j.kept:
+	case j.progressStored:
 		return endEntries + clearEntries
 	}
 	return endEntries
@@ -73,7 +73,7 @@
 // many of them ended.
 func (c *Core) Dirty() (all, final int) {
 	for id, j := range c.dirty {
-		if _, flying := c.flying[id]; flying {
+		if _, flying := c.storing[id]; flying {
 			continue
 		}
 		all++
@@ -92,12 +92,12 @@
 func (c *Core) TakeFlush(entries int) Flush {
 	jobs := make([]*job, 0, len(c.dirty))
 	for id, j := range c.dirty {
-		if _, flying := c.flying[id]; !flying {
+		if _, flying := c.storing[id]; !flying {
 			jobs = append(jobs, j)
 		}
 	}
 	slices.SortFunc(jobs, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(b.entries(), a.entries()), cmp.Compare(a.touched, b.touched), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.entries(), a.entries()), cmp.Compare(a.dirtySinceEnd, b.dirtySinceEnd), cmp.Compare(a.ID, b.ID))
 	})
 	var f Flush
 	for _, j := range jobs {
@@ -106,7 +106,7 @@
 		}
 		entries -= j.entries()
 		delete(c.dirty, j.ID)
-		c.flying[j.ID] = j.touched
+		c.storing[j.ID] = j.dirtySinceEnd
 		j.evidenceSent = j.evidence
 		f.Changes = append(f.Changes, j.change())
 	}
@@ -115,11 +115,11 @@
 
 // storedMark is the first end taken in whose effect may not be stored.
 func (c *Core) storedMark() int64 {
-	mark := c.endings + 1
+	mark := c.endsSeen + 1
 	for _, j := range c.dirty {
-		mark = min(mark, j.touched)
+		mark = min(mark, j.dirtySinceEnd)
 	}
-	for _, touched := range c.flying {
+	for _, touched := range c.storing {
 		mark = min(mark, touched)
 	}
 	return mark
@@ -138,10 +138,10 @@
 
 func (j *job) change() Change {
 	if j.final != "" {
-		return Change{Job: j.ID, Workspace: j.Workspace, Final: j.final, Clear: j.kept}
+		return Change{Job: j.ID, Workspace: j.Workspace, Final: j.final, Clear: j.progressStored}
 	}
-	p := Progress{Next: j.next, Run: j.baseRun}
-	for _, o := range j.live {
+	p := Progress{Next: j.nextOccurrence, Run: j.baseRun}
+	for _, o := range j.liveOccurrences {
 		op := OccurrenceProgress{Number: o.number}
 		for _, s := range o.steps {
 			sp := StepProgress{}
@@ -151,8 +151,8 @@
 					sp.Done = append(sp.Done, i)
 					continue
 				}
-				if len(t.failed) > 0 && !s.spec.LongRunning {
-					sp.Failed = put(sp.Failed, i, t.failed)
+				if len(t.failedRuns) > 0 && !s.spec.LongRunning {
+					sp.Failed = put(sp.Failed, i, t.failedRuns)
 				}
 				if len(t.crashes) > 0 {
 					sp.Crashed = put(sp.Crashed, i, t.crashes)
@@ -188,20 +188,20 @@
 // returns the idle workers that have ends to be acknowledged since.
 func (c *Core) Flushed(f Flush, err error) []work.WorkerID {
 	for _, ch := range f.Changes {
-		touched := c.flying[ch.Job]
-		delete(c.flying, ch.Job)
+		touched := c.storing[ch.Job]
+		delete(c.storing, ch.Job)
 		j := c.jobs[ch.Job]
 		switch {
 		case j == nil:
 		case err != nil:
 			c.dirty[ch.Job] = j
-			j.touched = touched
+			j.dirtySinceEnd = touched
 			// It may have taken effect all the same.
-			j.kept = j.kept || ch.Final == ""
+			j.progressStored = j.progressStored || ch.Final == ""
 		case ch.Final != "":
 			c.endStored(j)
 		default:
-			j.kept = true
+			j.progressStored = true
 			j.evidenceStored = j.evidenceSent
 		}
 	}
@@ -224,7 +224,7 @@
 		f(nil)
 	}
 	j.onEnd = nil
-	c.stale = append(c.stale, staleJob{id: j.ID, at: c.now})
+	c.endedJobs = append(c.endedJobs, staleJob{id: j.ID, at: c.now})
 	// What still runs is stopped as strays or by its own stop orders; the
 	// tasks are kept until their workers have ended them.
 	j.Spec = ""
@@ -242,11 +242,11 @@
 
 // forgetEnded drops jobs that ended long ago: a term may last for weeks.
 func (c *Core) forgetEnded(now time.Duration) {
-	for len(c.stale) > 0 && now > c.stale[0].at+keepEnded {
-		id := c.stale[0].id
-		c.stale = c.stale[1:]
+	for len(c.endedJobs) > 0 && now > c.endedJobs[0].at+keepEnded {
+		id := c.endedJobs[0].id
+		c.endedJobs = c.endedJobs[1:]
 		if c.stillRuns(id) {
-			c.stale = append(c.stale, staleJob{id: id, at: now})
+			c.endedJobs = append(c.endedJobs, staleJob{id: id, at: now})
 			continue
 		}
 		delete(c.jobs, id)
@@ -281,7 +281,7 @@
 	age := max(0, wall.Sub(r.Job.Accepted))
 	j := newJob(r.Job, q, now-age)
 	j.restored = true
-	j.kept = p != nil
+	j.progressStored = p != nil
 	if p != nil {
 		j.restore(p)
 	} else {
@@ -300,13 +300,13 @@
 func (j *job) restore(p *Progress) {
 	j.baseRun = p.Run + restoredRuns
 	for _, op := range p.Occurrences {
-		j.next = op.Number
+		j.nextOccurrence = op.Number
 		o := j.addOccurrence(j.accepted)
 		for i := range op.Steps {
 			o.steps[i].restore(&op.Steps[i])
 		}
 	}
-	j.next = max(j.next, p.Next)
+	j.nextOccurrence = max(j.nextOccurrence, p.Next)
 }
 
 func (s *step) restore(p *StepProgress) {
@@ -318,7 +318,7 @@
 	}
 	for i, runs := range p.Failed {
 		if i < len(s.tasks) {
-			s.tasks[i].failed = runs
+			s.tasks[i].failedRuns = runs
 			s.job.begun = true
 		}
 	}
@@ -331,8 +331,8 @@
 	for _, i := range p.Trials {
 		if i < len(s.tasks) {
 			t := s.tasks[i]
-			t.presumed = s.job.baseRun
-			t.crashes = t.crashes.With(crashes.Crash{Run: t.presumed, Presumed: true})
+			t.presumedRun = s.job.baseRun
+			t.crashes = t.crashes.With(crashes.Crash{Run: t.presumedRun, Presumed: true})
 		}
 	}
 	for i, saved := range p.Saved {
--- a/internal/engine/progress_test.go
+++ b/internal/engine/progress_test.go
@@ -38,9 +38,9 @@
 		t.Fatal("no start of ", id)
 		return StartOrder{}
 	}
-	b.look("w1", Listing{Brief: true, Ended: []RunEnd{ended(1, of("j1"), work.Done)}})
+	b.poll("w1", Listing{Brief: true, Ended: []RunEnd{ended(1, of("j1"), work.Done)}})
 	first := b.core.TakeFlush(progressEntries)
-	b.look("w1", Listing{Brief: true, Ended: []RunEnd{ended(2, of("j2"), work.Done)}})
+	b.poll("w1", Listing{Brief: true, Ended: []RunEnd{ended(2, of("j2"), work.Done)}})
 	second := b.core.TakeFlush(progressEntries)
 	assert.Equal(t, second.Changes[0].Job, work.JobID("j2"))
 	assert.Equal(t, len(b.core.Flushed(second, nil)), 0)
@@ -57,9 +57,9 @@
 	b.accept("j1", short(2))
 	o := b.plan()
 	b.answer(o, OutcomeOK)
-	b.look("w1", Listing{Brief: true, Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
+	b.poll("w1", Listing{Brief: true, Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
 	first := b.core.TakeFlush(100)
-	b.look("w1", Listing{Brief: true, Ended: []RunEnd{ended(2, o.Starts[1], work.Done)}})
+	b.poll("w1", Listing{Brief: true, Ended: []RunEnd{ended(2, o.Starts[1], work.Done)}})
 	assert.Equal(t, len(b.core.TakeFlush(100).Changes), 0)
 	all, final := b.core.Dirty()
 	assert.Equal(t, all+final, 0, "there is nothing that could be sent")
--- a/internal/engine/room_test.go
+++ b/internal/engine/room_test.go
@@ -20,12 +20,12 @@
 	b.accept("j2", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0, "more runs than there is room for")
 
-	b.look("w1", Listing{Running: []Run{run(o.Starts[1]), run(o.Starts[2])}, Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
+	b.poll("w1", Listing{Running: []Run{run(o.Starts[1]), run(o.Starts[2])}, Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
 	assert.Equal(t, len(b.plan().Starts), 0, "it is full")
 	b.core.find(o.Starts[1].Start.Task).step.set(b.core.find(o.Starts[1].Start.Task), taskStopping)
-	b.look("w1", Listing{Running: []Run{run(o.Starts[1]), run(o.Starts[2])}})
+	b.poll("w1", Listing{Running: []Run{run(o.Starts[1]), run(o.Starts[2])}})
 	assert.Equal(t, len(b.plan().Starts), 0, "what is being stopped counts")
-	b.look("w1", Listing{Running: []Run{run(o.Starts[2])}, Ended: []RunEnd{ended(2, o.Starts[1], work.Stopped)}})
+	b.poll("w1", Listing{Running: []Run{run(o.Starts[2])}, Ended: []RunEnd{ended(2, o.Starts[1], work.Stopped)}})
 	assert.Equal(t, len(b.plan().Starts), 1, "there is room for one")
 }
 
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -10,10 +10,10 @@
 func (e *Engine) send(ctx context.Context, o *Orders) {
 	for i := range o.Starts {
 		if s := e.session(o.Starts[i].Worker.ID); s != nil {
-			e.starts.Add(1)
+			e.unansweredStarts.Add(1)
 			s.do(ctx, func() {
 				e.start(ctx, o.Starts[i])
-				e.starts.Add(-1)
+				e.unansweredStarts.Add(-1)
 			})
 		}
 	}
@@ -45,7 +45,7 @@
 func (e *Engine) start(ctx context.Context, o StartOrder) {
 	out, clock := OutcomeNotSent, time.Duration(0)
 	if e.allowed() && e.startLeaves(o) {
-		call, cancel := e.within(ctx, orderTimeout)
+		call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 		out, clock = e.Workers.Start(call, &o.Worker, o.Start)
 		cancel()
 	}
@@ -70,7 +70,7 @@
 	if !e.allowed() {
 		return
 	}
-	call, cancel := e.within(ctx, orderTimeout)
+	call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Stop(call, &o.Worker, o.Task, o.Run, e.Term.Token())
 	e.Metrics.stop(out)
@@ -85,14 +85,14 @@
 	if !e.allowed() {
 		return
 	}
-	call, cancel := e.within(ctx, orderTimeout)
+	call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Pace(call, &o.Worker, o.Task, o.Run, o.Percent, e.Term.Token())
 	e.Log.Info("pace", "task", o.Task.String(), "worker", o.Worker.ID, "percent", o.Percent, "outcome", out.String())
 	if out != OutcomeOK {
 		e.mu.Lock()
 		if t := e.core.find(o.Task); t != nil && t.run == o.Run {
-			t.pace, t.paceSent = -1, e.Clock.Now() // unknown: set again
+			t.pace, t.paceSentAt = -1, e.Clock.Now() // unknown: set again
 		}
 		e.mu.Unlock()
 	}
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -89,7 +89,7 @@
 	e := s.engine
 	for ctx.Err() == nil {
 		e.mu.Lock()
-		e.authority()
+		e.updateAuthority()
 		info, h, due := e.core.HoldFor(s.id, e.Clock.Now())
 		_, exists := e.core.workers[s.id]
 		pause := e.core.pollPause()
@@ -141,14 +141,14 @@
 		return false
 	}
 	sent := e.Clock.Now()
-	call, cancel := e.within(ctx, h.Wait+pollTimeout)
+	call, cancel := e.withExtraTimeout(ctx, h.Wait+pollTimeout)
 	l, out := e.Workers.Hold(call, info, h)
 	cancel()
 	if ctx.Err() != nil {
 		return false
 	}
 	e.Metrics.poll(out)
-	behind := e.behind()
+	behind := e.maxSchedulingDelay()
 	e.mu.Lock()
 	switch {
 	case out == OutcomeOK:
--- a/internal/engine/settled.go
+++ b/internal/engine/settled.go
@@ -17,8 +17,8 @@
 	if !c.fleetKnown {
 		return false
 	}
-	for id, pool := range c.alive {
-		if pool != c.cell || c.workers[id] == nil && len(c.over[id]) > 0 {
+	for id, pool := range c.upWorkers {
+		if pool != c.cell || c.workers[id] == nil && len(c.endedIncarnations[id]) > 0 {
 			continue
 		}
 		if w := c.workers[id]; w == nil || !w.heard {
@@ -36,14 +36,14 @@
 // SetFleet says which workers are alive by the platform's list of VMs.
 func (c *Core) SetFleet(vms []work.VM) {
 	c.fleetKnown = true
-	c.alive = make(map[work.WorkerID]string, len(vms))
+	c.upWorkers = make(map[work.WorkerID]string, len(vms))
 	c.largestVM = work.Resources{}
 	c.limits.fleet = work.Resources{}
 	for _, vm := range vms {
 		c.limits.fleet = c.limits.fleet.Plus(vm.Size)
 		c.largestVM = c.largestVM.Max(vm.Size)
 		if vm.State == work.VMUp && vm.Worker != "" {
-			c.alive[vm.Worker] = vm.Pool
+			c.upWorkers[vm.Worker] = vm.Pool
 		}
 	}
 }
--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -6,8 +6,8 @@
 	"github.com/pumicestage/pumicestage/policy/straggler"
 )
 
-// stragglers stops what stands still or crawls, so that it starts elsewhere.
-func (c *Core) stragglers(now time.Duration) {
+// stopStragglers stops what stands still or crawls, so that it starts elsewhere.
+func (c *Core) stopStragglers(now time.Duration) {
 	for _, w := range c.workers {
 		if w.gone || w.missed > 0 {
 			continue
@@ -16,31 +16,31 @@
 			if t.state != taskActive || t.step.spec.LongRunning || t.step.spec.Gang || t.step.spec.BestEffort {
 				continue
 			}
-			if t.listedAt > t.answered {
-				c.judge(w, t, now)
+			if t.listedAt > t.answeredAt {
+				c.checkProgress(w, t, now)
 			}
 		}
 	}
 }
 
-func (c *Core) judge(w *worker, t *task, now time.Duration) {
-	run := c.progressOf(t)
+func (c *Core) checkProgress(w *worker, t *task, now time.Duration) {
+	run := c.progress(t)
 	if straggler.Stalled(run) {
 		w.strikes.failure(t.ref.Job, now)
 		c.abandon(t, w, "stands still", run)
 		return
 	}
-	if straggler.RunsSlowly(run) && c.hasPlace(t, now) {
+	if straggler.RunsSlowly(run) && c.canBePlaced(t, now) {
 		w.slowness = w.slowness.Observe(run.Running*fullPercent/time.Duration(max(1, run.Percent)), run.Estimate)
 		c.abandon(t, w, "crawls", run)
 	}
 }
 
-// progressOf describes the task as the last poll showed it: its percentage is of
+// progress describes the task as the last poll showed it: its percentage is of
 // then, and may be a second old.
-func (c *Core) progressOf(t *task) straggler.Task {
+func (c *Core) progress(t *task) straggler.Task {
 	return straggler.Task{
-		Estimate: c.learned.estimate(t.step), Running: t.listedAt - t.answered, SinceProgress: t.listedAt - t.movedAt, Percent: t.percent,
+		Estimate: c.durationRatios.estimate(t.step), Running: t.listedAt - t.answeredAt, SinceProgress: t.listedAt - t.progressedAt, Percent: t.percent,
 	}
 }
 
--- a/internal/engine/takeover_bench_test.go
+++ b/internal/engine/takeover_bench_test.go
@@ -67,7 +67,7 @@
 		b.Fatal(err)
 	}
 	now := e.Clock.Now()
-	e.authority()
+	e.updateAuthority()
 	for _, w := range workers {
 		_, h, _ := e.core.HoldFor(w.ID, now)
 		e.core.HoldAnswered(w.ID, h, Listing{Clock: now}, now, now)
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -25,11 +25,11 @@
 		assert.Equal(t, len(o.Starts), 1)
 		b.answer(o, OutcomeOK)
 		ends = append(ends, ended(seq, o.Starts[0], work.Faulted))
-		b.look("w1", Listing{Ended: ends})
+		b.poll("w1", Listing{Ended: ends})
 	}
 	b.takeOver(8, "w1")
 	b.core.SetFleet([]work.VM{vm("v1", "w1")})
-	b.look("w1", Listing{Ended: ends})
+	b.poll("w1", Listing{Ended: ends})
 	assert.Equal(t, len(b.plan().Starts), 1, "one attempt is left")
 	state, _ := b.core.State("j1")
 	assert.Assert(t, state != work.Failed)
@@ -81,9 +81,9 @@
 	b.takeOver(8, "w1", "w2")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
 	assert.Equal(t, len(b.plan().Starts), 0, "no worker was heard yet")
-	b.look("w1", Listing{Running: byWorker["w1"]})
+	b.poll("w1", Listing{Running: byWorker["w1"]})
 	assert.Equal(t, len(b.plan().Starts), 0, "w2 may run the rest")
-	b.look("w2", Listing{Running: byWorker["w2"]})
+	b.poll("w2", Listing{Running: byWorker["w2"]})
 	next := b.plan()
 	assert.Equal(t, len(next.Starts)+len(next.Stops), 0, "all of it runs")
 }
@@ -102,7 +102,7 @@
 	b.answer(b.plan(), OutcomeOK)
 	b.takeOver(8)
 	b.core.WorkerSeen(info("w3"))
-	b.look("w3", Listing{})
+	b.poll("w3", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 0, "the VM list was not read")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v3", "w3")})
 	assert.Equal(t, len(b.plan().Starts), 0, "w1 lives by the VM list and was not heard")
@@ -137,7 +137,7 @@
 	next.Address = info("old").Address
 	b.core.WorkerSeen(info("old"))
 	b.core.WorkerSeen(next)
-	b.look("next", Listing{})
+	b.poll("next", Listing{})
 	b.accept("j1", short(1))
 	b.answer(b.plan(), OutcomeOK)
 	for range 3 {
@@ -160,16 +160,16 @@
 	b.takeOver(8, "w1", "w2", "w3")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2"), vm("v3", "w3")})
 	ref := work.TaskRef{StepRef: work.StepRef{Job: "j1"}}
-	b.look("w3", Listing{})
-	b.look("w1", Listing{Running: []Run{{Task: ref, Run: 1}}})
-	b.look("w2", Listing{Running: []Run{{Task: ref, Run: 2}}})
+	b.poll("w3", Listing{})
+	b.poll("w1", Listing{Running: []Run{{Task: ref, Run: 1}}})
+	b.poll("w2", Listing{Running: []Run{{Task: ref, Run: 2}}})
 	stops := b.plan().Stops
 	assert.Equal(t, len(stops), 1)
 	assert.Equal(t, stops[0].Worker.ID, work.WorkerID("w1"))
-	b.look("w2", Listing{Ended: []RunEnd{{Seq: 1, Task: ref, Run: 2, How: work.Faulted}}})
+	b.poll("w2", Listing{Ended: []RunEnd{{Seq: 1, Task: ref, Run: 2, How: work.Faulted}}})
 	assert.Equal(t, len(b.plan().Starts), 0, "run 1 is still being stopped")
 	b.core.StopAnswered(stops[0], OutcomeOK, b.now)
-	b.look("w1", Listing{Ended: []RunEnd{{Seq: 1, Task: ref, Run: 1, How: work.Stopped}}})
+	b.poll("w1", Listing{Ended: []RunEnd{{Seq: 1, Task: ref, Run: 1, How: work.Stopped}}})
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
@@ -186,14 +186,14 @@
 	assert.Equal(t, starts[0].Start.Task.Job, work.JobID("j2"))
 
 	b.core.WorkerSeen(info("late"))
-	b.look("late", Listing{})
+	b.poll("late", Listing{})
 	b.accept("j3", short(4))
 	b.accept("j4", short(4))
 	for _, s := range b.plan().Starts {
 		assert.Assert(t, s.Worker.ID != "late", "its successor does not wait for this one")
 	}
 	b.core.SetCertain(true)
-	b.look("late", Listing{})
+	b.poll("late", Listing{})
 	assert.Assert(t, len(b.plan().Starts) > 0)
 }
 
@@ -217,8 +217,8 @@
 	o := b.running(short(1), "w1")
 	b.takeOver(8, "w1", "w2")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
-	b.look("w1", Listing{Running: []Run{run(o.Starts[0])}})
-	b.look("w2", Listing{})
+	b.poll("w1", Listing{Running: []Run{run(o.Starts[0])}})
+	b.poll("w2", Listing{})
 	inherited := b.now + 5*time.Second
 	b.core.Inherit(inherited)
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
@@ -236,7 +236,7 @@
 	b := newRig(t)
 	b.running(short(1), "w1")
 	asked := b.now
-	b.look("w1", Listing{})
+	b.poll("w1", Listing{})
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	b.core.SetFleet(nil)
 	b.core.endLives(asked, b.now)
@@ -250,7 +250,7 @@
 // stop takes, and the new owner, asked to empty a VM, stops another.
 func TestANewOwnerStopsNothingWhileAnEarlierStopMayBeUnderWay(t *testing.T) {
 	b := newRig(t)
-	o := b.running(lasting(2), "w1", "w2")
+	o := b.running(longRunning(2), "w1", "w2")
 	b.worker("w3")
 	record := &JobRecord{Job: &b.core.jobs["j1"].Job, Queue: b.core.declared.Queues[queue]}
 	b.core = b.successor(token + 1)
@@ -261,12 +261,12 @@
 			r := run(s)
 			r.Percent = fullPercent
 			b.core.WorkerSeen(info(s.Worker.ID))
-			b.look(s.Worker.ID, Listing{Running: []Run{r}})
+			b.poll(s.Worker.ID, Listing{Running: []Run{r}})
 		}
 	}
 	list()
 	b.worker("w3")
-	b.core.obey(CellOrder{Kind: OrderVacate, Worker: o.Starts[0].Worker.ID}, token, b.now)
+	b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: o.Starts[0].Worker.ID}, token, b.now)
 	for range 8 {
 		b.now += 50 * time.Millisecond
 		list()
@@ -325,10 +325,10 @@
 	b.accept("j1", short(2))
 	b.takeOver(8, "w1", "w2")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
-	b.look("w1", Listing{})
+	b.poll("w1", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 0, "w2 may run it")
 	assert.Equal(t, b.core.report(b.now).Backlog, 0.0)
-	b.look("w2", Listing{})
+	b.poll("w2", Listing{})
 	assert.Assert(t, b.core.report(b.now).Backlog > 0)
 	assert.Equal(t, len(b.plan().Starts), 2)
 }
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -26,12 +26,12 @@
 // wantedForTrials is how many VMs suspects could use. As a backlog they would draw VMs that other
 // pools need; while other work waits here they wait.
 func (c *Core) wantedForTrials(now time.Duration) int {
-	if now < c.othersWaited+othersWaitedFor {
+	if now < c.othersWaitedAt+othersWaitedFor {
 		return 0
 	}
 	suspects := 0
 	for _, j := range c.open {
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				if s.pending > 0 && s.ready() && s.suspects() > 0 {
 					suspects++
@@ -44,16 +44,16 @@
 
 // noteOthers notes whether, of the steps that waited before this plan, other short work than
 // suspects still does.
-func (c *Core) noteOthers(ws []waiting, now time.Duration) {
-	if slices.ContainsFunc(ws, func(w waiting) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
-		c.othersWaited = now
+func (c *Core) noteOthers(ws []waitingStep, now time.Duration) {
+	if slices.ContainsFunc(ws, func(w waitingStep) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
+		c.othersWaitedAt = now
 	}
 }
 
 // trialRoom is on how many more workers suspects may be tried.
 func (c *Core) trialRoom(now time.Duration) int {
 	idle := 0
-	if now >= c.othersWaited+othersWaitedFor {
+	if now >= c.othersWaitedAt+othersWaitedFor {
 		idle = c.idle(now)
 	}
 	trying := 0
@@ -89,9 +89,9 @@
 // freshOn is the job whose tasks have just begun on the worker, if its kind crashes many; empty
 // where none have.
 func (c *Core) freshOn(w *worker, now time.Duration) work.JobID {
-	spacing := c.onsets.JobSpacing()
+	spacing := c.timesToCrash.JobSpacing()
 	for _, t := range w.tasks {
-		begun := t.state == taskActive && now >= t.answered+spacing
+		begun := t.state == taskActive && now >= t.answeredAt+spacing
 		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
 			return t.ref.Job
 		}
@@ -102,7 +102,7 @@
 // tries reports whether one of those tasks is on trial there.
 func (w *worker) tries(of func(*task) bool) bool {
 	for _, t := range w.tasks {
-		if of(t) && w.seenRunning(t) < t.trialLasts {
+		if of(t) && w.seenRunning(t) < t.trialDuration {
 			return true
 		}
 	}
@@ -114,7 +114,7 @@
 // onTrial reports whether it is on its way to the store, or stored, that the task may crash a
 // worker, and no run of it has shown otherwise since.
 func (t *task) onTrial() bool {
-	return t.trial != 0 && (t.where == nil || t.where.seenRunning(t) < t.trialLasts)
+	return t.trial != 0 && (t.where == nil || t.where.seenRunning(t) < t.trialDuration)
 }
 
 // askTrials has it stored, of the suspects of the step that may start now, that a start of
@@ -132,7 +132,7 @@
 	j := t.step.job
 	j.evidence++
 	t.trial = j.evidence
-	c.touch(j)
+	c.markDirty(j)
 }
 
 // mayBeTried reports whether what is known of the task is stored as far as its next start
--- a/internal/engine/vacate.go
+++ b/internal/engine/vacate.go
@@ -15,7 +15,7 @@
 			if t.state != taskActive || !t.step.spec.LongRunning {
 				continue
 			}
-			if w.info.Draining || c.mayStop(t, now) {
+			if w.info.Draining || c.stopAllowed(t, now) {
 				c.log.Info("lasting task moves", "task", t.ref.String(), "from", w.info.ID, "draining", w.info.Draining)
 				t.step.set(t, taskStopping)
 			}
@@ -23,29 +23,29 @@
 	}
 }
 
-// mayStop reports whether an order may take the task away. Every other task of
+// stopAllowed reports whether an order may take the task away. Every other task of
 // its step that is not at work for certain counts as away, whatever the cause:
 // counting only our own stops would let a failure and an order add up to more
 // than the step can bear. There must also be a place to go.
-func (c *Core) mayStop(t *task, now time.Duration) bool {
+func (c *Core) stopAllowed(t *task, now time.Duration) bool {
 	away := 0
 	for _, o := range t.step.tasks {
-		if o != t && !o.atWork() {
+		if o != t && !o.serving() {
 			away++
 		}
 	}
 	if away >= max(1, t.step.spec.MaxUnavailable) {
 		return false
 	}
-	return c.hasPlace(t, now)
+	return c.canBePlaced(t, now)
 }
 
-// hasPlace reports whether another worker can take the task soon. Short tasks
+// canBePlaced reports whether another worker can take the task soon. Short tasks
 // are not counted: lasting ones go before them, and get the room of the first
 // that ends. Were they counted, a burst that fills the pool would hold up a
 // maintenance wave until it is late.
-func (c *Core) hasPlace(t *task, now time.Duration) bool {
-	if c.roomInDoubt(now) {
+func (c *Core) canBePlaced(t *task, now time.Duration) bool {
+	if c.capacityUncertain(now) {
 		return false
 	}
 	s := t.step
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -230,7 +230,7 @@
 func (w *worker) doubted() bool {
 	n := 0
 	for _, t := range w.tasks {
-		if t.state == taskDoubtful {
+		if t.state == taskUncertain {
 			n++
 		}
 	}
