--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -198,7 +198,7 @@
 		o.takeConfig(kv)
 		return
 	}
-	w, is, err := platform.WaveOf(kv)
+	w, is, err := platform.DecodeWave(kv)
 	if err != nil {
 		o.log.Error(err, "wave is malformed", "key", kv.Key)
 		return
@@ -215,7 +215,7 @@
 }
 
 func (o *operator) takeConfig(kv infra.KV) {
-	c, err := platform.ConfigOf(kv.Value)
+	c, err := platform.DecodeConfig(kv.Value)
 	if err != nil {
 		o.log.Error(err, "configuration is malformed; the last one stays in force", "revision", int64(kv.ModRevision))
 		return
