--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -13,22 +13,25 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Bounds are the deployment's figures that the engine keeps to.
+// Bounds are limits of the deployment that the engine relies on.
 type Bounds struct {
-	MaxLease  time.Duration // longest lease a worker grants
-	PaceDelay time.Duration // until a change of pace shows
-	StopGrace time.Duration // a stop takes at most
-	// MaxConfigDelay is the time within which a configuration is in force everywhere; 0: not
-	// bounded.
+	MaxLease  time.Duration // longest lease that a worker grants
+	PaceDelay time.Duration // until a change of a run's pace takes effect
+	StopGrace time.Duration // longest time that stopping a run takes
+	// MaxConfigDelay is the time within which a configuration is in force on all entry VMs;
+	// 0: not bounded.
 	MaxConfigDelay time.Duration
-	// MaxCapacityAge is how old what unguarded workers say of their room may be; 0: not bounded.
+	// MaxCapacityAge is how old the known capacity of unguarded workers may be (see
+	// Service.Unguarded); 0: not bounded.
 	MaxCapacityAge time.Duration
 }
 
-// Core is the engine's state machine. It has no clock, network or goroutine:
-// time and answers come in, orders go out. It is not safe for concurrent use.
+// Core is the engine's state machine for one cell: a service's workers and the jobs on
+// them, owned by one entry VM at a time. It has no clock, network or goroutine: time and
+// answers are passed in, and Plan returns the orders to carry out. It is not safe for
+// concurrent use.
 type Core struct {
-	cell    string // the service
+	cell    string // name of the service
 	token   int64
 	bounds  Bounds
 	log     logr.Logger
@@ -36,52 +39,52 @@
 
 	declared          Declared
 	jobs              map[work.JobID]*job
-	open              []*job // not ended, oldest first
+	open              []*job // jobs that have not ended, oldest first
 	workers           map[work.WorkerID]*worker
-	sorted            []*worker                            // these by ID; nil: to be sorted anew
-	endedIncarnations map[work.WorkerID][]work.Incarnation // lives that have ended
+	sorted            []*worker                            // workers by ID; nil: has to be rebuilt
+	endedIncarnations map[work.WorkerID][]work.Incarnation // incarnations that have ended
 	endedJobs         []staleJob                           // ended jobs, oldest first
 	durationRatios    estimateRatios
 	sizes             map[string]*meanSize
 	limits            *limits
-	cells             []string  // among which limits are divided
-	arrivals          []arrival // of late
-
-	dirty             map[work.JobID]*job
-	storing           map[work.JobID]int64  // jobs with a change under way to the store, and when each was touched
-	endsSeen          int64                 // ends taken in so far, of all workers
-	now               time.Duration         // of the last plan or answer
-	explainedAt       time.Duration         // when work that waits was last logged
+	cells             []string  // cells among which the limits of workspaces are divided
+	arrivals          []arrival // recent ones
+
+	dirty             map[work.JobID]*job   // jobs with a change to store
+	storing           map[work.JobID]int64  // jobs whose change is being stored, with their dirtySinceEnd
+	endsSeen          int64                 // ends of runs that were received so far, from all workers
+	now               time.Duration         // time of the last plan or answer
+	explainedAt       time.Duration         // when waiting work was last logged
 	busyWorkers       int                   // workers with tasks, as of the last plan
-	progressCheckedAt time.Duration         // when running tasks were last judged
-	orphaned          map[work.TaskRef]bool // tasks with a run that is to be stopped, as of this plan
+	progressCheckedAt time.Duration         // when the progress of running tasks was last checked
+	orphaned          map[work.TaskRef]bool // tasks with an orphaned run still to be stopped, as of the last plan
 	deposed           bool
-	// ordersUntil: no orders beyond it, as the owner's lease is no longer
-	// certain and a successor may rely on our silence.
+	// ordersUntil is the time after which no orders are given: the owner's lease is no
+	// longer certain then, and a successor may rely on this owner giving none.
 	ordersUntil      time.Duration
 	inherited        time.Duration // see Inherit
-	fleetKnown       bool          // the platform's list of VMs was read
-	capacityKnownAt  time.Duration // see RoomKnown
-	crashRate        crashes.Rate  // of workers, by themselves
+	fleetKnown       bool          // the platform's list of VMs has been read
+	capacityKnownAt  time.Duration // see CapacityKnownAt
+	crashRate        crashes.Rate  // of workers, by causes other than a task
 	kinds            map[kindKey]*crashes.Kind
-	unattributed     []crash
+	unattributed     []crash // crashes whose cause is not decided yet
 	correlatedLosses crashes.CorrelatedLosses
 	trials           crashes.Trials
-	othersWaitedAt   time.Duration // when short work other than suspects last waited
+	othersWaitedAt   time.Duration // when short tasks that are not suspects last waited
 	timesToCrash     crashes.TimesToCrash
-	lostUnpolled     bool                     // a worker crashed that this owner never heard
+	lostUnpolled     bool                     // a worker crashed before it answered a poll of this owner
 	presumedResolved bool                     // see resolvePresumed
-	upWorkers        map[work.WorkerID]string // pools of the workers that it says are up
-	largestVM        work.Resources           // the most that any VM of that list has, by kind
+	upWorkers        map[work.WorkerID]string // workers that the list of VMs shows as up, with their pools
+	largestVM        work.Resources           // for each kind of resource, the most that any VM of that list has
 	certain          bool                     // no later owner can exist, see SetCertain
 	governor         overload.Governor
-	unreadPolls      int                      // polls without an answer while this owner was behind
-	startsLeft       int                      // starts in a plan
-	startsDeferred   bool                     // the last plan kept starts back
-	labelWantedAt    map[string]time.Duration // labels that steps asked for, and when last
+	unreadPolls      int                      // polls whose answer was not read in time because this owner was overloaded
+	startsLeft       int                      // starts that the next plan may order
+	startsDeferred   bool                     // the last plan ordered fewer starts than it could, see LimitStarts
+	labelWantedAt    map[string]time.Duration // labels that waiting steps require, with the last time of each
 }
 
-// NewCore returns a core of the service that gives its orders under token.
+// NewCore returns a core of the service named cell. Its orders carry the fencing token.
 func NewCore(cell string, token int64, bounds Bounds, log logr.Logger) *Core {
 	return &Core{
 		cell: cell, token: token, bounds: bounds, log: log,
@@ -102,8 +105,8 @@
 	}
 }
 
-// Configure takes the operator's configuration over. A job stays with the service
-// that its queue led to when it was accepted.
+// Configure applies the operator's configuration. A job stays with the service that its
+// queue was assigned to when the job was accepted.
 func (c *Core) Configure(d Declared) {
 	if c.declared.Version == d.Version {
 		return
@@ -118,19 +121,19 @@
 	}
 }
 
-// AllowUntil lets the core give orders until then; an earlier time than before
-// takes permission back.
+// AllowUntil sets the time until which the core may give orders. A time earlier than the
+// previous one withdraws permission.
 func (c *Core) AllowUntil(t time.Duration) { c.ordersUntil = t }
 
-// SetCertain says whether it is certain that no later owner exists. While it is
-// not, what ran on unreachable workers is not restarted: a successor on the
-// other side of a cut may have adopted it and extend its leases.
+// SetCertain sets whether it is certain that no later owner exists. While it is not
+// certain, tasks of unreachable workers are not restarted: a successor on the other side of
+// a network partition may have adopted their runs and may be extending their leases.
 func (c *Core) SetCertain(certain bool) { c.certain = certain }
 
-// Deposed reports whether a worker or the store knows a later owner.
+// Deposed reports whether a worker or the store has shown that a later owner exists.
 func (c *Core) Deposed() bool { return c.deposed }
 
-// Accept adds a stored job. A job known already stays as it is.
+// Accept adds a stored job. A job that is already known is left unchanged.
 func (c *Core) Accept(j *work.Job, q Queue, now time.Duration) {
 	if c.jobs[j.ID] != nil {
 		return
@@ -155,10 +158,10 @@
 	c.queueSize(j.Queue).add(j.size)
 }
 
-// Known reports whether the job is one of ours.
+// Known reports whether the job belongs to this cell and has not been forgotten.
 func (c *Core) Known(id work.JobID) bool { return c.jobs[id] != nil }
 
-// isOf reports whether the job is the workspace's.
+// isOf reports whether the job is known and belongs to the workspace.
 func (c *Core) isOf(id work.JobID, workspace work.WorkspaceName) bool {
 	j := c.jobs[id]
 	return j != nil && j.Workspace == workspace
@@ -170,7 +173,7 @@
 	return j != nil && Shows(j.Workspace, workspace)
 }
 
-// State returns what a caller is told of the job.
+// State returns the job's state as callers see it, and whether the job is known.
 func (c *Core) State(id work.JobID) (work.State, bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -179,7 +182,7 @@
 	return j.state(), true
 }
 
-// Waiting counts the queue's accepted jobs of which no task has started.
+// Waiting returns the number of the queue's jobs of which no task has started.
 func (c *Core) Waiting(queue string) int {
 	n := 0
 	for _, j := range c.open {
@@ -190,8 +193,8 @@
 	return n
 }
 
-// Cancel ends the job. done is called once that is stored; at once where the
-// job had ended before. It reports whether the job is known.
+// Cancel cancels the job if it has not ended, and reports whether the job is known. done is
+// called once the job's end is stored, which is immediately if it was stored before.
 func (c *Core) Cancel(id work.JobID, done func(error)) bool {
 	j := c.jobs[id]
 	if j == nil {
@@ -208,8 +211,8 @@
 	return true
 }
 
-// finish decides the job's end. Its tasks stop; callers see the end once it is
-// stored.
+// finish sets the job's final state and marks its runs to be stopped. Callers see the final
+// state only once it is stored.
 func (c *Core) finish(j *job, state work.State) {
 	j.final = state
 	if state == work.Completed {
@@ -223,10 +226,10 @@
 			t.step.set(t, taskStopping)
 		}
 	})
-	c.log.Info("job ends", "job", j.ID, "state", state, "queue", j.Queue, "after", (c.now - j.accepted).String(), "config", c.declared.Version)
+	c.log.Info("job ended", "job", j.ID, "state", state, "queue", j.Queue, "after", (c.now - j.accepted).String(), "config", c.declared.Version)
 }
 
-// markDirty notes that the job has something to store.
+// markDirty records that the job has a change to store.
 func (c *Core) markDirty(j *job) {
 	if c.dirty[j.ID] == nil {
 		c.dirty[j.ID] = j
@@ -234,7 +237,7 @@
 	}
 }
 
-// release takes the task off its worker.
+// release removes the task from its worker and resets the state of its run.
 func (c *Core) release(t *task) {
 	if t.where != nil {
 		t.where.remove(t)
@@ -246,13 +249,13 @@
 	t.stopSentAt, t.stopAnsweredAt, t.percent, t.gauge, t.pace = 0, 0, 0, 0, fullPercent
 }
 
-// requeue lets the task start anew, if its job goes on.
+// requeue releases the task and makes it pending again.
 func (c *Core) requeue(t *task) {
 	c.release(t)
 	t.step.set(t, taskPending)
 }
 
-// attach notes that the task is, or may be, on the worker.
+// attach records that the given run of the task is, or may be, on the worker.
 func (c *Core) attach(t *task, w *worker, run int, state taskState, now time.Duration) {
 	if t.where != nil && t.where != w {
 		t.where.remove(t)
@@ -285,7 +288,7 @@
 	return m
 }
 
-// meanSize is the mean size of a queue's jobs in core-seconds.
+// meanSize accumulates the sizes of a queue's jobs, in core-seconds, for their mean.
 type meanSize struct {
 	sum float64
 	n   int
@@ -300,13 +303,13 @@
 	return m.sum / float64(m.n)
 }
 
-// estimateRatios holds how long tasks really take against their estimates, by what
-// they run.
+// estimateRatios holds the ratio of actual to estimated run time, averaged per image or, for
+// steps without an image, per queue (see learnKey).
 type estimateRatios map[string]float64
 
-// learnWeight is the weight of the newest task. Jobs of one queue differ by half
-// their estimate and more; a tenth follows a change within some thirty tasks
-// and is not thrown by one.
+// learnWeight is the weight of the newest task in the moving average. Run times within one
+// queue differ from their estimates by half and more; with a weight of a tenth the average
+// follows a change within about thirty tasks, and a single outlier hardly moves it.
 const learnWeight = 0.1
 
 func learnKey(t *step) string {
@@ -339,7 +342,7 @@
 	return time.Duration(float64(s.spec.Estimate) * d.ratio(s))
 }
 
-// reserved returns what a task of the step holds of a worker.
+// reserved returns the resources of a worker that a task of the step reserves.
 func (s *step) reserved() work.Resources { return taskplan.Reserved(s.spec) }
 
 func (t *task) reserved() work.Resources { return t.step.reserved() }
