--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -8,15 +8,15 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// taskState is where one task stands for the engine.
+// taskState is the state of one task as the owner knows it.
 type taskState uint8
 
 const (
 	taskPending   taskState = iota
-	taskStarting            // ordered, no answer yet
-	taskUncertain           // ordered, the answer was lost: it may run, or may yet start
-	taskActive              // its worker said that it runs
-	taskStopping            // it runs, and is to be stopped
+	taskStarting            // a start was ordered and is not answered yet
+	taskUncertain           // a start was ordered and its answer was lost: the run may exist, or may yet start
+	taskActive              // its worker confirmed that it runs
+	taskStopping            // it runs and is to be stopped
 	taskDone
 )
 
@@ -25,60 +25,63 @@
 	ref   work.TaskRef
 	step  *step
 	state taskState
-	run   int // number of the last run that was ordered or seen
-	where *worker
+	run   int     // number of the last run that was ordered or seen
+	where *worker // that has the run, or may have it; nil: none
 
 	orderedAt      time.Duration // when the start was ordered
-	sentAt         time.Duration // when the start was sent; 0: not yet
-	confirmed      bool          // its worker's present life is known to have the run
-	answeredAt     time.Duration // when the worker was first known to have it, or the start given up
-	ranBefore      time.Duration // how long it had run for certain as this owner first heard of the run
+	sentAt         time.Duration // when the start was sent to the worker; 0: not yet
+	confirmed      bool          // the current incarnation of its worker is known to have the run
+	answeredAt     time.Duration // when the worker was first known to have the run, or the start was given up
+	ranBefore      time.Duration // how long the run had certainly lasted when this owner first learned of it
 	deadline       time.Duration // of the start order, on the worker's clock
-	stopSentAt     time.Duration // last stop order; 0: none
+	stopSentAt     time.Duration // when a stop was last ordered; 0: never
 	stopAnsweredAt time.Duration // when a stop was answered; 0: not yet
 	checkpoint     string
-	checkpointRun  int // the run the checkpoint is of
+	checkpointRun  int // number of the run that wrote the checkpoint
 	percent        int
-	listedAt       time.Duration // when a poll last told its percent
+	listedAt       time.Duration // when a poll last reported percent
 	progressedAt   time.Duration // when percent last rose
 	gauge          int
-	// stopsListedFrom: a list asked for after it tells of any stop by an earlier owner.
+	// stopsListedFrom is the time from which polls are certain to show any stop that an
+	// earlier owner ordered.
 	stopsListedFrom time.Duration
-	pace            int // percent of its share it may use; 100 at its start
+	pace            int // percent of its share of the processor that it may use; 100 at its start
 	paceSentAt      time.Duration
 
-	// failedRuns holds the numbers of the runs that failedRuns. An end that was stored
-	// and not acknowledged is listed again to the next owner: counted twice it
-	// would fail a good job with attempts left.
+	// failedRuns holds the numbers of the runs that failed. An end that was stored but not
+	// acknowledged is listed again to the next owner: if it were counted twice, a job with
+	// attempts left would fail.
 	failedRuns []int
 	avoid      []work.WorkerID
-	notBefore  time.Duration // pause before the next start, for tasks that keep failing
-	losses     int           // runs of this term that ended with their worker's life or lease
+	notBefore  time.Duration // no start before this time: the backoff of tasks that keep failing
+	losses     int           // runs in this term that ended with their worker's incarnation or lease
 
-	crashes crashes.Record // of workers under the task
-	// trial is the job's evidence that says that the next start may crash a worker; 0: none.
+	crashes crashes.Record // crashes of workers while the task ran on them
+	// trial is the number of the job's evidence by which the next start may crash a worker;
+	// 0: none.
 	trial int
-	// trialDuration is how long its run must be seen to go on to be trusted.
+	// trialDuration is how long the run must be seen running until the task is trusted.
 	trialDuration time.Duration
-	suspected     bool     // what is known of the crashes makes it a suspect
-	crashedAt     []string // addresses of the workers that crashed under it
-	// presumedRun is the run by which the crash is noted that a start by an earlier owner is
-	// taken to have caused; 0: none.
+	suspected     bool     // by the known crashes, the task may be their cause
+	crashedAt     []string // addresses of the workers that crashed while it ran on them
+	// presumedRun is the run under which a crash is recorded that is presumed to be caused by a
+	// start of an earlier owner; 0: none.
 	presumedRun int
 }
 
-// serving reports whether a lasting task serves for certain: its start-up is over,
-// its worker answers, and no stop of an earlier owner can be under way there. A
-// worker lists a run that is being stopped as it lists any other; a new owner that
-// took it to be at work stopped a second one beside it.
+// serving reports whether a long-running task is certain to serve: its start-up is over, its
+// worker answers, and no stop by an earlier owner can be under way there. A worker lists a
+// run that is being stopped like any other; a new owner that counted such a run as serving
+// would stop a second task of the step at the same time.
 func (t *task) serving() bool {
 	return t.state == taskActive && t.percent >= fullPercent && t.where.missed == 0 && t.where.listedAt >= t.stopsListedFrom
 }
 
-// fullPercent is what a worker lists for a lasting task once it is at work.
+// fullPercent is 100 percent. It is what a worker reports as the progress of a long-running
+// task whose start-up is over.
 const fullPercent = 100
 
-// step is a step of one occurrence.
+// step is one step of an occurrence of a job.
 type step struct {
 	job           *job
 	occ           *occurrence
@@ -92,6 +95,7 @@
 	advicePending bool
 }
 
+// ticket is the advisor's permission to run tasks of a step on one worker.
 type ticket struct {
 	text    string
 	expires time.Duration
@@ -101,7 +105,7 @@
 	return work.StepRef{Job: s.job.ID, Occurrence: s.occ.number, Step: s.number}
 }
 
-// ready reports whether all steps it waits for are done.
+// ready reports whether all steps that it depends on are done.
 func (s *step) ready() bool {
 	for _, before := range s.spec.After {
 		if b := s.occ.steps[before]; b.done < len(b.tasks) {
@@ -111,7 +115,7 @@
 	return true
 }
 
-// set moves the task to a state and keeps the step's counts.
+// set sets the state of a task and updates the step's counts.
 func (s *step) set(t *task, state taskState) {
 	if t.state == taskPending {
 		s.pending--
@@ -125,12 +129,12 @@
 	t.state = state
 }
 
-// occurrence is one run through a job's steps.
+// occurrence is one execution of a job's steps; repeated jobs have several.
 type occurrence struct {
 	number int
 	due    time.Duration
 	steps  []*step
-	tier   joborder.Tier // as of the last plan in which a step of it waited
+	tier   joborder.Tier // as of the last plan in which a step of it was waiting
 }
 
 func (o *occurrence) finished() bool {
@@ -146,35 +150,36 @@
 type job struct {
 	work.Job
 	queue     Queue    // as last configured
-	account   *account // of its workspace; nil: it has none
-	overShare bool     // its workspace had handed in more than its weight when it came
+	account   *account // of its workspace; nil: it has no workspace
+	overShare bool     // its workspace had submitted more than its weight allows when the job came
 	accepted  time.Duration
-	// restored is set on jobs that were accepted before this owner took over:
-	// an earlier owner may have tasks of theirs running.
+	// restored is set on jobs that were accepted before this owner took over: tasks that
+	// an earlier owner started may be running.
 	restored bool
-	// baseRun is below the numbers of runs that this owner starts, and not below
-	// any that an earlier one did.
+	// baseRun is less than the numbers of all runs that this owner starts, and not less than
+	// the number of any run that an earlier owner started.
 	baseRun int
-	begun   bool
-	size    float64 // core-seconds in all, by estimate
+	begun   bool    // a task of it has started
+	size    float64 // total core-seconds, by estimate
 
 	liveOccurrences []*occurrence
 	nextOccurrence  int // number of the next occurrence
 
-	// final is the state the job ended in; it is shown only once it is stored.
+	// final is the state that the job ended in; callers see it only once it is stored.
 	final  work.State
 	stored bool
-	onEnd  []func(error) // told when the final state is stored
+	onEnd  []func(error) // called when the final state is stored
 
-	// evidence counts what this owner noted of its tasks that crash workers, or may, in order;
-	// of that so much is under way to the store, and stored.
+	// evidence is how many facts this owner has recorded, in order, about tasks of the job that
+	// crash workers or may do so. The first evidenceSent of them were sent to the store, the
+	// first evidenceStored are stored.
 	evidence, evidenceSent, evidenceStored int
 
-	progressStored bool  // some progress of it may be stored
-	dirtySinceEnd  int64 // ends taken in when it first had something to store
+	progressStored bool  // progress of it may be in the store
+	dirtySinceEnd  int64 // Core.endsSeen when it became dirty
 }
 
-// newJob returns a job at rest; its occurrences are added when they are due.
+// newJob returns a job without occurrences; these are added when they are due.
 func newJob(j *work.Job, q Queue, now time.Duration) *job {
 	out := &job{Job: *j, queue: q, accepted: now}
 	for i := range j.Steps {
@@ -183,6 +188,7 @@
 	return out
 }
 
+// stepWork returns the estimated work of the step in core-seconds.
 func stepWork(s *work.Step) float64 {
 	return float64(s.Count) * s.Estimate.Seconds() * s.Size.Cores()
 }
@@ -220,7 +226,7 @@
 	return o.steps[ref.Step].tasks[ref.Index]
 }
 
-// state is what a caller is told.
+// state returns the job's state as callers see it.
 func (j *job) state() work.State {
 	if j.final != "" && j.stored {
 		return j.final
@@ -231,7 +237,7 @@
 	return work.Queued
 }
 
-// tasks calls f for every task of the live occurrences.
+// eachTask calls f for every task of the live occurrences.
 func (j *job) eachTask(f func(*task)) {
 	for _, o := range j.liveOccurrences {
 		for _, s := range o.steps {
