--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,89 +17,94 @@
 
 // Errors of an engine's calls.
 var (
-	// ErrNotReady: this entry VM does not own the workers (any more) or has
-	// not read what is stored yet. Nothing was done.
+	// ErrNotReady means that this entry VM does not own the cell, or has not restored the
+	// stored state yet. Nothing was done.
 	ErrNotReady = errors.New("engine: not the owner, or not ready")
-	// ErrStore: the store can't take the job now. Nothing was or will be stored.
+	// ErrStore means that the store is unavailable. Nothing was stored or will be.
 	ErrStore = errors.New("engine: the store does not answer")
-	// ErrUncertain: the store was sent the change and did not answer.
+	// ErrUncertain means that the change was sent to the store and not confirmed: it may or
+	// may not be stored.
 	ErrUncertain = errors.New("engine: the store did not confirm")
-	// ErrUnknownJob: no such job, or another workspace's: a caller learns nothing of those.
+	// ErrUnknownJob means that there is no such job, or that it belongs to another workspace:
+	// callers learn nothing about other workspaces' jobs.
 	ErrUnknownJob = errors.New("engine: no such job")
-	// ErrOtherWorkspace: a job of another workspace has the ID. Nothing was stored.
+	// ErrOtherWorkspace means that a job of another workspace has the ID. Nothing was stored.
 	ErrOtherWorkspace = errors.New("engine: the ID is a job of another workspace")
-	// ErrStaleConfig: the caller's entry VM goes by an older configuration than the owner's. Nothing
-	// was done; it is told what is in force and decides anew.
+	// ErrStaleConfig means that the calling entry VM uses an older configuration than the
+	// owner. Nothing was done; the entry VM is sent the newer one and handles the request again.
 	ErrStaleConfig = errors.New("engine: a newer configuration is in force")
 )
 
-// Clock is where an engine's time comes from.
+// Clock is an engine's source of time.
 type Clock interface {
-	// Now is the time since the VM's start, suspended spells included.
+	// Now returns the time since the VM started, including time in which it was suspended.
 	Now() time.Duration
-	// Wall is the time of day.
+	// Wall returns the time of day.
 	Wall() time.Time
 }
 
-// Term is one spell of ownership.
+// Term is one ownership of a cell. All its orders carry its fencing token, by which workers
+// and the store refuse earlier owners.
 type Term interface {
-	// Token is the fencing token of all orders of the term.
+	// Token returns the fencing token. A later term has a greater one.
 	Token() int64
-	// AllowedUntil is until when orders may be given without another check of
-	// the lease, on the engine's clock.
+	// AllowedUntil returns the time, on the engine's clock, until which orders may be given
+	// without another check of the owner's lease.
 	AllowedUntil() time.Duration
-	// Certain reports whether no other owner can exist now.
+	// Certain reports whether it is certain that no other owner exists now.
 	Certain() bool
-	// End gives the term up.
+	// End ends the term for the reason, which is logged.
 	End(reason string)
-	// Relieve gives it up to another entry VM, as this one is behind its work.
+	// Relieve ends the term so that another entry VM takes over, because this one is
+	// overloaded.
 	Relieve()
 }
 
-// Configs tells how sure the entry VM is of its configuration.
+// Configs tells how recently the entry VM's configuration was known to be the newest.
 type Configs interface {
-	// Confirmed is when it was last known to be the newest, on the engine's clock.
+	// Confirmed returns when it was last known to be the newest, on the engine's clock.
 	Confirmed() time.Duration
-	// Confirm reads the newest.
+	// Confirm reads the newest configuration.
 	Confirm(ctx context.Context) error
 }
 
-// Options are what an Engine is made of.
+// Options configure an Engine.
 type Options struct {
 	Cell     string // the service whose workers and jobs these are
 	Store    infra.Store
 	Workers  Workers
 	Machines Machines
-	Advisor  Advisor // nil: no queue is advised
+	Advisor  Advisor // nil: there is none, and jobs of advised queues wait
 	Clock    Clock
 	Log      logr.Logger
 	Bounds   Bounds
 	Term     Term
-	// WaitForRegistry returns once the registered workers were listed, or could not be for a
-	// while.
+	// WaitForRegistry returns once the registered workers are listed, or after a timeout if
+	// they can't be.
 	WaitForRegistry func(ctx context.Context)
-	// Registry returns the service's workers that are registered now.
+	// Registry returns the workers of the service that are registered now.
 	Registry func() []WorkerInfo
-	// RegistryCompleteAt is until when all registrations are in Registry, on the engine's clock; nil: always.
+	// RegistryCompleteAt returns the time, on the engine's clock, up to which Registry contains
+	// every registration; nil: it is always complete.
 	RegistryCompleteAt func() time.Duration
-	// Lookup has the registrations of these workers read one by one, without waiting for
-	// them; nil: it can't.
+	// Lookup requests that the registrations of these workers are read one by one, and
+	// returns at once; nil: not supported.
 	Lookup func(ids []work.WorkerID)
 	// Declared returns the operator's configuration in force.
 	Declared func() Declared
-	// Configs tells how sure it is that the configuration is the newest; nil: always.
+	// Configs tells how recent the configuration is; nil: it is always the newest.
 	Configs Configs
-	// NotifyCells tells the owners of the other cells to look at the ledgers of these workspaces,
-	// without waiting for them; nil: it can't.
+	// NotifyCells asks the owners of the other cells to read the ledgers of these workspaces,
+	// and returns at once; nil: not supported.
 	NotifyCells func(names []work.WorkspaceName)
-	// OwnerKey is the key of the cell's owner, whose revision is the term's token.
+	// OwnerKey is the store key of the cell's owner. Its revision is the term's token.
 	OwnerKey        string
 	Metrics         *Metrics
-	SchedulingDelay DelayMeter // nil: not measured
-	// Successor tells what other entry VM could take the cell over; nil: none.
+	SchedulingDelay DelayMeter // nil: not measured, taken as 0
+	// Successor tells which kind of other entry VM could take the cell over; nil: none can.
 	Successor func() overload.Successor
-	// ListRate is how many reads of the list of VMs the platform takes a second, from
-	// all entry VMs together; 0: any number.
+	// ListRate is how often per second the platform allows the list of VMs to be read, by all
+	// entry VMs together; 0: unlimited.
 	ListRate float64
 }
 
@@ -113,12 +118,12 @@
 	core     *Core
 	sessions map[work.WorkerID]*session
 	restored bool
-	// fleetToken is of the last owner of the fleet that gave orders.
+	// fleetToken is the fencing token of the latest owner of the fleet that gave orders.
 	fleetToken int64
 
 	handover         overload.Handover
-	startedAt        time.Duration // of the term
-	unansweredStarts atomic.Int64  // given and not answered yet
+	startedAt        time.Duration // when Run began
+	unansweredStarts atomic.Int64  // start orders sent and not answered yet
 
 	planKick  chan struct{}
 	storeKick chan struct{}
@@ -128,7 +133,7 @@
 	wg        sync.WaitGroup
 }
 
-// New returns an engine for the term.
+// New returns an engine for the term o.Term. Run starts it.
 func New(o Options) *Engine {
 	e := &Engine{
 		Options:   o,
@@ -144,8 +149,9 @@
 	return e
 }
 
-// Run takes over what earlier owners left and carries jobs out until ctx ends
-// or the term is lost.
+// Run restores the state that earlier owners stored and runs jobs until ctx ends or the term
+// does. It returns the error of ctx, ErrNotReady once the term has ended, or the error of
+// restoring.
 func (e *Engine) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() {
@@ -157,7 +163,7 @@
 	if err := e.restore(ctx); err != nil {
 		return err
 	}
-	e.Log.Info("took over", "cell", e.Cell, "token", e.Term.Token(), "jobs", len(e.core.jobs), "open", len(e.core.open), "took", (e.Clock.Now() - e.startedAt).String())
+	e.Log.Info("took over cell", "cell", e.Cell, "token", e.Term.Token(), "jobs", len(e.core.jobs), "open", len(e.core.open), "took", (e.Clock.Now() - e.startedAt).String())
 	e.mu.Lock()
 	e.restored = true
 	e.mu.Unlock()
@@ -171,15 +177,17 @@
 	return e.planLoop(ctx)
 }
 
-// Pace of planning.
+// Timing of plans.
 const (
-	// planInterval replans although nothing happened: leases run out, pauses end.
+	// planInterval is the time between plans when no event causes one: leases run out and
+	// backoffs end.
 	planInterval = 100 * time.Millisecond
-	// planPause lets what happens together be planned together.
+	// planPause is the delay from an event to its plan, so that events that come together
+	// share a plan.
 	planPause = 2 * time.Millisecond
-	// planTimeDivisor bounds the share of time that plans take, as one to so many:
-	// at every answer of a hundred busy workers a long plan would take the
-	// processor from the answers themselves, and leases would run out.
+	// planTimeDivisor limits the processor time of plans: the pause after a plan is this many
+	// times its duration, up to planInterval. If a long plan followed every answer of a hundred
+	// busy workers, it would delay the answers themselves, and leases would run out.
 	planTimeDivisor = 5
 )
 
@@ -209,7 +217,7 @@
 	}
 }
 
-// plan plans and sends the orders; false where the core is deposed.
+// plan makes a plan and sends its orders. It returns false if the core is deposed.
 func (e *Engine) plan(ctx context.Context) bool {
 	now := e.Clock.Now()
 	e.mu.Lock()
@@ -242,13 +250,15 @@
 	return true
 }
 
-// updateAuthority tells the core how far its orders may go. The engine is locked.
+// updateAuthority tells the core until when it may give orders, and whether a later owner can
+// exist. e.mu must be held.
 func (e *Engine) updateAuthority() {
 	e.core.AllowUntil(e.Term.AllowedUntil())
 	e.core.SetCertain(e.Term.Certain())
 }
 
-// Submit accepts a job: it is stored when nil is returned.
+// Submit accepts a job. nil means that the job is stored, now or by an earlier call with the
+// same ID; other errors are ErrNotReady, ErrOtherWorkspace, ErrStore and ErrUncertain.
 func (e *Engine) Submit(ctx context.Context, j *work.Job, q Queue) error {
 	e.mu.Lock()
 	ready, known, other := e.restored, e.core.Known(j.ID), !e.core.isOf(j.ID, j.Workspace)
@@ -264,7 +274,7 @@
 	return e.writer.create(ctx, j, q)
 }
 
-// jobStored hands a stored job to the core.
+// jobStored passes a stored job to the core.
 func (e *Engine) jobStored(j *work.Job, q Queue) {
 	e.mu.Lock()
 	e.core.Accept(j, q, e.Clock.Now())
@@ -272,7 +282,8 @@
 	kick(e.planKick)
 }
 
-// State returns what a caller of the workspace is told of the job.
+// State returns the job's state as callers of the workspace see it, ErrNotReady or
+// ErrUnknownJob.
 func (e *Engine) State(id work.JobID, workspace work.WorkspaceName) (work.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -286,7 +297,8 @@
 	return s, nil
 }
 
-// Cancel cancels the job for a caller of the workspace; it is stored when nil is returned.
+// Cancel cancels the job for a caller of the workspace. nil means that the job's end is
+// stored; ErrUncertain that ctx ended before that was known.
 func (e *Engine) Cancel(ctx context.Context, id work.JobID, workspace work.WorkspaceName) error {
 	done := make(chan error, 1)
 	e.mu.Lock()
@@ -309,7 +321,7 @@
 	}
 }
 
-// Waiting counts the queue's jobs that have not begun.
+// Waiting returns the number of the queue's jobs of which no task has started, or ErrNotReady.
 func (e *Engine) Waiting(queue string) (int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -319,7 +331,8 @@
 	return e.core.Waiting(queue), nil
 }
 
-// RegistryChanged makes the engine read the registered workers again.
+// RegistryChanged makes the engine read the registered workers again. It does nothing before
+// the stored state is restored.
 func (e *Engine) RegistryChanged() {
 	e.mu.Lock()
 	if !e.restored {
@@ -343,6 +356,7 @@
 	kick(e.planKick)
 }
 
+// kick wakes the reader of c, unless a wake-up is pending.
 func kick(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
