--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -1,7 +1,7 @@
-// Package engine carries jobs out. One entry VM at a time owns the workers and
-// runs an engine: it keeps what is accepted, places tasks on workers, extends
-// their leases, takes note of ends and stores them. Core is its state machine,
-// free of network and clock; Engine drives it.
+// Package engine runs jobs. Each service's workers and the jobs on them form a cell, which one
+// entry VM at a time owns. The owner runs an engine, which stores accepted jobs, places their
+// tasks on workers, extends the workers' leases, and receives and stores the ends of runs. Core
+// is its state machine, without network or clock; Engine drives it.
 package engine
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// WorkerInfo is what a worker's registration says.
+// WorkerInfo is a worker's registration.
 type WorkerInfo struct {
 	ID          work.WorkerID
 	Incarnation work.Incarnation
@@ -22,55 +22,58 @@
 	Capacity    work.Resources
 	Labels      []string
 	Draining    bool
-	// Unreadable: its registration was overwritten by one that can't be read. What runs
-	// there goes on; it takes nothing new until it registers again.
+	// Unreadable means that the registration was overwritten by one that can't be decoded.
+	// Runs on the worker go on; it gets no new ones until it registers again.
 	Unreadable bool
-	// Clock is the worker's own clock when it wrote the registration. Only
-	// answers of the worker itself are used for deadlines.
+	// Clock is the time on the worker's clock when it wrote the registration. Deadlines are
+	// computed only from the clock in the worker's answers.
 	Clock time.Duration
 }
 
-// Run is one run of a task on a worker, as the worker lists it.
+// Run is one run of a task, as its worker lists it.
 type Run struct {
 	Task       work.TaskRef
 	Run        int
 	Checkpoint string
-	Percent    int // of the work done; for lasting tasks 100 once at work
-	// Gauge is the worker's rough figure of the last half second: the tail
-	// latency in milliseconds of a serving task, else thousandths of a core.
+	Percent    int // of the work that is done; 100 for a long-running task whose start-up is over
+	// Gauge is the worker's estimate over the last half second: for a serving task the tail
+	// latency in milliseconds, otherwise the processor use in thousandths of a core.
 	Gauge int
 }
 
-// RunEnd is the end of a run, listed until it is acknowledged.
+// RunEnd is the end of a run. The worker lists it until it is acknowledged.
 type RunEnd struct {
-	Seq        int64 // rises by one with each end of one worker
+	Seq        int64 // 1 greater than that of the worker's previous end
 	Task       work.TaskRef
 	Run        int
 	How        work.End
 	Checkpoint string
 }
 
-// Listing is what a worker answers when it is looked at.
+// Listing is a worker's answer to a poll.
 type Listing struct {
 	Clock   time.Duration // the worker's own clock
-	Brief   bool          // Running was left out
+	Brief   bool          // answers a brief poll: Running is left out
 	Running []Run
 	Ended   []RunEnd
-	Life    work.Incarnation // which answers
+	Life    work.Incarnation // incarnation that answers
 }
 
-// Hold extends the lease of all that runs on a worker and asks what does.
+// Hold is a poll of a worker. It extends the lease of all runs on the worker and asks for a
+// Listing.
 type Hold struct {
 	Token        int64
 	AckedThrough int64
 	Deadline     time.Duration // on the worker's clock; 0: extends nothing
-	Wait         time.Duration // how long the answer may wait for an end
-	Brief        bool          // what runs need not be told
+	Wait         time.Duration // how long the worker may delay its answer until a run ends
+	Brief        bool          // brief poll: the answer need not list the running tasks
 
-	next work.Incarnation // a later or earlier life was registered as the poll left; 0: none
+	// next is another incarnation, later or earlier, that was registered when the poll was
+	// sent; 0: none.
+	next work.Incarnation
 }
 
-// Start orders one run of a task.
+// Start is an order to start one run of a task.
 type Start struct {
 	Task       work.TaskRef
 	Run        int
@@ -81,34 +84,34 @@
 	Ticket     string
 }
 
-// Outcome is what a worker made of an order.
+// Outcome is the result of an order to a worker.
 type Outcome int8
 
 // The outcomes of an order.
 const (
-	// OutcomeUnknown: no answer; the order may have been or may yet be
-	// carried out.
+	// OutcomeUnknown means no answer: the order may have been carried out, or may yet be.
 	OutcomeUnknown Outcome = iota
 	OutcomeOK
-	OutcomeFenced           // a later owner was here
-	OutcomeOldRun           // the worker ended or stopped that run or a later one
+	OutcomeFenced           // the worker has had orders of a later owner
+	OutcomeOldRun           // that run, or a later one of the task, has ended or was stopped
 	OutcomeLate             // the deadline had passed
-	OutcomeNoCapacity       // not enough left of its capacity
+	OutcomeNoCapacity       // not enough free capacity
 	OutcomeNoTicket         // the advisor's ticket is missing or has expired
-	OutcomeRefused          // the worker is unhealthy or did not understand; nothing was done
-	OutcomeOtherIncarnation // the worker at that address is another life
-	OutcomeNotSent          // no connection was had; nothing was done
+	OutcomeRefused          // the worker is unhealthy or rejected the request; nothing was done
+	OutcomeOtherIncarnation // another incarnation of the worker answered
+	OutcomeNotSent          // no connection was made; nothing was done
 )
 
-// DelayMeter tells how long what is ready to run waits for this VM's processor.
+// DelayMeter measures this process's scheduling delay: how long something that is ready to run
+// waits for the VM's processor.
 type DelayMeter interface {
-	// MaxDelay is the longest wait of the last second.
+	// MaxDelay returns the longest delay of the last second.
 	MaxDelay() time.Duration
-	// MinDelay is the least wait of late.
+	// MinDelay returns the shortest recent delay, see overload.Meter.
 	MinDelay() time.Duration
 }
 
-// Workers gives orders to workers.
+// Workers sends orders to workers. Start also returns the time on the worker's clock.
 type Workers interface {
 	Start(ctx context.Context, w *WorkerInfo, s Start) (Outcome, time.Duration)
 	Stop(ctx context.Context, w *WorkerInfo, task work.TaskRef, run int, token int64) Outcome
@@ -116,24 +119,24 @@
 	Pace(ctx context.Context, w *WorkerInfo, task work.TaskRef, run int, percent int, token int64) Outcome
 }
 
-// Machines lists the fleet's VMs and gives orders for them.
+// Machines lists the fleet's VMs and sends the platform orders for them.
 type Machines interface {
 	List(ctx context.Context) ([]work.VM, error)
 	Move(ctx context.Context, vm, pool string, token int64) VMOutcome
 	Maintain(ctx context.Context, vm, wave string, token int64) VMOutcome
 }
 
-// VMOutcome is what the platform made of an order for a VM.
+// VMOutcome is the result of an order for a VM.
 type VMOutcome int8
 
 // The outcomes of an order for a VM.
 const (
-	VMUnknown VMOutcome = iota // no answer; it may yet be carried out
-	VMDone                     // accepted, or done before
+	VMUnknown VMOutcome = iota // no answer; the order may yet be carried out
+	VMDone                     // accepted, or carried out before
 	VMFenced
-	VMBusy    // not up, or leaving
-	VMInvalid // no such VM, wave or pool for it
-	VMRefused // refused unread: rate or trouble
+	VMBusy    // the VM is not up, or is being removed
+	VMInvalid // no such VM, or no such wave or pool for it
+	VMRefused // refused without being examined: rate limit or platform failure
 )
 
 var vmOutcomeNames = map[VMOutcome]string{
@@ -143,13 +146,14 @@
 // String returns the outcome as logs show it.
 func (o VMOutcome) String() string { return vmOutcomeNames[o] }
 
-// Ticket permits the tasks of one step on one worker.
+// Ticket is the advisor's permission to run tasks of one step on one worker.
 type Ticket struct {
 	Worker work.WorkerID
 	Ticket string
 }
 
-// Advisor says which workers may run a step.
+// Advisor decides which workers may run a step. The tickets that Advise returns are valid for
+// the returned duration.
 type Advisor interface {
 	Advise(ctx context.Context, step work.StepRef, workers []work.WorkerID) (tickets []Ticket, validity time.Duration, err error)
 }
@@ -159,26 +163,26 @@
 	Name        string
 	Service     string
 	Priority    int           // 0 comes first
-	MaxAttempts int           // runs of a task that may end failed
-	Stretch     float64       // objective: this many times the longest chain of work ...
-	Slack       time.Duration // ... and this much more
-	Advised     bool          // placement needs the advisor's tickets
+	MaxAttempts int           // failed runs of a task after which its job fails; 0: unlimited
+	Stretch     float64       // factor on the critical path in a job's objective ...
+	Slack       time.Duration // ... to which this is added
+	Advised     bool          // starts need a ticket of the advisor
 	Open        bool          // callers need no key
 }
 
-// Service is a pool of VMs.
+// Service is the configuration of a service, which has a pool of VMs.
 type Service struct {
 	Name    string
 	Standby bool // its VMs are off
-	// Unguarded: its workers start what they are told to, also beyond their room.
+	// Unguarded means that its workers obey every start, even beyond their capacity.
 	Unguarded bool
 }
 
-// Declared is the part of the operator's configuration that jobs need.
+// Declared is the part of the operator's configuration that the engine needs.
 type Declared struct {
 	Version  int64
 	Queues   map[string]Queue
 	Services map[string]Service
-	// Workspaces are those with keys; a job of one that is not among them has no limit.
+	// Workspaces are the workspaces that have keys. Jobs of other workspaces have no limit.
 	Workspaces map[work.WorkspaceName]workspace.Workspace
 }
