--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -11,20 +11,21 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// StartOrder is a start for one worker.
+// StartOrder is an order to a worker to start one run.
 type StartOrder struct {
 	Worker WorkerInfo
 	Start  Start
 }
 
-// StopOrder is a stop of one run.
+// StopOrder is an order to a worker to stop one run.
 type StopOrder struct {
 	Worker WorkerInfo
 	Task   work.TaskRef
 	Run    int
 }
 
-// PaceOrder sets how much of its share a fill task uses.
+// PaceOrder sets the percentage of its processor share that a best-effort task may use. Such a
+// task runs on processor time that others leave.
 type PaceOrder struct {
 	Worker  WorkerInfo
 	Task    work.TaskRef
@@ -32,13 +33,13 @@
 	Percent int
 }
 
-// AdviceOrder asks the advisor about a step.
+// AdviceOrder asks the advisor which of the workers may run a step.
 type AdviceOrder struct {
 	Step    work.StepRef
 	Workers []work.WorkerID
 }
 
-// Orders are what a plan asks to be done.
+// Orders are the result of a plan, to be carried out.
 type Orders struct {
 	Starts []StartOrder
 	Stops  []StopOrder
@@ -46,12 +47,14 @@
 	Advice []AdviceOrder
 }
 
-// progressCheckInterval separates looks at what every running task does. They go by what polls
-// tell, which is up to a second old; a busy cell plans a hundred times a second.
+// progressCheckInterval is the time between two checks of the progress of all running tasks.
+// Progress comes from polls and is up to a second old, while a busy cell makes a hundred plans a
+// second.
 const progressCheckInterval = 50 * time.Millisecond
 
-// Plan decides what to order now. wall is the time of day, by which repeated
-// jobs are due.
+// Plan decides which orders to give now. wall is the time of day, which decides when the
+// occurrences of scheduled jobs are due. The orders are empty if the core is deposed or may
+// give no orders at this time (see AllowUntil).
 func (c *Core) Plan(now time.Duration, wall time.Time) Orders {
 	var out Orders
 	c.now = now
@@ -74,7 +77,7 @@
 	return out
 }
 
-// openOccurrences adds what is due.
+// openOccurrences adds the occurrences of open jobs that are due.
 func (c *Core) openOccurrences(now time.Duration, wall time.Time) {
 	for _, j := range c.open {
 		for j.nextOccurrence < j.Occurrences() {
@@ -91,12 +94,14 @@
 	}
 }
 
+// waitingStep is a step with pending tasks and the rank of its job.
 type waitingStep struct {
 	step *step
 	rank joborder.Rank
 }
 
-// waitingSteps returns the steps with tasks that may start now.
+// waitingSteps returns the steps with pending tasks whose dependencies are done. Steps of
+// restored jobs are included only once it is settled what earlier owners left running.
 func (c *Core) waitingSteps(now time.Duration) []waitingStep {
 	var out []waitingStep
 	settled := c.settled(now)
@@ -128,7 +133,7 @@
 	return out
 }
 
-// rankInput describes a job to the order.
+// rankInput returns what the rank of a job's occurrence is computed from.
 func (c *Core) rankInput(j *job, o *occurrence, now time.Duration) joborder.Job {
 	out := joborder.Job{
 		Priority:    j.queue.Priority,
@@ -163,7 +168,7 @@
 	return out
 }
 
-// planWaiting places the waiting steps.
+// planWaiting adds start orders for the waiting steps, in the order of their rank.
 func (c *Core) planWaiting(ws []waitingStep, now time.Duration, out *Orders) {
 	slices.SortStableFunc(ws, func(a, b waitingStep) int {
 		if a.rank.Before(b.rank) {
@@ -190,8 +195,8 @@
 			c.startsDeferred = true
 			break
 		}
-		// Steps that find no room, or none within their workspace's limit, are passed over
-		// without a look at their tasks: hundreds of them wait.
+		// Steps that fit on no worker, or not within their workspace's limit, are skipped
+		// before their tasks are examined: hundreds of them may wait.
 		if !planner.MayFit(v.step.spec) || v.step.exhausted(planner) {
 			continue
 		}
@@ -216,10 +221,11 @@
 	c.explain(ws, workers, now)
 }
 
-// explainInterval bounds the log lines about work that waits.
+// explainInterval is the minimum time between two log lines about waiting work.
 const explainInterval = 1 * time.Second
 
-// explain logs what keeps the first waiting step from running.
+// explain logs why the workers don't take the first waiting step, at most once in
+// explainInterval.
 func (c *Core) explain(ws []waitingStep, workers []*taskplan.Worker, now time.Duration) {
 	i := slices.IndexFunc(ws, func(w waitingStep) bool { return w.step.pending > 0 })
 	if i < 0 || now < c.explainedAt+explainInterval {
@@ -231,10 +237,11 @@
 		return
 	}
 	c.explainedAt = now
-	c.log.Info("work waits", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
+	c.log.Info("work is waiting", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
 		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.CountRejections(workers, s))
 }
 
+// snapshots returns the workers by ID as the planner sees them, and updates busyWorkers.
 func (c *Core) snapshots(now time.Duration) []*taskplan.Worker {
 	ordered := c.ordered()
 	snaps := make([]taskplan.Worker, len(ordered))
@@ -257,7 +264,8 @@
 	return out
 }
 
-// ordered returns the workers by ID. They are sorted as they come and go, not for each plan.
+// ordered returns the workers sorted by ID. They are sorted again only after one came or went,
+// not for each plan.
 func (c *Core) ordered() []*worker {
 	if c.sorted == nil {
 		c.sorted = slices.SortedFunc(maps.Values(c.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
@@ -265,11 +273,12 @@
 	return c.sorted
 }
 
-// labelDemandWindow is how long room is kept for work that asks for a label after the last
-// of it waited: steps of a job follow each other within seconds.
+// labelDemandWindow is how long workers with a label are kept for work that requires it, after
+// such work last waited: the steps of a job follow each other within seconds.
 const labelDemandWindow = 10 * time.Second
 
-// labelInDemand reports whether work asked for one of the labels of late.
+// labelInDemand reports whether a step that requires one of the labels has waited within
+// labelDemandWindow.
 func (c *Core) labelInDemand(labels []string, now time.Duration) bool {
 	return len(c.labelWantedAt) > 0 && slices.ContainsFunc(labels, func(label string) bool {
 		at, known := c.labelWantedAt[label]
@@ -277,10 +286,11 @@
 	})
 }
 
-// startAllowed reports whether the task may start at all now. While a later owner can
-// exist, a task that was started before is its business: it may have adopted the
-// run, or acknowledged its end. One that was never started it leaves alone until
-// it has fenced every worker.
+// startAllowed reports whether the task may be started at all now. While a later owner may
+// exist, a task that was started before, or whose job an earlier owner accepted, is left to that
+// later owner, which may have adopted the run or acknowledged its end. A task that was never
+// started may start: a later owner does not start it before it has fenced every worker. No task
+// starts while an orphaned run of it is to be stopped.
 func (c *Core) startAllowed(t *task) bool {
 	if !c.certain && (t.run > 0 || t.step.job.restored) {
 		return false
@@ -288,7 +298,8 @@
 	return !c.orphaned[t.ref]
 }
 
-// findOrphanedRuns notes of which tasks a run is still to be stopped somewhere.
+// findOrphanedRuns updates the set of tasks that have an orphaned run, which is still to be
+// stopped, on some worker.
 func (c *Core) findOrphanedRuns() {
 	clear(c.orphaned)
 	for _, w := range c.workers {
@@ -298,12 +309,13 @@
 	}
 }
 
-// isDue reports whether the task waits for a worker now.
+// isDue reports whether the task is pending and may start now.
 func (c *Core) isDue(t *task, now time.Duration) bool {
 	return t.state == taskPending && now >= t.notBefore && c.startAllowed(t)
 }
 
-// planStep describes a step to the plan; nil where none of it may start yet.
+// planStep returns the step's tasks that may start now, as the planner takes them; nil if there
+// are none, or if the step is a gang and not all of its remaining tasks may start.
 func (c *Core) planStep(s *step, workers []*taskplan.Worker, now time.Duration) *taskplan.Step {
 	ps := &taskplan.Step{
 		Ref: s.ref(), Step: s.spec, OnWorker: make(map[work.WorkerID]int),
