--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -7,99 +7,102 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// CellReport is what the owner of the fleet hears from the owner of a cell.
+// CellReport is the report of a cell's owner to the fleet's owner, which decides by it which VMs
+// the cell's pool needs.
 type CellReport struct {
 	Used           float64        `msgpack:"u"`           // cores in use
-	Backlog        float64        `msgpack:"b"`           // core-seconds that wait for room and are still of use
-	ExpiredBacklog float64        `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
-	Arriving       float64        `msgpack:"a"`           // core-seconds a second that came of late
-	MissingVMs     int            `msgpack:"s"`           // VMs that lasting tasks lack, whatever is free on the others
+	Backlog        float64        `msgpack:"b"`           // waiting core-seconds of jobs that are still of use
+	ExpiredBacklog float64        `msgpack:"o,omitempty"` // waiting core-seconds of jobs that are too late to be of use
+	Arriving       float64        `msgpack:"a"`           // recently submitted core-seconds per second
+	MissingVMs     int            `msgpack:"s"`           // additional VMs that long-running tasks need, whatever is free on the others
 	Workers        []WorkerReport `msgpack:"w"`
-	// TrialVMs is how many empty VMs it could use while no other cell lacks any.
+	// TrialVMs is how many empty VMs the cell could use for tasks that may crash their worker,
+	// as long as no other cell lacks VMs.
 	TrialVMs int `msgpack:"p,omitempty"`
-	// SerialMoves is how many moves must follow one on the other until no lasting task is on
-	// a worker whose VM a wave has yet to take.
+	// SerialMoves is how many moves, one after the other, are needed until no long-running task
+	// is on a VM that the current wave of maintenance has yet to take.
 	SerialMoves int `msgpack:"m,omitempty"`
-	// ByLabel is the part of the load that only workers with the label can take.
+	// ByLabel is, by label, the part of the load that only workers with the label can take.
 	ByLabel map[string]LabelLoad `msgpack:"l,omitempty"`
 }
 
-// LabelLoad is load that asks for a label.
+// LabelLoad is the load of tasks that require a label.
 type LabelLoad struct {
 	Used           float64 `msgpack:"u"`           // cores in use
-	Backlog        float64 `msgpack:"b"`           // core-seconds that wait for room and are still of use
-	ExpiredBacklog float64 `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
+	Backlog        float64 `msgpack:"b"`           // waiting core-seconds of jobs that are still of use
+	ExpiredBacklog float64 `msgpack:"o,omitempty"` // waiting core-seconds of jobs that are too late to be of use
 }
 
-// WorkerReport is one worker of a cell.
+// WorkerReport is the state of one worker of a cell.
 type WorkerReport struct {
 	ID          work.WorkerID `msgpack:"i"`
-	Tasks       int           `msgpack:"t"`
-	LongRunning int           `msgpack:"l"`
+	Tasks       int           `msgpack:"t"` // including orphaned runs
+	LongRunning int           `msgpack:"l"` // long-running tasks
 	EmptyFor    time.Duration `msgpack:"e"` // 0 while it has tasks
 	Cordon      Cordon        `msgpack:"c"`
 	Draining    bool          `msgpack:"d"`
-	Polled      bool          `msgpack:"h"`
+	Polled      bool          `msgpack:"h"` // it has answered a poll of this owner
 }
 
-// Cordon says that the fleet's owner keeps new tasks off a worker, and why.
+// Cordon is the fleet owner's restriction on the tasks that a worker gets. The zero value is none.
 type Cordon struct {
 	Kind CordonKind `msgpack:"k"`
-	// Token is of the owner of the fleet that set it.
+	// Token is the fencing token of the fleet owner that set it.
 	Token int64 `msgpack:"t"`
 }
 
-// CordonKind is how far a worker is closed.
+// CordonKind is how far a cordon closes a worker.
 type CordonKind uint8
 
 // The kinds of cordon.
 const (
 	CordonNone           CordonKind = iota
-	CordonVacate                    // no new tasks; lasting ones leave
-	CordonClaimed                   // empty, and an order for its VM may be under way
-	CordonMaintenanceDue            // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
+	CordonVacate                    // gets no new tasks; long-running ones are moved away
+	CordonClaimed                   // is empty and gets no tasks: an order for its VM may be under way
+	CordonMaintenanceDue            // gets tasks, but long-running ones preferably elsewhere, as its VM's maintenance is due
 )
 
-// Closes reports whether the worker takes nothing new.
+// Closes reports whether the worker gets no new tasks.
 func (c Cordon) Closes() bool { return c.Kind == CordonVacate || c.Kind == CordonClaimed }
 
-// CellOrderKind names what the fleet's owner asks of a cell's.
+// CellOrderKind is what the fleet's owner orders a cell's owner to do with a worker.
 type CellOrderKind uint8
 
 // The kinds of CellOrder.
 const (
-	OrderVacate         CellOrderKind = iota + 1 // close it, and empty it
-	OrderEvict                                   // stop its short tasks as well
-	OrderClaim                                   // close it if it is empty; fails otherwise
-	OrderOpen                                    // take new tasks again
-	OrderWorkerRemoved                           // its life is over
-	OrderMaintenanceDue                          // its VM's maintenance is to come
+	OrderVacate         CellOrderKind = iota + 1 // set CordonVacate
+	OrderEvict                                   // stop its tasks other than long-running ones
+	OrderClaim                                   // set CordonClaimed; fails unless the worker is certain to be empty
+	OrderOpen                                    // remove the cordon
+	OrderWorkerRemoved                           // its incarnation has ended, as its VM was taken away
+	OrderMaintenanceDue                          // set CordonMaintenanceDue
 )
 
-// CellOrder is one order for one worker.
+// CellOrder is an order about one worker.
 type CellOrder struct {
 	Kind   CellOrderKind `msgpack:"k"`
 	Worker work.WorkerID `msgpack:"w"`
 }
 
-// CellSync carries orders and asks for a report made after them.
+// CellSync is a request of the fleet's owner to a cell's owner. The report in the answer is made
+// after the orders were carried out.
 type CellSync struct {
-	Token  int64       `msgpack:"t"` // of the owner of the fleet
+	Token  int64       `msgpack:"t"` // fencing token of the fleet's owner
 	Orders []CellOrder `msgpack:"o"`
-	// Joined are workers that live in the cell's pool by the platform's list of VMs and
-	// are missing in the cell's reports.
+	// Joined are workers that run in the cell's pool by the platform's list of VMs, but are
+	// missing in the cell's reports.
 	Joined []work.WorkerID `msgpack:"j,omitempty"`
 }
 
-// CellAnswer answers a CellSync.
+// CellAnswer is the answer to a CellSync.
 type CellAnswer struct {
 	Taken  []bool     `msgpack:"t"` // whether each order was carried out
 	Report CellReport `msgpack:"r"`
 }
 
-// Sync carries the fleet owner's orders out and reports. An earlier owner of
-// the fleet is refused. So is everyone while a later owner of this cell can exist:
-// what is empty by our books may be in use by its.
+// Sync carries out the fleet owner's orders and returns a report. It returns ErrNotReady if the
+// orders are of an earlier owner of the fleet, and also while a later owner of this cell can
+// exist: a worker that is empty to this owner may be in use by the later one.
 func (e *Engine) Sync(s CellSync) (CellAnswer, error) {
 	now := e.Clock.Now()
 	e.mu.Lock()
@@ -122,7 +125,7 @@
 	return a, nil
 }
 
-// unknownWorkers returns those of the workers that were neither seen nor are over.
+// unknownWorkers returns those of the workers that this owner has never seen, in any incarnation.
 func (c *Core) unknownWorkers(ids []work.WorkerID) []work.WorkerID {
 	var out []work.WorkerID
 	for _, id := range ids {
@@ -133,6 +136,7 @@
 	return out
 }
 
+// applyOrder carries out an order of the fleet owner with the token and reports whether it could.
 func (c *Core) applyOrder(o CellOrder, token int64, now time.Duration) bool {
 	w := c.workers[o.Worker]
 	if w == nil {
@@ -144,10 +148,9 @@
 	case OrderEvict:
 		c.evict(w)
 	case OrderClaim:
-		// An owner that has just taken over knows a worker before it knows
-		// what runs there. And ends that are not stored are known to the worker
-		// alone beside us: were its life to end, a successor would have done work
-		// done again.
+		// An owner that has just taken over knows of a worker before it knows what runs
+		// there. And ends of runs that are not stored yet are known only to the worker and
+		// this owner: if the worker was taken away, a successor would repeat finished work.
 		if !w.heard || w.missed > 0 || len(w.tasks)+len(w.strays) > 0 || w.stored < w.seen {
 			return false
 		}
@@ -167,11 +170,11 @@
 		return
 	}
 	w.cordon = to
-	c.log.Info("cordon", "worker", w.info.ID, "kind", int(to.Kind), "tasks", len(w.tasks))
+	c.log.Info("cordon changed", "worker", w.info.ID, "kind", int(to.Kind), "tasks", len(w.tasks))
 }
 
-// evict stops everything on the worker but lasting tasks, which leave as their
-// steps' limits allow.
+// evict stops all tasks on the worker except long-running ones, which leave as their steps'
+// limits on unavailable tasks allow.
 func (c *Core) evict(w *worker) {
 	for _, t := range w.tasks {
 		if t.state == taskActive && !t.step.spec.LongRunning {
@@ -189,14 +192,15 @@
 	most := c.maxCapacity()
 	settled := c.settled(now)
 	for _, j := range c.open {
-		// What may not start yet waits for workers that are not heard, not for room. A pool
-		// with a backlog keeps its VMs: 18 idle ones stood beside a burst for five seconds.
+		// Jobs that may not start yet wait for workers that have not been polled, not for
+		// capacity. A pool with a backlog keeps its VMs: counting these jobs kept 18 idle VMs
+		// from a pool with a burst for five seconds.
 		if j.restored && !settled {
 			continue
 		}
 		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
-				// What fits on no VM would draw VMs for ever.
+				// Tasks that fit on no VM would make the pool request VMs forever.
 				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(most) && !c.atLimit(s) {
 					r.addBacklog(s, o.tier, float64(n)*c.waitsFor(s, now).Seconds()*s.spec.Size.Cores())
 				}
@@ -225,25 +229,25 @@
 }
 
 func (r *CellReport) addBacklog(s *step, tier joborder.Tier, coreSeconds float64) {
-	useful, leftover := coreSeconds, 0.0
+	useful, expired := coreSeconds, 0.0
 	if tier == joborder.TierExpired {
-		useful, leftover = 0, coreSeconds
+		useful, expired = 0, coreSeconds
 	}
 	r.Backlog += useful
-	r.ExpiredBacklog += leftover
+	r.ExpiredBacklog += expired
 	if label := s.spec.Requires; label != "" {
 		b := r.ByLabel[label]
 		b.Backlog += useful
-		b.ExpiredBacklog += leftover
+		b.ExpiredBacklog += expired
 		r.ByLabel[label] = b
 	}
 }
 
-// HasBacklog reports whether anything waits for room.
+// HasBacklog reports whether any task waits for capacity.
 func (r *CellReport) HasBacklog() bool { return r.Backlog > 0 || r.ExpiredBacklog > 0 }
 
-// maxCapacity is, for each kind of resource by itself, the most that any VM known
-// to the cell has.
+// maxCapacity returns, for each kind of resource by itself, the most that any known VM or worker
+// has.
 func (c *Core) maxCapacity() work.Resources {
 	most := c.largestVM
 	for _, w := range c.workers {
@@ -252,13 +256,13 @@
 	return most
 }
 
-// placementGrace is how long a lasting task waits before it counts as one that finds
-// no place: a plan comes within some milliseconds.
+// placementGrace is how long a long-running task waits before it counts as one that can't be
+// placed: the next plan comes within milliseconds.
 const placementGrace = 200 * time.Millisecond
 
-// missingVMs is how many more VMs the lasting tasks need. Cores that are free don't
-// tell: a step's limit of tasks on one VM asks for different VMs, and a task that
-// is to leave a VM for maintenance needs a place before it may.
+// missingVMs returns how many more VMs the long-running tasks need. The number of free cores does
+// not show it: a step's limit of tasks on one VM asks for different VMs, and a task that is to leave
+// a VM for maintenance needs a place elsewhere before it may be stopped.
 func (c *Core) missingVMs(now time.Duration) int {
 	need := 0
 	for _, j := range c.open {
@@ -274,7 +278,8 @@
 	return need + c.vmsForBlockedMoves(now)
 }
 
-// vmsForPending is how many VMs the step's waiting tasks need if none has room.
+// vmsForPending returns how many VMs the step's pending tasks need if no present VM has free
+// capacity; 0 for steps that are not long-running.
 func (s *step) vmsForPending(now time.Duration) int {
 	if !s.spec.LongRunning || s.pending == 0 || !s.ready() {
 		return 0
@@ -289,8 +294,8 @@
 	return (waiting + each - 1) / each
 }
 
-// serialMoves is the longest row of moves that a wave asks of one step: as many of its
-// tasks as its limit allows move at a time.
+// serialMoves returns the greatest number of consecutive moves that a maintenance wave requires of
+// one step. As many tasks of a step as its limit on unavailable tasks allows move at a time.
 func (c *Core) serialMoves() int {
 	most := 0
 	for _, j := range c.open {
@@ -320,9 +325,10 @@
 	return (n + each - 1) / each
 }
 
-// vmsForBlockedMoves is how many VMs would let the VMs that are to be emptied go on: as many as
-// one step may have tasks on the move at a time. With one at a time a wave over a
-// large pool is late, as each takes seconds to come. Steps share what comes.
+// vmsForBlockedMoves returns how many additional VMs would let long-running tasks leave the VMs
+// that are to be emptied: as many as the tasks that one step may have on the move at a time. If only
+// one VM was requested at a time, a wave over a large pool would be late, as each VM takes seconds to
+// start. Steps share the VMs that come.
 func (c *Core) vmsForBlockedMoves(now time.Duration) int {
 	need := 0
 	for _, j := range c.open {
@@ -338,8 +344,8 @@
 	return need
 }
 
-// blockedMoves counts the step's lasting tasks that are to leave their VMs and have no
-// place to go.
+// blockedMoves returns the number of the step's long-running tasks that are to leave their VMs and
+// can't be placed elsewhere.
 func (c *Core) blockedMoves(s *step, now time.Duration) int {
 	n := 0
 	for _, t := range s.tasks {
