--- a/internal/engine/advice.go
+++ b/internal/engine/advice.go
@@ -7,16 +7,19 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Advice is asked for in small batches: each worker asked about takes the
-// advisor's time, and the deployments' objectives count one call on 30.
+// Limits of the questions to the advisor.
 const (
-	maxAdviceBatch      = 30
+	// maxAdviceBatch is the greatest number of workers in a question. Each worker takes time of the
+	// advisor, and the deployments' objectives assume one call for 30 workers.
+	maxAdviceBatch = 30
+	// adviceRetryInterval is the minimum time between two questions about a step.
 	adviceRetryInterval = 1500 * time.Millisecond
-	// ticketMargin keeps a start from arriving with a ticket that just ran out.
+	// ticketMargin is the least remaining validity of a ticket that is used, so that it is still valid
+	// when the start arrives.
 	ticketMargin = 150 * time.Millisecond
 )
 
-// permitted returns those of the workers that the step has valid tickets for.
+// permitted returns those of the workers for which the step has a valid ticket.
 func (s *step) permitted(workers []*taskplan.Worker, now time.Duration) map[work.WorkerID]bool {
 	ok := make(map[work.WorkerID]bool)
 	for _, w := range workers {
@@ -27,8 +30,8 @@
 	return ok
 }
 
-// askAdvice orders a question about workers with room where the step has fewer
-// tickets than tasks that wait.
+// askAdvice adds a question to out about workers with enough free capacity, if the step has tickets
+// for fewer workers than it has pending tasks and no question was asked recently.
 func (s *step) askAdvice(workers []*taskplan.Worker, permitted map[work.WorkerID]bool, now time.Duration, out *Orders) {
 	if s.advicePending || len(permitted) >= s.pending || s.adviceAskedAt != 0 && now < s.adviceAskedAt+adviceRetryInterval {
 		return
@@ -46,7 +49,8 @@
 	out.Advice = append(out.Advice, AdviceOrder{Step: s.ref(), Workers: ask})
 }
 
-// Advised takes the advisor's answer over.
+// Advised records the advisor's answer about a step: tickets that are valid from now for the given
+// time. Without tickets it only records that the question is answered.
 func (c *Core) Advised(ref work.StepRef, tickets []Ticket, validity time.Duration, now time.Duration) {
 	t := c.find(work.TaskRef{StepRef: ref})
 	if t == nil {
--- a/internal/engine/straggler.go
+++ b/internal/engine/straggler.go
@@ -6,7 +6,9 @@
 	"github.com/pumicestage/pumicestage/policy/straggler"
 )
 
-// stopStragglers stops what stands still or crawls, so that it starts elsewhere.
+// stopStragglers stops runs that are stalled or run slowly, so that their tasks start on another
+// worker. Long-running and best-effort tasks and gangs are exempt, and so are workers that did not
+// answer the last poll.
 func (c *Core) stopStragglers(now time.Duration) {
 	for _, w := range c.workers {
 		if w.gone || w.missed > 0 {
@@ -23,6 +25,8 @@
 	}
 }
 
+// checkProgress stops the run if it is stalled, or if it runs slowly and can be placed elsewhere. A
+// stalled run counts as a failure of its worker, a slow one in the worker's estimated slowness.
 func (c *Core) checkProgress(w *worker, t *task, now time.Duration) {
 	run := c.progress(t)
 	if straggler.Stalled(run) {
@@ -36,14 +40,15 @@
 	}
 }
 
-// progress describes the task as the last poll showed it: its percentage is of
-// then, and may be a second old.
+// progress returns the run's progress as of the last poll that reported it, which may be a second
+// old.
 func (c *Core) progress(t *task) straggler.Task {
 	return straggler.Task{
 		Estimate: c.durationRatios.estimate(t.step), Running: t.listedAt - t.answeredAt, SinceProgress: t.listedAt - t.progressedAt, Percent: t.percent,
 	}
 }
 
+// abandon stops the run and keeps the task off its worker from now on.
 func (c *Core) abandon(t *task, w *worker, why string, run straggler.Task) {
 	c.log.Info("run abandoned", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "reason", why,
 		"percent", run.Percent, "running", run.Running.String(), "estimate", run.Estimate.String())
--- a/internal/engine/vacate.go
+++ b/internal/engine/vacate.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// vacate stops lasting tasks on workers that are to be emptied, so that they
-// start elsewhere, as far as each step's limit on unavailable tasks allows.
+// vacate stops long-running tasks on workers that are to be emptied, so that they start elsewhere.
+// On draining workers it stops all of them, on others only as many as each step's limit on
+// unavailable tasks allows.
 func (c *Core) vacate(now time.Duration) {
 	for _, w := range c.workers {
 		if w.gone || w.missed > 0 || w.cordon.Kind != CordonVacate && !w.info.Draining {
@@ -16,17 +17,17 @@
 				continue
 			}
 			if w.info.Draining || c.stopAllowed(t, now) {
-				c.log.Info("lasting task moves", "task", t.ref.String(), "from", w.info.ID, "draining", w.info.Draining)
+				c.log.Info("moving long-running task", "task", t.ref.String(), "from", w.info.ID, "draining", w.info.Draining)
 				t.step.set(t, taskStopping)
 			}
 		}
 	}
 }
 
-// stopAllowed reports whether an order may take the task away. Every other task of
-// its step that is not at work for certain counts as away, whatever the cause:
-// counting only our own stops would let a failure and an order add up to more
-// than the step can bear. There must also be a place to go.
+// stopAllowed reports whether the task may be stopped to move it. Every other task of its step that
+// is not certain to be serving counts as unavailable, whatever the cause: if only the stops of this
+// owner counted, a failure and a move together could exceed the step's limit. The task must also
+// have a place to go to.
 func (c *Core) stopAllowed(t *task, now time.Duration) bool {
 	away := 0
 	for _, o := range t.step.tasks {
@@ -40,9 +41,9 @@
 	return c.canBePlaced(t, now)
 }
 
-// canBePlaced reports whether another worker can take the task soon. Short tasks
-// are not counted: lasting ones go before them, and get the room of the first
-// that ends. Were they counted, a burst that fills the pool would hold up a
+// canBePlaced reports whether another worker can take the task soon. Capacity that short tasks use
+// counts as free for long-running ones, which are placed first and get the capacity of the first
+// short task that ends. Otherwise a burst of short tasks that fills the pool would delay a
 // maintenance wave until it is late.
 func (c *Core) canBePlaced(t *task, now time.Duration) bool {
 	if c.capacityUncertain(now) {
