--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -81,7 +81,7 @@
 // New returns a front.
 func New(o Options) *Front { return &Front{Options: o, counts: counts{m: make(map[string]count)}} }
 
-// Submit accepts a job. nil means that it is stored; a *Refusal, ErrOtherWorkspace or ErrBehind
+// Submit accepts a job. nil means that it is stored; a *Refusal, ErrOtherWorkspace or ErrStaleConfig
 // that it is not and will not be; ErrUncertain that the caller should repeat it.
 func (f *Front) Submit(ctx context.Context, j *work.Job, q engine.Queue) error {
 	err := f.askOwner(ctx, q.Service, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
--- a/internal/node/pressure.go
+++ b/internal/node/pressure.go
@@ -26,14 +26,14 @@
 	return p
 }
 
-// MaxDelay implements engine.Pressure.
+// MaxDelay implements engine.DelayMeter.
 func (p *pressure) MaxDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.meter.MaxDelay(p.clock.Now())
 }
 
-// MinDelay implements engine.Pressure.
+// MinDelay implements engine.DelayMeter.
 func (p *pressure) MinDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
