--- a/internal/engine/advice_test.go
+++ b/internal/engine/advice_test.go
@@ -9,9 +9,8 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// The entry VM crashes, and each that takes the cell over after it. The operator
-// made a queue advised on a deployment that has no advisor; the first of its
-// jobs is planned.
+// Guards against a crash of the entry VM, and of each that takes over after it. The operator
+// configured an advised queue in a deployment without an advisor; its first job must wait.
 func TestAnAdvisedQueueWithoutAnAdvisorWaits(t *testing.T) {
 	e, _ := newEngine(t, &fakeTerm{certain: true})
 	b := &rig{t: t, core: e.core, now: e.Clock.Now(), wall: epoch}
@@ -23,13 +22,12 @@
 	o := b.plan()
 	assert.Equal(t, len(o.Advice), 1)
 	e.advise(t.Context(), o.Advice[0])
-	assert.Equal(t, len(b.plan().Starts), 0, "not without a ticket")
+	assert.Equal(t, len(b.plan().Starts), 0, "nothing starts without a ticket")
 }
 
-// A job of an advised queue never starts. All its workers were closed for a moment;
-// the line that explains why it waits marked the advisor as asked, and nobody
-// asked it.
-func TestExplainingWhyAStepWaitsDoesNotAskForIt(t *testing.T) {
+// Guards against a job of an advised queue that never starts. If the log line that explains why the
+// job waits marks the advisor as asked while all workers are closed, the advisor is never asked.
+func TestExplainingAWaitingStepDoesNotCountAsAskingTheAdvisor(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	b.core.workers["w1"].closedUntil = b.now + refusedPause
--- a/internal/engine/capacity_test.go
+++ b/internal/engine/capacity_test.go
@@ -9,16 +9,16 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// A worker that shrank is given tasks as if it had all its room, or for the room of a task
-// that is still being stopped.
-func TestStartsKeepToARoomThatShrank(t *testing.T) {
+// Guards against overcommitting a worker whose capacity was reduced: neither the previous capacity nor
+// that of a run which is still being stopped may be used.
+func TestStartsFitInReducedCapacity(t *testing.T) {
 	b := newRig(t)
 	o := b.running(short(3), "w1") // 6 of 8 cores
-	less := info("w1")
-	less.Capacity.MilliCPU = 4000
-	b.core.WorkerSeen(less)
+	reduced := info("w1")
+	reduced.Capacity.MilliCPU = 4000
+	b.core.WorkerSeen(reduced)
 	b.accept("j2", short(1))
-	assert.Equal(t, len(b.plan().Starts), 0, "more runs than there is room for")
+	assert.Equal(t, len(b.plan().Starts), 0, "the runs exceed the capacity")
 
 	b.poll("w1", Listing{Running: []Run{run(o.Starts[1]), run(o.Starts[2])}, Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
 	assert.Equal(t, len(b.plan().Starts), 0, "it is full")
@@ -26,11 +26,12 @@
 	b.poll("w1", Listing{Running: []Run{run(o.Starts[1]), run(o.Starts[2])}})
 	assert.Equal(t, len(b.plan().Starts), 0, "what is being stopped counts")
 	b.poll("w1", Listing{Running: []Run{run(o.Starts[2])}, Ended: []RunEnd{ended(2, o.Starts[1], work.Stopped)}})
-	assert.Equal(t, len(b.plan().Starts), 1, "there is room for one")
+	assert.Equal(t, len(b.plan().Starts), 1, "one fits")
 }
 
-// Work that was shrunk out of its room comes back only with the next worker that joins.
-func TestARoomThatGrowsAgainIsUsed(t *testing.T) {
+// Guards against work that waits for another worker to join although the capacity of the present one
+// was increased again.
+func TestIncreasedCapacityIsUsed(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	with := func(milliCPU int64) {
@@ -45,9 +46,10 @@
 	assert.Equal(t, len(b.plan().Starts), 2)
 }
 
-// A worker that starts all that it is told to has shrunk while its owner did not hear from the
-// store, and is overcommitted. Guarded workers refuse: there the owner goes on.
-func TestUnguardedWorkersStartNothingWhileTheirRoomIsInDoubt(t *testing.T) {
+// Guards against overcommitting workers that obey every start: their capacity may have been reduced
+// while the owner got no updates from the store. Guarded workers refuse such starts themselves, so
+// the owner goes on sending them.
+func TestUnguardedWorkersGetNoStartsWhileCapacityIsUncertain(t *testing.T) {
 	const within = 3 * time.Second
 	for _, unguarded := range []bool{false, true} {
 		b := newRig(t)
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -35,9 +35,8 @@
 	assert.Equal(t, state, work.Completed)
 }
 
-// The caller sees its task run twice. The worker ended it and the end was
-// acknowledged, the store had not taken it yet, the owner died, and its
-// successor knew nothing of the end. Ends are acknowledged only once stored.
+// Guards against running a finished task again. If the end of a run is acknowledged before it is
+// stored and the owner fails in between, neither the worker nor the successor knows of the end.
 func TestEndsAreAcknowledgedOnlyOnceTheyAreStored(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -55,16 +54,16 @@
 	assert.Equal(t, b.poll("w1", end).AckedThrough, int64(1))
 }
 
-// The caller sees one task run twice at the same time. A start got no answer, so
-// a stop was sent; the worker had begun the task late, answered the stop, and the
-// task took a while to end. Starting it elsewhere at the stop's answer overlaps.
+// Guards against two runs of a task at the same time. A start got no answer, so the run is stopped;
+// the worker may have started it late, and it goes on for a while after the stop is answered. The
+// task must not start elsewhere before the worker has listed the end of the run.
 func TestAStartWithoutAnswerIsRepeatedOnlyWhenTheWorkerNoLongerListsIt(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	b.accept("j1", short(1))
 	o := b.plan()
 	b.answer(o, OutcomeUnknown)
-	assert.Equal(t, len(b.plan().Stops), 0, "a poll tells first whether it runs")
+	assert.Equal(t, len(b.plan().Stops), 0, "a poll must first show whether it runs")
 	b.poll("w1", Listing{})
 	stop := b.plan()
 	assert.Equal(t, len(stop.Stops), 1)
@@ -79,8 +78,8 @@
 	assert.Assert(t, again.Starts[0].Start.Run > o.Starts[0].Start.Run)
 }
 
-// The same lost answer, but the worker has begun the task: a poll shows it, and
-// the work is kept.
+// The answer to a start is lost, but a poll shows that the worker has started the run: it must not be
+// stopped or repeated.
 func TestAStartWithoutAnswerThatIsListedGoesOn(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -92,8 +91,8 @@
 	assert.Equal(t, len(next.Stops)+len(next.Starts), 0)
 }
 
-// An unreachable worker's tasks must not start elsewhere while its lease may
-// last, on its clock, which may be slow; after that they must.
+// Tasks of an unreachable worker must not start elsewhere while its lease may last by its own clock,
+// which may be slow; once the lease has certainly expired, they must.
 func TestTasksOfAnUnreachableWorkerStartElsewhereOnceItsLeaseIsOver(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -115,9 +114,9 @@
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
-// An upkeep takes two tasks of a step away that may miss one: one failed a
-// moment before, and only our own stops were counted.
-func TestALastingTaskMovesOnlyWhileAllOthersOfItsStepAreAtWork(t *testing.T) {
+// Guards against exceeding a step's limit on unavailable tasks during maintenance: if only the stops
+// of this owner counted, a task could be moved right after another one of the step had failed.
+func TestLongRunningTaskMovesOnlyWhileAllOthersOfItsStepServe(t *testing.T) {
 	b := newRig(t)
 	for _, id := range []work.WorkerID{"w1", "w2", "w3", "w4"} {
 		b.worker(id)
@@ -135,12 +134,12 @@
 	list(o.Starts[1], 100)
 	list(o.Starts[2], 40)
 	b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: o.Starts[0].Worker.ID}, token, b.now)
-	assert.Equal(t, len(b.plan().Stops), 0, "the third is not at work yet")
+	assert.Equal(t, len(b.plan().Stops), 0, "the third is not serving yet")
 	list(o.Starts[2], 100)
 	moved := b.plan()
 	assert.Equal(t, len(moved.Stops), 1)
 	b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: o.Starts[1].Worker.ID}, token, b.now)
-	assert.Equal(t, len(b.plan().Stops), 0, "one is away already")
+	assert.Equal(t, len(b.plan().Stops), 0, "one is unavailable already")
 }
 
 func TestCancelStopsWhatRunsAndIsAnsweredOnceStored(t *testing.T) {
@@ -161,8 +160,8 @@
 	assert.Assert(t, !b.core.Cancel("unknown", nil))
 }
 
-// One worker fails whatever it starts, with good reports. It looks idle, so all
-// that waits goes there, and good jobs lose their few attempts.
+// Guards against one faulty worker failing many jobs. A worker that fails every run always looks
+// idle, so all waiting work would be placed there and use up its attempts.
 func TestAWorkerThatFailsEverythingGetsNoMoreForAWhile(t *testing.T) {
 	b := newRig(t)
 	b.worker("bad")
@@ -197,9 +196,9 @@
 	}
 }
 
-// A busy cell acknowledges nothing for seconds, and its workers' lists grow. A
-// transaction holds some changes, more came meanwhile, and ends were acknowledged
-// only after a moment in which nothing at all was left to store.
+// Guards against ends that are never acknowledged in a busy cell, so that the lists of its workers
+// grow. This happens if ends are acknowledged only when nothing is left to store: there are always
+// new changes while others are being stored.
 func TestEndsAreAcknowledgedUnderConstantLoad(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -229,8 +228,9 @@
 	assert.Equal(t, sum, int64(8), "four jobs of two tasks are stored")
 }
 
-// A rack goes dark. For a second its workers look idle, and all that waits is
-// sent to them and waits for a timeout there: starts without an answer close them.
+// Guards against sending all waiting work to workers that have become unreachable. After the failure
+// of a rack its workers look idle for a second; a start without an answer must close a worker until
+// it answers a poll.
 func TestAWorkerThatAnswersNoStartsGetsNoMore(t *testing.T) {
 	b := newRig(t)
 	b.worker("dark")
@@ -242,7 +242,7 @@
 	assert.Equal(t, len(b.plan().Starts), 1, "a poll was answered")
 }
 
-// A daemon's memory grows for as long as it owns a cell, until it is killed.
+// Guards against memory that grows for as long as an entry VM owns a cell.
 func TestEndedJobsAreForgottenAfterAWhile(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -259,8 +259,8 @@
 	assert.Assert(t, !b.core.Known("j1"))
 }
 
-// A task is started on a worker of which nobody knows whether it takes tasks: another
-// writer has overwritten its registration. What it runs goes on; new tasks go elsewhere.
+// A worker's registration was overwritten by something that can't be decoded, so it is unknown whether
+// the worker accepts tasks. Its runs must go on and keep their lease; new tasks must go elsewhere.
 func TestAWorkerWithAnUnreadableRegistrationTakesNothingNew(t *testing.T) {
 	b := newRig(t)
 	b.running(short(1), "w1")
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -9,7 +9,7 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// rig is a core with a clock of its own and workers that do as the test says.
+// rig is a core with its own clock. Its workers do what the test tells them to.
 type rig struct {
 	t    testing.TB
 	core *Core
@@ -33,11 +33,12 @@
 	return b
 }
 
-// successor returns a core of another owner under the token.
+// successor returns the core of another owner with the token.
 func (b *rig) successor(token int64) *Core { return b.successorWithin(token, rigBounds) }
 
 var rigBounds = Bounds{MaxLease: 10 * time.Second, PaceDelay: 100 * time.Millisecond, StopGrace: 400 * time.Millisecond}
 
+// successorWithin is like successor, with the given bounds.
 func (b *rig) successorWithin(token int64, bounds Bounds) *Core {
 	c := NewCore(service, token, bounds, rigLog)
 	c.Configure(Declared{
@@ -50,6 +51,7 @@
 	return c
 }
 
+// worker registers a worker and has it answer a poll.
 func (b *rig) worker(id work.WorkerID) {
 	b.core.WorkerSeen(info(id))
 	b.poll(id, Listing{})
@@ -59,7 +61,7 @@
 	return WorkerInfo{ID: id, Service: service, Address: string(id) + ":80", Capacity: work.Resources{MilliCPU: 8000, MemoryMB: 16000}, Labels: []string{"a", "r1"}}
 }
 
-// poll has the worker answer a poll that is sent and answered now.
+// poll has the worker answer a poll that is sent and answered now, and returns the poll.
 func (b *rig) poll(id work.WorkerID, l Listing) Hold {
 	b.t.Helper()
 	b.now += time.Millisecond
@@ -78,7 +80,8 @@
 	return b.core.Plan(b.now, b.wall)
 }
 
-// running has job j1 with that step running on the workers, and returns the orders.
+// running adds the workers, accepts job j1 with the step and has its tasks started on them. It
+// returns the orders.
 func (b *rig) running(step work.Step, workers ...work.WorkerID) Orders {
 	for _, id := range workers {
 		b.worker(id)
@@ -89,7 +92,7 @@
 	return o
 }
 
-// answer gives every start the outcome.
+// answer has every start in o answered with the outcome.
 func (b *rig) answer(o Orders, out Outcome) {
 	for _, s := range o.Starts {
 		b.now += time.Millisecond
@@ -97,15 +100,18 @@
 	}
 }
 
+// flush has all pending changes stored.
 func (b *rig) flush() {
 	f := b.core.TakeFlush(100)
 	b.core.Flushed(f, nil)
 }
 
+// short returns a step of so many tasks of two cores that take a second.
 func short(count int) work.Step {
 	return work.Step{Count: count, Size: work.Resources{MilliCPU: 2000, MemoryMB: 1000}, Estimate: time.Second}
 }
 
+// longRunning returns a long-running step with at most one task on a VM and one unavailable.
 func longRunning(count int) work.Step {
 	s := short(count)
 	s.LongRunning, s.AntiAffinity, s.MaxUnavailable = true, 1, 1
--- a/internal/engine/overload_test.go
+++ b/internal/engine/overload_test.go
@@ -12,17 +12,17 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// fakeDelayMeter is a VM on which what is ready waits as the test says.
-type fakeDelayMeter struct{ behind, standing time.Duration }
+// fakeDelayMeter is a DelayMeter that reports the delays that the test sets.
+type fakeDelayMeter struct{ maxDelay, minDelay time.Duration }
 
-func (p *fakeDelayMeter) MaxDelay() time.Duration { return p.behind }
-func (p *fakeDelayMeter) MinDelay() time.Duration { return p.standing }
+func (p *fakeDelayMeter) MaxDelay() time.Duration { return p.maxDelay }
+func (p *fakeDelayMeter) MinDelay() time.Duration { return p.minDelay }
 
-// An owner reads answers a second late. Workers that answered in time would pass for silent:
-// their leases are not extended, their tasks lapse and are done again.
-func TestAnOwnerThatIsBehindTakesNoWorkerForSilent(t *testing.T) {
+// Guards against an overloaded owner that reads answers a second late and counts workers as silent
+// although they answered in time: their leases would not be extended and their tasks would run again.
+func TestOverloadedOwnerDoesNotCountUnreadAnswersAsMissed(t *testing.T) {
 	e, _ := newEngine(t, &fakeTerm{certain: true})
-	vm := &fakeDelayMeter{behind: time.Second}
+	vm := &fakeDelayMeter{maxDelay: time.Second}
 	e.SchedulingDelay = vm
 	e.Workers = silentWorkers{}
 	e.core.WorkerSeen(info("w1"))
@@ -36,22 +36,23 @@
 	}
 	poll()
 	assert.Equal(t, w.missed, 0)
-	assert.Equal(t, pauseAfter(e.missed("w1"), time.Second), time.Second, "polls without a pause would keep it behind")
-	vm.behind = 0
+	assert.Equal(t, pauseAfter(e.missed("w1"), time.Second), time.Second, "polls without a pause would keep it overloaded")
+	vm.maxDelay = 0
 	poll()
-	assert.Equal(t, w.missed, 1, "one that keeps up knows that the worker did not answer")
+	assert.Equal(t, w.missed, 1, "without overload, the worker did not answer")
 }
 
-// silentWorkers do not answer. Who asks has given up at once, so that no test waits.
+// silentWorkers do not answer polls. Hold returns at once, so that no test waits for a timeout.
 type silentWorkers struct{ Workers }
 
 func (silentWorkers) Hold(context.Context, *WorkerInfo, Hold) (Listing, Outcome) {
 	return Listing{}, OutcomeUnknown
 }
 
-// A burst asks for more starts than may be under way: the rest waits in the job order, and
-// goes on as starts are answered. Two thousand at once held everything else up for a second.
-func TestAPlanKeepsToTheStartsThatMayBeUnderWay(t *testing.T) {
+// A burst asks for more starts than may be unanswered. The rest must wait in the order of the jobs'
+// ranks and go on as starts are answered: two thousand starts at once delayed everything else by a
+// second.
+func TestPlanLimitsUnansweredStarts(t *testing.T) {
 	b := newRig(t)
 	for _, id := range []work.WorkerID{"w1", "w2", "w3", "w4"} {
 		b.worker(id)
@@ -61,7 +62,7 @@
 	}
 	b.core.LimitStarts(overload.MaxStarts - 5)
 	first := b.plan()
-	assert.Equal(t, len(first.Starts), 8, "jobs are begun whole")
+	assert.Equal(t, len(first.Starts), 8, "jobs are started whole")
 	assert.Assert(t, b.core.StartsDeferred())
 	b.core.LimitStarts(overload.MaxStarts)
 	assert.Equal(t, len(b.plan().Starts), 0)
@@ -71,7 +72,7 @@
 	assert.Assert(t, !b.core.StartsDeferred())
 }
 
-// advancingClock is a clock on which each look takes a while.
+// advancingClock advances by 100 ms with each call of Now.
 type advancingClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -86,25 +87,25 @@
 
 func (r *advancingClock) Wall() time.Time { return epoch }
 
-// A cell's owner stays behind while another VM is free, and keeps the cell: its callers wait
-// until its processor is back. It sheds load, and then gives the cell up.
-func TestAnOwnerThatStaysBehindGivesItsCellUp(t *testing.T) {
+// Guards against an overloaded owner that keeps its cell while another VM is free, so that callers
+// wait until its processor is available again. It must reduce its load first and then hand over.
+func TestOwnerThatStaysOverloadedHandsItsCellOver(t *testing.T) {
 	term := &fakeTerm{certain: true}
 	e, _ := newEngine(t, term)
 	e.Clock = &advancingClock{now: time.Minute}
-	e.SchedulingDelay = &fakeDelayMeter{behind: time.Second, standing: time.Second}
+	e.SchedulingDelay = &fakeDelayMeter{maxDelay: time.Second, minDelay: time.Second}
 	e.Successor = func() overload.Successor { return overload.EqualSuccessor }
-	usual := e.core.pollPause()
+	normal := e.core.pollPause()
 	assert.ErrorIs(t, e.planLoop(t.Context()), ErrNotReady)
 	assert.Equal(t, term.ended, "relieved")
 	assert.Assert(t, e.core.OverloadLevel() > 1)
-	assert.Assert(t, e.core.pollPause() > usual)
+	assert.Assert(t, e.core.pollPause() > normal)
 	assert.Assert(t, e.core.startsLeft < overload.MaxStarts)
 }
 
-// Starts are kept back until others are answered. Nobody plans as they are, and the rest
-// waits for the next tick, a tenth of a second away.
-func TestAnAnsweredStartPlansForThoseThatWereKeptBack(t *testing.T) {
+// Guards against deferred starts that wait for the next tick, a tenth of a second away, because no
+// plan is made when the starts before them are answered.
+func TestAnswerToAStartCausesAPlanWhileStartsAreDeferred(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	b.accept("j1", short(2))
@@ -121,31 +122,32 @@
 	assert.Equal(t, len(e.planKick), 0)
 }
 
-// acceptingWorkers workers start what they are told to.
+// acceptingWorkers accept every start.
 type acceptingWorkers struct{ Workers }
 
 func (acceptingWorkers) Start(context.Context, *WorkerInfo, Start) (Outcome, time.Duration) {
 	return OutcomeOK, 0
 }
 
-// stopTimeoutRecorder is a worker that notes how long its answer was waited for.
+// stopTimeoutRecorder records the timeout of the last stop order.
 type stopTimeoutRecorder struct {
 	Workers
-	within time.Duration
+	timeout time.Duration
 }
 
 func (a *stopTimeoutRecorder) Stop(ctx context.Context, _ *WorkerInfo, _ work.TaskRef, _ int, _ int64) Outcome {
 	end, _ := ctx.Deadline()
-	a.within = time.Until(end)
+	a.timeout = time.Until(end)
 	return OutcomeOK
 }
 
-// An owner that reads answers late gives its calls the usual time, and all of them fail.
-func TestAnOwnerThatIsBehindWaitsLongerForAnswers(t *testing.T) {
+// Guards against an owner that reads answers late but keeps its usual timeouts, so that all of its
+// calls fail.
+func TestOverloadedOwnerExtendsTimeouts(t *testing.T) {
 	e, _ := newEngine(t, &fakeTerm{certain: true})
-	e.SchedulingDelay = &fakeDelayMeter{behind: time.Hour}
+	e.SchedulingDelay = &fakeDelayMeter{maxDelay: time.Hour}
 	w := &stopTimeoutRecorder{}
 	e.Workers = w
 	e.stop(t.Context(), StopOrder{Worker: info("w1")})
-	assert.Assert(t, w.within > orderTimeout, "%s", w.within)
+	assert.Assert(t, w.timeout > orderTimeout, "%s", w.timeout)
 }
--- a/internal/engine/report_test.go
+++ b/internal/engine/report_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// rigWithLateJob has a job that waits for room for so long that nobody has a use for it any more.
+// rigWithLateJob returns a rig with a job that has waited for capacity until it is of no use any
+// more.
 func rigWithLateJob(t *testing.T) *rig {
 	b := newRig(t)
 	b.worker("w1")
@@ -19,8 +20,9 @@
 	return b
 }
 
-// Jobs too late to be of use are told apart from those that VMs are to be drawn for.
-func TestAReportTellsWhatIsStillOfUse(t *testing.T) {
+// Backlog that is too late to be of use must be reported separately from the backlog for which VMs
+// are requested.
+func TestReportSeparatesBacklogThatIsTooLate(t *testing.T) {
 	b := rigWithLateJob(t)
 	b.accept("j2", short(2))
 	b.core.workers["w1"].closedUntil = b.now + time.Hour
