--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -12,48 +12,50 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Costs of an owner's work on a whole core. They are assumed, so that a run with its share of
-// polls and plans takes some 0.6 ms; measured are 0.8 to 1.5 ms over all entry VMs.
+// Processor time of an owner's operations on a whole core. With them a run, including its share of
+// polls and plans, takes about 0.6 ms; in a deployment it takes 0.8 to 1.5 ms, summed over all entry
+// VMs.
 const (
 	costStart  = 350 * time.Microsecond // to send a start
-	costAnswer = 100 * time.Microsecond // to take its answer in
+	costAnswer = 100 * time.Microsecond // to process its answer
 	costPoll   = 80 * time.Microsecond  // to send a poll
-	costList   = 120 * time.Microsecond // to take its answer in
-	costPlan   = 400 * time.Microsecond // a plan ...
-	costPlace  = 20 * time.Microsecond  // ... and each start of it
+	costList   = 120 * time.Microsecond // to process its answer
+	costPlan   = 400 * time.Microsecond // a plan without starts
+	costPlace  = 20 * time.Microsecond  // for each start in a plan
 	costJob    = 300 * time.Microsecond // to accept a job
 )
 
-// The cell: its workers bear all that is asked of them, so that the owner alone binds.
+// The simulated cell. Its workers have enough capacity, so that only the owner is a bottleneck.
 const (
 	loadWorkers     = 130
-	loadWorkerTasks = 32                     // tasks on one worker
-	loadTasks       = 8                      // of a job in the mean; the least has half of that, the most half more
-	loadTaskTime    = 600 * time.Millisecond // in the mean; the others are up to a third off
-	loadOneWayDelay = 2 * time.Millisecond   // to a worker, one way
-	loadMaxJobRate  = 200.0                  // a second that the owner bears
+	loadWorkerTasks = 32                     // tasks that fit on one worker
+	loadTasks       = 8                      // mean number of a job's tasks, which varies by half of it in both directions
+	loadTaskTime    = 600 * time.Millisecond // mean run time of a task, which varies by a third in both directions
+	loadOneWayDelay = 2 * time.Millisecond   // network delay to a worker
+	loadMaxJobRate  = 200.0                  // jobs a second that the owner can handle
 )
 
-// simulatedOwner is a core on a processor that does one thing at a time. What is ready waits in line.
+// simulatedOwner is a core on a simulated processor that runs one work item at a time. Items that are
+// ready wait in a queue.
 type simulatedOwner struct {
 	*rig
-	shedding bool // it measures how far it is behind, and acts on it
-	slow     func(now time.Duration) float64
+	shedding bool                            // it measures its scheduling delay, sheds load and extends timeouts
+	slowdown func(now time.Duration) float64 // factor on the cost of work items
 
 	timers     timers
-	timersMade int // timers so far: those of the same time go in the order in which they were made
-	ready      []workItem
+	timersMade int        // so far; timers for the same time fire in the order in which they were made
+	ready      []workItem // queue of the processor
 	meter      overload.Meter
 	running    map[work.WorkerID]map[work.TaskRef]fakeRun
 	ended      map[work.WorkerID][]RunEnd
 	polls      map[work.WorkerID]*fakePoll
-	starts     int // without an answer
-	planned    bool
-	jobs       map[work.JobID]time.Duration // when it was handed in
-	inTime     map[time.Duration]int        // jobs that were in time, by the second in which they were handed in
+	starts     int                          // not answered yet
+	planned    bool                         // a plan is scheduled by kick
+	jobs       map[work.JobID]time.Duration // unfinished jobs, with the time of submission
+	inTime     map[time.Duration]int        // number of jobs completed in time, by the second of submission
 }
 
-// workItem is something that the processor does.
+// workItem is something that takes processor time.
 type workItem struct {
 	cost time.Duration
 	do   func()
@@ -64,11 +66,11 @@
 	end time.Duration
 }
 
-// fakePoll is a poll that a worker holds back.
+// fakePoll is a poll that a worker has not answered yet.
 type fakePoll struct {
 	hold Hold
 	sent time.Duration
-	by   time.Duration // given up then
+	by   time.Duration // when the owner gives up waiting for the answer
 	done bool
 }
 
@@ -92,9 +94,9 @@
 	return last
 }
 
-func newSimulatedOwner(t *testing.T, guarded bool) *simulatedOwner {
+func newSimulatedOwner(t *testing.T, shedding bool) *simulatedOwner {
 	o := &simulatedOwner{
-		rig: newRig(t), shedding: guarded, slow: func(time.Duration) float64 { return 1 },
+		rig: newRig(t), shedding: shedding, slowdown: func(time.Duration) float64 { return 1 },
 		running: make(map[work.WorkerID]map[work.TaskRef]fakeRun), ended: make(map[work.WorkerID][]RunEnd),
 		polls: make(map[work.WorkerID]*fakePoll), jobs: make(map[work.JobID]time.Duration),
 		inTime: make(map[time.Duration]int),
@@ -112,15 +114,16 @@
 	return o
 }
 
-// after has the processor do something once it is its turn, not before the time is over.
+// after queues do for the processor once d has passed. It takes the cost in processor time.
 func (o *simulatedOwner) after(d, cost time.Duration, do func()) {
 	o.timersMade++
 	heap.Push(&o.timers, timer{at: o.now + d, n: o.timersMade, workItem: workItem{cost: cost, do: do}})
 }
 
-// elsewhere has something happen elsewhere, which costs the processor nothing.
+// elsewhere calls do once d has passed, as an event outside the owner that costs no processor time.
 func (o *simulatedOwner) elsewhere(d time.Duration, do func()) { o.after(d, 0, do) }
 
+// runUntil runs the simulation until the time end, or until nothing is left to do.
 func (o *simulatedOwner) runUntil(end time.Duration) {
 	for o.now < end {
 		for len(o.timers) > 0 && o.timers[0].at <= o.now {
@@ -140,18 +143,20 @@
 		}
 		next := o.ready[0]
 		o.ready = o.ready[1:]
-		o.now += time.Duration(float64(next.cost) * o.slow(o.now))
+		o.now += time.Duration(float64(next.cost) * o.slowdown(o.now))
 		next.do()
 	}
 }
 
-func (o *simulatedOwner) behind() time.Duration {
+// maxDelay returns the longest recent scheduling delay; 0 if it is not measured.
+func (o *simulatedOwner) maxDelay() time.Duration {
 	if !o.shedding {
 		return 0
 	}
 	return o.meter.MaxDelay(o.now)
 }
 
+// probe measures the scheduling delay at every overload.ProbeInterval.
 func (o *simulatedOwner) probe() {
 	o.after(overload.ProbeInterval, 0, func() {
 		o.meter.Begin(o.now)
@@ -162,6 +167,7 @@
 	})
 }
 
+// tick makes a plan at every planInterval.
 func (o *simulatedOwner) tick() {
 	o.after(planInterval, costPlan, func() {
 		o.plan()
@@ -169,7 +175,7 @@
 	})
 }
 
-// kick plans soon.
+// kick schedules a plan after planPause, unless one is scheduled.
 func (o *simulatedOwner) kick() {
 	if !o.planned {
 		o.planned = true
@@ -177,6 +183,7 @@
 	}
 }
 
+// plan makes a plan and queues its orders.
 func (o *simulatedOwner) plan() {
 	if o.shedding {
 		o.core.AdjustLoad(o.meter.MinDelay(o.now), o.now)
@@ -194,8 +201,9 @@
 	o.core.Flushed(f, nil)
 }
 
+// start sends a start order: the run begins and ends on the worker, and the answer comes back.
 func (o *simulatedOwner) start(s StartOrder) {
-	by := o.now + orderTimeout + overload.ExtraTimeout(o.behind())
+	by := o.now + orderTimeout + overload.ExtraTimeout(o.maxDelay())
 	takes := loadTaskTime * time.Duration(2+(len(o.core.jobs)+s.Start.Task.Index)%3) / 3
 	o.elsewhere(loadOneWayDelay, func() {
 		o.running[s.Worker.ID][s.Start.Task] = fakeRun{run: s.Start.Run, end: o.now + takes}
@@ -214,23 +222,25 @@
 	})
 }
 
+// stop sends a stop order: the run ends at once on the worker, and the answer comes back.
 func (o *simulatedOwner) stop(s StopOrder) {
 	if r, runs := o.running[s.Worker.ID][s.Task]; runs && r.run == s.Run {
 		delete(o.running[s.Worker.ID], s.Task)
-		o.list(s.Worker.ID, s.Task, s.Run, work.Stopped)
+		o.addEnd(s.Worker.ID, s.Task, s.Run, work.Stopped)
 	}
 	o.after(2*loadOneWayDelay, costAnswer, func() { o.core.StopAnswered(s, OutcomeOK, o.now); o.kick() })
 }
 
-// end is the end of a run on its worker, unless it was stopped before.
+// end ends a run on its worker, unless it was stopped before.
 func (o *simulatedOwner) end(id work.WorkerID, ref work.TaskRef, run int) {
 	if r, runs := o.running[id][ref]; runs && r.run == run {
 		delete(o.running[id], ref)
-		o.list(id, ref, run, work.Done)
+		o.addEnd(id, ref, run, work.Done)
 	}
 }
 
-func (o *simulatedOwner) list(id work.WorkerID, ref work.TaskRef, run int, how work.End) {
+// addEnd adds an end to the worker's list and answers the pending poll.
+func (o *simulatedOwner) addEnd(id work.WorkerID, ref work.TaskRef, run int, how work.End) {
 	seq := int64(len(o.ended[id]) + 1)
 	o.ended[id] = append(o.ended[id], RunEnd{Seq: seq, Task: ref, Run: run, How: how})
 	if p := o.polls[id]; p != nil {
@@ -238,7 +248,8 @@
 	}
 }
 
-// pollRepeatedly polls the worker for as long as something is there, as a session does.
+// pollRepeatedly polls the worker while a poll is due, as a session does, and otherwise checks again
+// every 5 ms.
 func (o *simulatedOwner) pollRepeatedly(id work.WorkerID) {
 	_, h, due := o.core.HoldFor(id, o.now)
 	if !due {
@@ -246,7 +257,7 @@
 		return
 	}
 	o.ready = append(o.ready, workItem{cost: costPoll, do: func() {
-		p := &fakePoll{hold: h, sent: o.now, by: o.now + h.Wait + pollTimeout + overload.ExtraTimeout(o.behind())}
+		p := &fakePoll{hold: h, sent: o.now, by: o.now + h.Wait + pollTimeout + overload.ExtraTimeout(o.maxDelay())}
 		o.polls[id] = p
 		o.elsewhere(h.Wait, func() { o.answer(id, p) })
 		if len(o.ended[id]) > 0 && o.ended[id][len(o.ended[id])-1].Seq > h.AckedThrough {
@@ -255,7 +266,7 @@
 	}})
 }
 
-// answer has the worker answer a poll, once.
+// answer has the worker answer a poll, unless it has answered it.
 func (o *simulatedOwner) answer(id work.WorkerID, p *fakePoll) {
 	if p.done {
 		return
@@ -274,28 +285,30 @@
 	o.after(2*loadOneWayDelay, costList, func() { o.pollAnswered(id, p, l) })
 }
 
+// pollAnswered processes the answer to a poll, which may be too late, and schedules the next poll.
 func (o *simulatedOwner) pollAnswered(id work.WorkerID, p *fakePoll, l Listing) {
 	l.Clock = o.now
 	pause := o.core.pollPause()
 	switch {
 	case o.now <= p.by:
 		o.core.HoldAnswered(id, p.hold, l, p.sent, o.now)
-	case overload.AnswerMayBeUnread(o.behind()):
+	case overload.AnswerMayBeUnread(o.maxDelay()):
 		o.core.HoldUnread()
 	default:
 		o.core.HoldFailed(id, OutcomeUnknown, o.now)
 		pause = pauseAfter(o.core.workers[id].missed, pause)
 	}
-	o.finish()
+	o.recordCompleted()
 	o.kick()
 	o.elsewhere(pause, func() { o.pollRepeatedly(id) })
 }
 
-// jobTime is what a job may take from being handed in: the objective of the rig's queue.
+// jobTime is the objective of the rig's queue: the time from submission within which a job must
+// complete.
 const jobTime = 1560 * time.Millisecond
 
-// finish notes which jobs are done.
-func (o *simulatedOwner) finish() {
+// recordCompleted removes the completed jobs from o.jobs and counts those that were in time.
+func (o *simulatedOwner) recordCompleted() {
 	for id, at := range o.jobs {
 		if s, _ := o.core.State(id); s == work.Completed || o.core.jobs[id].final == work.Completed {
 			if o.now <= at+jobTime {
@@ -306,7 +319,7 @@
 	}
 }
 
-// arrive has jobs come for a while, so many a second.
+// arrive has jobs submitted between two times, at a rate per second.
 func (o *simulatedOwner) arrive(from, until time.Duration, rate float64) {
 	n := 0
 	for at := from; at < until; at += time.Duration(float64(time.Second) / rate) {
@@ -322,7 +335,7 @@
 	}
 }
 
-// goodput returns the jobs in time a second of those handed in within the span.
+// goodput returns, of the jobs submitted between two times, how many per second completed in time.
 func (o *simulatedOwner) goodput(from, until time.Duration) float64 {
 	n := 0
 	for s := from / time.Second; s < until/time.Second; s++ {
@@ -331,9 +344,10 @@
 	return float64(n) / (until - from).Seconds()
 }
 
-// simulate has jobs come at a rate for five seconds and returns how many a second were in time.
-func simulate(t *testing.T, guarded bool, rate float64) float64 {
-	o := newSimulatedOwner(t, guarded)
+// simulate submits jobs at a rate for five seconds and returns how many per second completed in time.
+// The first second is not counted.
+func simulate(t *testing.T, shedding bool, rate float64) float64 {
+	o := newSimulatedOwner(t, shedding)
 	from := o.now.Truncate(time.Second) + time.Second
 	until := from + 5*time.Second
 	o.arrive(from, until, rate)
@@ -341,29 +355,29 @@
 	return o.goodput(from+time.Second, until)
 }
 
-// Callers hand in up to three times what an owner's processor bears. Starts and answers would
-// wait in line until nearly everything is late. With few starts under way and fewer polls,
-// what is in time stays at what the owner bears: the order begins what can still be in time,
-// and little waits after it is begun.
-func TestWhatIsInTimeStaysAsLoadGrows(t *testing.T) {
+// Jobs are submitted at up to three times the rate that the owner's processor can handle. Without load
+// shedding, starts and answers would queue until nearly every job is late. With few unanswered starts
+// and fewer polls, goodput must stay at what the owner can handle: jobs that can still be in time are
+// started first, and started jobs hardly wait.
+func TestGoodputDoesNotDropUnderOverload(t *testing.T) {
 	for _, times := range []float64{0.5, 1, 1.5, 2, 3} {
 		got := simulate(t, true, times*loadMaxJobRate)
-		t.Logf("%.1f times: %.0f jobs a second handed in, %.0f in time", times, times*loadMaxJobRate, got)
+		t.Logf("%.1f times: %.0f jobs a second submitted, %.0f in time", times, times*loadMaxJobRate, got)
 		assert.Assert(t, got >= 0.95*min(1, times)*loadMaxJobRate, "%.1f times", times)
 	}
 	without := simulate(t, false, 2*loadMaxJobRate)
-	t.Logf("2.0 times: %.0f in time without the guard", without)
-	assert.Assert(t, without < loadMaxJobRate/2, "the guard is what keeps them in time")
+	t.Logf("2.0 times: %.0f in time without load shedding", without)
+	assert.Assert(t, without < loadMaxJobRate/2, "without load shedding most jobs must be late")
 }
 
-// A VM loses four fifths of its processor for six seconds while its cell is busy. The owner
-// does what it still can, takes no worker for silent as it reads answers late, and is at its
-// usual work a second after the processor is back.
+// A VM loses four fifths of its processor for six seconds while its cell is busy. The owner must do
+// what it still can, must not count workers as silent because it reads answers late, and must be back
+// at its usual goodput a second after the processor is back.
 func TestAnOwnerThatWasSlowRecovers(t *testing.T) {
 	o := newSimulatedOwner(t, true)
 	from := o.now.Truncate(time.Second) + time.Second
 	slowFrom, slowUntil := from+2*time.Second, from+8*time.Second
-	o.slow = func(now time.Duration) float64 {
+	o.slowdown = func(now time.Duration) float64 {
 		if now >= slowFrom && now < slowUntil {
 			return 5
 		}
