--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -13,7 +13,7 @@
 	Used           float64        `msgpack:"u"`           // cores in use
 	Backlog        float64        `msgpack:"b"`           // waiting core-seconds of jobs that are still of use
 	ExpiredBacklog float64        `msgpack:"o,omitempty"` // waiting core-seconds of jobs that are too late to be of use
-	Arriving       float64        `msgpack:"a"`           // recently submitted core-seconds per second
+	ArrivalRate    float64        `msgpack:"a"`           // recently submitted core-seconds per second
 	MissingVMs     int            `msgpack:"s"`           // additional VMs that long-running tasks need, whatever is free on the others
 	Workers        []WorkerReport `msgpack:"w"`
 	// TrialVMs is how many empty VMs the cell could use for tasks that may crash their worker,
@@ -185,7 +185,7 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), MissingVMs: c.missingVMs(now), TrialVMs: c.wantedForTrials(now), SerialMoves: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
+	r := CellReport{ArrivalRate: c.arrivalRate(now), MissingVMs: c.missingVMs(now), TrialVMs: c.wantedForTrials(now), SerialMoves: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
--- a/internal/engine/summary.go
+++ b/internal/engine/summary.go
@@ -70,7 +70,7 @@
 	r := c.report(now)
 	s := Summary{
 		Cell: c.cell, Token: c.token, Jobs: make(map[work.State]int), Workers: len(c.workers),
-		Used: r.Used, Backlog: r.Backlog + r.ExpiredBacklog, Arriving: r.Arriving, Short: r.MissingVMs, Level: c.OverloadLevel(),
+		Used: r.Used, Backlog: r.Backlog + r.ExpiredBacklog, Arriving: r.ArrivalRate, Short: r.MissingVMs, Level: c.OverloadLevel(),
 	}
 	for _, j := range c.open {
 		s.Jobs[j.state()]++
--- a/internal/fleetowner/fleet.go
+++ b/internal/fleetowner/fleet.go
@@ -132,7 +132,7 @@
 		return true
 	}
 	for _, c := range f.cells {
-		if c.HasBacklog() || c.Arriving > 0 || c.MissingVMs > 0 || c.TrialVMs > 0 {
+		if c.HasBacklog() || c.ArrivalRate > 0 || c.MissingVMs > 0 || c.TrialVMs > 0 {
 			return true
 		}
 	}
--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -50,7 +50,7 @@
 		}
 		p := &pools.Pool{Name: name, Parked: s.Standby}
 		if c := f.cells[name]; c != nil {
-			p.Used, p.Backlog, p.ArrivalRate, p.MissingVMs, p.SpareDemand = c.Used, c.Backlog, c.Arriving, c.MissingVMs, c.TrialVMs
+			p.Used, p.Backlog, p.ArrivalRate, p.MissingVMs, p.SpareDemand = c.Used, c.Backlog, c.ArrivalRate, c.MissingVMs, c.TrialVMs
 			p.LateBacklog, p.ByLabel = c.ExpiredBacklog, boundLoads(c.ByLabel)
 		}
 		if p.Backlog > 0 || p.LateBacklog > 0 {
