--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -96,8 +96,8 @@
 
 // CellAnswer is the answer to a CellSync.
 type CellAnswer struct {
-	Taken  []bool     `msgpack:"t"` // whether each order was carried out
-	Report CellReport `msgpack:"r"`
+	Executed []bool     `msgpack:"t"` // whether each order was carried out
+	Report   CellReport `msgpack:"r"`
 }
 
 // Sync carries out the fleet owner's orders and returns a report. It returns ErrNotReady if the
@@ -113,7 +113,7 @@
 	e.fleetToken = s.Token
 	var a CellAnswer
 	for _, o := range s.Orders {
-		a.Taken = append(a.Taken, e.core.applyOrder(o, s.Token, now))
+		a.Executed = append(a.Executed, e.core.applyOrder(o, s.Token, now))
 	}
 	if len(s.Orders) > 0 {
 		kick(e.planKick)
--- a/internal/fleetowner/cells.go
+++ b/internal/fleetowner/cells.go
@@ -53,7 +53,7 @@
 			defer mu.Unlock()
 			views[cell] = viewOf(a.Report)
 			for i, o := range list {
-				carriedOut[o.Worker] = i < len(a.Taken) && a.Taken[i]
+				carriedOut[o.Worker] = i < len(a.Executed) && a.Executed[i]
 			}
 		})
 	}
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -79,7 +79,7 @@
 	}
 	for _, o := range s.Orders {
 		r.orders = append(r.orders, o)
-		a.Taken = append(a.Taken, o.Kind != engine.OrderClaim || !r.refusedClaims[o.Worker])
+		a.Executed = append(a.Executed, o.Kind != engine.OrderClaim || !r.refusedClaims[o.Worker])
 	}
 	return a, nil
 }
--- a/internal/ownerlink/link_test.go
+++ b/internal/ownerlink/link_test.go
@@ -36,7 +36,7 @@
 func (o *fakeOwner) Cancel(context.Context, work.JobID, work.WorkspaceName) error { return o.err }
 func (o *fakeOwner) Waiting(string) (int, error)                                  { return 7, o.err }
 func (o *fakeOwner) Sync(s engine.CellSync) (engine.CellAnswer, error) {
-	return engine.CellAnswer{Taken: []bool{true}, Report: engine.CellReport{Used: float64(s.Token)}}, o.err
+	return engine.CellAnswer{Executed: []bool{true}, Report: engine.CellReport{Used: float64(s.Token)}}, o.err
 }
 
 func (o *fakeOwner) LookAtLimits([]work.WorkspaceName) error { return o.err }
