--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -73,7 +73,7 @@
 	OrderVacate         CellOrderKind = iota + 1 // set CordonVacate
 	OrderEvict                                   // stop its tasks other than long-running ones
 	OrderClaim                                   // set CordonClaimed; fails unless the worker is certain to be empty
-	OrderOpen                                    // remove the cordon
+	OrderUncordon                                // remove the cordon
 	OrderWorkerRemoved                           // its incarnation has ended, as its VM was taken away
 	OrderMaintenanceDue                          // set CordonMaintenanceDue
 )
@@ -140,7 +140,7 @@
 func (c *Core) applyOrder(o CellOrder, token int64, now time.Duration) bool {
 	w := c.workers[o.Worker]
 	if w == nil {
-		return o.Kind == OrderWorkerRemoved || o.Kind == OrderOpen
+		return o.Kind == OrderWorkerRemoved || o.Kind == OrderUncordon
 	}
 	switch o.Kind {
 	case OrderVacate:
@@ -155,7 +155,7 @@
 			return false
 		}
 		c.setCordon(w, Cordon{Kind: CordonClaimed, Token: token})
-	case OrderOpen:
+	case OrderUncordon:
 		c.setCordon(w, Cordon{})
 	case OrderMaintenanceDue:
 		c.setCordon(w, Cordon{Kind: CordonMaintenanceDue, Token: token})
--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -25,7 +25,7 @@
 	assert.Assert(t, b.core.applyOrder(claim, token, b.now))
 	b.accept("j2", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
-	b.core.applyOrder(CellOrder{Kind: OrderOpen, Worker: "w1"}, token, b.now)
+	b.core.applyOrder(CellOrder{Kind: OrderUncordon, Worker: "w1"}, token, b.now)
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -307,7 +307,7 @@
 	assert.Equal(t, len(r.orders), 0)
 	r.waves = nil
 	r.pass(f)
-	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderOpen, Worker: "w-v1"}})
+	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderUncordon, Worker: "w-v1"}})
 }
 
 // Workers stayed closed for good after an owner of the fleet was lost. The next owner must open
@@ -323,7 +323,7 @@
 	r.reports["a"] = engine.CellReport{Workers: cordoned}
 	f := r.fleet()
 	r.pass(f)
-	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderOpen, Worker: "w-v1"}})
+	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderUncordon, Worker: "w-v1"}})
 	r.now += orderExpiry
 	r.orders = nil
 	r.pass(f)
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -104,7 +104,7 @@
 	for cell, c := range f.cells {
 		for i := range c.Workers {
 			w := &c.Workers[i]
-			kind, order := engine.CordonNone, engine.OrderOpen
+			kind, order := engine.CordonNone, engine.OrderUncordon
 			if f.dueWorkers[w.ID] {
 				kind, order = engine.CordonMaintenanceDue, engine.OrderMaintenanceDue
 			}
