--- a/internal/engine/advice.go
+++ b/internal/engine/advice.go
@@ -49,9 +49,9 @@
 	out.Advice = append(out.Advice, AdviceOrder{Step: s.ref(), Workers: ask})
 }
 
-// Advised records the advisor's answer about a step: tickets that are valid from now for the given
+// AdviceAnswered records the advisor's answer about a step: tickets that are valid from now for the given
 // time. Without tickets it only records that the question is answered.
-func (c *Core) Advised(ref work.StepRef, tickets []Ticket, validity time.Duration, now time.Duration) {
+func (c *Core) AdviceAnswered(ref work.StepRef, tickets []Ticket, validity time.Duration, now time.Duration) {
 	t := c.find(work.TaskRef{StepRef: ref})
 	if t == nil {
 		return
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -111,7 +111,7 @@
 		e.Log.Info("no advice", "step", o.Step.String(), "workers", len(o.Workers), "error", err.Error())
 	}
 	e.mu.Lock()
-	e.core.Advised(o.Step, tickets, validity, sent)
+	e.core.AdviceAnswered(o.Step, tickets, validity, sent)
 	e.mu.Unlock()
 	kick(e.planKick)
 }
