--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -189,7 +189,7 @@
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
-	most := c.maxCapacity()
+	largest := c.maxCapacity()
 	settled := c.settled(now)
 	for _, j := range c.open {
 		// Jobs that may not start yet wait for workers that have not been polled, not for
@@ -201,7 +201,7 @@
 		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				// Tasks that fit on no VM would make the pool request VMs forever.
-				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(most) && !c.atLimit(s) {
+				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(largest) && !c.atLimit(s) {
 					r.addBacklog(s, o.tier, float64(n)*c.waitsFor(s, now).Seconds()*s.spec.Size.Cores())
 				}
 			}
@@ -249,11 +249,11 @@
 // maxCapacity returns, for each kind of resource by itself, the most that any known VM or worker
 // has.
 func (c *Core) maxCapacity() work.Resources {
-	most := c.largestVM
+	largest := c.largestVM
 	for _, w := range c.workers {
-		most = most.Max(w.info.Capacity)
+		largest = largest.Max(w.info.Capacity)
 	}
-	return most
+	return largest
 }
 
 // placementGrace is how long a long-running task waits before it counts as one that can't be
@@ -297,18 +297,18 @@
 // serialMoves returns the greatest number of consecutive moves that a maintenance wave requires of
 // one step. As many tasks of a step as its limit on unavailable tasks allows move at a time.
 func (c *Core) serialMoves() int {
-	most := 0
+	largest := 0
 	for _, j := range c.open {
 		if !j.LongRunning() {
 			continue
 		}
 		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
-				most = max(most, s.serialMoves())
+				largest = max(largest, s.serialMoves())
 			}
 		}
 	}
-	return most
+	return largest
 }
 
 func (s *step) serialMoves() int {
@@ -317,7 +317,7 @@
 	}
 	n := 0
 	for _, t := range s.tasks {
-		if t.where != nil && (t.where.cordon.Kind == CordonMaintenanceDue || t.where.cordon.Kind == CordonVacate) {
+		if t.worker != nil && (t.worker.cordon.Kind == CordonMaintenanceDue || t.worker.cordon.Kind == CordonVacate) {
 			n++
 		}
 	}
@@ -349,7 +349,7 @@
 func (c *Core) blockedMoves(s *step, now time.Duration) int {
 	n := 0
 	for _, t := range s.tasks {
-		if !s.spec.LongRunning || t.state != taskActive || t.where.cordon.Kind != CordonVacate {
+		if !s.spec.LongRunning || t.state != taskActive || t.worker.cordon.Kind != CordonVacate {
 			continue
 		}
 		if n == 0 && c.canBePlaced(t, now) {
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -239,11 +239,11 @@
 
 // release removes the task from its worker and resets the state of its run.
 func (c *Core) release(t *task) {
-	if t.where != nil {
-		t.where.remove(t)
-		t.where.full = false
-		t.where.emptySince = c.now
-		t.where = nil
+	if t.worker != nil {
+		t.worker.remove(t)
+		t.worker.full = false
+		t.worker.emptySince = c.now
+		t.worker = nil
 	}
 	t.stopsListedFrom = 0
 	t.stopSentAt, t.stopAnsweredAt, t.percent, t.gauge, t.pace = 0, 0, 0, 0, fullPercent
@@ -257,10 +257,10 @@
 
 // attach records that the given run of the task is, or may be, on the worker.
 func (c *Core) attach(t *task, w *worker, run int, state taskState, now time.Duration) {
-	if t.where != nil && t.where != w {
-		t.where.remove(t)
+	if t.worker != nil && t.worker != w {
+		t.worker.remove(t)
 	}
-	t.where, t.run = w, run
+	t.worker, t.run = w, run
 	t.progressedAt = now
 	t.trialDuration = c.timesToCrash.TrialDuration()
 	w.add(t)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -129,7 +129,7 @@
 	storeKick chan struct{}
 	shareKick chan struct{}
 	writer    *writer
-	lives     *lives
+	vmLister  *lives
 	wg        sync.WaitGroup
 }
 
@@ -145,7 +145,7 @@
 	e.core = NewCore(o.Cell, o.Term.Token(), o.Bounds, o.Log.WithName("core"))
 	e.core.metrics = o.Metrics
 	e.writer = newWriter(e)
-	e.lives = &lives{engine: e}
+	e.vmLister = &lives{engine: e}
 	return e
 }
 
@@ -171,7 +171,7 @@
 	e.wg.Go(func() { e.readInbox(ctx) })
 	e.wg.Go(func() { e.runShares(ctx) })
 	if e.Machines != nil {
-		e.wg.Go(func() { e.lives.run(ctx) })
+		e.wg.Go(func() { e.vmLister.run(ctx) })
 	}
 	e.RegistryChanged()
 	return e.planLoop(ctx)
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -122,12 +122,12 @@
 		if n := len(t.crashes); n > 0 {
 			out.Crashed = append(out.Crashed, CrashExplanation{Task: t.ref.String(), Crashes: n, Addresses: t.crashedAt, Suspect: t.suspect()})
 		}
-		if t.where == nil {
+		if t.worker == nil {
 			continue
 		}
 		out.Runs = append(out.Runs, RunExplanation{
-			Task: t.ref.String(), Run: t.run, Worker: t.where.info.ID, State: taskStateNames[t.state], Percent: t.percent,
-			For: now - t.orderedAt, Failures: len(t.failedRuns), Silent: t.where.missed,
+			Task: t.ref.String(), Run: t.run, Worker: t.worker.info.ID, State: taskStateNames[t.state], Percent: t.percent,
+			For: now - t.orderedAt, Failures: len(t.failedRuns), Silent: t.worker.missed,
 		})
 	}
 	if s.pending == 0 {
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -22,11 +22,11 @@
 
 // task is one task of a step.
 type task struct {
-	ref   work.TaskRef
-	step  *step
-	state taskState
-	run   int     // number of the last run that was ordered or seen
-	where *worker // that has the run, or may have it; nil: none
+	ref    work.TaskRef
+	step   *step
+	state  taskState
+	run    int     // number of the last run that was ordered or seen
+	worker *worker // that has the run, or may have it; nil: none
 
 	orderedAt      time.Duration // when the start was ordered
 	sentAt         time.Duration // when the start was sent to the worker; 0: not yet
@@ -74,7 +74,7 @@
 // run that is being stopped like any other; a new owner that counted such a run as serving
 // would stop a second task of the step at the same time.
 func (t *task) serving() bool {
-	return t.state == taskActive && t.percent >= fullPercent && t.where.missed == 0 && t.where.listedAt >= t.stopsListedFrom
+	return t.state == taskActive && t.percent >= fullPercent && t.worker.missed == 0 && t.worker.listedAt >= t.stopsListedFrom
 }
 
 // fullPercent is 100 percent. It is what a worker reports as the progress of a long-running
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -159,7 +159,7 @@
 	out := make(map[work.WorkspaceName]work.Resources)
 	for _, w := range c.workers {
 		for ref := range w.strays {
-			if t := c.find(ref); t != nil && t.where != w {
+			if t := c.find(ref); t != nil && t.worker != w {
 				name := t.step.job.Workspace
 				out[name] = out[name].Plus(t.step.spec.Size)
 			}
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -233,15 +233,15 @@
 		w.strayed(r.Task, r.Run)
 		return
 	}
-	if t.where == nil && t.run <= r.Run || t.where != nil && t.where != w && t.run < r.Run {
+	if t.worker == nil && t.run <= r.Run || t.worker != nil && t.worker != w && t.run < r.Run {
 		if t.step.job.final != "" {
 			w.strayed(r.Task, r.Run)
 			return
 		}
 		// An earlier owner's run, or one that was thought lost. Of two, the
 		// higher: it was ordered after the other had been settled.
-		if t.where != nil {
-			t.where.strayed(t.ref, t.run)
+		if t.worker != nil {
+			t.worker.strayed(t.ref, t.run)
 		}
 		c.clearPresumed(t, r.Run)
 		if t.suspect() {
@@ -255,7 +255,7 @@
 			t.ranBefore = crashes.ClearedAfter
 		}
 	}
-	if t.where != w || t.run != r.Run {
+	if t.worker != w || t.run != r.Run {
 		w.strayed(r.Task, r.Run)
 		return
 	}
@@ -313,7 +313,7 @@
 		c.markDirty(t.step.job)
 	}
 	c.clearPresumed(t, e.Run)
-	current := t.where == w && t.run == e.Run
+	current := t.worker == w && t.run == e.Run
 	t.run = max(t.run, e.Run)
 	switch e.How {
 	case work.Done:
@@ -361,8 +361,8 @@
 	if t.state == taskDone {
 		return
 	}
-	if t.where != nil && t.run != endedRun {
-		t.where.strayed(t.ref, t.run)
+	if t.worker != nil && t.run != endedRun {
+		t.worker.strayed(t.ref, t.run)
 	}
 	c.release(t)
 	t.step.set(t, taskDone)
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -164,7 +164,7 @@
 // goesOnAfter reports whether the run was found in a life that followed the worker: its start had
 // reached that one.
 func (l *lostRun) goesOnAfter(w *worker) bool {
-	return l.task.where != nil && l.task.where != w && l.task.run == l.run
+	return l.task.worker != nil && l.task.worker != w && l.task.run == l.run
 }
 
 // blame notes a crash against what may have caused it.
@@ -315,10 +315,10 @@
 // clearCrashes forgets the crashes under a lasting task whose present run shows that it does not
 // cause them.
 func (c *Core) clearCrashes(t *task) {
-	if t.where == nil || len(t.crashes) == 0 {
+	if t.worker == nil || len(t.crashes) == 0 {
 		return
 	}
-	run := crashes.LostRun{MinRunTime: t.where.seenRunning(t), LongRunning: t.step.spec.LongRunning}
+	run := crashes.LostRun{MinRunTime: t.worker.seenRunning(t), LongRunning: t.step.spec.LongRunning}
 	if run.ProvenSound() {
 		t.crashes, t.crashedAt, t.suspected = nil, nil, false
 		c.markDirty(t.step.job)
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -82,7 +82,7 @@
 // have started again, and would begin what begins elsewhere.
 func (c *Core) StartLeaves(o StartOrder, now time.Duration) bool {
 	t := c.find(o.Start.Task)
-	if t == nil || t.run != o.Start.Run || t.where == nil || t.where.info.ID != o.Worker.ID {
+	if t == nil || t.run != o.Start.Run || t.worker == nil || t.worker.info.ID != o.Worker.ID {
 		return false
 	}
 	t.sentAt = now
@@ -108,7 +108,7 @@
 		c.deposed = true
 	}
 	t := c.find(o.Start.Task)
-	if t != nil && w != nil && t.where == w && t.run == o.Start.Run {
+	if t != nil && w != nil && t.worker == w && t.run == o.Start.Run {
 		t.confirmed = t.confirmed || out == OutcomeOK && same
 		c.startAnswered(t, w, out, now)
 	}
@@ -182,7 +182,7 @@
 		}
 	}
 	t := c.find(o.Task)
-	if t == nil || t.run != o.Run || t.where == nil || t.where.info.ID != o.Worker.ID {
+	if t == nil || t.run != o.Run || t.worker == nil || t.worker.info.ID != o.Worker.ID {
 		return
 	}
 	if answered {
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -325,8 +325,8 @@
 		if c.isDue(t, now) && t.mayBeTried() {
 			ps.Tasks = append(ps.Tasks, taskplan.Task{Index: t.ref.Index, Avoid: t.avoided(c.workers), Suspect: t.suspect()})
 		}
-		if t.where != nil {
-			ps.OnWorker[t.where.info.ID]++
+		if t.worker != nil {
+			ps.OnWorker[t.worker.info.ID]++
 		}
 	}
 	if len(ps.Tasks) == 0 || s.spec.Gang && len(ps.Tasks) < len(s.tasks)-s.done {
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -114,7 +114,7 @@
 // onTrial reports whether it is on its way to the store, or stored, that the task may crash a
 // worker, and no run of it has shown otherwise since.
 func (t *task) onTrial() bool {
-	return t.trial != 0 && (t.where == nil || t.where.seenRunning(t) < t.trialDuration)
+	return t.trial != 0 && (t.worker == nil || t.worker.seenRunning(t) < t.trialDuration)
 }
 
 // askTrials has it stored, of the suspects of the step that may start now, that a start of
--- a/internal/engine/vacate.go
+++ b/internal/engine/vacate.go
@@ -52,12 +52,12 @@
 	s := t.step
 	on := make(map[*worker]int)
 	for _, o := range s.tasks {
-		if o.where != nil {
-			on[o.where]++
+		if o.worker != nil {
+			on[o.worker]++
 		}
 	}
 	for _, w := range c.workers {
-		if w == t.where || w.closed(now) && !w.full {
+		if w == t.worker || w.closed(now) && !w.full {
 			continue
 		}
 		if s.spec.AntiAffinity > 0 && on[w] >= s.spec.AntiAffinity {
