--- a/cmd/pumicestage/explain_test.go
+++ b/cmd/pumicestage/explain_test.go
@@ -69,7 +69,7 @@
 func TestExplainJobWithoutAnOwnerSaysWhatTheStoreKnows(t *testing.T) {
 	ended := time.Date(2026, 5, 4, 8, 0, 0, 0, time.UTC)
 	status, out, _ := explainFrom(t, &jobfront.Report{
-		Job: "5c0e7a21d94b36f8", Cell: "weighting", Stored: work.Completed, Ended: ended, Missing: "engine: not ready",
+		Job: "5c0e7a21d94b36f8", Cell: "weighting", StoredState: work.Completed, Ended: ended, MissingReason: "engine: not ready",
 	})
 	assert.Equal(t, status, exitDone)
 	assert.Equal(t, out, `job 5c0e7a21d94b36f8 of service weighting
@@ -88,7 +88,7 @@
 func TestExplainWorkspacesPrintsWhatEachUsesWhere(t *testing.T) {
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		assert.Check(t, json.NewEncoder(w).Encode([]jobfront.CellReport{
-			{Cell: "booking", Missing: "engine: not ready"},
+			{Cell: "booking", MissingReason: "engine: not ready"},
 			{Cell: "weighting", Summary: &engine.Summary{Workspaces: []engine.WorkspaceUse{{
 				Workspace: "red", Used: work.Resources{MilliCPU: 1500}, May: work.Resources{MilliCPU: 2000}, Limit: work.Resources{MilliCPU: 8000}, Waits: true,
 			}}}},
@@ -113,7 +113,7 @@
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/cells")
 		assert.Check(t, json.NewEncoder(w).Encode([]jobfront.CellReport{
-			{Cell: "booking", Missing: "engine: not ready"},
+			{Cell: "booking", MissingReason: "engine: not ready"},
 			{Cell: "weighting", Owner: "entry-2", Summary: &engine.Summary{
 				Jobs: map[work.State]int{work.Queued: 3, work.Running: 8}, Oldest: 1234567 * time.Microsecond, Workers: 9, Busy: 7, Silent: 1, Used: 71.5, Backlog: 12,
 			}},
