--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -170,7 +170,7 @@
 		return
 	}
 	w.cordon = to
-	c.log.Info("cordon changed", "worker", w.info.ID, "kind", int(to.Kind), "tasks", len(w.tasks))
+	c.log.Info("cordon", "worker", w.info.ID, "kind", int(to.Kind), "tasks", len(w.tasks))
 }
 
 // evict stops all tasks on the worker except long-running ones, which leave as their steps'
