--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -99,7 +99,7 @@
 	}},
 	{"a run that is not higher than one that was stopped is old", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 4, 5), engine.OutcomeOK)
-		assert.Equal(t, w.start(t, start(0, 4, 5, long)), engine.OutcomeOld)
+		assert.Equal(t, w.start(t, start(0, 4, 5, long)), engine.OutcomeOldRun)
 		assert.Equal(t, w.start(t, start(0, 5, 5, long)), engine.OutcomeOK)
 	}},
 	{"a stopped run is listed as stopped", func(t *testing.T, w *Workers) {
@@ -122,7 +122,7 @@
 	{"a start without room is refused", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOK)
 		assert.Equal(t, w.start(t, start(1, 1, 5, long)), engine.OutcomeOK)
-		assert.Equal(t, w.start(t, start(2, 1, 5, long)), engine.OutcomeNoRoom)
+		assert.Equal(t, w.start(t, start(2, 1, 5, long)), engine.OutcomeNoCapacity)
 	}},
 	{"a start without its ticket is refused", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.start(t, start(0, 1, 5, w.Advised)), engine.OutcomeNoTicket)
@@ -145,10 +145,10 @@
 	}},
 	{"another life answers for itself alone", func(t *testing.T, w *Workers) {
 		w.Worker.ID = "another"
-		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOtherLife)
-		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 1, 5), engine.OutcomeOtherLife)
+		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOtherIncarnation)
+		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 1, 5), engine.OutcomeOtherIncarnation)
 		_, out := w.Client.Hold(t.Context(), &w.Worker, engine.Hold{Token: 5})
-		assert.Equal(t, out, engine.OutcomeOtherLife)
+		assert.Equal(t, out, engine.OutcomeOtherIncarnation)
 	}},
 	{"a call without an answer is of unknown outcome", func(t *testing.T, w *Workers) {
 		w.Silence()
@@ -241,7 +241,7 @@
 	})
 	t.Run("a service without a connection did nothing", func(t *testing.T) {
 		m := fresh(t)
-		assert.Equal(t, m.Away.Move(t.Context(), m.VM, m.Pools[1], token), engine.VMLater)
+		assert.Equal(t, m.Away.Move(t.Context(), m.VM, m.Pools[1], token), engine.VMRefused)
 		_, err := m.Away.List(t.Context())
 		assert.Assert(t, err != nil)
 	})
--- a/internal/engine/incarnations.go
+++ b/internal/engine/incarnations.go
@@ -81,7 +81,7 @@
 // polled, and waiting tasks would go from one crashed worker to the next.
 func (c *Core) endUnlistedWorkers(sent, now time.Duration) {
 	for id, w := range c.workers {
-		_, up := c.alive[id]
+		_, up := c.upWorkers[id]
 		w.unlisted = !up && w.clockAt < sent
 		if w.unlisted && w.missedPolls > 0 {
 			c.WorkerGone(id, "its VM runs another incarnation or none", now)
@@ -106,7 +106,7 @@
 
 // hasEnded reports whether that incarnation of the worker is known to have ended.
 func (c *Core) hasEnded(id work.WorkerID, incarnation work.Incarnation) bool {
-	return slices.Contains(c.over[id], incarnation)
+	return slices.Contains(c.endedIncarnations[id], incarnation)
 }
 
 // addWorker adds a worker that is not known yet, and returns it.
@@ -136,7 +136,7 @@
 // would take it for an acknowledgement of its own ends, which nobody has received.
 func (w *worker) mayReachNextIncarnation() bool {
 	for _, t := range w.tasks {
-		if !t.shown {
+		if !t.confirmed {
 			return true
 		}
 	}
@@ -155,7 +155,7 @@
 // meant for the previous incarnation: the clock of that one was ahead, so the worker grants
 // its longest lease.
 func (c *Core) maxLateRunDuration() time.Duration {
-	return maxOrderDelay + time.Duration(float64(c.bounds.MaxHold)*(1+maxClockDrift)) + expiryMargin
+	return maxOrderDelay + time.Duration(float64(c.bounds.MaxLease)*(1+maxClockDrift)) + expiryMargin
 }
 
 // workerRestarted ends the worker's incarnation, as another one answered a poll under its ID,
@@ -166,7 +166,7 @@
 func (c *Core) workerRestarted(old *worker, incarnation work.Incarnation, now time.Duration) *worker {
 	lateRuns := make(map[work.TaskRef]int) // the runs that these starts may begin
 	for ref, t := range old.tasks {
-		if !t.shown {
+		if !t.confirmed {
 			lateRuns[ref] = t.run
 		}
 	}
@@ -174,12 +174,12 @@
 		lateRuns[ref] = max(lateRuns[ref], s.run)
 	}
 	info, registered := old.info, false
-	if old.nextIncarnation != nil && old.nextIncarnation.Life == incarnation {
+	if old.nextIncarnation != nil && old.nextIncarnation.Incarnation == incarnation {
 		info, registered = *old.nextIncarnation, true
 	}
 	old.nextIncarnation = nil
 	c.WorkerGone(old.info.ID, "it restarted", now)
-	info.Life = incarnation
+	info.Incarnation = incarnation
 	w := c.addWorker(info)
 	w.cordon, w.unregistered = old.cordon, !registered
 	w.inheritedUntil = max(w.inheritedUntil, now+c.maxLateRunDuration())
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -95,7 +95,7 @@
 
 // hear lets the owner know the configuration in force.
 func (w *limitWorld) hear(o *modelOwner) {
-	o.core.Declare(Declared{
+	o.core.Configure(Declared{
 		Version: int64(len(w.limits)) + 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}},
 		Services:   map[string]Service{service: {Name: service}, otherCell: {Name: otherCell}},
 		Workspaces: map[work.WorkspaceName]workspace.Workspace{limitedName: {Name: limitedName, Limit: w.limit()}},
@@ -227,7 +227,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			m := newModel(t, seed)
 			m.overlap = true
-			m.bounds.ConfigWithin = configWithin
+			m.bounds.MaxConfigDelay = configWithin
 			m.limited = newLimitWorld(m)
 			m.takeOver(false)
 			for range 3000 {
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -14,16 +14,16 @@
 // the worker itself and the platform's list of VMs can tell which of them has ended. ask
 // reports that the worker is to be polled to find out.
 func (c *Core) WorkerRegistered(info WorkerInfo) (ask bool) {
-	if c.hasEnded(info.ID, info.Life) {
+	if c.hasEnded(info.ID, info.Incarnation) {
 		return false
 	}
 	w := c.workers[info.ID]
 	switch {
 	case w == nil:
 		c.addWorker(info)
-	case info.Life == 0 || w.info.Life == 0 || info.Life == w.info.Life:
-		if info.Life == 0 {
-			info.Life = w.info.Life
+	case info.Incarnation == 0 || w.info.Incarnation == 0 || info.Incarnation == w.info.Incarnation:
+		if info.Incarnation == 0 {
+			info.Incarnation = w.info.Incarnation
 		}
 		w.info, w.unregistered, w.nextIncarnation = info, false, nil
 	default:
@@ -59,7 +59,7 @@
 // NextPoll returns the next poll of the worker; false if none is needed.
 func (c *Core) NextPoll(id work.WorkerID, now time.Duration) (WorkerInfo, Hold, bool) {
 	w := c.workers[id]
-	if w == nil || w.gone || now > c.startsUntil {
+	if w == nil || w.gone || now > c.ordersUntil {
 		return WorkerInfo{}, Hold{}, false
 	}
 	if w.contacted && len(w.tasks) == 0 && len(w.orphanedRuns) == 0 && w.acked >= w.seen && w.missedPolls == 0 && !w.unlisted && w.nextIncarnation == nil {
@@ -70,7 +70,7 @@
 		h.AckedThrough = w.stored
 	}
 	if w.nextIncarnation != nil {
-		h.next = w.nextIncarnation.Life
+		h.next = w.nextIncarnation.Incarnation
 	}
 	if !w.contacted {
 		return w.info, h, true
@@ -86,7 +86,7 @@
 	// A worker that missed a poll gets no further extension: its runs must be certain to end,
 	// so that their tasks can start elsewhere.
 	if len(w.tasks) > 0 && w.missedPolls == 0 {
-		h.Deadline = w.clockNow(now) + min(LeaseExtension, c.bounds.MaxHold)
+		h.Deadline = w.clockNow(now) + min(LeaseExtension, c.bounds.MaxLease)
 		w.deadline = max(w.deadline, h.Deadline)
 	}
 	// With these waits the full listing is needed, to resolve the state of a run or for
@@ -102,7 +102,7 @@
 		return pollWaitMin
 	}
 	for _, t := range w.tasks {
-		if t.state == taskDoubtful || t.state == taskStopping {
+		if t.state == taskUncertain || t.state == taskStopping {
 			return pollWaitMin
 		}
 		serving = serving || t.step.spec.Serving()
@@ -123,7 +123,7 @@
 // PollUnread counts a poll that was not answered in time while this owner was overloaded. The
 // answer may have arrived and not been read, so nothing follows about the worker. Taken for
 // silent, the worker would not have its lease extended, and its runs would end.
-func (c *Core) PollUnread() { c.unread++ }
+func (c *Core) PollUnread() { c.unreadPolls++ }
 
 // PollFailed records a poll that brought no listing, with its outcome o.
 func (c *Core) PollFailed(id work.WorkerID, o Outcome, now time.Duration) {
@@ -135,7 +135,7 @@
 	case OutcomeFenced:
 		c.deposed = true
 		return
-	case OutcomeOtherLife:
+	case OutcomeOtherIncarnation:
 		c.WorkerGone(id, "another incarnation answers", now)
 		return
 	}
@@ -168,12 +168,12 @@
 		return
 	}
 	c.now = now
-	if l.Life != 0 && l.Life != w.info.Life {
+	if l.Life != 0 && l.Life != w.info.Incarnation {
 		switch {
 		case c.hasEnded(id, l.Life):
 			return
-		case w.info.Life == 0:
-			w.info.Life = l.Life
+		case w.info.Incarnation == 0:
+			w.info.Incarnation = l.Life
 		default:
 			w = c.workerRestarted(w, l.Life, now)
 			h.AckedThrough = 0 // it counts the ends of the previous incarnation
@@ -181,8 +181,8 @@
 	}
 	// That registration was known before this poll was sent, so it is of an earlier
 	// incarnation.
-	if w.nextIncarnation != nil && l.Life == w.info.Life && h.next == w.nextIncarnation.Life {
-		c.over[id] = append(c.over[id], w.nextIncarnation.Life)
+	if w.nextIncarnation != nil && l.Life == w.info.Incarnation && h.next == w.nextIncarnation.Incarnation {
+		c.endedIncarnations[id] = append(c.endedIncarnations[id], w.nextIncarnation.Incarnation)
 		w.nextIncarnation = nil
 	}
 	w.observeClock(l.Clock, now)
@@ -237,15 +237,15 @@
 		w.markOrphaned(r.Task, r.Run)
 		return
 	}
-	if t.where == nil && t.run <= r.Run || t.where != nil && t.where != w && t.run < r.Run {
+	if t.worker == nil && t.run <= r.Run || t.worker != nil && t.worker != w && t.run < r.Run {
 		if t.step.job.final != "" {
 			w.markOrphaned(r.Task, r.Run)
 			return
 		}
 		// An earlier owner started the run, or it was thought lost. Of two runs, the one with
 		// the higher number counts: it was started after the other had been settled.
-		if t.where != nil {
-			t.where.markOrphaned(t.ref, t.run)
+		if t.worker != nil {
+			t.worker.markOrphaned(t.ref, t.run)
 		}
 		c.clearPresumed(t, r.Run)
 		if t.suspect() {
@@ -254,26 +254,26 @@
 		c.log.Info("run adopted", "task", r.Task.String(), "run", r.Run, "worker", w.info.ID)
 		delete(w.orphanedRuns, r.Task)
 		c.attach(t, w, r.Run, taskActive, now)
-		t.stopsOver = now + c.bounds.StopGrace + expiryMargin
+		t.stopsListedFrom = now + c.bounds.StopGrace + expiryMargin
 		if t.step.spec.LongRunning && r.Percent >= fullPercent {
 			t.ranBefore = crashes.ClearedAfter
 		}
 	}
-	if t.where != w || t.run != r.Run {
+	if t.worker != w || t.run != r.Run {
 		w.markOrphaned(r.Task, r.Run)
 		return
 	}
-	if t.state == taskStarting || t.state == taskDoubtful {
+	if t.state == taskStarting || t.state == taskUncertain {
 		c.attach(t, w, r.Run, taskActive, now)
 	}
-	t.shown = true
+	t.confirmed = true
 	if r.Checkpoint != "" {
-		t.checkpoint, t.savedRun = r.Checkpoint, r.Run
+		t.checkpoint, t.checkpointRun = r.Checkpoint, r.Run
 	}
 	c.clearDisprovenCrashes(t)
 	t.listedAt = now
 	if r.Percent != t.percent {
-		t.percent, t.movedAt = r.Percent, now
+		t.percent, t.progressedAt = r.Percent, now
 	}
 	t.gauge = r.Gauge
 }
@@ -284,18 +284,18 @@
 func (c *Core) handleUnlistedTask(t *task, sent, now time.Duration) {
 	switch t.state {
 	case taskActive:
-		if t.answered < sent {
+		if t.answeredAt < sent {
 			c.log.Info("run missing from its worker's listing", "task", t.ref.String(), "run", t.run)
 			c.handleIncompleteRun(t, now)
 		}
-	case taskDoubtful:
+	case taskUncertain:
 		// It may still start: the stop makes the worker reject it.
-		if t.answered < sent {
+		if t.answeredAt < sent {
 			t.step.set(t, taskStopping)
 		}
 	case taskStopping:
 		// The answer to the stop is not enough: a run goes on for a while after it.
-		if t.stopOK != 0 && t.stopOK < sent {
+		if t.stopAnsweredAt != 0 && t.stopAnsweredAt < sent {
 			c.handleIncompleteRun(t, now)
 		}
 	}
@@ -306,18 +306,18 @@
 	if s := w.orphanedRuns[e.Task]; s != nil && s.run <= e.Run {
 		delete(w.orphanedRuns, e.Task)
 	}
-	c.endings++
-	w.unstored = append(w.unstored, endMark{seq: e.Seq, at: c.endings})
+	c.endsSeen++
+	w.unstored = append(w.unstored, endMark{seq: e.Seq, at: c.endsSeen})
 	t := c.find(e.Task)
 	if t == nil {
 		return
 	}
-	if e.Checkpoint != "" && e.Run >= t.savedRun {
-		t.checkpoint, t.savedRun = e.Checkpoint, e.Run
-		c.touch(t.step.job)
+	if e.Checkpoint != "" && e.Run >= t.checkpointRun {
+		t.checkpoint, t.checkpointRun = e.Checkpoint, e.Run
+		c.markDirty(t.step.job)
 	}
 	c.clearPresumed(t, e.Run)
-	current := t.where == w && t.run == e.Run
+	current := t.worker == w && t.run == e.Run
 	t.run = max(t.run, e.Run)
 	switch e.How {
 	case work.Done:
@@ -346,8 +346,8 @@
 		return
 	}
 	if current {
-		w.slowness = w.slowness.Observe(now-t.answered, c.learned.estimate(t.step))
-		c.learned.learn(t.step, now-t.answered)
+		w.slowness = w.slowness.Observe(now-t.answeredAt, c.durationRatios.estimate(t.step))
+		c.durationRatios.learn(t.step, now-t.answeredAt)
 	}
 	if t.step.spec.Gang {
 		// The end of one member stands for the same run of all members.
@@ -367,12 +367,12 @@
 	if t.state == taskDone {
 		return
 	}
-	if t.where != nil && t.run != endedRun {
-		t.where.markOrphaned(t.ref, t.run)
+	if t.worker != nil && t.run != endedRun {
+		t.worker.markOrphaned(t.ref, t.run)
 	}
 	c.release(t)
 	t.step.set(t, taskDone)
-	c.touch(t.step.job)
+	c.markDirty(t.step.job)
 }
 
 // advance removes finished occurrences, and completes the job when none is left.
@@ -380,14 +380,14 @@
 	if j.final != "" {
 		return
 	}
-	live := j.live[:0]
-	for _, o := range j.live {
+	live := j.liveOccurrences[:0]
+	for _, o := range j.liveOccurrences {
 		if !o.finished() {
 			live = append(live, o)
 		}
 	}
-	j.live = live
-	if len(j.live) == 0 && j.next >= j.Occurrences() {
+	j.liveOccurrences = live
+	if len(j.liveOccurrences) == 0 && j.nextOccurrence >= j.Occurrences() {
 		c.finish(j, work.Completed)
 	}
 }
@@ -401,12 +401,12 @@
 // taskFailed processes the end of a run that failed. Each run counts once. current reports
 // that it is the run recorded for the task.
 func (c *Core) taskFailed(w *worker, t *task, e *RunEnd, current bool, now time.Duration) {
-	if slices.Contains(t.failed, e.Run) {
+	if slices.Contains(t.failedRuns, e.Run) {
 		return
 	}
-	c.log.Info("run failed", "task", t.ref.String(), "run", e.Run, "worker", w.info.ID, "failures", len(t.failed)+1)
+	c.log.Info("run failed", "task", t.ref.String(), "run", e.Run, "worker", w.info.ID, "failures", len(t.failedRuns)+1)
 	w.failures.recordFailure(t.ref.Job, now)
-	t.failed = append(t.failed, e.Run)
+	t.failedRuns = append(t.failedRuns, e.Run)
 	t.avoid = append(t.avoid, w.info.ID)
 	if current {
 		c.handleIncompleteRun(t, now)
@@ -415,12 +415,12 @@
 	if j.final != "" || t.state == taskDone {
 		return
 	}
-	c.touch(j)
+	c.markDirty(j)
 	if t.step.spec.LongRunning {
-		t.notBefore = now + min(maxRestartPause, initialRestartPause<<min(len(t.failed), 4))
+		t.notBefore = now + min(maxRestartPause, initialRestartPause<<min(len(t.failedRuns), 4))
 		return
 	}
-	if j.queue.MaxAttempts > 0 && len(t.failed) >= j.queue.MaxAttempts {
+	if j.queue.MaxAttempts > 0 && len(t.failedRuns) >= j.queue.MaxAttempts {
 		c.finish(j, work.Failed)
 	}
 }
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -41,10 +41,10 @@
 		return
 	}
 	w.gone = true
-	c.over[w.info.ID] = append(c.over[w.info.ID], w.info.Life)
+	c.endedIncarnations[w.info.ID] = append(c.endedIncarnations[w.info.ID], w.info.Incarnation)
 	c.log.Info("worker gone", "worker", w.info.ID, "service", w.info.Service, "tasks", len(w.tasks), "reason", why, "cause", cause)
 	if cause == lossCrash {
-		c.lostUnheard = c.lostUnheard || !w.contacted
+		c.lostUnpolled = c.lostUnpolled || !w.contacted
 		c.recordWorkerCrash(w, now)
 	}
 	c.dropTasks(w, cause, now)
@@ -73,10 +73,10 @@
 // observedRunTime returns how long the task had run on the worker as of the worker's last
 // answer; 0 if no answer came since its start.
 func (w *worker) observedRunTime(t *task) time.Duration {
-	if t.answered == 0 || t.state == taskStarting || t.state == taskDoubtful {
+	if t.answeredAt == 0 || t.state == taskStarting || t.state == taskUncertain {
 		return 0
 	}
-	return max(0, w.clockAt-t.answered) + t.ranBefore
+	return max(0, w.clockAt-t.answeredAt) + t.ranBefore
 }
 
 // lostRun is a run that was lost with its worker.
@@ -92,19 +92,19 @@
 
 // lostRunOf describes the run of the task as lost with the worker.
 func (w *worker) lostRunOf(t *task, now time.Duration) lostRun {
-	l := lostRun{task: t, run: t.run, minRunTime: w.observedRunTime(t), unsent: t.answered == 0 && t.left == 0}
-	if !t.shown && t.state != taskActive {
-		l.silentBeforeStart = max(0, t.left-w.clockAt)
+	l := lostRun{task: t, run: t.run, minRunTime: w.observedRunTime(t), unsent: t.answeredAt == 0 && t.sentAt == 0}
+	if !t.confirmed && t.state != taskActive {
+		l.silentBeforeStart = max(0, t.sentAt-w.clockAt)
 		l.startUnconfirmed = l.silentBeforeStart > crashes.MaxTrialDuration
 	}
 	silent := w.silentFrom(now)
 	switch {
 	case l.minRunTime > 0:
 		l.maxRunTime = l.minRunTime + max(0, silent-w.clockAt)
-	case t.left > 0:
-		l.maxRunTime = max(0, silent-t.left)
+	case t.sentAt > 0:
+		l.maxRunTime = max(0, silent-t.sentAt)
 	default:
-		l.maxRunTime = max(0, silent-t.answered)
+		l.maxRunTime = max(0, silent-t.answeredAt)
 	}
 	return l
 }
@@ -113,7 +113,7 @@
 func (c *Core) markSilent(w *worker, now time.Duration) {
 	if w.silentSince == 0 {
 		w.silentSince = now
-		c.silences.Record(now, now)
+		c.correlatedLosses.Record(now, now)
 	}
 }
 
@@ -147,7 +147,7 @@
 	for _, l := range lost {
 		l.task.notBefore = max(l.task.notBefore, at+crashes.CorrelationWindow)
 	}
-	c.unjudged = append(c.unjudged, crash{worker: w, at: at, lost: lost, duringTrial: w.runsTrial((*task).suspect)})
+	c.unattributed = append(c.unattributed, crash{worker: w, at: at, lost: lost, duringTrial: w.runsTrial((*task).suspect)})
 	c.attributeDueCrashes(now)
 }
 
@@ -155,20 +155,20 @@
 // were lost at the same time.
 func (c *Core) attributeDueCrashes(now time.Duration) {
 	var wait []crash
-	for _, cr := range c.unjudged {
+	for _, cr := range c.unattributed {
 		if now < cr.at+crashes.CorrelationWindow {
 			wait = append(wait, cr)
 			continue
 		}
 		c.attributeCrash(&cr, now)
 	}
-	c.unjudged = wait
+	c.unattributed = wait
 }
 
 // continuedAfter reports whether the run was found in a later incarnation of the worker: its
 // start had reached that one.
 func (l *lostRun) continuedAfter(w *worker) bool {
-	return l.task.where != nil && l.task.where != w && l.task.run == l.run
+	return l.task.worker != nil && l.task.worker != w && l.task.run == l.run
 }
 
 // attributeCrash records a crash against the tasks that may have caused it.
@@ -176,7 +176,7 @@
 	w := cr.worker
 	cr.lost = slices.DeleteFunc(cr.lost, func(l lostRun) bool { return l.continuedAfter(w) })
 	rate := c.crashRate.PerWorker(now)
-	if common := c.silences.Rate(cr.at, len(c.workers)); common > 0 {
+	if common := c.correlatedLosses.Rate(cr.at, len(c.workers)); common > 0 {
 		c.log.Info("worker crashed together with others", "worker", w.info.ID, "runs", len(cr.lost), "common rate", common)
 		rate += common
 	}
@@ -230,7 +230,7 @@
 		t.notBefore = now + min(maxCrashPause, initialCrashPause<<min(len(t.crashes), 5))
 	}
 	j.evidence++
-	c.touch(j)
+	c.markDirty(j)
 	c.log.Info("worker crash attributed to a task", "task", t.ref.String(), "run", l.run, "worker", w.info.ID, "factor", blamed.Factor, "presumed", blamed.Presumed,
 		"seen running for", l.minRunTime.String(), "at most", l.maxRunTime.String(), "crashes", len(t.crashes), "suspect", t.suspected)
 }
@@ -273,7 +273,7 @@
 		return
 	}
 	if prior := c.kindOf(j).Prior(now); t.crashes.Poison(prior) {
-		c.onsets.Add(t.crashes)
+		c.timesToCrash.Add(t.crashes)
 		c.log.Info("job failed, as its task crashes workers", "task", t.ref.String(), "crashes", len(t.crashes), "share of such jobs", prior)
 		c.finish(j, work.Failed)
 		c.clearExplainedCrashes(t, now)
@@ -289,7 +289,7 @@
 			if left, changed := t.crashes.MarkExplained(incarnations); changed {
 				t.crashes = left
 				c.updateSuspected(t, now)
-				c.touch(j)
+				c.markDirty(j)
 			}
 		})
 	}
@@ -306,11 +306,11 @@
 	for _, j := range slices.Clone(c.open) {
 		j.eachTask(func(t *task) {
 			switch {
-			case t.presumed == 0 || j.final != "":
-			case c.lostUnheard:
+			case t.presumedRun == 0 || j.final != "":
+			case c.lostUnpolled:
 				c.failPoisonTask(t, now)
 			default:
-				c.clearPresumed(t, t.presumed)
+				c.clearPresumed(t, t.presumedRun)
 			}
 		})
 	}
@@ -319,13 +319,13 @@
 // clearDisprovenCrashes forgets the crashes under a long-running task whose current run shows
 // that it does not cause them.
 func (c *Core) clearDisprovenCrashes(t *task) {
-	if t.where == nil || len(t.crashes) == 0 {
+	if t.worker == nil || len(t.crashes) == 0 {
 		return
 	}
-	run := crashes.LostRun{MinRunTime: t.where.observedRunTime(t), LongRunning: t.step.spec.LongRunning}
+	run := crashes.LostRun{MinRunTime: t.worker.observedRunTime(t), LongRunning: t.step.spec.LongRunning}
 	if run.ProvenSound() {
 		t.crashes, t.crashedAt, t.suspected = nil, nil, false
-		c.touch(t.step.job)
+		c.markDirty(t.step.job)
 	}
 }
 
@@ -349,11 +349,11 @@
 // have caused, if a worker reports a later run of the task than those under which workers
 // crashed.
 func (c *Core) clearPresumed(t *task, run int) {
-	if t.presumed == 0 || run <= t.crashes.Without(t.presumed).LatestRun() {
+	if t.presumedRun == 0 || run <= t.crashes.Without(t.presumedRun).LatestRun() {
 		return
 	}
-	t.crashes = t.crashes.Without(t.presumed)
-	t.presumed = 0
+	t.crashes = t.crashes.Without(t.presumedRun)
+	t.presumedRun = 0
 	c.updateSuspected(t, c.now)
-	c.touch(t.step.job)
+	c.markDirty(t.step.job)
 }
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -137,14 +137,14 @@
 	m.commit = m.token
 	for _, o := range m.owners {
 		o.core.SetCertain(false)
-		o.core.startsUntil = min(o.core.startsUntil, m.now+OwnerGrace)
+		o.core.ordersUntil = min(o.core.ordersUntil, m.now+OwnerGrace)
 		if m.chance(40) {
 			o.retired = true // it was killed
 		}
 	}
 	b := &rig{t: m.t, now: m.now, wall: epoch}
 	o := &modelOwner{core: b.successorWithin(m.token, m.bounds), cut: make(map[work.WorkerID]bool)}
-	o.core.Declare(Declared{Version: 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}}})
+	o.core.Configure(Declared{Version: 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}}})
 	if m.limited != nil {
 		m.limited.hear(o)
 		o.core.RestoreLedger(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: m.limited.value, ModRevision: m.limited.rev})
@@ -241,8 +241,8 @@
 	}
 	w := m.worker(s.Worker.ID)
 	lost := !m.calm && m.chance(15) || o.cut[s.Worker.ID]
-	if w == nil || w.life != s.Worker.Life && o != m.current() {
-		o.core.StartAnswered(s, OutcomeOtherLife, 0, m.now)
+	if w == nil || w.life != s.Worker.Incarnation && o != m.current() {
+		o.core.StartAnswered(s, OutcomeOtherIncarnation, 0, m.now)
 		return
 	}
 	if lost {
@@ -271,11 +271,11 @@
 	live, runs := w.running[st.Task]
 	switch {
 	case w.dead:
-		return OutcomeOtherLife
+		return OutcomeOtherIncarnation
 	case st.Token < w.token:
 		return OutcomeFenced
 	case st.Run <= w.highest[st.Task] || runs && live > st.Run:
-		return OutcomeOld
+		return OutcomeOldRun
 	case st.Deadline < w.clock(m.now):
 		return OutcomeLate
 	case runs:
@@ -305,7 +305,7 @@
 func (m *model) stop(o *modelOwner, s StopOrder) {
 	w := m.worker(s.Worker.ID)
 	if w == nil {
-		o.core.StopAnswered(s, OutcomeOtherLife, m.now)
+		o.core.StopAnswered(s, OutcomeOtherIncarnation, m.now)
 		return
 	}
 	if !m.calm && m.chance(15) || o.cut[w.id] {
@@ -350,7 +350,7 @@
 	}
 	switch {
 	case w.dead:
-		o.core.PollFailed(w.id, OutcomeOtherLife, m.now)
+		o.core.PollFailed(w.id, OutcomeOtherIncarnation, m.now)
 		return
 	case o.cut[w.id]:
 		o.core.PollFailed(w.id, OutcomeUnknown, m.now)
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -121,7 +121,7 @@
 	now, wall := e.Clock.Now(), e.Clock.Wall()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Declare(e.Declared())
+	e.core.Configure(e.Declared())
 	for _, kv := range ledgers {
 		e.core.RestoreLedger(kv)
 	}
@@ -154,8 +154,8 @@
 	readers.Go(func() { progress, _, progressErr = e.Store.Range(ctx, infra.WorkProgressPrefix(e.Cell)) })
 	readers.Go(func() { jobs, _, jobsErr = e.Store.Range(ctx, infra.WorkOpenPrefix(e.Cell)) })
 	readers.Go(func() { ledgers, _, ledgersErr = e.Store.Range(ctx, infra.WorkLimitPrefix) })
-	if e.Listed != nil {
-		readers.Go(func() { e.Listed(ctx) })
+	if e.WaitForRegistry != nil {
+		readers.Go(func() { e.WaitForRegistry(ctx) })
 	}
 	readers.Wait()
 	return progress, jobs, ledgers, trace.NewAggregate(progressErr, jobsErr, ledgersErr)
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -41,7 +41,7 @@
 
 // confirmConfig reads the configuration before what the cell has can't be used for want of it.
 func (e *Engine) confirmConfig(ctx context.Context) {
-	within := e.Bounds.ConfigWithin
+	within := e.Bounds.MaxConfigDelay
 	if e.Configs == nil || within == 0 || e.Clock.Now() < e.Configs.Confirmed()+within-confirmAhead {
 		return
 	}
@@ -129,7 +129,7 @@
 // back what another waits for: they look at the ledgers, which they do on their own only while
 // they have more than their even share.
 func (e *Engine) tellCells(claims []shareClaim) {
-	if e.TellCells == nil {
+	if e.NotifyCells == nil {
 		return
 	}
 	var names []work.WorkspaceName
@@ -139,7 +139,7 @@
 		}
 	}
 	if len(names) > 0 {
-		e.TellCells(names)
+		e.NotifyCells(names)
 	}
 }
 
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -217,7 +217,7 @@
 
 		LongRunning: w.load.longRunning, Serving: w.load.serving, BestEffort: w.load.bestEffort,
 		Slowness:       w.slowness.Factor(),
-		MaintenanceDue: w.cordon.Kind == Due,
+		MaintenanceDue: w.cordon.Kind == CordonMaintenanceDue,
 		Tasks:          len(w.tasks),
 	}
 	if n := len(w.info.Labels); n > 0 {
@@ -237,7 +237,7 @@
 func (w *worker) tooManyUnansweredStarts() bool {
 	n := 0
 	for _, t := range w.tasks {
-		if t.state == taskDoubtful {
+		if t.state == taskUncertain {
 			n++
 		}
 	}
--- a/internal/fleetowner/fleet.go
+++ b/internal/fleetowner/fleet.go
@@ -132,7 +132,7 @@
 		return true
 	}
 	for _, c := range f.cells {
-		if c.Waits() || c.Arriving > 0 || c.Short > 0 || c.Spare > 0 {
+		if c.HasBacklog() || c.ArrivalRate > 0 || c.MissingVMs > 0 || c.TrialVMs > 0 {
 			return true
 		}
 	}
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -79,7 +79,7 @@
 	}
 	for _, o := range s.Orders {
 		r.orders = append(r.orders, o)
-		a.Taken = append(a.Taken, o.Kind != engine.OrderClaim || !r.refusedClaims[o.Worker])
+		a.Executed = append(a.Executed, o.Kind != engine.OrderClaim || !r.refusedClaims[o.Worker])
 	}
 	return a, nil
 }
@@ -134,7 +134,7 @@
 func idleWorkers(ids ...string) []engine.WorkerReport {
 	var out []engine.WorkerReport
 	for _, id := range ids {
-		out = append(out, engine.WorkerReport{ID: work.WorkerID("w-" + id), Heard: true, EmptyFor: time.Second})
+		out = append(out, engine.WorkerReport{ID: work.WorkerID("w-" + id), Polled: true, EmptyFor: time.Second})
 	}
 	return out
 }
@@ -300,14 +300,14 @@
 	f := r.fleet()
 	r.pass(f)
 	r.pass(f)
-	assert.DeepEqual(t, r.orders[0], engine.CellOrder{Kind: engine.OrderDue, Worker: "w-v1"})
-	reports[0].Cordon = engine.Cordon{Kind: engine.Due, Token: r.Token()}
+	assert.DeepEqual(t, r.orders[0], engine.CellOrder{Kind: engine.OrderMaintenanceDue, Worker: "w-v1"})
+	reports[0].Cordon = engine.Cordon{Kind: engine.CordonMaintenanceDue, Token: r.Token()}
 	r.orders = nil
 	r.pass(f)
 	assert.Equal(t, len(r.orders), 0)
 	r.waves = nil
 	r.pass(f)
-	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderOpen, Worker: "w-v1"}})
+	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderUncordon, Worker: "w-v1"}})
 }
 
 // Workers stayed closed for good after an owner of the fleet was lost. The next owner must open
@@ -318,12 +318,12 @@
 	r.addVM("v1", "a")
 	r.addVM("v2", "a")
 	cordoned := idleWorkers("v1", "v2")
-	cordoned[0].Cordon = engine.Cordon{Kind: engine.Vacated, Token: 4}
-	cordoned[1].Cordon = engine.Cordon{Kind: engine.Claimed, Token: 4}
+	cordoned[0].Cordon = engine.Cordon{Kind: engine.CordonVacate, Token: 4}
+	cordoned[1].Cordon = engine.Cordon{Kind: engine.CordonClaimed, Token: 4}
 	r.reports["a"] = engine.CellReport{Workers: cordoned}
 	f := r.fleet()
 	r.pass(f)
-	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderOpen, Worker: "w-v1"}})
+	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderUncordon, Worker: "w-v1"}})
 	r.now += orderExpiry
 	r.orders = nil
 	r.pass(f)
@@ -382,14 +382,14 @@
 		r.pass(f)
 	}
 	assert.DeepEqual(t, r.calls, []string{"maintain v1", "maintain v2"})
-	assert.Equal(t, r.countOrders(engine.OrderGone), 0)
+	assert.Equal(t, r.countOrders(engine.OrderWorkerRemoved), 0)
 	r.setVM("v2", work.VMMaintenance, "")
 	r.pass(f)
-	assert.Equal(t, r.countOrders(engine.OrderGone), 1)
+	assert.Equal(t, r.countOrders(engine.OrderWorkerRemoved), 1)
 	r.setVM("v2", work.VMUp, "w-next")
 	r.pass(f)
 	r.pass(f)
-	assert.Equal(t, r.countOrders(engine.OrderGone), 1, "told once")
+	assert.Equal(t, r.countOrders(engine.OrderWorkerRemoved), 1, "told once")
 }
 
 // A wave does not drain VMs while work waits in their pool. Work that is too late to be of use
@@ -404,6 +404,6 @@
 		r.pass(f)
 		return f.candidate(&waveRun{}, r.vms[0], false).Backlog
 	}
-	assert.Equal(t, waits(engine.CellReport{Leftover: 20}), false)
+	assert.Equal(t, waits(engine.CellReport{ExpiredBacklog: 20}), false)
 	assert.Equal(t, waits(engine.CellReport{Backlog: 20}), true)
 }
--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -119,14 +119,14 @@
 	}
 	if view := f.cells[vm.Pool]; view != nil {
 		c.Backlog = view.Backlog > 0
-		c.SerialMoveTime = time.Duration(view.Serial) * longRunningMoveTime
+		c.SerialMoveTime = time.Duration(view.SerialMoves) * longRunningMoveTime
 	}
 	report := f.worker(vm)
 	switch {
-	case ordered || !c.Parked && (report == nil || !report.Heard):
+	case ordered || !c.Parked && (report == nil || !report.Polled):
 		c.VM.State = work.VMMoving
 	case report != nil:
-		c.Tasks, c.LongRunning = report.Tasks, report.Lasting
+		c.Tasks, c.LongRunning = report.Tasks, report.LongRunning
 	}
 	return c
 }
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -258,7 +258,7 @@
 // must not be stored without the owner.
 func TestAJobRefusedForAnOldConfigurationIsNotStored(t *testing.T) {
 	r := newFixture(t)
-	r.owner.err = engine.ErrBehind
-	assert.Assert(t, errors.Is(r.front.Submit(context.Background(), newJob("j1"), queue), engine.ErrBehind))
+	r.owner.err = engine.ErrStaleConfig
+	assert.Assert(t, errors.Is(r.front.Submit(context.Background(), newJob("j1"), queue), engine.ErrStaleConfig))
 	assert.Assert(t, !r.stored(t, infra.WorkJobKey("j1")))
 }
--- a/internal/node/entryvms.go
+++ b/internal/node/entryvms.go
@@ -70,6 +70,6 @@
 func (n *Node) workersOf(cell string) engine.Workers {
 	return forward.New(forward.Options{
 		Direct: n.workers, Link: n.link, Peers: n.members, Self: n.settings.Name, Clock: n.clock,
-		Log: n.log.WithName("forward").WithValues("cell", cell), SchedulingDelay: n.delay.Behind,
+		Log: n.log.WithName("forward").WithValues("cell", cell), SchedulingDelay: n.delay.MaxDelay,
 	})
 }
--- a/internal/node/registry.go
+++ b/internal/node/registry.go
@@ -146,7 +146,7 @@
 		return false
 	}
 	r.workers[ev.KV.Key] = registration{WorkerInfo: info, revision: ev.KV.ModRevision}
-	return !known || old.Draining != info.Draining || old.Address != info.Address || old.Life != info.Life || old.Unreadable != info.Unreadable ||
+	return !known || old.Draining != info.Draining || old.Address != info.Address || old.Incarnation != info.Incarnation || old.Unreadable != info.Unreadable ||
 		old.Capacity != info.Capacity
 }
 
@@ -159,7 +159,7 @@
 func (r *registry) parseLocked(kv infra.KV) (engine.WorkerInfo, bool) {
 	info, err := platform.DecodeWorker(kv)
 	last, known := r.workers[kv.Key]
-	if err == nil && known && last.Life != 0 && info.Life == 0 {
+	if err == nil && known && last.Incarnation != 0 && info.Incarnation == 0 {
 		err = errNoIncarnation
 	}
 	if err == nil {
--- a/internal/node/schedulingdelay.go
+++ b/internal/node/schedulingdelay.go
@@ -26,15 +26,15 @@
 	return p
 }
 
-// Behind implements engine.Pressure.
-func (p *delayMeter) Behind() time.Duration {
+// MaxDelay implements engine.DelayMeter.
+func (p *delayMeter) MaxDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.meter.MaxDelay(p.clock.Now())
 }
 
-// Standing implements engine.Pressure.
-func (p *delayMeter) Standing() time.Duration {
+// MinDelay implements engine.DelayMeter.
+func (p *delayMeter) MinDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.meter.MinDelay(p.clock.Now())
--- a/internal/node/schedulingdelay_test.go
+++ b/internal/node/schedulingdelay_test.go
@@ -18,8 +18,8 @@
 func TestProbeMeasuresTheDelay(t *testing.T) {
 	p := newDelayMeter(bootClock{})
 	p.probe()
-	assert.Assert(t, p.Behind() > 0)
-	assert.Assert(t, p.Standing() <= p.Behind())
+	assert.Assert(t, p.MaxDelay() > 0)
+	assert.Assert(t, p.MinDelay() <= p.MaxDelay())
 	waits, ok := newMetrics(p).schedulingDelays().(map[string]int64)
 	assert.Assert(t, ok && waits["longest"] >= waits["standing"])
 }
--- a/internal/ownerlink/ownerlink.go
+++ b/internal/ownerlink/ownerlink.go
@@ -135,7 +135,7 @@
 	case resultOtherWorkspace:
 		return engine.ErrOtherWorkspace
 	case resultOutdatedConfig:
-		return engine.ErrBehind
+		return engine.ErrStaleConfig
 	}
 	return engine.ErrUncertain
 }
