--- a/internal/engine/inbox.go
+++ b/internal/engine/inbox.go
@@ -17,8 +17,8 @@
 
 // Kinds of notes in the inbox.
 const (
-	NoteSubmit = "submit"
-	NoteCancel = "cancel"
+	InboxSubmit = "submit"
+	NoteCancel  = "cancel"
 )
 
 // noteReaders is how many jobs named by notes are read from the store at a
--- a/internal/engine/inbox_test.go
+++ b/internal/engine/inbox_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	ops, err := CreateOps(service, &work.Job{ID: id, Queue: queue, Steps: []work.Step{short(1)}}, Queue{Name: queue, Service: service})
 	assert.NilError(t, err)
-	note := infra.WorkInboxKey(service, NoteSubmit, string(id))
+	note := infra.WorkInboxKey(service, InboxSubmit, string(id))
 	_, err = store.Txn(context.Background(), infra.Txn{Then: append(ops, infra.Put(note, nil))})
 	assert.NilError(t, err)
 	return note
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -129,7 +129,7 @@
 	}
 	txn := infra.Txn{
 		If:   []infra.Cond{{Key: infra.WorkJobKey(string(j.ID))}},
-		Then: append(ops, infra.Put(infra.WorkInboxKey(q.Service, engine.NoteSubmit, string(j.ID)), nil)),
+		Then: append(ops, infra.Put(infra.WorkInboxKey(q.Service, engine.InboxSubmit, string(j.ID)), nil)),
 		Else: []infra.Op{infra.Read(infra.WorkJobKey(string(j.ID)))},
 	}
 	for {
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -95,7 +95,7 @@
 	r.owner.err = engine.ErrNotReady
 	assert.NilError(t, r.front.Submit(context.Background(), job("j1"), queue))
 	assert.Assert(t, r.stored(t, infra.WorkOpenKey(cell, "j1")))
-	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")))
+	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.InboxSubmit, "j1")))
 	assert.NilError(t, r.front.Submit(context.Background(), job("j1"), queue), "a repeat is the same job")
 }
 
@@ -109,7 +109,7 @@
 	assert.NilError(t, err)
 	r.owner.err = engine.ErrUncertain
 	assert.NilError(t, r.front.Submit(context.Background(), job("j1"), queue))
-	assert.Assert(t, !r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")), "it was there before")
+	assert.Assert(t, !r.stored(t, infra.WorkInboxKey(cell, engine.InboxSubmit, "j1")), "it was there before")
 }
 
 func TestStatesAndCancellationsWithoutAnOwner(t *testing.T) {
