--- a/internal/engine/inbox.go
+++ b/internal/engine/inbox.go
@@ -18,7 +18,7 @@
 // Kinds of notes in the inbox.
 const (
 	InboxSubmit = "submit"
-	NoteCancel  = "cancel"
+	InboxCancel = "cancel"
 )
 
 // noteReaders is how many jobs named by notes are read from the store at a
@@ -110,7 +110,7 @@
 	}
 	for _, n := range notes {
 		e.Log.Info("note read", "kind", n.kind, "job", n.job)
-		if n.kind == NoteCancel {
+		if n.kind == InboxCancel {
 			e.cancelNoted(n.job)
 		}
 	}
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -299,7 +299,7 @@
 		}
 		res, err := f.txn(ctx, infra.Txn{
 			If:   []infra.Cond{{Key: infra.WorkJobKey(string(id)), ModRevision: rev}},
-			Then: append(ops, infra.Put(infra.WorkInboxKey(stub.Cell, engine.NoteCancel, string(id)), nil)),
+			Then: append(ops, infra.Put(infra.WorkInboxKey(stub.Cell, engine.InboxCancel, string(id)), nil)),
 		})
 		if err == nil && res.Succeeded {
 			return nil
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -130,7 +130,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, state, work.Cancelled)
 	assert.Assert(t, !r.stored(t, infra.WorkOpenKey(cell, "j1")), "no later owner starts it")
-	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.NoteCancel, "j1")))
+	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.InboxCancel, "j1")))
 	assert.NilError(t, r.front.Cancel(ctx, "j1", queue, ""), "it has ended")
 }
 
