--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -167,7 +167,7 @@
 // shows reports whether callers of the workspace may see and cancel the job.
 func (c *Core) shows(id work.JobID, workspace work.WorkspaceName) bool {
 	j := c.jobs[id]
-	return j != nil && Shows(j.Workspace, workspace)
+	return j != nil && MayAccess(j.Workspace, workspace)
 }
 
 // State returns what a caller is told of the job.
--- a/internal/engine/records.go
+++ b/internal/engine/records.go
@@ -61,5 +61,5 @@
 	return nil
 }
 
-// Shows reports whether callers of the workspace may see and cancel a job of the owner's.
-func Shows(owner, caller work.WorkspaceName) bool { return owner == "" || owner == caller }
+// MayAccess reports whether callers of the workspace may see and cancel a job of the owner's.
+func MayAccess(owner, caller work.WorkspaceName) bool { return owner == "" || owner == caller }
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -228,7 +228,7 @@
 // to them: that an ID is taken is nobody else's business.
 func (f *Front) storedFor(ctx context.Context, id work.JobID, by work.WorkspaceName) (*engine.JobStub, infra.Revision, error) {
 	stub, rev, err := f.stored(ctx, id)
-	if err == nil && !engine.Shows(stub.Workspace, by) {
+	if err == nil && !engine.MayAccess(stub.Workspace, by) {
 		f.Log.Info("another workspace's job was asked for", "job", id, "workspace", stub.Workspace, "by", by)
 		return nil, 0, ErrUnknownJob
 	}
