--- a/internal/engine/crashworld_test.go
+++ b/internal/engine/crashworld_test.go
@@ -118,7 +118,7 @@
 			w.core.Restore(w.records[id], w.progress[id], w.now, w.wall)
 		}
 	}
-	w.core.Reaffirm(w.now, w.wall)
+	w.core.FinishRestore(w.now, w.wall)
 	w.core.Inherit(w.now + inheritedFor())
 	var vms []work.VM
 	for _, id := range w.alive() {
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -154,7 +154,7 @@
 			o.core.Restore(m.jobs[id], m.progress[id], m.now, epoch)
 		}
 	}
-	o.core.Reaffirm(m.now, epoch)
+	o.core.FinishRestore(m.now, epoch)
 	if !first {
 		o.core.Inherit(m.now + inheritedFor())
 	}
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -342,9 +342,9 @@
 	}
 }
 
-// Reaffirm ends the restoring of jobs: it opens what is due, as workers may
+// FinishRestore ends the restoring of jobs: it opens what is due, as workers may
 // list tasks of it with their first answer, and finishes what was complete.
-func (c *Core) Reaffirm(now time.Duration, wall time.Time) {
+func (c *Core) FinishRestore(now time.Duration, wall time.Time) {
 	c.openOccurrences(now, wall)
 	for _, j := range slices.Clone(c.open) {
 		c.advance(j)
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -133,7 +133,7 @@
 		}
 		e.core.Restore(&r, byJob[string(r.Job.ID)], now, wall)
 	}
-	e.core.Reaffirm(now, wall)
+	e.core.FinishRestore(now, wall)
 	for _, info := range e.Registry() {
 		e.core.WorkerSeen(info)
 	}
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -55,7 +55,7 @@
 	for id, r := range records {
 		next.Restore(r, progress[id], b.now, b.wall)
 	}
-	next.Reaffirm(b.now, b.wall)
+	next.FinishRestore(b.now, b.wall)
 	for _, id := range workers {
 		next.WorkerSeen(info(id))
 	}
@@ -255,7 +255,7 @@
 	record := &JobRecord{Job: &b.core.jobs["j1"].Job, Queue: b.core.declared.Queues[queue]}
 	b.core = b.successor(token + 1)
 	b.core.Restore(record, nil, b.now, b.wall)
-	b.core.Reaffirm(b.now, b.wall)
+	b.core.FinishRestore(b.now, b.wall)
 	list := func() {
 		for _, s := range o.Starts {
 			r := run(s)
