--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -124,8 +124,8 @@
 	return due
 }
 
-// LookAtLimits notes that another cell waits for some of the workspaces' limits, or gave back.
-func (c *Core) LookAtLimits(names []work.WorkspaceName) {
+// MarkLedgersStale notes that another cell waits for some of the workspaces' limits, or gave back.
+func (c *Core) MarkLedgersStale(names []work.WorkspaceName) {
 	for _, name := range names {
 		a := c.limits.of(name)
 		a.lookNow, a.reviewed = true, 0
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -147,7 +147,7 @@
 		}
 	}
 	if w.m.chance(30) {
-		o.core.LookAtLimits([]work.WorkspaceName{limitedName})
+		o.core.MarkLedgersStale([]work.WorkspaceName{limitedName})
 	}
 	if o.core.lookDue(w.m.now) {
 		o.core.LedgerSeen(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: w.value, ModRevision: w.rev})
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -183,7 +183,7 @@
 	r.acceptRed("j1", short(3))
 	o := r.plan()
 	r.answer(o, OutcomeOK)
-	r.core.LookAtLimits([]work.WorkspaceName{redName})
+	r.core.MarkLedgersStale([]work.WorkspaceName{redName})
 	l := r.store(r.core.Claims(r.now))
 	assert.Assert(t, l.Allocated[service] >= 3000)
 	for i := range o.Starts {
@@ -209,7 +209,7 @@
 	r.account().need = 0
 	r.core.WorkerSeen(info("w1"))
 	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
-	r.core.LookAtLimits([]work.WorkspaceName{redName})
+	r.core.MarkLedgersStale([]work.WorkspaceName{redName})
 	l := r.store(r.core.Claims(r.now))
 	assert.Equal(t, l.Allocated[service], workspace.Parts(1000))
 }
@@ -225,7 +225,7 @@
 	}
 	r.ledger(r.core, before)
 	r.plan()
-	r.core.LookAtLimits([]work.WorkspaceName{redName})
+	r.core.MarkLedgersStale([]work.WorkspaceName{redName})
 	lend := r.core.Claims(r.now)
 	assert.Equal(t, len(lend), 1)
 	assert.Equal(t, lend[0].Usable, workspace.Parts(0))
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -148,7 +148,7 @@
 	e.mu.Lock()
 	ready := e.restored
 	if ready {
-		e.core.LookAtLimits(names)
+		e.core.MarkLedgersStale(names)
 	}
 	e.mu.Unlock()
 	if !ready {
