--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -143,8 +143,8 @@
 	return false
 }
 
-// Claimed takes over that the change was stored.
-func (c *Core) Claimed(s shareClaim, rev infra.Revision) {
+// ClaimStored takes over that the change was stored.
+func (c *Core) ClaimStored(s shareClaim, rev infra.Revision) {
 	a := c.limits.of(s.workspace)
 	a.inFlight, a.inDoubt = false, false
 	a.ledger, a.rev = s.Ledger, rev
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -140,7 +140,7 @@
 		case !w.m.calm && w.m.chance(15):
 			o.core.ClaimFailed(claim, true)
 		case stored:
-			o.core.Claimed(claim, rev)
+			o.core.ClaimStored(claim, rev)
 		default:
 			o.core.LedgerRead(claim.workspace, w.value, w.rev)
 			o.core.ClaimFailed(claim, false)
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -53,7 +53,7 @@
 	var last workspace.Ledger
 	for _, claim := range claims {
 		r.rev++
-		r.core.Claimed(claim, r.rev)
+		r.core.ClaimStored(claim, r.rev)
 		last = claim.Ledger
 	}
 	return last
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -112,7 +112,7 @@
 	for i := range claims {
 		switch {
 		case err == nil && res.Succeeded:
-			e.core.Claimed(claims[i], res.Revision)
+			e.core.ClaimStored(claims[i], res.Revision)
 			continue
 		case err == nil:
 			e.core.LedgerRead(claims[i].workspace, res.Reads[i].Value, res.Reads[i].ModRevision)
