--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -160,10 +160,10 @@
 	a.inDoubt = a.inDoubt || doubt
 }
 
-// LedgerRead takes a ledger over as the store has it. It never raises what the cell may use: a
+// ApplyLedger takes a ledger over as the store has it. It never raises what the cell may use: a
 // change of its own that was not answered may yet be carried out, and give back what was read;
 // only a change that is stored settles that.
-func (c *Core) LedgerRead(name work.WorkspaceName, value []byte, rev infra.Revision) {
+func (c *Core) ApplyLedger(name work.WorkspaceName, value []byte, rev infra.Revision) {
 	a := c.limits.of(name)
 	var l workspace.Ledger
 	a.unreadable = false
@@ -183,7 +183,7 @@
 func (c *Core) LedgerSeen(kv infra.KV) {
 	name := workspaceOf(kv.Key)
 	if a := c.limits.of(name); !a.inFlight && kv.ModRevision > a.rev {
-		c.LedgerRead(name, kv.Value, kv.ModRevision)
+		c.ApplyLedger(name, kv.Value, kv.ModRevision)
 	}
 }
 
@@ -195,7 +195,7 @@
 // more: the owner's key, which is in the condition of every change, is another one.
 func (c *Core) RestoreLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
-	c.LedgerRead(name, kv.Value, kv.ModRevision)
+	c.ApplyLedger(name, kv.Value, kv.ModRevision)
 	a := c.limits.of(name)
 	if a.unreadable {
 		a.lower(0, len(c.cells))
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -142,7 +142,7 @@
 		case stored:
 			o.core.ClaimStored(claim, rev)
 		default:
-			o.core.LedgerRead(claim.workspace, w.value, w.rev)
+			o.core.ApplyLedger(claim.workspace, w.value, w.rev)
 			o.core.ClaimFailed(claim, false)
 		}
 	}
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -64,7 +64,7 @@
 	raw, err := json.Marshal(l)
 	assert.NilError(r.t, err)
 	r.rev++
-	c.LedgerRead(redName, raw, r.rev)
+	c.ApplyLedger(redName, raw, r.rev)
 }
 
 func (r *limitRig) account() *account { return r.core.limits.of(redName) }
@@ -313,7 +313,7 @@
 func TestALedgerThatCanNotBeReadChangesNothing(t *testing.T) {
 	r := newLimitRig(t, 10)
 	r.worker("w1")
-	r.core.LedgerRead(redName, []byte("{"), 5)
+	r.core.ApplyLedger(redName, []byte("{"), 5)
 	r.acceptRed("j1", short(4))
 	assert.Equal(t, len(r.plan().Starts), 4)
 	assert.Equal(t, len(r.core.Claims(r.now)), 0)
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -115,7 +115,7 @@
 			e.core.ClaimStored(claims[i], res.Revision)
 			continue
 		case err == nil:
-			e.core.LedgerRead(claims[i].workspace, res.Reads[i].Value, res.Reads[i].ModRevision)
+			e.core.ApplyLedger(claims[i].workspace, res.Reads[i].Value, res.Reads[i].ModRevision)
 		}
 		e.core.ClaimFailed(claims[i], infra.IsKind(err, infra.KindUnknown))
 	}
