--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// LedgerSeen takes a ledger over that was read while nothing of this cell's was under way.
-func (c *Core) LedgerSeen(kv infra.KV) {
+// ApplyNewerLedger takes a ledger over that was read while nothing of this cell's was under way.
+func (c *Core) ApplyNewerLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
 	if a := c.limits.of(name); !a.inFlight && kv.ModRevision > a.rev {
 		c.ApplyLedger(name, kv.Value, kv.ModRevision)
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -150,7 +150,7 @@
 		o.core.MarkLedgersStale([]work.WorkspaceName{limitedName})
 	}
 	if o.core.lookDue(w.m.now) {
-		o.core.LedgerSeen(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: w.value, ModRevision: w.rev})
+		o.core.ApplyNewerLedger(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: w.value, ModRevision: w.rev})
 	}
 }
 
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -73,7 +73,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, kv := range kvs {
-		e.core.LedgerSeen(kv)
+		e.core.ApplyNewerLedger(kv)
 	}
 }
 
