--- a/internal/engine/retention.go
+++ b/internal/engine/retention.go
@@ -33,8 +33,8 @@
 	Store infra.Store
 	Clock Clock
 	Log   logr.Logger
-	// Status is for how long a job's state may be asked after its end.
-	Status time.Duration
+	// StatusPeriod is for how long a job's state may be asked after its end.
+	StatusPeriod time.Duration
 }
 
 // Run makes passes until ctx ends. The first comes after the pause: an entry VM may
@@ -81,5 +81,5 @@
 		r.Log.Error(err, "job's key is malformed and stays", "key", kv.Key)
 		return false
 	}
-	return stub.State.Ended() && r.Clock.Wall().After(stub.Ended.Add(r.Status+keepAfterStatus))
+	return stub.State.Ended() && r.Clock.Wall().After(stub.Ended.Add(r.StatusPeriod+keepAfterStatus))
 }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -162,7 +162,7 @@
 // ownFleet looks after VMs, and after what the store keeps of ended jobs, for one term.
 func (d *duties) ownFleet(ctx context.Context, t *ownership.Term) {
 	n := d.node
-	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), Status: n.settings.Status}
+	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), StatusPeriod: n.settings.Status}
 	var beside sync.WaitGroup
 	beside.Go(func() { retention.Run(ctx) })
 	defer beside.Wait()
