--- a/internal/engine/committer.go
+++ b/internal/engine/committer.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		panic(err) // strings and a time: it can't fail
 	}
-	if ch.Clear {
+	if ch.DeleteProgress {
 		ops = append(ops, infra.Delete(infra.WorkProgressKey(w.engine.Cell, string(ch.Job))))
 	}
 	return ops
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -42,8 +42,8 @@
 	Workspace work.WorkspaceName
 	Final     work.State // set: the job has ended
 	Progress  []byte     // else
-	// Clear: an earlier progress of a job that has ended may be stored.
-	Clear bool
+	// DeleteProgress: an earlier progress of a job that has ended may be stored.
+	DeleteProgress bool
 }
 
 // Flush is a set of changes under way to the store. Several may be at a time, no
@@ -138,7 +138,7 @@
 
 func (j *job) change() Change {
 	if j.final != "" {
-		return Change{Job: j.ID, Workspace: j.Workspace, Final: j.final, Clear: j.kept}
+		return Change{Job: j.ID, Workspace: j.Workspace, Final: j.final, DeleteProgress: j.kept}
 	}
 	p := Progress{Next: j.next, Run: j.baseRun}
 	for _, o := range j.live {
--- a/internal/engine/progress_test.go
+++ b/internal/engine/progress_test.go
@@ -66,5 +66,5 @@
 	b.core.Flushed(first, ErrUncertain)
 	again := b.core.TakeFlush(100)
 	assert.Equal(t, again.Changes[0].Final, work.Completed)
-	assert.Assert(t, again.Changes[0].Clear, "the first may have taken effect")
+	assert.Assert(t, again.Changes[0].DeleteProgress, "the first may have taken effect")
 }
