--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// grown is a cell of a grown deployment in the middle of a burst: its workers
+// busyCell is a cell of a busyCell deployment in the middle of a burst: its workers
 // are full and several hundred jobs wait.
-func grown(b *testing.B, workers, jobs int) (*Core, time.Duration) {
+func busyCell(b *testing.B, workers, jobs int) (*Core, time.Duration) {
 	b.Helper()
 	now := time.Hour
 	c := NewCore(service, token, Bounds{MaxHold: 10 * time.Second}, logr.Discard())
@@ -39,7 +39,7 @@
 // BenchmarkPlanWhileFull is what each plan costs while nothing fits: it is made
 // at every answer of a worker.
 func BenchmarkPlanWhileFull(b *testing.B) {
-	c, now := grown(b, 70, 500)
+	c, now := busyCell(b, 70, 500)
 	c.Plan(now, epoch)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -57,7 +57,7 @@
 		limit int64 // in tasks
 	}{{"no limits", 0}, {"far from limits", 10_000}, {"at limits", 1}} {
 		b.Run(c.name, func(b *testing.B) {
-			core, now := grown(b, 70, 0)
+			core, now := busyCell(b, 70, 0)
 			d := Declared{Version: 2, Queues: core.declared.Queues, Services: map[string]Service{service: {Name: service}}, Workspaces: make(map[work.WorkspaceName]workspace.Workspace)}
 			for i := range workspaces {
 				name := work.WorkspaceName(fmt.Sprintf("ws%d", i))
@@ -82,7 +82,7 @@
 // BenchmarkReport is what the fleet's owner asks of each cell several times a
 // second.
 func BenchmarkReport(b *testing.B) {
-	c, now := grown(b, 70, 500)
+	c, now := busyCell(b, 70, 500)
 	c.Plan(now, epoch)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -97,21 +97,21 @@
 func BenchmarkBurstOfALargeCell(b *testing.B) {
 	starts := 0
 	for b.Loop() {
-		starts += burst(b)
+		starts += runBurst(b)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(starts), "ns/start")
 }
 
 const (
-	burstWorkers = 270
-	burstTask    = 640 * time.Millisecond
-	burstPlans   = 10 * time.Millisecond // between plans
+	burstWorkers      = 270
+	burstTaskTime     = 640 * time.Millisecond
+	burstPlanInterval = 10 * time.Millisecond // between plans
 )
 
-func burst(b *testing.B) (starts int) {
-	c, now := grown(b, burstWorkers, 0)
+func runBurst(b *testing.B) (starts int) {
+	c, now := busyCell(b, burstWorkers, 0)
 	accept := func(n int) {
-		step := work.Step{Count: 8, Size: work.Resources{MilliCPU: 3100, MemoryMB: 4400}, Estimate: burstTask}
+		step := work.Step{Count: 8, Size: work.Resources{MilliCPU: 3100, MemoryMB: 4400}, Estimate: burstTaskTime}
 		second := step
 		second.After = []int{0}
 		for range n {
@@ -128,17 +128,17 @@
 		running[id], ends[id] = make(map[work.TaskRef]Run), make(map[work.TaskRef]time.Duration)
 	}
 	accept(500)
-	for end := now + time.Second; now < end; now += burstPlans {
+	for end := now + time.Second; now < end; now += burstPlanInterval {
 		accept(2)
 		for _, s := range c.Plan(now, epoch).Starts {
 			starts++
 			id := s.Worker.ID
 			running[id][s.Start.Task] = Run{Task: s.Start.Task, Run: s.Start.Run}
 			// Tasks of a step differ in length.
-			ends[id][s.Start.Task] = now + burstTask + time.Duration(s.Start.Task.Index)*20*time.Millisecond
+			ends[id][s.Start.Task] = now + burstTaskTime + time.Duration(s.Start.Task.Index)*20*time.Millisecond
 			c.StartAnswered(s, OutcomeOK, now, now)
 		}
-		polled := int(now/burstPlans) % 3 // each worker every third plan
+		polled := int(now/burstPlanInterval) % 3 // each worker every third plan
 		for i, id := range ids {
 			if i%3 != polled {
 				continue
@@ -168,7 +168,7 @@
 // BenchmarkWorkerCrashes is the crash of one of six hundred full workers: what ran there is
 // blamed or not, and waits again.
 func BenchmarkWorkerCrashes(b *testing.B) {
-	c, now := grown(b, 600, 1000)
+	c, now := busyCell(b, 600, 1000)
 	for range 8 {
 		now += time.Millisecond
 		for _, s := range c.Plan(now, epoch).Starts {
@@ -217,14 +217,14 @@
 			starts := 0
 			for b.Loop() {
 				b.StopTimer()
-				c, now := grown(b, workers, 0)
+				c, now := busyCell(b, workers, 0)
 				b.StartTimer()
 				for plan := range 10 {
 					for i := range 12 {
 						j := &work.Job{ID: work.JobID(fmt.Sprintf("%08x%08x", plan, i)), Queue: queue, Steps: []work.Step{short(8)}}
 						c.Accept(j, c.declared.Queues[queue], now)
 					}
-					now += burstPlans
+					now += burstPlanInterval
 					starts += len(c.Plan(now, epoch).Starts)
 				}
 			}
--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -31,7 +31,7 @@
 
 // The operator sees a wave that is late: a lasting task can't leave its VM, as
 // every other VM has one of its step. The cell tells that it is short of a VM.
-func TestACellThatCannotEmptyAVMIsShortOfOne(t *testing.T) {
+func TestACellThatCannotEmptyAVMReportsThatItIsShortOfOne(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	b.worker("w2")
@@ -54,7 +54,7 @@
 // A job's second half waits for twenty seconds with VMs parked: its caller guessed
 // 20 ms a task, so what waits counted as nothing. It counts as what its running half
 // has shown.
-func TestWhatWaitsCountsAsItsStepHasShown(t *testing.T) {
+func TestBacklogUsesTheObservedRunTimeOfAStep(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1") // room for four tasks
 	step := short(8)
@@ -70,7 +70,7 @@
 
 // A job that fits on no VM waits for good. Counted as a backlog it would draw VMs from all
 // other pools, and their callers would wait as well.
-func TestWhatFitsOnNoVMDrawsNone(t *testing.T) {
+func TestAJobThatFitsOnNoVMIsNoBacklog(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	step := short(8)
@@ -83,7 +83,7 @@
 // The operator sees a wave over a large pool that is late: each of its VMs waits
 // for one more VM, and the pool drew them one after the other. It draws as many as
 // the step lets move at a time.
-func TestACellIsShortOfAsManyVMsAsMayMoveAtATime(t *testing.T) {
+func TestACellIsShortOfAsManyVMsAsTasksMayMoveAtATime(t *testing.T) {
 	b := newRig(t)
 	for _, id := range []work.WorkerID{"w1", "w2", "w3", "w4"} {
 		b.worker(id)
@@ -106,7 +106,7 @@
 
 // How long a wave's lasting tasks take goes by the step with the most of them on VMs
 // that are due, as many at a time as it bears.
-func TestACellTellsTheLongestRowOfMoves(t *testing.T) {
+func TestReportCountsTheLongestSequenceOfMoves(t *testing.T) {
 	b := newRig(t)
 	ids := []work.WorkerID{"w1", "w2", "w3", "w4", "w5"}
 	for _, id := range ids {
@@ -143,7 +143,7 @@
 
 // Maintenance ends tasks that a new owner of the cell had not heard of yet. It
 // claims nothing of what it does not know, or can't reach.
-func TestOnlyWhatIsKnownToBeEmptyIsClaimed(t *testing.T) {
+func TestOnlyAReachableWorkerKnownToBeEmptyIsClaimed(t *testing.T) {
 	b := newRig(t)
 	claim := CellOrder{Kind: OrderClaim, Worker: "w1"}
 	assert.Assert(t, !b.core.obey(claim, token, b.now), "not registered here")
@@ -159,7 +159,7 @@
 // A whole fleet is parked before the first caller comes, and VMs that have just been drawn
 // for a burst are given away again: a worker that never had a task counted as empty since
 // the entry VM's start.
-func TestAWorkerIsEmptySinceItWasFirstHeard(t *testing.T) {
+func TestEmptyTimeOfAWorkerStartsWithItsFirstAnswer(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	b.now += time.Second
@@ -169,7 +169,7 @@
 }
 
 // Reads of the store are spent on workers that are known, or whose life is over.
-func TestOnlyWorkersThatAreNewAreLookedUp(t *testing.T) {
+func TestOnlyUnknownWorkersAreReadFromTheStore(t *testing.T) {
 	b := newRig(t)
 	b.worker("known")
 	b.worker("over")
--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// reviewEvery is how often it is looked whether a workspace uses what the cell has for it.
+	// reviewInterval is how often it is looked whether a workspace uses what the cell has for it.
 	// What it did not need for two of these goes back: within a second or so, so that a burst
 	// in another cell finds it.
-	reviewEvery = 500 * time.Millisecond
-	// giveBackEvery separates changes by which parts are given back that others wait for, as the
+	reviewInterval = 500 * time.Millisecond
+	// giveBackInterval separates changes by which parts are given back that others wait for, as the
 	// runs that hold them end: each is a transaction.
-	giveBackEvery = 100 * time.Millisecond
-	// claimsInTxn is how many ledgers fit into a transaction beside the owner's key, each with
+	giveBackInterval = 100 * time.Millisecond
+	// maxClaimsPerTxn is how many ledgers fit into a transaction beside the owner's key, each with
 	// a condition and a write.
-	claimsInTxn = (txnEntries - 1) / 2
+	maxClaimsPerTxn = (txnEntries - 1) / 2
 )
 
 // shareClaim is a change of what the cell holds of a workspace's limit.
@@ -55,8 +55,8 @@
 		}
 	}
 	slices.SortFunc(out, func(x, y shareClaim) int { return cmp.Compare(y.Allocated, x.Allocated) })
-	if len(out) > claimsInTxn {
-		out = out[:claimsInTxn] // the others are due again at the next review
+	if len(out) > maxClaimsPerTxn {
+		out = out[:maxClaimsPerTxn] // the others are due again at the next review
 	}
 	for i := range out {
 		c.limits.of(out[i].workspace).inFlight = true
@@ -72,11 +72,11 @@
 		return true
 	}
 	givesBack := a.explicit && a.granted < has && claim.InUse < has && a.ledger.Contended(*claim)
-	if givesBack && now >= a.reviewed+giveBackEvery {
+	if givesBack && now >= a.reviewed+giveBackInterval {
 		a.reviewed = now
 		return true
 	}
-	if now < a.reviewed+reviewEvery {
+	if now < a.reviewed+reviewInterval {
 		return false
 	}
 	a.reviewed = now
@@ -99,8 +99,8 @@
 	return s, !same || s.Usable > before || a.inDoubt // what is stored makes the earlier change fail
 }
 
-// wantsShares reports whether a workspace's work waits for a share that was not asked for yet.
-func (c *Core) wantsShares() bool {
+// hasUnclaimedNeed reports whether a workspace's work waits for a share that was not asked for yet.
+func (c *Core) hasUnclaimedNeed() bool {
 	for _, a := range c.limits.accounts {
 		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
 			return true
@@ -109,14 +109,14 @@
 	return false
 }
 
-// lookDue reports whether ledgers are to be read: where another cell asked for that, where this
+// ledgerReadDue reports whether ledgers are to be read: where another cell asked for that, where this
 // one waits for what others have, and, half as often, where it has more than its even share and
 // the word of others may have been lost.
-func (c *Core) lookDue(now time.Duration) bool {
+func (c *Core) ledgerReadDue(now time.Duration) bool {
 	even, due := workspace.EvenShare(len(c.cells)), false
 	for _, a := range c.limits.accounts {
 		waits, above := a.ledger.UnmetNeeds[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
-		if a.inFlight || !a.lookNow && !(waits && now >= a.looked+reviewEvery) && !(above && now >= a.looked+2*reviewEvery) {
+		if a.inFlight || !a.lookNow && !(waits && now >= a.looked+reviewInterval) && !(above && now >= a.looked+2*reviewInterval) {
 			continue
 		}
 		a.looked, a.lookNow, due = now, false, true
@@ -132,9 +132,9 @@
 	}
 }
 
-// usesShares reports whether the cell uses more of a limit than it may without being sure of the
+// exceedsProvisionalShare reports whether the cell uses more of a limit than it may without being sure of the
 // configuration.
-func (c *Core) usesShares() bool {
+func (c *Core) exceedsProvisionalShare() bool {
 	for _, a := range c.limits.accounts {
 		if a.limited() && a.need > workspace.ProvisionalShare(len(c.cells)) {
 			return true
--- a/internal/engine/committer.go
+++ b/internal/engine/committer.go
@@ -20,18 +20,18 @@
 	w   *writer
 	key string
 
-	rev  infra.Revision // of the key
-	seq  int64
-	busy time.Duration // since when the present batch is under way; 0: none. Locked by the writer
+	rev        infra.Revision // of the key
+	seq        int64
+	batchSince time.Duration // since when the present batch is under way; 0: none. Locked by the writer
 }
 
 // batch is the content of one transaction. It is sent again unchanged until its
 // outcome is known: its mark tells a later answer that it took effect.
 type batch struct {
-	creates []*creation
-	flush   Flush
-	seq     int64
-	sent    bool // may have taken effect
+	creates     []*creation
+	flush       Flush
+	seq         int64
+	mayBeStored bool // may have taken effect
 }
 
 func (b *batch) empty() bool { return len(b.creates) == 0 && len(b.flush.Changes) == 0 }
@@ -43,25 +43,25 @@
 			return
 		case <-c.w.engine.storeKick:
 		}
-		first, begin := c.w.begin()
+		first, begin := c.w.startBatch()
 		if !begin {
-			kick(c.w.gathering)
+			kick(c.w.gatherWake)
 			continue
 		}
 		if first {
 			c.w.gather(ctx)
 		}
-		c.store(ctx, c.take())
-		c.rest()
+		c.store(ctx, c.nextBatch())
+		c.finishBatch()
 	}
 }
 
-// rest ends a batch and asks for the next if more has gathered.
-func (c *committer) rest() {
+// finishBatch ends a batch and asks for the next if more has gathered.
+func (c *committer) finishBatch() {
 	w := c.w
 	w.mu.Lock()
 	w.active--
-	c.busy = 0
+	c.batchSince = 0
 	more := len(w.waiting) > 0
 	w.mu.Unlock()
 	w.engine.mu.Lock()
@@ -72,7 +72,7 @@
 	}
 }
 
-func (c *committer) take() *batch {
+func (c *committer) nextBatch() *batch {
 	w := c.w
 	c.seq++
 	b := &batch{seq: c.seq}
@@ -82,11 +82,11 @@
 	w.mu.Lock()
 	n := min(len(w.waiting), maxCreates)
 	if final > 0 {
-		n = min(n, sharedCreates)
+		n = min(n, maxCreatesBesideEnds)
 	}
 	b.creates = append(b.creates, w.waiting[:n]...)
 	w.waiting = append(w.waiting[:0], w.waiting[n:]...)
-	c.busy = w.engine.Clock.Now()
+	c.batchSince = w.engine.Clock.Now()
 	left := len(w.waiting)
 	w.mu.Unlock()
 	w.engine.mu.Lock()
@@ -108,7 +108,7 @@
 		cancel()
 		w.engine.Metrics.txn(err)
 		if err != nil && ctx.Err() != nil {
-			b.sent = true
+			b.mayBeStored = true
 			w.abandon(b)
 			return
 		}
@@ -123,13 +123,13 @@
 			continue
 		}
 		if infra.IsKind(err, infra.KindUnknown) {
-			b.sent = true
+			b.mayBeStored = true
 		}
 		w.engine.Log.Info("store does not take a transaction", "seq", b.seq, "creates", len(b.creates), "changes", len(b.flush.Changes), "error", err.Error())
-		if !b.sent {
+		if !b.mayBeStored {
 			w.refuse(b)
 		}
-		sleep.For(ctx, storePause)
+		sleep.For(ctx, storeRetryDelay)
 	}
 	w.finishFlush(b, nil)
 }
@@ -207,7 +207,7 @@
 	kept := b.creates[:0]
 	for i, create := range b.creates {
 		if i+1 < len(reads) && reads[i+1].ModRevision != 0 {
-			w.existed(create, reads[i+1].Value)
+			w.alreadyStored(create, reads[i+1].Value)
 			continue
 		}
 		kept = append(kept, create)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -40,7 +40,7 @@
 	workers  map[work.WorkerID]*worker
 	sorted   []*worker                            // these by ID; nil: to be sorted anew
 	over     map[work.WorkerID][]work.Incarnation // lives that have ended
-	stale    []staleJob                           // ended jobs, oldest first
+	stale    []endedJob                           // ended jobs, oldest first
 	learned  durations
 	sizes    map[string]*meanSize
 	limits   *limits
@@ -140,7 +140,7 @@
 	if a := added.account; a != nil {
 		added.beyond = !a.arrivals.Take(c.declared.Workspaces[a.name].Weight, now)
 	}
-	c.arrived(added, now)
+	c.recordArrival(added, now)
 }
 
 func (c *Core) add(j *job) {
--- a/internal/engine/crashworld_test.go
+++ b/internal/engine/crashworld_test.go
@@ -113,13 +113,13 @@
 // takeOver replaces the owner by one that knows what is stored.
 func (w *crashWorld) takeOver() {
 	w.core = w.successor(w.core.token + 1)
-	for _, id := range sorted(w.records) {
+	for _, id := range sortedIDs(w.records) {
 		if w.ended[id] == "" {
 			w.core.Restore(w.records[id], w.progress[id], w.now, w.wall)
 		}
 	}
 	w.core.FinishRestore(w.now, w.wall)
-	w.core.Inherit(w.now + inheritedFor())
+	w.core.Inherit(w.now + inheritedLeaseTime())
 	var vms []work.VM
 	for _, id := range w.alive() {
 		vms = append(vms, vm("v-"+string(id), id))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -226,8 +226,8 @@
 	orders := e.core.Plan(now, e.Clock.Wall())
 	deposed := e.core.Deposed()
 	all, final := e.core.Dirty()
-	ack := e.core.unacknowledged()
-	wants := e.core.wantsShares()
+	ack := e.core.hasUnacknowledgedEnds()
+	wants := e.core.hasUnclaimedNeed()
 	e.mu.Unlock()
 	if deposed {
 		return false
--- a/internal/engine/inbox.go
+++ b/internal/engine/inbox.go
@@ -21,21 +21,21 @@
 	InboxCancel = "cancel"
 )
 
-// noteReaders is how many jobs named by notes are read from the store at a
+// inboxReaders is how many jobs named by notes are read from the store at a
 // time. After seconds without an owner there are hundreds of notes; read one by
 // one they keep the last caller waiting for seconds more.
-const noteReaders = 16
+const inboxReaders = 16
 
-// note is one note of an entry VM.
-type note struct {
+// inboxMessage is one inboxMessage of an entry VM.
+type inboxMessage struct {
 	key  string
 	kind string
 	job  work.JobID
 }
 
-func parseNote(cell, key string) (note, bool) {
+func parseInboxKey(cell, key string) (inboxMessage, bool) {
 	kind, id, ok := strings.Cut(strings.TrimPrefix(key, infra.WorkInboxPrefix(cell)), "/")
-	return note{key: key, kind: kind, job: work.JobID(id)}, ok
+	return inboxMessage{key: key, kind: kind, job: work.JobID(id)}, ok
 }
 
 // readInbox follows what entry VMs wrote while they could not reach the owner.
@@ -43,7 +43,7 @@
 	for ctx.Err() == nil {
 		if err := e.followInbox(ctx); err != nil && ctx.Err() == nil {
 			e.Log.Info("inbox not readable", "error", err.Error())
-			sleep.For(ctx, storePause)
+			sleep.For(ctx, storeRetryDelay)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := e.readNotes(ctx, keysOf(kvs)); err != nil {
+	if err := e.handleMessages(ctx, keysOf(kvs)); err != nil {
 		return err
 	}
 	watch, cancel := context.WithCancel(ctx)
@@ -72,7 +72,7 @@
 				keys = append(keys, ev.KV.Key)
 			}
 		}
-		if err := e.readNotes(ctx, keys); err != nil {
+		if err := e.handleMessages(ctx, keys); err != nil {
 			return err
 		}
 	}
@@ -87,12 +87,12 @@
 	return keys
 }
 
-// readNotes acts on the notes and removes them. Jobs are read before any
+// handleMessages acts on the notes and removes them. Jobs are read before any
 // cancellation is acted on, and a job's record says itself if it is cancelled.
-func (e *Engine) readNotes(ctx context.Context, keys []string) error {
-	var notes []note
+func (e *Engine) handleMessages(ctx context.Context, keys []string) error {
+	var notes []inboxMessage
 	for _, key := range keys {
-		n, ok := parseNote(e.Cell, key)
+		n, ok := parseInboxKey(e.Cell, key)
 		if !ok {
 			e.Log.Info("inbox key is malformed", "key", key)
 			continue
@@ -111,15 +111,15 @@
 	for _, n := range notes {
 		e.Log.Info("note read", "kind", n.kind, "job", n.job)
 		if n.kind == InboxCancel {
-			e.cancelNoted(n.job)
+			e.cancelFromInbox(n.job)
 		}
 	}
-	return e.removeNotes(ctx, notes)
+	return e.deleteMessages(ctx, notes)
 }
 
-// cancelNoted cancels a job whose record says so already: nobody waits for it
+// cancelFromInbox cancels a job whose record says so already: nobody waits for it
 // to be stored again.
-func (e *Engine) cancelNoted(id work.JobID) {
+func (e *Engine) cancelFromInbox(id work.JobID) {
 	e.mu.Lock()
 	known := e.core.Cancel(id, func(error) {})
 	e.mu.Unlock()
@@ -131,8 +131,8 @@
 }
 
 // readJobs reads the jobs that are not known yet, some at a time.
-func (e *Engine) readJobs(ctx context.Context, notes []note) error {
-	slots := make(chan struct{}, noteReaders)
+func (e *Engine) readJobs(ctx context.Context, notes []inboxMessage) error {
+	slots := make(chan struct{}, inboxReaders)
 	errs := make([]error, len(notes))
 	var readers sync.WaitGroup
 	for i, n := range notes {
@@ -171,11 +171,11 @@
 	if !e.Term.Certain() {
 		return ErrNotReady
 	}
-	e.found(&r)
+	e.addFoundJob(&r)
 	return nil
 }
 
-func (e *Engine) removeNotes(ctx context.Context, notes []note) error {
+func (e *Engine) deleteMessages(ctx context.Context, notes []inboxMessage) error {
 	for part := range slices.Chunk(notes, txnEntries) {
 		var ops []infra.Op
 		for _, n := range part {
--- a/internal/engine/inbox_test.go
+++ b/internal/engine/inbox_test.go
@@ -26,16 +26,16 @@
 func (f *fakeTerm) End(reason string)           { f.ended = reason }
 func (f *fakeTerm) Relieve()                    { f.ended = "relieved" }
 
-type stillClock struct{}
+type fixedClock struct{}
 
-func (stillClock) Now() time.Duration { return time.Minute }
-func (stillClock) Wall() time.Time    { return epoch }
+func (fixedClock) Now() time.Duration { return time.Minute }
+func (fixedClock) Wall() time.Time    { return epoch }
 
 func newEngine(t *testing.T, term Term) (*Engine, infra.Store) {
 	t.Helper()
 	store := memstore.New(clockwork.NewFakeClock())
 	e := New(Options{
-		Cell: service, Store: store, Clock: stillClock{}, Log: logr.Discard(), Term: term,
+		Cell: service, Store: store, Clock: fixedClock{}, Log: logr.Discard(), Term: term,
 		Registry: func() []WorkerInfo { return nil },
 		Declared: func() Declared { return Declared{} },
 	})
@@ -43,8 +43,8 @@
 	return e, store
 }
 
-// storeWithNote stores a job as an entry VM does that can't reach the owner.
-func storeWithNote(t *testing.T, store infra.Store, id work.JobID) string {
+// storeWithMessage stores a job as an entry VM does that can't reach the owner.
+func storeWithMessage(t *testing.T, store infra.Store, id work.JobID) string {
 	t.Helper()
 	ops, err := CreateOps(service, &work.Job{ID: id, Queue: queue, Steps: []work.Step{short(1)}}, Queue{Name: queue, Service: service})
 	assert.NilError(t, err)
@@ -54,10 +54,10 @@
 	return note
 }
 
-func TestJobsThatEntryVMsStoredAreFoundByTheirNotes(t *testing.T) {
+func TestJobsThatEntryVMsStoredAreFoundByInboxMessages(t *testing.T) {
 	e, store := newEngine(t, &fakeTerm{certain: true})
-	note := storeWithNote(t, store, "j1")
-	assert.NilError(t, e.readNotes(context.Background(), []string{note}))
+	note := storeWithMessage(t, store, "j1")
+	assert.NilError(t, e.handleMessages(context.Background(), []string{note}))
 	assert.Assert(t, e.core.Known("j1"))
 	kv, _, err := store.Get(context.Background(), note)
 	assert.NilError(t, err)
@@ -67,11 +67,11 @@
 // A job runs twice as a cut heals. The owner inside it, whose lease had lapsed,
 // could read the store again for a moment, found a note, and started a job that
 // its successor had found by the same note.
-func TestAnOwnerThatIsNotCertainLeavesNotesToItsSuccessor(t *testing.T) {
+func TestAnOwnerThatIsNotCertainLeavesInboxMessagesToItsSuccessor(t *testing.T) {
 	term := &fakeTerm{}
 	e, store := newEngine(t, term)
-	note := storeWithNote(t, store, "j1")
-	assert.Assert(t, e.readNotes(context.Background(), []string{note}) != nil)
+	note := storeWithMessage(t, store, "j1")
+	assert.Assert(t, e.handleMessages(context.Background(), []string{note}) != nil)
 	assert.Assert(t, !e.core.Known("j1"))
 	kv, _, err := store.Get(context.Background(), note)
 	assert.NilError(t, err)
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -126,18 +126,18 @@
 
 // claims plays the owner's changes of the ledger: carried out now or late, answered or not.
 func (w *limitWorld) claims(o *modelOwner) {
-	if o.retired {
+	if o.stopped {
 		return
 	}
 	for _, claim := range o.core.Claims(w.m.now) {
-		if !w.m.calm && w.m.chance(15) {
+		if !w.m.faultsOff && w.m.chance(15) {
 			o.orders = append(o.orders, func() { w.store(o, claim) }) // late
 			o.core.ClaimFailed(claim, true)
 			continue
 		}
 		stored, rev := w.store(o, claim)
 		switch {
-		case !w.m.calm && w.m.chance(15):
+		case !w.m.faultsOff && w.m.chance(15):
 			o.core.ClaimFailed(claim, true)
 		case stored:
 			o.core.ClaimStored(claim, rev)
@@ -149,7 +149,7 @@
 	if w.m.chance(30) {
 		o.core.MarkLedgersStale([]work.WorkspaceName{limitedName})
 	}
-	if o.core.lookDue(w.m.now) {
+	if o.core.ledgerReadDue(w.m.now) {
 		o.core.ApplyNewerLedger(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: w.value, ModRevision: w.rev})
 	}
 }
@@ -176,7 +176,7 @@
 		assert.NilError(w.m.t, json.Unmarshal(w.value, &l))
 	}
 	need := workspace.Parts(0)
-	if !w.m.calm {
+	if !w.m.faultsOff {
 		need = workspace.Whole * workspace.Parts(w.m.rng.IntN(4)) / 4
 	}
 	s := l.Settle(workspace.Claim{Cell: otherCell, Cells: []string{otherCell, service}, Need: need})
@@ -190,7 +190,7 @@
 	case 0:
 		w.hear(w.m.current())
 	case 1:
-		if o := w.m.owners[w.m.rng.IntN(len(w.m.owners))]; !w.m.calm && w.m.chance(50) {
+		if o := w.m.owners[w.m.rng.IntN(len(w.m.owners))]; !w.m.faultsOff && w.m.chance(50) {
 			w.hear(o)
 		}
 	case 2, 3, 4:
@@ -199,11 +199,11 @@
 		if w.m.chance(20) {
 			w.other()
 		}
-		if !w.m.calm {
+		if !w.m.faultsOff {
 			w.refill()
 		}
 	case 6:
-		if !w.m.calm && w.m.chance(5) {
+		if !w.m.faultsOff && w.m.chance(5) {
 			w.declare(int64(8 + w.m.rng.IntN(30)))
 		}
 	case 7:
@@ -226,7 +226,7 @@
 		seed := *modelFirst + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			m := newModel(t, seed)
-			m.overlap = true
+			m.concurrentTxns = true
 			m.bounds.ConfigWithin = configWithin
 			m.limited = newLimitWorld(m)
 			m.takeOver(false)
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -84,7 +84,7 @@
 	assert.Equal(t, len(r.plan().Starts), 1, "what was left is there at once")
 	assert.Assert(t, r.account().ledger.UnmetNeeds[service] > 0, "the other cell is to lend")
 	r.ledger(r.core, workspace.Ledger{Allocated: map[string]workspace.Parts{service: 5500, otherCell: 0}})
-	r.now += reviewEvery
+	r.now += reviewInterval
 	r.store(r.core.Claims(r.now))
 	assert.Equal(t, len(r.plan().Starts), 5)
 	assert.Equal(t, len(r.plan().Starts), 0)
@@ -98,7 +98,7 @@
 	for range 5 {
 		r.acceptRed("j1", short(4))
 		r.plan()
-		r.now += reviewEvery
+		r.now += reviewInterval
 		assert.Equal(t, len(r.core.Claims(r.now)), 0)
 	}
 }
@@ -131,7 +131,7 @@
 	r.acceptRed("j1", short(12))
 	r.now += configWithin
 	assert.Equal(t, len(r.plan().Starts), 2, "a twentieth for each of two cells")
-	assert.Assert(t, r.core.usesShares(), "so that the configuration is read")
+	assert.Assert(t, r.core.exceedsProvisionalShare(), "so that the configuration is read")
 	r.core.Confirm(r.now)
 	assert.Equal(t, len(r.plan().Starts), 10)
 }
@@ -144,7 +144,7 @@
 	old := &JobRecord{Job: &work.Job{ID: "j0", Queue: queue, Workspace: redName, Steps: []work.Step{short(3)}, Accepted: r.wall}}
 	next := r.limitedCore(token+1, 8)
 	next.Restore(old, nil, r.now, r.wall)
-	next.Inherit(r.now + inheritedFor())
+	next.Inherit(r.now + inheritedLeaseTime())
 	next.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
 	r.core = next
 	next.WorkerSeen(info("w1"))
@@ -192,7 +192,7 @@
 	r.flush()
 	r.plan()
 	for range 3 {
-		r.now += reviewEvery
+		r.now += reviewInterval
 		l = r.store(r.core.Claims(r.now))
 	}
 	assert.Equal(t, l.Allocated[service], workspace.Parts(0))
@@ -256,11 +256,11 @@
 		}
 	}
 	r.plan()
-	r.now += reviewEvery
+	r.now += reviewInterval
 	var last []shareClaim
 	for range 10 {
 		r.plan()
-		r.now += reviewEvery
+		r.now += reviewInterval
 		if claims := r.core.Claims(r.now); len(claims) > 0 {
 			last = claims
 			r.store(claims)
--- a/internal/engine/model_end_test.go
+++ b/internal/engine/model_end_test.go
@@ -9,11 +9,11 @@
 		switch m.ended[id] {
 		case work.Completed:
 		case work.Failed:
-			if !m.mayBeGivenUp(id) {
+			if !m.mayFail(id) {
 				return false
 			}
 		case work.Cancelled:
-			if !m.again {
+			if !m.restarts {
 				return false
 			}
 		default:
@@ -33,7 +33,7 @@
 	return true
 }
 
-func (m *model) mayBeGivenUp(id work.JobID) bool {
+func (m *model) mayFail(id work.JobID) bool {
 	for task, crashed := range m.crashed {
 		if task.Job == id && crashed >= 2 {
 			return true
--- a/internal/engine/model_lives_test.go
+++ b/internal/engine/model_lives_test.go
@@ -26,20 +26,20 @@
 	for task := range w.inDoubt {
 		m.crashed[task]++
 	}
-	if m.again && m.chance(60) {
+	if m.restarts && m.chance(60) {
 		m.begins(w.id)
 		return
 	}
 	m.newLife()
 }
 
-func (m *model) newLife() { m.begins(work.WorkerID(fmt.Sprintf("w%d", m.lives+1))) }
+func (m *model) newLife() { m.begins(work.WorkerID(fmt.Sprintf("w%d", m.incarnations+1))) }
 
 // begins adds a life of the worker, which knows nothing of those before.
 func (m *model) begins(id work.WorkerID) {
-	m.lives++
+	m.incarnations++
 	m.workers = append(m.workers, &modelWorker{
-		id: id, life: firstLife + work.Incarnation(m.lives), slow: 0.98 + 0.02*m.rng.Float64(), born: m.now,
+		id: id, incarnation: firstLife + work.Incarnation(m.incarnations), clockRate: 0.98 + 0.02*m.rng.Float64(), startedAt: m.now,
 		running: make(map[work.TaskRef]int), highest: make(map[work.TaskRef]int), inDoubt: make(map[work.TaskRef]bool),
 	})
 }
@@ -66,7 +66,7 @@
 
 // next is the life that followed under the worker's ID.
 func (m *model) next(w *modelWorker) *modelWorker {
-	i := slices.IndexFunc(m.workers, func(o *modelWorker) bool { return o.id == w.id && o.life > w.life })
+	i := slices.IndexFunc(m.workers, func(o *modelWorker) bool { return o.id == w.id && o.incarnation > w.incarnation })
 	if i < 0 {
 		return nil
 	}
@@ -81,7 +81,7 @@
 // cancel has the present owner cancel a job. Whatever becomes of that owner, an acknowledged
 // cancel holds.
 func (m *model) cancel() {
-	ids := sorted(m.jobs)
+	ids := sortedIDs(m.jobs)
 	id := ids[m.rng.IntN(len(ids))]
 	m.current().core.Cancel(id, func(err error) {
 		if err == nil && m.ended[id] == work.Cancelled {
@@ -98,7 +98,7 @@
 		seed := *modelFirst + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			m := newModel(t, seed)
-			m.overlap, m.again = true, true
+			m.concurrentTxns, m.restarts = true, true
 			for range 1500 {
 				m.step()
 			}
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -24,25 +24,25 @@
 // numbers, a lease on a clock of its own that may be slow, ends listed until they
 // are acknowledged.
 type modelWorker struct {
-	id       work.WorkerID
-	life     work.Incarnation
-	slow     float64 // its clock's rate
-	born     time.Duration
-	token    int64
-	deadline time.Duration
-	running  map[work.TaskRef]int
-	highest  map[work.TaskRef]int
-	inDoubt  map[work.TaskRef]bool // whose starts or ends are not known for certain
-	ends     []RunEnd
-	seq      int64
-	// lapsed is the last end listed before its lease last lapsed. The platform
+	id          work.WorkerID
+	incarnation work.Incarnation
+	clockRate   float64 // its clock's rate
+	startedAt   time.Duration
+	token       int64
+	deadline    time.Duration
+	running     map[work.TaskRef]int
+	highest     map[work.TaskRef]int
+	inDoubt     map[work.TaskRef]bool // whose starts or ends are not known for certain
+	ends        []RunEnd
+	seq         int64
+	// lapsedSeq is the last end listed before its lease last lapsedSeq. The platform
 	// does not hold such ends against a later start: they could not be known.
-	lapsed int64
-	dead   bool
+	lapsedSeq int64
+	dead      bool
 }
 
 func (w *modelWorker) clock(now time.Duration) time.Duration {
-	return time.Second + time.Duration(float64(now-w.born)*w.slow)
+	return time.Second + time.Duration(float64(now-w.startedAt)*w.clockRate)
 }
 
 // tasks returns what runs, in an order of its own: a seed must play the same.
@@ -55,7 +55,7 @@
 	return out
 }
 
-func sorted[V any](m map[work.JobID]V) []work.JobID {
+func sortedIDs[V any](m map[work.JobID]V) []work.JobID {
 	out := make([]work.JobID, 0, len(m))
 	for id := range m {
 		out = append(out, id)
@@ -66,21 +66,21 @@
 
 // modelOwner is one owner: a core, what is on its way from it, and what it reaches.
 type modelOwner struct {
-	core    *Core
-	orders  []func() // each carries one order out and may answer
-	cut     map[work.WorkerID]bool
-	retired bool // gives no orders any more
+	core        *Core
+	orders      []func() // each carries one order out and may answer
+	unreachable map[work.WorkerID]bool
+	stopped     bool // gives no orders any more
 }
 
 // model is the world around the cores.
 type model struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Duration
-	workers []*modelWorker
-	owners  []*modelOwner
-	lives   int
-	token   int64
+	t            *testing.T
+	rng          *rand.Rand
+	now          time.Duration
+	workers      []*modelWorker
+	owners       []*modelOwner
+	incarnations int
+	token        int64
 
 	// The store.
 	commit   int64 // token of the owner that may write
@@ -92,13 +92,13 @@
 	doneAcked map[work.TaskRef]bool
 	crashed   map[work.TaskRef]int // workers that crashed while they ran it, or may have
 	cancelled map[work.JobID]bool  // as was acknowledged
-	calm      bool                 // no more faults
-	// again: workers start again under their IDs, and registrations come late; jobs are cancelled.
-	again bool
-	// overlap: outcomes of transactions come later and in any order.
-	overlap bool
-	bounds  Bounds
-	limited *limitWorld // nil: no workspace has a limit
+	faultsOff bool                 // no more faults
+	// restarts: workers start restarts under their IDs, and registrations come late; jobs are cancelled.
+	restarts bool
+	// concurrentTxns: outcomes of transactions come later and in any order.
+	concurrentTxns bool
+	bounds         Bounds
+	limited        *limitWorld // nil: no workspace has a limit
 }
 
 const (
@@ -139,28 +139,28 @@
 		o.core.SetCertain(false)
 		o.core.startsUntil = min(o.core.startsUntil, m.now+OwnerGrace)
 		if m.chance(40) {
-			o.retired = true // it was killed
+			o.stopped = true // it was killed
 		}
 	}
 	b := &rig{t: m.t, now: m.now, wall: epoch}
-	o := &modelOwner{core: b.successorWithin(m.token, m.bounds), cut: make(map[work.WorkerID]bool)}
+	o := &modelOwner{core: b.successorWithin(m.token, m.bounds), unreachable: make(map[work.WorkerID]bool)}
 	o.core.Declare(Declared{Version: 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}}})
 	if m.limited != nil {
 		m.limited.hear(o)
 		o.core.RestoreLedger(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: m.limited.value, ModRevision: m.limited.rev})
 	}
-	for _, id := range sorted(m.jobs) {
+	for _, id := range sortedIDs(m.jobs) {
 		if m.ended[id] == "" {
 			o.core.Restore(m.jobs[id], m.progress[id], m.now, epoch)
 		}
 	}
 	o.core.FinishRestore(m.now, epoch)
 	if !first {
-		o.core.Inherit(m.now + inheritedFor())
+		o.core.Inherit(m.now + inheritedLeaseTime())
 	}
 	for _, w := range m.workers {
 		if m.chance(25) && !first {
-			o.cut[w.id] = true
+			o.unreachable[w.id] = true
 		}
 	}
 	m.owners = append(m.owners, o)
@@ -174,8 +174,8 @@
 		if w.dead {
 			continue
 		}
-		if !m.again || m.calm || m.chance(70) {
-			o.core.WorkerSeen(infoOf(w.id, w.life))
+		if !m.restarts || m.faultsOff || m.chance(70) {
+			o.core.WorkerSeen(infoOf(w.id, w.incarnation))
 		}
 		vms = append(vms, vm("v-"+string(w.id), w.id))
 	}
@@ -186,16 +186,16 @@
 // step is one event of the world.
 func (m *model) step() {
 	m.now += time.Duration(m.rng.IntN(60)) * time.Millisecond
-	m.lapse()
+	m.expireLeases()
 	o := m.owners[m.rng.IntN(len(m.owners))]
-	if m.calm {
+	if m.faultsOff {
 		o = m.current()
 	}
 	switch m.rng.IntN(10) {
 	case 0, 1:
 		m.plan(o)
 	case 2, 3, 4:
-		m.look(o, m.workers[m.rng.IntN(len(m.workers))])
+		m.poll(o, m.workers[m.rng.IntN(len(m.workers))])
 	case 5, 6:
 		m.deliver(o)
 	case 7:
@@ -208,7 +208,7 @@
 }
 
 func (m *model) plan(o *modelOwner) {
-	if o.retired {
+	if o.stopped {
 		return
 	}
 	m.register(o)
@@ -235,13 +235,13 @@
 
 // start plays one start: lost before or after its effect, or carried out late.
 func (m *model) start(o *modelOwner, s StartOrder) {
-	if leaves := o.core.StartLeaves(s, m.now); m.again && !leaves {
+	if leaves := o.core.StartLeaves(s, m.now); m.restarts && !leaves {
 		o.core.StartAnswered(s, OutcomeNotSent, 0, m.now)
 		return
 	}
 	w := m.worker(s.Worker.ID)
-	lost := !m.calm && m.chance(15) || o.cut[s.Worker.ID]
-	if w == nil || w.life != s.Worker.Life && o != m.current() {
+	lost := !m.faultsOff && m.chance(15) || o.unreachable[s.Worker.ID]
+	if w == nil || w.incarnation != s.Worker.Life && o != m.current() {
 		o.core.StartAnswered(s, OutcomeOtherLife, 0, m.now)
 		return
 	}
@@ -251,7 +251,7 @@
 		if m.chance(50) {
 			sent := m.now
 			o.orders = append(o.orders, func() {
-				if !m.again || m.now < sent+lateOrders {
+				if !m.restarts || m.now < sent+lateOrders {
 					m.beginLate(o, w, s)
 				}
 			})
@@ -259,7 +259,7 @@
 		return
 	}
 	out := m.begin(w, s)
-	if !m.calm && m.chance(10) {
+	if !m.faultsOff && m.chance(10) {
 		out = OutcomeUnknown
 		w.inDoubt[s.Start.Task] = true
 	}
@@ -282,7 +282,7 @@
 		return OutcomeOK
 	}
 	w.token, w.deadline = st.Token, w.holds(st.Deadline, m.now)
-	m.began(w, st.Task, st.Run)
+	m.checkStart(w, st.Task, st.Run)
 	w.running[st.Task] = st.Run
 	if m.limited != nil {
 		m.limited.began()
@@ -290,15 +290,15 @@
 	return OutcomeOK
 }
 
-// began holds the promise: no other run of the task, and none after an end as
+// checkStart holds the promise: no other run of the task, and none after an end as
 // done that was acknowledged.
-func (m *model) began(on *modelWorker, task work.TaskRef, run int) {
+func (m *model) checkStart(on *modelWorker, task work.TaskRef, run int) {
 	for _, w := range m.workers {
 		if other, runs := w.running[task]; runs && !w.dead {
 			m.t.Fatalf("%s: run %d begins on %s beside run %d on %s", task, run, on.id, other, w.id)
 		}
 	}
-	assert.Assert(m.t, !m.calm || !m.cancelled[task.Job], "%s: run %d begins though its job was cancelled", task, run)
+	assert.Assert(m.t, !m.faultsOff || !m.cancelled[task.Job], "%s: run %d begins though its job was cancelled", task, run)
 	assert.Assert(m.t, !m.doneAcked[task], "%s: run %d begins after it was done and acknowledged", task, run)
 }
 
@@ -308,7 +308,7 @@
 		o.core.StopAnswered(s, OutcomeOtherLife, m.now)
 		return
 	}
-	if !m.calm && m.chance(15) || o.cut[w.id] {
+	if !m.faultsOff && m.chance(15) || o.unreachable[w.id] {
 		o.core.StopAnswered(s, OutcomeUnknown, m.now)
 		return
 	}
@@ -336,9 +336,9 @@
 	w.ends = append(w.ends, RunEnd{Seq: w.seq, Task: task, Run: run, How: how})
 }
 
-// look plays one poll; its answer may be lost after its effect.
-func (m *model) look(o *modelOwner, w *modelWorker) {
-	if o.retired {
+// poll plays one poll; its answer may be lost after its effect.
+func (m *model) poll(o *modelOwner, w *modelWorker) {
+	if o.stopped {
 		return
 	}
 	if now := m.worker(w.id); now != nil {
@@ -352,7 +352,7 @@
 	case w.dead:
 		o.core.HoldFailed(w.id, OutcomeOtherLife, m.now)
 		return
-	case o.cut[w.id]:
+	case o.unreachable[w.id]:
 		o.core.HoldFailed(w.id, OutcomeUnknown, m.now)
 		return
 	case h.Token < w.token:
@@ -361,26 +361,26 @@
 	}
 	w.token, w.deadline = h.Token, w.holds(h.Deadline, m.now)
 	for len(w.ends) > 0 && w.ends[0].Seq <= h.AckedThrough {
-		if w.ends[0].How == work.Done && w.ends[0].Seq > w.lapsed {
+		if w.ends[0].How == work.Done && w.ends[0].Seq > w.lapsedSeq {
 			m.doneAcked[w.ends[0].Task] = true
 		}
 		w.ends = w.ends[1:]
 	}
-	l := Listing{Life: w.life, Clock: w.clock(m.now), Ended: slices.Clone(w.ends), Brief: h.Brief}
+	l := Listing{Life: w.incarnation, Clock: w.clock(m.now), Ended: slices.Clone(w.ends), Brief: h.Brief}
 	for _, task := range w.tasks() {
 		r := Run{Task: task, Run: w.running[task], Percent: 1 + m.rng.IntN(90)}
 		if !h.Brief {
 			l.Running = append(l.Running, r)
 		}
 	}
-	if !m.calm && m.chance(10) {
+	if !m.faultsOff && m.chance(10) {
 		o.core.HoldFailed(w.id, OutcomeUnknown, m.now)
 		return
 	}
 	o.core.HoldAnswered(w.id, h, l, m.now, m.now)
 }
 
-func (m *model) lapse() {
+func (m *model) expireLeases() {
 	for _, w := range m.workers {
 		if w.clock(m.now) <= w.deadline {
 			continue
@@ -388,7 +388,7 @@
 		for _, task := range w.tasks() {
 			m.end(w, task, work.LeaseExpired)
 		}
-		w.lapsed = w.seq
+		w.lapsedSeq = w.seq
 	}
 }
 
@@ -398,7 +398,7 @@
 		return
 	}
 	how := work.Done
-	if !m.calm && m.chance(20) {
+	if !m.faultsOff && m.chance(20) {
 		how = work.Faulted
 	}
 	m.end(w, tasks[m.rng.IntN(len(tasks))], how)
@@ -407,7 +407,7 @@
 // flush plays one transaction. An earlier owner's fails; an answer may be lost
 // after the effect, and the owner then stores the same again.
 func (m *model) flush(o *modelOwner) {
-	if o.retired {
+	if o.stopped {
 		return
 	}
 	f := o.core.TakeFlush(3)
@@ -423,10 +423,10 @@
 		m.progress[ch.Job] = decodeProgress(m.t, ch)
 	}
 	var err error
-	if !m.calm && m.chance(10) {
+	if !m.faultsOff && m.chance(10) {
 		err = ErrUncertain
 	}
-	if m.overlap && m.chance(50) {
+	if m.concurrentTxns && m.chance(50) {
 		o.orders = append(o.orders, func() { o.core.Flushed(f, err) })
 		return
 	}
@@ -434,7 +434,7 @@
 }
 
 func (m *model) fault() {
-	if m.calm {
+	if m.faultsOff {
 		return
 	}
 	switch m.rng.IntN(12) {
@@ -445,9 +445,9 @@
 			m.crash(w)
 		}
 	case 2, 3:
-		clear(m.current().cut)
+		clear(m.current().unreachable)
 	case 4:
-		if m.again {
+		if m.restarts {
 			m.cancel()
 		}
 	}
@@ -455,33 +455,33 @@
 
 // heal ends all faults: old owners have gone, everything is reached.
 func (m *model) heal() {
-	m.calm = true
+	m.faultsOff = true
 	m.takeOver(false)
-	clear(m.current().cut)
+	clear(m.current().unreachable)
 	for _, o := range m.owners[:len(m.owners)-1] {
-		o.retired = true
+		o.stopped = true
 		o.orders = nil
 	}
 }
 
-// keptSeeds once showed a fault: a stray beside a new start, an owner in its grace
+// regressionSeeds once showed a fault: a stray beside a new start, an owner in its grace
 // that used a worker its successor did not wait for, and two in which such an owner
 // started again what its successor had seen done.
-var keptSeeds = []uint64{3035, 11174, 20010, 24025}
+var regressionSeeds = []uint64{3035, 11174, 20010, 24025}
 
 // Owners change while orders are lost and carried out late, answers are lost
 // after their effect, workers die, clocks are slow and an owner that lost its
 // lease goes on for its grace: no task runs twice, and once it is calm every job
 // is completed, but for those with a task under which two workers crashed.
 func TestNoTaskRunsTwiceThroughTakeOversAndLateOrders(t *testing.T) {
-	seeds := slices.Clone(keptSeeds)
+	seeds := slices.Clone(regressionSeeds)
 	for i := range *modelSeeds {
 		seeds = append(seeds, *modelFirst+uint64(i))
 	}
 	for i, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			m := newModel(t, seed)
-			m.overlap = i >= len(keptSeeds) // these play as they did
+			m.concurrentTxns = i >= len(regressionSeeds) // these play as they did
 			for range 1500 {
 				m.step()
 			}
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -113,8 +113,8 @@
 	return f
 }
 
-// storedMark is the first end taken in whose effect may not be stored.
-func (c *Core) storedMark() int64 {
+// firstUnstoredEnd is the first end taken in whose effect may not be stored.
+func (c *Core) firstUnstoredEnd() int64 {
 	mark := c.endings + 1
 	for _, j := range c.dirty {
 		mark = min(mark, j.touched)
@@ -125,9 +125,9 @@
 	return mark
 }
 
-// unacknowledged reports whether ends wait to be acknowledged, although nothing of
+// hasUnacknowledgedEnds reports whether ends wait to be acknowledged, although nothing of
 // them may need to be stored.
-func (c *Core) unacknowledged() bool {
+func (c *Core) hasUnacknowledgedEnds() bool {
 	for _, w := range c.workers {
 		if w.stored < w.seen {
 			return true
@@ -209,7 +209,7 @@
 		return nil
 	}
 	var acknowledge []work.WorkerID
-	mark := c.storedMark()
+	mark := c.firstUnstoredEnd()
 	for id, w := range c.workers {
 		if w.storedBefore(mark) && len(w.tasks) == 0 {
 			acknowledge = append(acknowledge, id)
@@ -224,7 +224,7 @@
 		f(nil)
 	}
 	j.onEnd = nil
-	c.stale = append(c.stale, staleJob{id: j.ID, at: c.now})
+	c.stale = append(c.stale, endedJob{id: j.ID, at: c.now})
 	// What still runs is stopped as strays or by its own stop orders; the
 	// tasks are kept until their workers have ended them.
 	j.Spec = ""
@@ -234,8 +234,8 @@
 // mostly right after the end; later ones are answered from the store.
 const keepEnded = 3 * time.Minute
 
-// staleJob is a job that ended, and when that was stored.
-type staleJob struct {
+// endedJob is a job that ended, and when that was stored.
+type endedJob struct {
 	id work.JobID
 	at time.Duration
 }
@@ -245,17 +245,17 @@
 	for len(c.stale) > 0 && now > c.stale[0].at+keepEnded {
 		id := c.stale[0].id
 		c.stale = c.stale[1:]
-		if c.stillRuns(id) {
-			c.stale = append(c.stale, staleJob{id: id, at: now})
+		if c.hasTasksOnWorkers(id) {
+			c.stale = append(c.stale, endedJob{id: id, at: now})
 			continue
 		}
 		delete(c.jobs, id)
 	}
 }
 
-// stillRuns reports whether a worker has something of the job. Its tasks are
+// hasTasksOnWorkers reports whether a worker has something of the job. Its tasks are
 // needed until they are certain to be over: they hold room there.
-func (c *Core) stillRuns(id work.JobID) bool {
+func (c *Core) hasTasksOnWorkers(id work.JobID) bool {
 	for _, w := range c.workers {
 		for ref := range w.tasks {
 			if ref.Job == id {
@@ -285,20 +285,20 @@
 	if p != nil {
 		j.restore(p)
 	} else {
-		j.baseRun = restoredRuns
+		j.baseRun = restoredRunOffset
 	}
 	c.add(j)
 	j.eachTask(func(t *task) { c.judgeRecord(t, now) })
 }
 
-// restoredRuns is added to the run numbers of restored tasks. An earlier owner
+// restoredRunOffset is added to the run numbers of restored tasks. An earlier owner
 // may have started some without a note of it, at most as often as a task may
 // fail, lapse or be refused within its reign; a worker rejects a run that is not
 // higher than one it ended.
-const restoredRuns = 100
+const restoredRunOffset = 100
 
 func (j *job) restore(p *Progress) {
-	j.baseRun = p.Run + restoredRuns
+	j.baseRun = p.Run + restoredRunOffset
 	for _, op := range p.Occurrences {
 		j.next = op.Number
 		o := j.addOccurrence(j.accepted)
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -20,21 +20,21 @@
 // as much longer for workers it can't reach.
 const OwnerGrace = 5 * time.Second
 
-// inheritedFor is how long after a take-over an earlier owner's leases may
+// inheritedLeaseTime is how long after a take-over an earlier owner's leases may
 // last on a worker that was not heard.
-func inheritedFor() time.Duration {
+func inheritedLeaseTime() time.Duration {
 	lease := time.Duration(float64(LeaseAhead) * (1 + clockError))
 	return OwnerGrace + lease + expirySlack
 }
 
-// seizeTimeout ends one try at writing the commit keys.
-const seizeTimeout = 3 * time.Second
+// takeCommitKeysTimeout ends one try at writing the commit keys.
+const takeCommitKeysTimeout = 3 * time.Second
 
 // restore takes the commit keys over, which fences every transaction of earlier
 // owners, and then reads all jobs.
 func (e *Engine) restore(ctx context.Context) error {
 	for ctx.Err() == nil {
-		first, err := e.seizeAll(ctx)
+		first, err := e.takeCommitKeys(ctx)
 		if err == nil {
 			err = e.load(ctx, first)
 		}
@@ -42,20 +42,20 @@
 			return err
 		}
 		e.Log.Info("can't take over yet", "error", err.Error())
-		sleep.For(ctx, storePause)
+		sleep.For(ctx, storeRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// seizeAll writes all commit keys; first reports that nobody had before.
-func (e *Engine) seizeAll(ctx context.Context) (first bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, seizeTimeout)
+// takeCommitKeys writes all commit keys; first reports that nobody had before.
+func (e *Engine) takeCommitKeys(ctx context.Context) (first bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, takeCommitKeysTimeout)
 	defer cancel()
-	var fresh [committers]bool
-	var errs [committers]error
+	var fresh [committerCount]bool
+	var errs [committerCount]error
 	var writers sync.WaitGroup
 	for i, c := range e.writer.committers {
-		writers.Go(func() { fresh[i], errs[i] = e.seize(ctx, c) })
+		writers.Go(func() { fresh[i], errs[i] = e.takeCommitKey(ctx, c) })
 	}
 	writers.Wait()
 	for _, err := range errs {
@@ -66,8 +66,8 @@
 	return !slices.Contains(fresh[:], false), trace.NewAggregate(errs[:]...)
 }
 
-// seize writes a commit key; fresh reports that it did not exist.
-func (e *Engine) seize(ctx context.Context, c *committer) (fresh bool, err error) {
+// takeCommitKey writes a commit key; fresh reports that it did not exist.
+func (e *Engine) takeCommitKey(ctx context.Context, c *committer) (fresh bool, err error) {
 	kv, _, err := e.Store.Get(ctx, c.key)
 	if err != nil {
 		return false, trace.Wrap(err)
@@ -138,7 +138,7 @@
 		e.core.WorkerSeen(info)
 	}
 	if !first {
-		e.core.Inherit(now + inheritedFor())
+		e.core.Inherit(now + inheritedLeaseTime())
 	}
 	return nil
 }
@@ -161,8 +161,8 @@
 	return progress, jobs, ledgers, trace.NewAggregate(progressErr, jobsErr, ledgersErr)
 }
 
-// found adds a job that an entry VM stored itself.
-func (e *Engine) found(r *JobRecord) {
+// addFoundJob adds a job that an entry VM stored itself.
+func (e *Engine) addFoundJob(r *JobRecord) {
 	e.mu.Lock()
 	if e.core.jobs[r.Job.ID] == nil {
 		e.core.Restore(r, nil, e.Clock.Now(), e.Clock.Wall())
--- a/internal/engine/retention.go
+++ b/internal/engine/retention.go
@@ -19,12 +19,12 @@
 	// callers repeat a request for seconds at most; minutes also cover clocks that
 	// differ.
 	keepAfterStatus = 10 * time.Minute
-	// retireEvery separates passes. Each lists all short keys, some hundreds a
+	// retentionInterval separates passes. Each lists all short keys, some hundreds a
 	// priced call.
-	retireEvery = 5 * time.Minute
-	// retiredEntries is what one key takes of a transaction: a condition and a
+	retentionInterval = 5 * time.Minute
+	// deletionEntries is what one key takes of a transaction: a condition and a
 	// deletion.
-	retiredEntries = 2
+	deletionEntries = 2
 )
 
 // Retention deletes the short keys of jobs that ended long ago. Without it the store
@@ -40,7 +40,7 @@
 // Run makes passes until ctx ends. The first comes after the pause: an entry VM may
 // have the duty for moments only.
 func (r *Retention) Run(ctx context.Context) {
-	for sleep.For(ctx, retireEvery) {
+	for sleep.For(ctx, retentionInterval) {
 		deleted, err := r.Pass(ctx)
 		if err != nil && ctx.Err() == nil {
 			r.Log.Info("ended jobs not deleted; the next pass does it", "deleted", deleted, "error", err.Error())
@@ -56,8 +56,8 @@
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	old := slices.DeleteFunc(kvs, func(kv infra.KV) bool { return !r.retired(kv) })
-	for part := range slices.Chunk(old, txnEntries/retiredEntries) {
+	old := slices.DeleteFunc(kvs, func(kv infra.KV) bool { return !r.expired(kv) })
+	for part := range slices.Chunk(old, txnEntries/deletionEntries) {
 		var t infra.Txn
 		for _, kv := range part {
 			t.If = append(t.If, infra.Cond{Key: kv.Key, ModRevision: kv.ModRevision})
@@ -74,8 +74,8 @@
 	return deleted, nil
 }
 
-// retired reports whether the key is of a job that ended long enough ago.
-func (r *Retention) retired(kv infra.KV) bool {
+// expired reports whether the key is of a job that ended long enough ago.
+func (r *Retention) expired(kv infra.KV) bool {
 	var stub JobStub
 	if err := json.Unmarshal(kv.Value, &stub); err != nil {
 		r.Log.Error(err, "job's key is malformed and stays", "key", kv.Key)
--- a/internal/engine/retention_test.go
+++ b/internal/engine/retention_test.go
@@ -22,7 +22,7 @@
 	ctx := context.Background()
 	store := memstore.New(clockwork.NewFakeClock())
 	const status = 2 * time.Minute
-	r := &Retention{Store: store, Clock: stillClock{}, Log: logr.Discard(), StatusPeriod: status}
+	r := &Retention{Store: store, Clock: fixedClock{}, Log: logr.Discard(), StatusPeriod: status}
 	put := func(id string, state work.State, ended time.Time) {
 		ops, err := EndOps(work.JobID(id), JobStub{Cell: service, State: state, Ended: ended})
 		assert.NilError(t, err)
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -46,7 +46,7 @@
 		return
 	}
 	e.mu.Lock()
-	uses := e.core.usesShares()
+	uses := e.core.exceedsProvisionalShare()
 	e.mu.Unlock()
 	if !uses {
 		return
@@ -60,7 +60,7 @@
 // else tells it.
 func (e *Engine) readLedgers(ctx context.Context) {
 	e.mu.Lock()
-	due := e.core.lookDue(e.Clock.Now())
+	due := e.core.ledgerReadDue(e.Clock.Now())
 	e.mu.Unlock()
 	if !due {
 		return
@@ -87,7 +87,7 @@
 			return
 		}
 		if !e.storeClaims(ctx, claims) {
-			sleep.For(ctx, storePause)
+			sleep.For(ctx, storeRetryDelay)
 			return
 		}
 		kick(e.planKick)
--- a/internal/engine/takeover_bench_test.go
+++ b/internal/engine/takeover_bench_test.go
@@ -60,7 +60,7 @@
 func takeOver(b *testing.B, store infra.Store, workers []WorkerInfo) {
 	b.Helper()
 	e := New(Options{
-		Cell: service, Store: store, Clock: stillClock{}, Log: logr.Discard(), Term: &fakeTerm{certain: true},
+		Cell: service, Store: store, Clock: fixedClock{}, Log: logr.Discard(), Term: &fakeTerm{certain: true},
 		Registry: func() []WorkerInfo { return workers }, Declared: func() Declared { return Declared{} },
 	})
 	if err := e.restore(context.Background()); err != nil {
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -59,7 +59,7 @@
 	for _, id := range workers {
 		next.WorkerSeen(info(id))
 	}
-	next.Inherit(b.now + inheritedFor())
+	next.Inherit(b.now + inheritedLeaseTime())
 	b.core = next
 }
 
@@ -175,7 +175,7 @@
 
 // A task that was done runs again. An owner that can't reach the store, in its
 // grace, saw the worker go; its successor had acknowledged the end before.
-func TestAnOwnerThatIsNotCertainBeginsOnlyWhatWasNeverStarted(t *testing.T) {
+func TestAnOwnerThatIsNotCertainStartsOnlyTasksNeverStarted(t *testing.T) {
 	b := newRig(t)
 	o := b.running(short(1), "w1", "w2")
 	b.core.SetCertain(false)
@@ -199,7 +199,7 @@
 
 // A task runs twice. An owner gave its term up; its core went by the longest
 // permission it ever had and ordered a start beside the successor's.
-func TestOrdersEndWithAPermissionThatIsTakenBack(t *testing.T) {
+func TestNoOrdersAfterTheTermsPermissionIsWithdrawn(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	b.accept("j1", short(1))
@@ -232,7 +232,7 @@
 
 // A worker that is well is given up, and its tasks run twice. It registered after
 // the list of VMs was asked for, and missed one poll since.
-func TestAListOlderThanAWorkersAnswerEndsNothing(t *testing.T) {
+func TestAVMListOlderThanAWorkersAnswerDoesNotEndTheWorker(t *testing.T) {
 	b := newRig(t)
 	b.running(short(1), "w1")
 	asked := b.now
@@ -277,14 +277,14 @@
 	assert.Equal(t, len(b.plan().Stops), 1)
 }
 
-// meeting is a store whose reads of prefixes, and the list of workers, are answered
+// barrierStore is a store whose reads of prefixes, and the list of workers, are answered
 // once all four were asked for.
-type meeting struct {
+type barrierStore struct {
 	infra.Store
 	all sync.WaitGroup
 }
 
-func (m *meeting) join(ctx context.Context) error {
+func (m *barrierStore) arrive(ctx context.Context) error {
 	m.all.Done()
 	met := make(chan struct{})
 	go func() { m.all.Wait(); close(met) }()
@@ -296,8 +296,8 @@
 	}
 }
 
-func (m *meeting) Range(ctx context.Context, prefix string) ([]infra.KV, infra.Revision, error) {
-	if err := m.join(ctx); err != nil {
+func (m *barrierStore) Range(ctx context.Context, prefix string) ([]infra.KV, infra.Revision, error) {
+	if err := m.arrive(ctx); err != nil {
 		return nil, 0, err
 	}
 	return m.Store.Range(ctx, prefix)
@@ -306,11 +306,11 @@
 // Callers wait while the store is slow and an owner was replaced: the new one read one
 // thing after the other, a fifth of a second each, with nobody owning the cell. What it
 // reads does not depend on each other and is asked for at once.
-func TestATakeOverReadsAtOnce(t *testing.T) {
+func TestTakeOverReadsStoreInParallel(t *testing.T) {
 	e, store := newEngine(t, &fakeTerm{certain: true})
-	m := &meeting{Store: store}
+	m := &barrierStore{Store: store}
 	m.all.Add(4)
-	e.Store, e.Listed = m, func(ctx context.Context) { assert.Check(t, m.join(ctx)) }
+	e.Store, e.Listed = m, func(ctx context.Context) { assert.Check(t, m.arrive(ctx)) }
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	assert.NilError(t, e.load(ctx, true))
@@ -319,7 +319,7 @@
 // Callers of a burst wait while idle VMs stand in another pool. Its owner has just taken
 // over with a zone cut off, and jobs of before wait for workers there that it has not heard.
 // They want no room, so they are no backlog, for which a pool would keep its VMs.
-func TestWorkThatWaitsForUnheardWorkersIsNoBacklog(t *testing.T) {
+func TestWorkThatMayRunOnUnheardWorkersIsNoBacklog(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
 	b.accept("j1", short(2))
--- a/internal/engine/writer.go
+++ b/internal/engine/writer.go
@@ -19,31 +19,31 @@
 const (
 	// txnEntries is the most a transaction of the users' store holds.
 	txnEntries = 32
-	// committers bounds the transactions under way at a time; with all of them a
+	// committerCount bounds the transactions under way at a time; with all of them a
 	// cell makes some four hundred calls a second, a third of what the store of a
 	// large deployment takes from all.
-	committers = 4
+	committerCount = 4
 	// maxCreates leaves room for progress beside new jobs.
 	maxCreates = 8
-	// sharedCreates is the same while ended jobs wait as well: callers of both
+	// maxCreatesBesideEnds is the same while ended jobs wait as well: callers of both
 	// wait, and new ones alone would leave room for three ends.
-	sharedCreates = 5
+	maxCreatesBesideEnds = 5
 	// commitEntries is what the commit key takes: a condition and a write.
 	commitEntries = 2
 	// createEntries is what a new job takes: its condition, its short key and
 	// its record.
 	createEntries = 3
-	// gatherQuiet is how long ends that nobody waits for may gather.
-	gatherQuiet = 60 * time.Millisecond
-	// gatherUrgent is how long new jobs and final states may gather.
-	gatherUrgent = 3 * time.Millisecond
+	// backgroundCommitDelay is how long ends that nobody waits for may gather.
+	backgroundCommitDelay = 60 * time.Millisecond
+	// urgentCommitDelay is how long new jobs and final states may gather.
+	urgentCommitDelay = 3 * time.Millisecond
 	// storeTimeout ends a transaction without an answer; it is sent again.
 	storeTimeout = 700 * time.Millisecond
-	// storePause separates tries while the store is in trouble.
-	storePause = 100 * time.Millisecond
-	// unwellAfter is how long a transaction may be under way until new jobs
+	// storeRetryDelay separates tries while the store is in trouble.
+	storeRetryDelay = 100 * time.Millisecond
+	// stalledAfter is how long a transaction may be under way until new jobs
 	// are refused at once: they could only wait behind it.
-	unwellAfter = 400 * time.Millisecond
+	stalledAfter = 400 * time.Millisecond
 )
 
 type creation struct {
@@ -56,18 +56,18 @@
 // writer stores what the core decides.
 type writer struct {
 	engine     *Engine
-	committers [committers]*committer
+	committers [committerCount]*committer
 
 	mu      sync.Mutex
 	waiting []*creation
 	active  int // committers at work
 
-	// gathering is told what comes while a committer gathers.
-	gathering chan struct{}
+	// gatherWake is told what comes while a committer gathers.
+	gatherWake chan struct{}
 }
 
 func newWriter(e *Engine) *writer {
-	w := &writer{engine: e, gathering: make(chan struct{}, 1)}
+	w := &writer{engine: e, gatherWake: make(chan struct{}, 1)}
 	for i := range w.committers {
 		w.committers[i] = &committer{w: w, key: infra.WorkCommitKey(e.Cell, i)}
 	}
@@ -82,7 +82,7 @@
 	}
 	c := &creation{job: j, queue: q, ops: ops, done: make(chan error, 1)}
 	w.mu.Lock()
-	if w.unwellLocked() {
+	if w.stalledLocked() {
 		w.mu.Unlock()
 		return ErrStore
 	}
@@ -100,11 +100,11 @@
 	}
 }
 
-// unwellLocked reports whether a transaction has been under way for long.
-func (w *writer) unwellLocked() bool {
+// stalledLocked reports whether a transaction has been under way for long.
+func (w *writer) stalledLocked() bool {
 	now := w.engine.Clock.Now()
 	for _, c := range w.committers {
-		if c.busy != 0 && now > c.busy+unwellAfter {
+		if c.batchSince != 0 && now > c.batchSince+stalledAfter {
 			return true
 		}
 	}
@@ -133,10 +133,10 @@
 	w.refuseAll()
 }
 
-// begin reports whether a committer is to take a batch now, and whether it is the only
+// startBatch reports whether a committer is to take a batch now, and whether it is the only
 // one. Others join it while more waits than one transaction holds; sooner they would
 // but share the same writes out over more calls.
-func (w *writer) begin() (first, ok bool) {
+func (w *writer) startBatch() (first, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.active > 0 && w.urgentEntries(len(w.waiting)) < txnEntries-commitEntries {
@@ -157,14 +157,14 @@
 // gather waits for company: shortly if somebody waits for an answer.
 func (w *writer) gather(ctx context.Context) {
 	if w.urgent() {
-		sleep.For(ctx, gatherUrgent)
+		sleep.For(ctx, urgentCommitDelay)
 		return
 	}
-	end := w.engine.Clock.Now() + gatherQuiet
+	end := w.engine.Clock.Now() + backgroundCommitDelay
 	for w.engine.Clock.Now() < end && ctx.Err() == nil {
 		t := time.NewTimer(end - w.engine.Clock.Now())
 		select {
-		case <-w.gathering:
+		case <-w.gatherWake:
 			if w.urgent() {
 				end = 0
 			}
@@ -192,9 +192,9 @@
 	}
 }
 
-// existed accepts a job whose key is there: it came before by another entry VM,
+// alreadyStored accepts a job whose key is there: it came before by another entry VM,
 // whose note brings it here if it has not ended.
-func (w *writer) existed(c *creation, stub []byte) {
+func (w *writer) alreadyStored(c *creation, stub []byte) {
 	err := SameWorkspace(stub, c.job)
 	w.engine.Log.Info("job was stored before", "job", c.job.ID, "workspace", c.job.Workspace, "another workspace's", err != nil)
 	c.done <- err
@@ -219,7 +219,7 @@
 // abandon ends the batch with the term: its outcome is for the successor.
 func (w *writer) abandon(b *batch) {
 	for _, c := range b.creates {
-		if b.sent {
+		if b.mayBeStored {
 			c.done <- ErrUncertain
 		} else {
 			c.done <- ErrNotReady
--- a/internal/engine/writer_test.go
+++ b/internal/engine/writer_test.go
@@ -52,7 +52,7 @@
 	e.writer.committers[0].store(t.Context(), &batch{creates: []*creation{c}, seq: 1})
 	assert.ErrorIs(t, <-c.done, ErrStore)
 
-	e.writer.committers[0].busy = e.Clock.Now() - unwellAfter - time.Millisecond
+	e.writer.committers[0].batchSince = e.Clock.Now() - stalledAfter - time.Millisecond
 	assert.ErrorIs(t, e.writer.create(t.Context(), c.job, c.queue), ErrStore)
 	assert.Equal(t, len(e.writer.waiting), 0)
 }
@@ -63,14 +63,14 @@
 	return len(w.waiting)
 }
 
-// gated is a store whose transactions wait until the gate opens.
-type gated struct {
+// gatedStore is a store whose transactions wait until the gate opens.
+type gatedStore struct {
 	infra.Store
 	gate  chan struct{}
 	calls chan int // entries of each transaction
 }
 
-func (g *gated) Txn(ctx context.Context, t infra.Txn) (infra.TxnResult, error) {
+func (g *gatedStore) Txn(ctx context.Context, t infra.Txn) (infra.TxnResult, error) {
 	g.calls <- len(t.If) + len(t.Then)
 	<-g.gate
 	return g.Store.Txn(context.WithoutCancel(ctx), t) // however long the gate was closed
@@ -79,9 +79,9 @@
 // Callers of a burst wait for seconds to be told of jobs that ended: four hundred a
 // second come, and one transaction at a time stores five. While more waits than one
 // holds others join it; less waits for it, as it would only take more calls.
-func TestTransactionsJoinWhileMoreWaitsThanOneHolds(t *testing.T) {
+func TestMoreCommittersStartWhenOneTransactionIsNotEnough(t *testing.T) {
 	e, inner := newEngine(t, &fakeTerm{certain: true})
-	g := &gated{Store: inner, gate: make(chan struct{}), calls: make(chan int, committers)}
+	g := &gatedStore{Store: inner, gate: make(chan struct{}), calls: make(chan int, committerCount)}
 	e.Store = g
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -118,13 +118,13 @@
 // its commit keys is rewritten, so none takes effect after the new owner has read.
 func TestATakeOverFencesEveryTransaction(t *testing.T) {
 	old, store := newEngine(t, &fakeTerm{certain: true})
-	_, err := old.seizeAll(t.Context())
+	_, err := old.takeCommitKeys(t.Context())
 	assert.NilError(t, err)
 	next := New(Options{
-		Cell: service, Store: store, Clock: stillClock{}, Log: logr.Discard(), Term: laterTerm{},
+		Cell: service, Store: store, Clock: fixedClock{}, Log: logr.Discard(), Term: successorTerm{},
 		Registry: func() []WorkerInfo { return nil }, Declared: func() Declared { return Declared{} },
 	})
-	_, err = next.seizeAll(t.Context())
+	_, err = next.takeCommitKeys(t.Context())
 	assert.NilError(t, err)
 	for i, c := range old.writer.committers {
 		create := newCreation(t, work.JobID(fmt.Sprintf("j%d", i)))
@@ -136,11 +136,11 @@
 	}
 }
 
-// laterTerm is the term of a successor.
-type laterTerm struct{}
+// successorTerm is the term of a successor.
+type successorTerm struct{}
 
-func (laterTerm) Token() int64                { return token + 1 }
-func (laterTerm) AllowedUntil() time.Duration { return time.Hour }
-func (laterTerm) Certain() bool               { return true }
-func (laterTerm) End(string)                  {}
-func (laterTerm) Relieve()                    {}
+func (successorTerm) Token() int64                { return token + 1 }
+func (successorTerm) AllowedUntil() time.Duration { return time.Hour }
+func (successorTerm) Certain() bool               { return true }
+func (successorTerm) End(string)                  {}
+func (successorTerm) Relieve()                    {}
