--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -128,21 +128,21 @@
 	return nil
 }
 
-// Standing implements ownerlink.Configs.
-func (o *operator) Standing() ownerlink.Standing {
+// Status implements ownerlink.Configs.
+func (o *operator) Status() ownerlink.ConfigStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil {
-		return ownerlink.Standing{}
+		return ownerlink.ConfigStatus{}
 	}
-	return ownerlink.Standing{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmed).Milliseconds() + 1}
+	return ownerlink.ConfigStatus{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmed).Milliseconds() + 1}
 }
 
 // Now implements ownerlink.Configs.
 func (o *operator) Now() time.Duration { return o.clock.Now() }
 
-// Packed implements ownerlink.Configs.
-func (o *operator) Packed() []byte {
+// Encoded implements ownerlink.Configs.
+func (o *operator) Encoded() []byte {
 	c, _ := o.current()
 	raw, err := msgpack.Marshal(c)
 	if err != nil {
@@ -152,8 +152,8 @@
 	return raw
 }
 
-// Behind implements ownerlink.Configs.
-func (o *operator) Behind() {
+// NotifyOutdated implements ownerlink.Configs.
+func (o *operator) NotifyOutdated() {
 	if !o.catchingUp.CompareAndSwap(false, true) {
 		return
 	}
@@ -165,8 +165,8 @@
 	}()
 }
 
-// Heard implements ownerlink.Configs.
-func (o *operator) Heard(s ownerlink.Standing, sent time.Duration) bool {
+// Observe implements ownerlink.Configs.
+func (o *operator) Observe(s ownerlink.ConfigStatus, sent time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil || s.Version > o.config.Version {
@@ -178,8 +178,8 @@
 	return false
 }
 
-// Take implements ownerlink.Configs.
-func (o *operator) Take(packed []byte, s ownerlink.Standing, sent time.Duration) {
+// Install implements ownerlink.Configs.
+func (o *operator) Install(packed []byte, s ownerlink.ConfigStatus, sent time.Duration) {
 	c := new(jobfront.Config)
 	if err := msgpack.Unmarshal(packed, c); err != nil {
 		o.log.Error(err, "another entry VM's configuration is malformed")
