--- a/internal/engine/arrivals.go
+++ b/internal/engine/arrivals.go
@@ -6,22 +6,24 @@
 	"github.com/pumicestage/pumicestage/policy/pools"
 )
 
-// Rate of arrival.
+// Parameters of the arrival rate.
 const (
-	// arrivalWindow is what the rate is taken over: a third of what a move takes.
+	// arrivalWindow is the time over which the rate is taken: a third of the time that a move
+	// of a VM between pools takes.
 	arrivalWindow = 500 * time.Millisecond
-	// minArrivals is the fewest jobs that make a rate: a single wide job would
-	// pass for a burst.
+	// minArrivals is the fewest jobs in the window from which a rate is computed. Otherwise a
+	// single job with many tasks would look like a burst.
 	minArrivals = 4
 )
 
-// arrival is the work of one job.
+// arrival is the work of one job that arrived.
 type arrival struct {
 	at   time.Duration
 	work float64 // core-seconds
 }
 
-// recordArrival notes a job for the rate.
+// recordArrival adds a job to the arrival rate. Long-running steps don't count: their work has no
+// end.
 func (c *Core) recordArrival(j *job, now time.Duration) {
 	sum := 0.0
 	for i := range j.Steps {
@@ -33,13 +35,15 @@
 	c.arrivals = append(c.arrivals, arrival{at: now, work: sum})
 }
 
+// dropOldArrivals drops the arrivals from before the window.
 func (c *Core) dropOldArrivals(now time.Duration) {
 	for len(c.arrivals) > 0 && c.arrivals[0].at < now-arrivalWindow {
 		c.arrivals = c.arrivals[1:]
 	}
 }
 
-// arrivalRate is in core-seconds a second; 0 for too few jobs to tell.
+// arrivalRate returns the work that arrives, in core-seconds per second; 0 if fewer than
+// minArrivals jobs arrived in the window.
 func (c *Core) arrivalRate(now time.Duration) float64 {
 	c.dropOldArrivals(now)
 	if len(c.arrivals) < minArrivals {
@@ -52,10 +56,11 @@
 	return sum / arrivalWindow.Seconds()
 }
 
-// expectedHoldTime is how long a task of the step will hold its room: as learned, or as long
-// as the longest of its step has run by now, as estimates may be off by any factor. A
-// lasting task wants its room for good; it counts as what one more VM is worth to the
-// decision.
+// expectedHoldTime returns how long a task of the step is expected to occupy its resources: the
+// learned estimate, or the longest time that a task of the step has been running, as estimates
+// may be off by any factor. A long-running task occupies them for good; it counts with
+// pools.DrainTime, the time in which a backlog should be worked off, so that in the pool
+// decision it weighs as much as the capacity that it needs.
 func (c *Core) expectedHoldTime(s *step, now time.Duration) time.Duration {
 	if s.spec.LongRunning {
 		return pools.DrainTime
--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// reviewInterval is how often it is looked whether a workspace uses what the cell has for it.
-	// What it did not need for two of these goes back: within a second or so, so that a burst
-	// in another cell finds it.
+	// reviewInterval is how often the cell checks whether a workspace needs the limit share that
+	// the cell holds for it. What it did not need for two intervals is given back, within about
+	// a second, so that a burst in another cell can use it.
 	reviewInterval = 500 * time.Millisecond
-	// giveBackInterval separates changes by which parts are given back that others wait for, as the
-	// runs that hold them end: each is a transaction.
+	// giveBackInterval separates the transactions that give back parts for which other cells
+	// wait, while the runs that use them end.
 	giveBackInterval = 100 * time.Millisecond
-	// maxClaimsPerTxn is how many ledgers fit into a transaction beside the owner's key, each with
-	// a condition and a write.
+	// maxClaimsPerTxn is the number of ledgers that fit into a transaction beside the owner's
+	// key, each with a condition and a write.
 	maxClaimsPerTxn = (txnEntries - 1) / 2
 )
 
-// shareClaim is a change of what the cell holds of a workspace's limit.
+// shareClaim is a change of the cell's limit share: the parts of a workspace's limit that are
+// allocated to the cell in the workspace's ledger in the store.
 type shareClaim struct {
 	workspace work.WorkspaceName
-	rev       infra.Revision // on which it is based
+	rev       infra.Revision // of the ledger on which the change is based; 0: none is stored
 	workspace.Settlement
 }
 
-// Claims returns the changes of ledgers that are due, the largest first, and notes that they are
-// under way. What is to be given back is not used from here on: were the change carried out late,
-// another cell would have it already.
+// Claims returns the ledger changes that are due, at most maxClaimsPerTxn, those with the largest
+// allocation first, and marks them as in flight. Parts that are to be given back are not used from
+// here on: if the change takes effect unnoticed, another cell may use them at once.
 func (c *Core) Claims(now time.Duration) []shareClaim {
 	var out []shareClaim
 	hidden := c.hiddenUse(now)
@@ -44,7 +45,7 @@
 		}
 		claim := workspace.Claim{
 			Cell: c.cell, Cells: c.cells, Need: a.need,
-			// What was started or adopted since the last plan is in use, too.
+			// This includes tasks started or adopted since the last plan.
 			InUse: workspace.PartsFor(a.used.Plus(hidden[name]), a.limit),
 		}
 		if !c.claimDue(a, &claim, now) {
@@ -64,11 +65,13 @@
 	return out
 }
 
-// claimDue says whether the account's share is to change, and completes the claim.
+// claimDue reports whether the account's share must be settled now, and sets the claim's need:
+// the present one while other cells wait for parts of the limit, else the peak of the last
+// reviews.
 func (c *Core) claimDue(a *account, claim *workspace.Claim, now time.Duration) bool {
 	has := a.ledger.Of(c.cell, len(c.cells))
-	waits, noted := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
-	if waits && !noted {
+	waits, claimed := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
+	if waits && !claimed {
 		return true
 	}
 	givesBack := a.explicit && a.granted < has && claim.InUse < has && a.ledger.Contended(*claim)
@@ -83,23 +86,26 @@
 	peak := max(a.need, a.peak, a.lastPeak)
 	a.lastPeak, a.peak = a.peak, a.need
 	if a.ledger.Contended(*claim) {
-		return true // what it may need again is of use elsewhere now
+		return true // keep no reserve for later needs: another cell needs it now
 	}
 	claim.Need = peak
 	restores := a.explicit && a.granted < min(has, claim.Need)
-	return waits || noted || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
+	return waits || claimed || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
 }
 
-// settle settles the claim with the ledger as it is known; false where the ledger says so already.
+// settle computes the result of the claim on the last known ledger and lowers what the cell may
+// use accordingly. It returns false if the ledger needs no change.
 func (c *Core) settle(a *account, claim workspace.Claim) (workspace.Settlement, bool) {
 	before := a.share(len(c.cells))
 	s := a.ledger.Settle(claim)
 	a.lower(s.Usable, len(c.cells))
 	same := s.Allocated == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
-	return s, !same || s.Usable > before || a.inDoubt // what is stored makes the earlier change fail
+	// If the outcome of an earlier change is unknown, a write makes that change fail.
+	return s, !same || s.Usable > before || a.inDoubt
 }
 
-// hasUnclaimedNeed reports whether a workspace's work waits for a share that was not asked for yet.
+// hasUnclaimedNeed reports whether a workspace's work waits for a larger share that the cell has
+// not claimed yet.
 func (c *Core) hasUnclaimedNeed() bool {
 	for _, a := range c.limits.accounts {
 		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
@@ -109,9 +115,9 @@
 	return false
 }
 
-// ledgerReadDue reports whether ledgers are to be read: where another cell asked for that, where this
-// one waits for what others have, and, half as often, where it has more than its even share and
-// the word of others may have been lost.
+// ledgerReadDue reports whether ledgers must be read: because another cell asked for it, because
+// this cell waits for parts that others hold, or, half as often, because this cell holds more than
+// an even share and a request of another cell may have been lost.
 func (c *Core) ledgerReadDue(now time.Duration) bool {
 	even, due := workspace.EvenShare(len(c.cells)), false
 	for _, a := range c.limits.accounts {
@@ -124,7 +130,8 @@
 	return due
 }
 
-// MarkLedgersStale notes that another cell waits for some of the workspaces' limits, or gave back.
+// MarkLedgersStale has the ledgers of the workspaces read and their shares reviewed at once, as
+// another cell waits for parts of these limits or has given some back.
 func (c *Core) MarkLedgersStale(names []work.WorkspaceName) {
 	for _, name := range names {
 		a := c.limits.of(name)
@@ -132,8 +139,8 @@
 	}
 }
 
-// exceedsProvisionalShare reports whether the cell uses more of a limit than it may without being sure of the
-// configuration.
+// exceedsProvisionalShare reports whether the cell needs more of a limit than it may use while it
+// can't confirm that its configuration is the newest.
 func (c *Core) exceedsProvisionalShare() bool {
 	for _, a := range c.limits.accounts {
 		if a.limited() && a.need > workspace.ProvisionalShare(len(c.cells)) {
@@ -143,33 +150,34 @@
 	return false
 }
 
-// ClaimStored takes over that the change was stored.
+// ClaimStored tells the core that the change was stored, with the ledger's new revision.
 func (c *Core) ClaimStored(s shareClaim, rev infra.Revision) {
 	a := c.limits.of(s.workspace)
 	a.inFlight, a.inDoubt = false, false
 	a.ledger, a.rev = s.Ledger, rev
-	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Usable, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
+	c.log.Info("limit share changed", "workspace", a.name, "parts", s.Usable, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
 	a.granted = s.Usable
 	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
 
-// ClaimFailed takes over that the change was not stored; doubt says that it may yet be.
+// ClaimFailed tells the core that the change was not stored; doubt tells that it may have been or
+// may yet be.
 func (c *Core) ClaimFailed(s shareClaim, doubt bool) {
 	a := c.limits.of(s.workspace)
 	a.inFlight = false
 	a.inDoubt = a.inDoubt || doubt
 }
 
-// ApplyLedger takes a ledger over as the store has it. It never raises what the cell may use: a
-// change of its own that was not answered may yet be carried out, and give back what was read;
-// only a change that is stored settles that.
+// ApplyLedger sets a workspace's ledger as read from the store; rev 0: none is stored. It never
+// raises what the cell may use: a change of this cell that was not answered may still take effect
+// and give back parts that were read here. Only a later change that is stored settles this.
 func (c *Core) ApplyLedger(name work.WorkspaceName, value []byte, rev infra.Revision) {
 	a := c.limits.of(name)
 	var l workspace.Ledger
 	a.unreadable = false
 	if rev != 0 {
 		if err := json.Unmarshal(value, &l); err != nil {
-			c.log.Error(err, "ledger of a limit is malformed: the cell goes on with what it had", "workspace", name)
+			c.log.Error(err, "limit ledger is malformed, the cell keeps its share", "workspace", name)
 			a.unreadable = true
 		}
 	}
@@ -179,7 +187,8 @@
 	}
 }
 
-// ApplyNewerLedger takes a ledger over that was read while nothing of this cell's was under way.
+// ApplyNewerLedger applies a ledger read from the store if it is newer than the known one and no
+// change of this cell is in flight.
 func (c *Core) ApplyNewerLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
 	if a := c.limits.of(name); !a.inFlight && kv.ModRevision > a.rev {
@@ -187,12 +196,13 @@
 	}
 }
 
+// workspaceOf returns the workspace of a ledger's key.
 func workspaceOf(key string) work.WorkspaceName {
 	return work.WorkspaceName(strings.TrimPrefix(key, infra.WorkLimitPrefix))
 }
 
-// RestoreLedger takes over what earlier owners had. Nothing of theirs can be carried out any
-// more: the owner's key, which is in the condition of every change, is another one.
+// RestoreLedger takes the share of the cell's earlier owners over. None of their changes can take
+// effect any more: each is conditional on the owner's key, which has changed.
 func (c *Core) RestoreLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
 	c.ApplyLedger(name, kv.Value, kv.ModRevision)
--- a/internal/engine/committer.go
+++ b/internal/engine/committer.go
@@ -9,29 +9,32 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// commitMark is the value of a committer's key: who wrote last, and which of its batches.
+// commitMark is the value of a commit key. It tells which owner wrote the key last and
+// with which of its batches.
 type commitMark struct {
-	Token int64 `json:"token"`
-	Seq   int64 `json:"seq"`
+	Token int64 `json:"token"` // fencing token of the owner's term
+	Seq   int64 `json:"seq"`   // number of the committer's batch
 }
 
-// committer sends one transaction at a time, under a commit key of its own.
+// committer sends one transaction at a time to the store. Each transaction is conditional
+// on the revision of the committer's commit key and rewrites that key, so that a later
+// owner, which rewrites all commit keys, fences it.
 type committer struct {
 	w   *writer
 	key string
 
-	rev        infra.Revision // of the key
+	rev        infra.Revision // of the commit key
 	seq        int64
-	batchSince time.Duration // since when the present batch is under way; 0: none. Locked by the writer
+	batchSince time.Duration // start of the current batch on the engine's clock; 0: none. Guarded by writer.mu
 }
 
-// batch is the content of one transaction. It is sent again unchanged until its
-// outcome is known: its mark tells a later answer that it took effect.
+// batch is the content of one transaction. It is sent again until its outcome is known:
+// if an earlier attempt took effect, the commit key holds the batch's seq.
 type batch struct {
 	creates     []*creation
 	flush       Flush
 	seq         int64
-	mayBeStored bool // may have taken effect
+	mayBeStored bool // an attempt may have taken effect
 }
 
 func (b *batch) empty() bool { return len(b.creates) == 0 && len(b.flush.Changes) == 0 }
@@ -56,7 +59,7 @@
 	}
 }
 
-// finishBatch ends a batch and asks for the next if more has gathered.
+// finishBatch marks the committer as idle and triggers another batch if changes are pending.
 func (c *committer) finishBatch() {
 	w := c.w
 	w.mu.Lock()
@@ -72,6 +75,8 @@
 	}
 }
 
+// nextBatch takes pending creations and changes, as many as fit into one transaction, and
+// triggers another committer if some are left.
 func (c *committer) nextBatch() *batch {
 	w := c.w
 	c.seq++
@@ -99,7 +104,8 @@
 	return b
 }
 
-// store sends the batch until its outcome is known.
+// store sends the batch until its outcome is known or ctx ends. If the store certainly did
+// not take it, pending creations fail with ErrStore and the changes are sent again.
 func (c *committer) store(ctx context.Context, b *batch) {
 	w := c.w
 	for !b.empty() {
@@ -125,7 +131,7 @@
 		if infra.IsKind(err, infra.KindUnknown) {
 			b.mayBeStored = true
 		}
-		w.engine.Log.Info("store does not take a transaction", "seq", b.seq, "creates", len(b.creates), "changes", len(b.flush.Changes), "error", err.Error())
+		w.engine.Log.Info("store transaction failed, will retry", "seq", b.seq, "creates", len(b.creates), "changes", len(b.flush.Changes), "error", err.Error())
 		if !b.mayBeStored {
 			w.refuse(b)
 		}
@@ -138,7 +144,7 @@
 	w := c.w
 	mark, err := json.Marshal(commitMark{Token: w.engine.Term.Token(), Seq: b.seq})
 	if err != nil {
-		panic(err) // two integers: it can't fail
+		panic(err) // two integers always marshal
 	}
 	t := infra.Txn{
 		If:   []infra.Cond{{Key: c.key, ModRevision: c.rev}},
@@ -157,13 +163,14 @@
 	return t
 }
 
+// changeOps returns the writes of one job's change.
 func (w *writer) changeOps(ch Change) []infra.Op {
 	if ch.Final == "" {
 		return []infra.Op{infra.Put(infra.WorkProgressKey(w.engine.Cell, string(ch.Job)), ch.Progress)}
 	}
 	ops, err := EndOps(ch.Job, JobStub{Cell: w.engine.Cell, Workspace: ch.Workspace, State: ch.Final, Ended: w.engine.Clock.Wall()})
 	if err != nil {
-		panic(err) // strings and a time: it can't fail
+		panic(err) // strings and a time always marshal
 	}
 	if ch.DeleteProgress {
 		ops = append(ops, infra.Delete(infra.WorkProgressKey(w.engine.Cell, string(ch.Job))))
@@ -171,6 +178,7 @@
 	return ops
 }
 
+// succeeded completes a batch that took effect at the revision.
 func (c *committer) succeeded(b *batch, rev infra.Revision) {
 	c.rev = rev
 	for _, create := range b.creates {
@@ -180,8 +188,10 @@
 	c.w.finishFlush(b, nil)
 }
 
-// conflict sorts out why the conditions failed; true where the rest of the
-// batch is to be sent again.
+// conflict handles a transaction whose conditions failed; reads holds the commit key and
+// then the key of each new job. It reports whether the rest of the batch must be sent again:
+// not if a later owner has written, which ends the term, nor if an earlier attempt of this
+// batch took effect. New jobs that are stored already are taken out of the batch.
 func (c *committer) conflict(b *batch, reads []infra.KV) bool {
 	w := c.w
 	var mark commitMark
@@ -191,7 +201,7 @@
 		}
 	}
 	if len(reads) == 0 || mark.Token != w.engine.Term.Token() {
-		w.engine.Log.Info("a later owner has written", "token", mark.Token)
+		w.engine.Log.Info("fenced: a later owner has written the commit key", "token", mark.Token)
 		w.abandon(b)
 		w.engine.Term.End("a later owner has written")
 		return false
--- a/internal/engine/inbox.go
+++ b/internal/engine/inbox.go
@@ -15,39 +15,44 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Kinds of notes in the inbox.
+// Kinds of inbox messages. An entry VM that can't reach the owner of a cell stores the
+// caller's change itself and adds a message to the cell's inbox in the store.
 const (
-	InboxSubmit = "submit"
-	InboxCancel = "cancel"
+	InboxSubmit = "submit" // a new job is stored
+	InboxCancel = "cancel" // a job is stored as cancelled
 )
 
-// inboxReaders is how many jobs named by notes are read from the store at a
-// time. After seconds without an owner there are hundreds of notes; read one by
-// one they keep the last caller waiting for seconds more.
+// inboxReaders bounds the jobs named by inbox messages that are read from the store at the
+// same time. After seconds without an owner there are hundreds of messages, and reading
+// their jobs one by one would keep the last caller waiting for further seconds.
 const inboxReaders = 16
 
-// inboxMessage is one inboxMessage of an entry VM.
+// inboxMessage is a message in the cell's inbox. Its content is in its key.
 type inboxMessage struct {
 	key  string
 	kind string
 	job  work.JobID
 }
 
+// parseInboxKey returns the message under a key of the cell's inbox; false if the key is
+// malformed.
 func parseInboxKey(cell, key string) (inboxMessage, bool) {
 	kind, id, ok := strings.Cut(strings.TrimPrefix(key, infra.WorkInboxPrefix(cell)), "/")
 	return inboxMessage{key: key, kind: kind, job: work.JobID(id)}, ok
 }
 
-// readInbox follows what entry VMs wrote while they could not reach the owner.
+// readInbox handles the messages of the cell's inbox until ctx ends.
 func (e *Engine) readInbox(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := e.followInbox(ctx); err != nil && ctx.Err() == nil {
-			e.Log.Info("inbox not readable", "error", err.Error())
+			e.Log.Info("inbox can't be read, will retry", "error", err.Error())
 			sleep.For(ctx, storeRetryDelay)
 		}
 	}
 }
 
+// followInbox handles the messages that are in the inbox, and then new ones until the watch
+// ends or something fails.
 func (e *Engine) followInbox(ctx context.Context) error {
 	kvs, rev, err := e.Store.Range(ctx, infra.WorkInboxPrefix(e.Cell))
 	if err != nil {
@@ -79,6 +84,7 @@
 	return nil
 }
 
+// keysOf returns the keys of kvs.
 func keysOf(kvs []infra.KV) []string {
 	keys := make([]string, len(kvs))
 	for i := range kvs {
@@ -87,55 +93,58 @@
 	return keys
 }
 
-// handleMessages acts on the notes and removes them. Jobs are read before any
-// cancellation is acted on, and a job's record says itself if it is cancelled.
+// handleMessages handles the messages under the keys and deletes them. It reads all jobs before
+// it acts on cancellations, and a job's record itself tells whether the job is cancelled. It
+// returns ErrNotReady, and leaves the messages to the next owner, if this owner is not certain
+// of its lease.
 func (e *Engine) handleMessages(ctx context.Context, keys []string) error {
-	var notes []inboxMessage
+	var messages []inboxMessage
 	for _, key := range keys {
 		n, ok := parseInboxKey(e.Cell, key)
 		if !ok {
 			e.Log.Info("inbox key is malformed", "key", key)
 			continue
 		}
-		notes = append(notes, n)
+		messages = append(messages, n)
 	}
-	if len(notes) == 0 {
+	if len(messages) == 0 {
 		return nil
 	}
-	if err := e.readJobs(ctx, notes); err != nil {
+	if err := e.readJobs(ctx, messages); err != nil {
 		return err
 	}
 	if !e.Term.Certain() {
 		return ErrNotReady
 	}
-	for _, n := range notes {
-		e.Log.Info("note read", "kind", n.kind, "job", n.job)
+	for _, n := range messages {
+		e.Log.Info("inbox message read", "kind", n.kind, "job", n.job)
 		if n.kind == InboxCancel {
 			e.cancelFromInbox(n.job)
 		}
 	}
-	return e.deleteMessages(ctx, notes)
+	return e.deleteMessages(ctx, messages)
 }
 
-// cancelFromInbox cancels a job whose record says so already: nobody waits for it
-// to be stored again.
+// cancelFromInbox cancels a job in the core. Its stored record is marked as cancelled
+// already, so nobody waits for that to be stored.
 func (e *Engine) cancelFromInbox(id work.JobID) {
 	e.mu.Lock()
 	known := e.core.Cancel(id, func(error) {})
 	e.mu.Unlock()
 	if !known {
-		e.Log.Info("noted job is cancelled already", "job", id)
+		e.Log.Info("job of inbox message is cancelled already", "job", id)
 	}
 	kick(e.storeKick)
 	kick(e.planKick)
 }
 
-// readJobs reads the jobs that are not known yet, some at a time.
-func (e *Engine) readJobs(ctx context.Context, notes []inboxMessage) error {
+// readJobs reads the jobs of the messages that the core doesn't know yet, inboxReaders at a
+// time.
+func (e *Engine) readJobs(ctx context.Context, messages []inboxMessage) error {
 	slots := make(chan struct{}, inboxReaders)
-	errs := make([]error, len(notes))
+	errs := make([]error, len(messages))
 	var readers sync.WaitGroup
-	for i, n := range notes {
+	for i, n := range messages {
 		e.mu.Lock()
 		known := e.core.Known(n.job)
 		e.mu.Unlock()
@@ -152,22 +161,24 @@
 	return trace.Wrap(errors.Join(errs...))
 }
 
+// readJob reads a job's record and adds the job to the core. A job that has ended, or whose
+// record is malformed, is only logged.
 func (e *Engine) readJob(ctx context.Context, id work.JobID) error {
 	kv, _, err := e.Store.Get(ctx, infra.WorkOpenKey(e.Cell, string(id)))
 	if err != nil {
 		return err
 	}
 	if kv.ModRevision == 0 {
-		e.Log.Info("noted job has ended", "job", id)
+		e.Log.Info("job of inbox message has ended", "job", id)
 		return nil
 	}
 	var r JobRecord
 	if err := json.Unmarshal(kv.Value, &r); err != nil || r.Job == nil {
-		e.Log.Error(err, "job record is malformed", "job", id)
+		e.Log.Error(err, "job record is malformed, the job is not added", "job", id)
 		return nil
 	}
-	// Read without certainty, the note may be a later owner's by now, who
-	// starts the job as well.
+	// Without a certain lease there may be a later owner by now, which handles the
+	// message and starts the job as well.
 	if !e.Term.Certain() {
 		return ErrNotReady
 	}
@@ -175,8 +186,9 @@
 	return nil
 }
 
-func (e *Engine) deleteMessages(ctx context.Context, notes []inboxMessage) error {
-	for part := range slices.Chunk(notes, txnEntries) {
+// deleteMessages deletes the messages from the store.
+func (e *Engine) deleteMessages(ctx context.Context, messages []inboxMessage) error {
+	for part := range slices.Chunk(messages, txnEntries) {
 		var ops []infra.Op
 		for _, n := range part {
 			ops = append(ops, infra.Delete(n.key))
--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -10,55 +10,57 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Progress is what the store holds of an open job beside its record. All of it
-// must be stored before the ends it tells of are acknowledged.
+// Progress is the stored progress of a job that has not ended, beside its record. It must be
+// stored before the ends of runs that it reflects are acknowledged to their workers, which
+// then forget them.
 type Progress struct {
-	Next        int                  `json:"next,omitempty"` // number of the next occurrence
+	Next        int                  `json:"next,omitempty"` // number of the next occurrence to begin
 	Run         int                  `json:"run,omitempty"`  // highest run number of any task
 	Occurrences []OccurrenceProgress `json:"occurrences,omitempty"`
 }
 
-// OccurrenceProgress is of one occurrence that has begun and not ended.
+// OccurrenceProgress is the progress of an occurrence that has begun and not ended.
 type OccurrenceProgress struct {
 	Number int            `json:"number"`
 	Steps  []StepProgress `json:"steps"`
 }
 
-// StepProgress is of one step.
+// StepProgress is the progress of a step. Its maps and lists refer to tasks by index.
 type StepProgress struct {
-	Done   []int          `json:"done,omitempty"`   // indexes of tasks that are done
-	Failed map[int][]int  `json:"failed,omitempty"` // numbers of runs that failed, by index
-	Saved  map[int]string `json:"saved,omitempty"`  // newest checkpoints, by index
-	// Crashed holds the crashes of workers under tasks, by index.
+	Done   []int          `json:"done,omitempty"`   // tasks that are done
+	Failed map[int][]int  `json:"failed,omitempty"` // numbers of a task's failed runs
+	Saved  map[int]string `json:"saved,omitempty"`  // a task's newest checkpoint
+	// Crashed holds the crashes of workers that happened while they ran a task.
 	Crashed map[int]crashes.Record `json:"crashed,omitempty"`
-	// Trials are the indexes of suspects whose next start may crash a worker. A later owner
-	// that does not find it running takes it to have done so.
+	// Trials lists suspect tasks, whose next start may crash a worker. A later owner that
+	// does not find such a task running presumes that it did.
 	Trials []int `json:"trials,omitempty"`
 }
 
-// Change is one job's progress to store.
+// Change is a job's new progress or end, to be stored.
 type Change struct {
 	Job       work.JobID
 	Workspace work.WorkspaceName
-	Final     work.State // set: the job has ended
-	Progress  []byte     // else
-	// DeleteProgress: an earlier progress of a job that has ended may be stored.
+	Final     work.State // state in which the job ended; empty: it has not
+	Progress  []byte     // encoded Progress of a job that has not ended
+	// DeleteProgress is set for a job that has ended if progress of it may be stored.
 	DeleteProgress bool
 }
 
-// Flush is a set of changes under way to the store. Several may be at a time, no
-// two of the same job.
+// Flush is a set of changes in flight to the store. Several flushes may be in flight, but
+// never two with the same job.
 type Flush struct {
 	Changes []Change
 }
 
-// Entries a change takes in a transaction.
+// Numbers of transaction entries that a change takes.
 const (
 	progressEntries = 1
-	endEntries      = 2 // the short key and the record
-	clearEntries    = 1 // the progress of a job that has ended
+	endEntries      = 2 // the short key is written, the record deleted
+	clearEntries    = 1 // the stored progress of an ended job is deleted
 )
 
+// entries returns the number of transaction entries for the job's pending change.
 func (j *job) entries() int {
 	switch {
 	case j.final == "":
@@ -69,8 +71,8 @@
 	return endEntries
 }
 
-// Dirty counts the jobs with changes to store that are not under way; final is how
-// many of them ended.
+// Dirty returns the number of jobs with changes to store, without those that have a change in
+// flight; final is how many of them have ended.
 func (c *Core) Dirty() (all, final int) {
 	for id, j := range c.dirty {
 		if _, flying := c.flying[id]; flying {
@@ -84,11 +86,12 @@
 	return all, final
 }
 
-// TakeFlush returns changes to store, as many as fit in so many entries, and none of
-// a job of which an earlier one is under way: it could take effect after this one.
-// Ended jobs go first, as their callers wait, then what has waited longest: ends
-// are acknowledged up to the first whose effect is not stored, and were that to
-// wait for a moment without any change, a busy cell would acknowledge nothing.
+// TakeFlush returns changes to store, as many as fit in the given number of transaction
+// entries. It skips jobs with an earlier change in flight, which could take effect after this
+// one. Ended jobs come first, since their callers wait, and then the jobs that have been dirty
+// longest: workers' ends are acknowledged only up to the first whose effect is not stored,
+// and if old changes had to wait for a moment without newer ones, a busy cell would
+// acknowledge nothing.
 func (c *Core) TakeFlush(entries int) Flush {
 	jobs := make([]*job, 0, len(c.dirty))
 	for id, j := range c.dirty {
@@ -113,7 +116,8 @@
 	return f
 }
 
-// firstUnstoredEnd is the first end taken in whose effect may not be stored.
+// firstUnstoredEnd returns the number of the first end of a run whose effect may not be
+// stored yet, counted over all ends that this owner received.
 func (c *Core) firstUnstoredEnd() int64 {
 	mark := c.endings + 1
 	for _, j := range c.dirty {
@@ -125,8 +129,8 @@
 	return mark
 }
 
-// hasUnacknowledgedEnds reports whether ends wait to be acknowledged, although nothing of
-// them may need to be stored.
+// hasUnacknowledgedEnds reports whether ends of runs are yet to be acknowledged to a worker.
+// That may hold with nothing left to store.
 func (c *Core) hasUnacknowledgedEnds() bool {
 	for _, w := range c.workers {
 		if w.stored < w.seen {
@@ -136,6 +140,7 @@
 	return false
 }
 
+// change returns the job's present progress, or its end.
 func (j *job) change() Change {
 	if j.final != "" {
 		return Change{Job: j.ID, Workspace: j.Workspace, Final: j.final, DeleteProgress: j.kept}
@@ -170,12 +175,12 @@
 	}
 	raw, err := json.Marshal(p)
 	if err != nil {
-		// Plain numbers and strings: it can't fail.
-		panic(err)
+		panic(err) // plain numbers and strings always marshal
 	}
 	return Change{Job: j.ID, Progress: raw}
 }
 
+// put sets m[key] and returns m, which it makes if it is nil.
 func put[V any](m map[int]V, key int, v V) map[int]V {
 	if m == nil {
 		m = make(map[int]V)
@@ -184,8 +189,9 @@
 	return m
 }
 
-// Flushed says that the changes are stored, or with an error that they are not. It
-// returns the idle workers that have ends to be acknowledged since.
+// Flushed tells the core the outcome of a flush: nil if the changes are stored, else an error,
+// after which they may or may not be and are sent again. It returns the workers without tasks
+// whose ends can be acknowledged now.
 func (c *Core) Flushed(f Flush, err error) []work.WorkerID {
 	for _, ch := range f.Changes {
 		touched := c.flying[ch.Job]
@@ -196,7 +202,7 @@
 		case err != nil:
 			c.dirty[ch.Job] = j
 			j.touched = touched
-			// It may have taken effect all the same.
+			// The write may have taken effect despite the error.
 			j.kept = j.kept || ch.Final == ""
 		case ch.Final != "":
 			c.endStored(j)
@@ -218,6 +224,7 @@
 	return acknowledge
 }
 
+// endStored completes a job whose end is stored and answers the callers that wait for that.
 func (c *Core) endStored(j *job) {
 	j.stored = true
 	for _, f := range j.onEnd {
@@ -225,22 +232,23 @@
 	}
 	j.onEnd = nil
 	c.stale = append(c.stale, endedJob{id: j.ID, at: c.now})
-	// What still runs is stopped as strays or by its own stop orders; the
-	// tasks are kept until their workers have ended them.
+	// Runs that remain are stopped by their stop orders or as orphaned runs; the tasks
+	// are kept until their workers have ended them.
 	j.Spec = ""
 }
 
-// keepEnded is how long an ended job is kept in memory. Callers ask for states
-// mostly right after the end; later ones are answered from the store.
+// keepEnded is how long an ended job is kept in memory. Callers mostly query a job right
+// after its end; later queries are answered from the store.
 const keepEnded = 3 * time.Minute
 
-// endedJob is a job that ended, and when that was stored.
+// endedJob is an ended job and the time at which its end was stored.
 type endedJob struct {
 	id work.JobID
 	at time.Duration
 }
 
-// forgetEnded drops jobs that ended long ago: a term may last for weeks.
+// forgetEnded drops jobs that ended more than keepEnded ago. A term may last for weeks, in
+// which they would fill the memory.
 func (c *Core) forgetEnded(now time.Duration) {
 	for len(c.stale) > 0 && now > c.stale[0].at+keepEnded {
 		id := c.stale[0].id
@@ -253,8 +261,8 @@
 	}
 }
 
-// hasTasksOnWorkers reports whether a worker has something of the job. Its tasks are
-// needed until they are certain to be over: they hold room there.
+// hasTasksOnWorkers reports whether a worker still has tasks of the job. They are needed until
+// they are certain to have ended, as they occupy capacity there.
 func (c *Core) hasTasksOnWorkers(id work.JobID) bool {
 	for _, w := range c.workers {
 		for ref := range w.tasks {
@@ -266,7 +274,8 @@
 	return false
 }
 
-// Restore adds a job that was accepted before this owner took over.
+// Restore adds a job that was accepted before this owner took over; p is nil if no progress
+// is stored. now and wall are the present on the engine's and the wall clock.
 func (c *Core) Restore(r *JobRecord, p *Progress, now time.Duration, wall time.Time) {
 	if c.jobs[r.Job.ID] != nil {
 		return
@@ -276,8 +285,8 @@
 		q = known
 	}
 	q.Service = c.cell
-	// Its age counts from the acceptance, by the wall clock of the VM that
-	// took it; a clock that is off must not make it older than it can be.
+	// The age counts from the acceptance by the wall clock of the VM that accepted the
+	// job. If that clock is ahead of this one, the age counts as 0.
 	age := max(0, wall.Sub(r.Job.Accepted))
 	j := newJob(r.Job, q, now-age)
 	j.restored = true
@@ -291,12 +300,13 @@
 	j.eachTask(func(t *task) { c.judgeRecord(t, now) })
 }
 
-// restoredRunOffset is added to the run numbers of restored tasks. An earlier owner
-// may have started some without a note of it, at most as often as a task may
-// fail, lapse or be refused within its reign; a worker rejects a run that is not
-// higher than one it ended.
+// restoredRunOffset is added to the run numbers of restored tasks. An earlier owner may have
+// started runs that are not stored, at most as many as a task may fail, lose its lease or be
+// refused in one term, and a worker rejects a run whose number is not higher than that of
+// one it ended.
 const restoredRunOffset = 100
 
+// restore sets the job's state from its stored progress.
 func (j *job) restore(p *Progress) {
 	j.baseRun = p.Run + restoredRunOffset
 	for _, op := range p.Occurrences {
@@ -309,6 +319,7 @@
 	j.next = max(j.next, p.Next)
 }
 
+// restore sets the state of the step's tasks. Indexes beyond the step's tasks are ignored.
 func (s *step) restore(p *StepProgress) {
 	for _, i := range p.Done {
 		if i < len(s.tasks) {
@@ -342,8 +353,8 @@
 	}
 }
 
-// FinishRestore ends the restoring of jobs: it opens what is due, as workers may
-// list tasks of it with their first answer, and finishes what was complete.
+// FinishRestore is called after the last Restore. It opens occurrences that are due, since
+// workers may list tasks of them in their first answer, and ends jobs that are complete.
 func (c *Core) FinishRestore(now time.Duration, wall time.Time) {
 	c.openOccurrences(now, wall)
 	for _, j := range slices.Clone(c.open) {
--- a/internal/engine/records.go
+++ b/internal/engine/records.go
@@ -8,26 +8,26 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// JobStub is what the store holds under a job's ID for as long as it may be
-// asked for. It is made when the job is accepted and must stay: it keeps the ID
-// from being used again.
+// JobStub is the value of a job's short key. It is written when the job is accepted and
+// stays for as long as callers may ask for the job's state, since the key also prevents a
+// second job with the same ID.
 type JobStub struct {
-	Cell string `json:"cell,omitempty"` // whose owner knows more
-	// Workspace is whose the job is; empty: it may be asked about and cancelled by anybody.
+	Cell string `json:"cell,omitempty"` // its owner knows the state of a job that has not ended
+	// Workspace owns the job; empty: any caller may query and cancel it.
 	Workspace work.WorkspaceName `json:"workspace,omitempty"`
 
 	State work.State `json:"state,omitempty"` // empty until the job has ended
 	Ended time.Time  `json:"ended,omitzero"`
 }
 
-// JobRecord is what the store holds of a job until it ends.
+// JobRecord is the stored description of a job that has not ended.
 type JobRecord struct {
 	Job   *work.Job `json:"job"`
 	Queue Queue     `json:"queue"` // as configured when accepted
 }
 
-// CreateOps returns the writes that accept a job. They belong under the condition
-// that the job's key is absent.
+// CreateOps returns the writes that accept a job: its short key and its record. The
+// transaction must be conditional on the absence of the short key.
 func CreateOps(cell string, j *work.Job, q Queue) ([]infra.Op, error) {
 	stub, err := json.Marshal(JobStub{Cell: cell, Workspace: j.Workspace})
 	if err != nil {
@@ -41,7 +41,8 @@
 	return []infra.Op{infra.Put(infra.WorkJobKey(id), stub), infra.Put(infra.WorkOpenKey(cell, id), record)}, nil
 }
 
-// EndOps returns the writes that end a job in the way that the stub says.
+// EndOps returns the writes that end a job: the stub with its final state replaces the
+// short key's value, and the record is deleted.
 func EndOps(id work.JobID, stub JobStub) ([]infra.Op, error) {
 	raw, err := json.Marshal(stub)
 	if err != nil {
@@ -50,9 +51,10 @@
 	return []infra.Op{infra.Put(infra.WorkJobKey(string(id)), raw), infra.Delete(infra.WorkOpenKey(stub.Cell, string(id)))}, nil
 }
 
-// SameWorkspace is nil where the stub is of a job that the caller handed in before, and
-// ErrOtherWorkspace where the ID is another workspace's. A stub that can't be read is taken
-// for the caller's: the job is there, and a repeated call must not be told that it is not.
+// SameWorkspace returns nil if the stored stub belongs to j's workspace, so that j repeats an
+// earlier submission, and ErrOtherWorkspace if another workspace uses the ID. A malformed
+// stub counts as the caller's: the job exists, and a repeated submission must not be told
+// that it doesn't.
 func SameWorkspace(stub []byte, j *work.Job) error {
 	var s JobStub
 	if err := json.Unmarshal(stub, &s); err == nil && s.Workspace != j.Workspace {
@@ -61,5 +63,6 @@
 	return nil
 }
 
-// MayAccess reports whether callers of the workspace may see and cancel a job of the owner's.
+// MayAccess reports whether callers of workspace caller may query and cancel a job of
+// workspace owner. A job without a workspace is open to all.
 func MayAccess(owner, caller work.WorkspaceName) bool { return owner == "" || owner == caller }
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -14,24 +14,24 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// OwnerGrace is how long an owner that can't reach the store goes on giving
-// orders after its lease was last certain. Outages of the store last some
-// seconds, and work that runs would lapse in them for nothing; a successor waits
-// as much longer for workers it can't reach.
+// OwnerGrace is how long an owner that can't reach the store goes on giving orders after its
+// lease was last certain. Outages of the store last some seconds, in which running tasks
+// would lose their leases for nothing. In return a successor waits as much longer for
+// workers that it can't reach.
 const OwnerGrace = 5 * time.Second
 
-// inheritedLeaseTime is how long after a take-over an earlier owner's leases may
-// last on a worker that was not heard.
+// inheritedLeaseTime returns how long after a take-over leases of an earlier owner may still
+// run on a worker that has not answered this one.
 func inheritedLeaseTime() time.Duration {
 	lease := time.Duration(float64(LeaseAhead) * (1 + clockError))
 	return OwnerGrace + lease + expirySlack
 }
 
-// takeCommitKeysTimeout ends one try at writing the commit keys.
+// takeCommitKeysTimeout bounds one attempt to write all commit keys.
 const takeCommitKeysTimeout = 3 * time.Second
 
-// restore takes the commit keys over, which fences every transaction of earlier
-// owners, and then reads all jobs.
+// restore rewrites the commit keys, which fences all transactions of earlier owners, and then
+// reads all jobs. It retries until ctx ends or a later owner is found to have written.
 func (e *Engine) restore(ctx context.Context) error {
 	for ctx.Err() == nil {
 		first, err := e.takeCommitKeys(ctx)
@@ -41,13 +41,15 @@
 		if err == nil || trace.IsCompareFailed(err) {
 			return err
 		}
-		e.Log.Info("can't take over yet", "error", err.Error())
+		e.Log.Info("take-over failed, will retry", "error", err.Error())
 		sleep.For(ctx, storeRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// takeCommitKeys writes all commit keys; first reports that nobody had before.
+// takeCommitKeys writes all commit keys with this term's token; first reports that none of
+// them existed, so that the cell never had an owner. If a later owner has written one, the
+// error is a trace.CompareFailed.
 func (e *Engine) takeCommitKeys(ctx context.Context) (first bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, takeCommitKeysTimeout)
 	defer cancel()
@@ -66,7 +68,7 @@
 	return !slices.Contains(fresh[:], false), trace.NewAggregate(errs[:]...)
 }
 
-// takeCommitKey writes a commit key; fresh reports that it did not exist.
+// takeCommitKey writes one commit key; fresh reports that it did not exist.
 func (e *Engine) takeCommitKey(ctx context.Context, c *committer) (fresh bool, err error) {
 	kv, _, err := e.Store.Get(ctx, c.key)
 	if err != nil {
@@ -79,10 +81,10 @@
 		}
 	}
 	if old.Token > e.Term.Token() {
-		return false, trace.CompareFailed("a later owner, token %d, has written", old.Token)
+		return false, trace.CompareFailed("a later owner with token %d has written commit key %q", old.Token, c.key)
 	}
 	if old.Token == e.Term.Token() {
-		// An earlier try of ours took effect without an answer.
+		// An earlier attempt of this term took effect, but its answer was lost.
 		c.rev = kv.ModRevision
 		return false, nil
 	}
@@ -98,12 +100,14 @@
 		return false, trace.Wrap(err)
 	}
 	if !res.Succeeded {
-		return false, trace.ConnectionProblem(nil, "the commit key changed meanwhile")
+		return false, trace.ConnectionProblem(nil, "commit key %q was changed by another writer", c.key)
 	}
 	c.rev = res.Revision
 	return kv.ModRevision == 0, nil
 }
 
+// load reads the cell's state from the store into the core. Unless the cell is new (first),
+// leases of earlier owners are taken into account.
 func (e *Engine) load(ctx context.Context, first bool) error {
 	progress, jobs, ledgers, err := e.readStored(ctx)
 	if err != nil {
@@ -113,7 +117,7 @@
 	for _, kv := range progress {
 		var p Progress
 		if err := json.Unmarshal(kv.Value, &p); err != nil {
-			e.Log.Error(err, "progress is malformed: the job starts over", "key", kv.Key)
+			e.Log.Error(err, "job progress is malformed, the job starts over", "key", kv.Key)
 			continue
 		}
 		byJob[strings.TrimPrefix(kv.Key, infra.WorkProgressPrefix(e.Cell))] = &p
@@ -128,7 +132,7 @@
 	for _, kv := range jobs {
 		var r JobRecord
 		if err := json.Unmarshal(kv.Value, &r); err != nil || r.Job == nil {
-			e.Log.Error(err, "job record is malformed and left alone", "key", kv.Key)
+			e.Log.Error(err, "job record is malformed, the job is not restored", "key", kv.Key)
 			continue
 		}
 		e.core.Restore(&r, byJob[string(r.Job.ID)], now, wall)
@@ -143,11 +147,12 @@
 	return nil
 }
 
-// readStored reads the cell's progress and open jobs and what it holds of limits, and waits for the list of
-// workers meanwhile: while the store is slow each call takes a fifth of a second, and
-// nobody owns the cell. No earlier owner writes any more, so their order is free. Each page
-// has its time at the store's client: a bound on all of them would never let a cell of
-// thousands of jobs be read from a slow store.
+// readStored reads the progress of the cell's jobs, its open jobs and the ledgers of limits,
+// and at the same time waits for the list of workers. It does so in parallel, because a slow
+// store takes a fifth of a second for each call while no owner serves the cell; the order
+// doesn't matter, as earlier owners are fenced. There is no overall deadline, with which a
+// cell with thousands of jobs could never be read from a slow store: the store's client
+// bounds each page.
 func (e *Engine) readStored(ctx context.Context) (progress, jobs, ledgers []infra.KV, err error) {
 	var progressErr, jobsErr, ledgersErr error
 	var readers sync.WaitGroup
@@ -161,12 +166,12 @@
 	return progress, jobs, ledgers, trace.NewAggregate(progressErr, jobsErr, ledgersErr)
 }
 
-// addFoundJob adds a job that an entry VM stored itself.
+// addFoundJob adds a job that an entry VM stored without reaching the owner.
 func (e *Engine) addFoundJob(r *JobRecord) {
 	e.mu.Lock()
 	if e.core.jobs[r.Job.ID] == nil {
 		e.core.Restore(r, nil, e.Clock.Now(), e.Clock.Wall())
-		// It was stored after this term began: no earlier owner knew it.
+		// The job was stored after this term began, so no earlier owner can have started it.
 		e.core.jobs[r.Job.ID].restored = false
 	}
 	e.mu.Unlock()
--- a/internal/engine/retention.go
+++ b/internal/engine/retention.go
@@ -14,43 +14,44 @@
 )
 
 const (
-	// keepAfterStatus is how long a job's short key stays beyond the time for which
-	// its state may be asked. The key keeps the ID from becoming a second job, and
-	// callers repeat a request for seconds at most; minutes also cover clocks that
-	// differ.
+	// keepAfterStatus is how long a job's short key stays after its state can no longer be
+	// queried. The key prevents a second job with the same ID. Callers repeat a request
+	// for seconds at most; minutes also cover differences between clocks.
 	keepAfterStatus = 10 * time.Minute
-	// retentionInterval separates passes. Each lists all short keys, some hundreds a
-	// priced call.
+	// retentionInterval separates passes. Each pass lists all short keys, some hundreds
+	// with each call, and the store's calls are billed.
 	retentionInterval = 5 * time.Minute
-	// deletionEntries is what one key takes of a transaction: a condition and a
+	// deletionEntries is the number of transaction entries for one key: a condition and a
 	// deletion.
 	deletionEntries = 2
 )
 
-// Retention deletes the short keys of jobs that ended long ago. Without it the store
-// grows with every job there ever was. One entry VM at a time runs it.
+// Retention deletes the short keys of jobs that ended long ago, without which the store would
+// grow with every job. Only one entry VM at a time runs it.
 type Retention struct {
 	Store infra.Store
 	Clock Clock
 	Log   logr.Logger
-	// StatusPeriod is for how long a job's state may be asked after its end.
+	// StatusPeriod is how long after its end a job's state can be queried.
 	StatusPeriod time.Duration
 }
 
-// Run makes passes until ctx ends. The first comes after the pause: an entry VM may
-// have the duty for moments only.
+// Run makes a pass every retentionInterval until ctx ends. The first pass comes after one
+// interval, as an entry VM may have this duty for moments only.
 func (r *Retention) Run(ctx context.Context) {
 	for sleep.For(ctx, retentionInterval) {
 		deleted, err := r.Pass(ctx)
 		if err != nil && ctx.Err() == nil {
-			r.Log.Info("ended jobs not deleted; the next pass does it", "deleted", deleted, "error", err.Error())
+			r.Log.Info("retention pass failed, the next pass deletes the rest", "deleted", deleted, "error", err.Error())
 			continue
 		}
-		r.Log.Info("ended jobs deleted", "deleted", deleted)
+		r.Log.Info("retention pass deleted keys of ended jobs", "deleted", deleted)
 	}
 }
 
-// Pass deletes what is old enough now and returns how much.
+// Pass deletes the short keys that have expired and returns their number. Keys that change
+// meanwhile are left to the next pass, with those of their transaction. After an error
+// deleted counts what was deleted before.
 func (r *Retention) Pass(ctx context.Context) (deleted int, err error) {
 	kvs, _, err := r.Store.Range(ctx, infra.WorkJobPrefix)
 	if err != nil {
@@ -74,11 +75,12 @@
 	return deleted, nil
 }
 
-// expired reports whether the key is of a job that ended long enough ago.
+// expired reports whether the key belongs to a job whose end is more than StatusPeriod and
+// keepAfterStatus ago.
 func (r *Retention) expired(kv infra.KV) bool {
 	var stub JobStub
 	if err := json.Unmarshal(kv.Value, &stub); err != nil {
-		r.Log.Error(err, "job's key is malformed and stays", "key", kv.Key)
+		r.Log.Error(err, "job key is malformed and is kept", "key", kv.Key)
 		return false
 	}
 	return stub.State.Ended() && r.Clock.Wall().After(stub.Ended.Add(r.StatusPeriod+keepAfterStatus))
--- a/internal/engine/writer.go
+++ b/internal/engine/writer.go
@@ -10,59 +10,62 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// The owner's writes go out in transactions, each with what has gathered meanwhile:
-// the store takes a few hundred writes a second, tasks end and jobs come faster than
-// that. One transaction at a time is under way, and more while more waits than one
-// holds: a store that answers in four milliseconds takes a hundred a second one by one,
-// each with the ends of five jobs, and a burst of a large service has four hundred
-// jobs a second.
+// The owner groups its writes into transactions (group commit): the store takes a few
+// hundred writes a second, and tasks end and jobs arrive faster than that. Normally one
+// transaction is in flight; more are while the pending changes exceed one transaction.
+// A store that answers in 4 ms takes about a hundred transactions a second one after
+// the other, each with the ends of five jobs, whereas a burst of a large service has four
+// hundred jobs a second. An entry is one condition or one write of a transaction.
 const (
-	// txnEntries is the most a transaction of the users' store holds.
+	// txnEntries is the maximum number of entries that the users' store accepts in a
+	// transaction.
 	txnEntries = 32
-	// committerCount bounds the transactions under way at a time; with all of them a
-	// cell makes some four hundred calls a second, a third of what the store of a
-	// large deployment takes from all.
+	// committerCount bounds the transactions in flight. With all of them a cell makes
+	// some four hundred calls a second, a third of what the store of a large deployment
+	// takes in total.
 	committerCount = 4
-	// maxCreates leaves room for progress beside new jobs.
+	// maxCreates bounds the new jobs in a transaction, so that progress fits in as well.
 	maxCreates = 8
-	// maxCreatesBesideEnds is the same while ended jobs wait as well: callers of both
-	// wait, and new ones alone would leave room for three ends.
+	// maxCreatesBesideEnds is the bound while ended jobs are pending too: callers wait
+	// for both, and with maxCreates new jobs only three ends would fit.
 	maxCreatesBesideEnds = 5
-	// commitEntries is what the commit key takes: a condition and a write.
+	// commitEntries is the number of entries for the commit key: a condition and a write.
 	commitEntries = 2
-	// createEntries is what a new job takes: its condition, its short key and
-	// its record.
+	// createEntries is the number of entries for a new job: the condition, its short key
+	// and its record.
 	createEntries = 3
-	// backgroundCommitDelay is how long ends that nobody waits for may gather.
+	// backgroundCommitDelay is how long a batch waits for more changes if no caller waits
+	// for any of them.
 	backgroundCommitDelay = 60 * time.Millisecond
-	// urgentCommitDelay is how long new jobs and final states may gather.
+	// urgentCommitDelay is how long a batch with new jobs or final states waits for more.
 	urgentCommitDelay = 3 * time.Millisecond
-	// storeTimeout ends a transaction without an answer; it is sent again.
+	// storeTimeout bounds one attempt at a transaction; the batch is then sent again.
 	storeTimeout = 700 * time.Millisecond
-	// storeRetryDelay separates tries while the store is in trouble.
+	// storeRetryDelay separates attempts while the store fails.
 	storeRetryDelay = 100 * time.Millisecond
-	// stalledAfter is how long a transaction may be under way until new jobs
-	// are refused at once: they could only wait behind it.
+	// stalledAfter is how long a transaction may be in flight before new jobs are refused
+	// at once, as they could only wait behind it.
 	stalledAfter = 400 * time.Millisecond
 )
 
+// creation is a new job that waits to be stored.
 type creation struct {
 	job   *work.Job
 	queue Queue
 	ops   []infra.Op
-	done  chan error
+	done  chan error // receives the outcome; nil: the job is stored
 }
 
-// writer stores what the core decides.
+// writer stores new jobs and the core's changes of jobs in the store.
 type writer struct {
 	engine     *Engine
 	committers [committerCount]*committer
 
 	mu      sync.Mutex
 	waiting []*creation
-	active  int // committers at work
+	active  int // committers with a batch
 
-	// gatherWake is told what comes while a committer gathers.
+	// gatherWake is signalled when changes arrive while a committer is in gather.
 	gatherWake chan struct{}
 }
 
@@ -74,7 +77,9 @@
 	return w
 }
 
-// create stores a new job with the next batch.
+// create stores a new job with the next batch and waits for the outcome. ErrStore and
+// ErrNotReady mean that it is not stored, ErrUncertain that it may be, and
+// ErrOtherWorkspace that the ID belongs to a job of another workspace.
 func (w *writer) create(ctx context.Context, j *work.Job, q Queue) error {
 	ops, err := CreateOps(w.engine.Cell, j, q)
 	if err != nil {
@@ -100,7 +105,8 @@
 	}
 }
 
-// stalledLocked reports whether a transaction has been under way for long.
+// stalledLocked reports whether a transaction has been in flight for longer than
+// stalledAfter. The caller holds w.mu.
 func (w *writer) stalledLocked() bool {
 	now := w.engine.Clock.Now()
 	for _, c := range w.committers {
@@ -111,7 +117,7 @@
 	return false
 }
 
-// withdraw takes back a job that is in no batch yet.
+// withdraw removes a creation that is in no batch yet and reports whether it did.
 func (w *writer) withdraw(c *creation) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -124,6 +130,7 @@
 	return false
 }
 
+// run runs the committers until ctx ends and then refuses the creations still waiting.
 func (w *writer) run(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, c := range w.committers {
@@ -133,9 +140,9 @@
 	w.refuseAll()
 }
 
-// startBatch reports whether a committer is to take a batch now, and whether it is the only
-// one. Others join it while more waits than one transaction holds; sooner they would
-// but share the same writes out over more calls.
+// startBatch reports whether a committer may take a batch now, and whether it is the only
+// one with a batch. Further committers start only if the urgent changes exceed one
+// transaction; otherwise they would spread the same writes over more calls.
 func (w *writer) startBatch() (first, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -146,7 +153,8 @@
 	return w.active == 1, true
 }
 
-// urgentEntries counts the entries of what callers wait for.
+// urgentEntries returns the number of entries for which callers wait: the given number of
+// creations and the ends of jobs.
 func (w *writer) urgentEntries(creates int) int {
 	w.engine.mu.Lock()
 	defer w.engine.mu.Unlock()
@@ -154,7 +162,8 @@
 	return creates*createEntries + final*endEntries
 }
 
-// gather waits for company: shortly if somebody waits for an answer.
+// gather waits for more changes to share the transaction: urgentCommitDelay if a caller
+// waits for one of them, else backgroundCommitDelay or until one is urgent.
 func (w *writer) gather(ctx context.Context) {
 	if w.urgent() {
 		sleep.For(ctx, urgentCommitDelay)
@@ -175,6 +184,7 @@
 	}
 }
 
+// urgent reports whether a caller waits for a pending change.
 func (w *writer) urgent() bool {
 	w.mu.Lock()
 	creates := len(w.waiting)
@@ -182,6 +192,8 @@
 	return w.urgentEntries(creates) > 0
 }
 
+// finishFlush reports the outcome of the batch's changes to the core and wakes the sessions
+// of workers whose ends can be acknowledged now.
 func (w *writer) finishFlush(b *batch, err error) {
 	w.engine.mu.Lock()
 	acknowledge := w.engine.core.Flushed(b.flush, err)
@@ -192,16 +204,16 @@
 	}
 }
 
-// alreadyStored accepts a job whose key is there: it came before by another entry VM,
-// whose note brings it here if it has not ended.
+// alreadyStored completes a creation whose job key exists: another entry VM stored the job
+// before, and its inbox message brings the job here unless it has ended.
 func (w *writer) alreadyStored(c *creation, stub []byte) {
 	err := SameWorkspace(stub, c.job)
-	w.engine.Log.Info("job was stored before", "job", c.job.ID, "workspace", c.job.Workspace, "another workspace's", err != nil)
+	w.engine.Log.Info("job is already stored", "job", c.job.ID, "workspace", c.job.Workspace, "another workspace's", err != nil)
 	c.done <- err
 }
 
-// refuse gives the batch up where it is certain that nothing of it is or will
-// be stored.
+// refuse fails the batch's creations and all waiting ones with ErrStore. It is called only
+// if it is certain that none of them is or will be stored.
 func (w *writer) refuse(b *batch) {
 	for _, c := range b.creates {
 		c.done <- ErrStore
@@ -216,7 +228,8 @@
 	}
 }
 
-// abandon ends the batch with the term: its outcome is for the successor.
+// abandon gives the batch up at the end of the term. Whether it took effect is left to the
+// next owner, which reads the store.
 func (w *writer) abandon(b *batch) {
 	for _, c := range b.creates {
 		if b.mayBeStored {
@@ -230,6 +243,7 @@
 	w.engine.mu.Unlock()
 }
 
+// refuseAll fails all waiting creations with ErrNotReady.
 func (w *writer) refuseAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
