--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// busyCell is a cell of a busyCell deployment in the middle of a burst: its workers
-// are full and several hundred jobs wait.
+// busyCell returns the core of a cell with the given numbers of workers and waiting jobs, and the
+// present on its clock. Each job has two steps of eight tasks, one after the other.
 func busyCell(b *testing.B, workers, jobs int) (*Core, time.Duration) {
 	b.Helper()
 	now := time.Hour
@@ -36,8 +36,8 @@
 	return c, now
 }
 
-// BenchmarkPlanWhileFull is what each plan costs while nothing fits: it is made
-// at every answer of a worker.
+// BenchmarkPlanWhileFull measures a plan while no task fits on a worker. A plan is made at every
+// answer of a worker.
 func BenchmarkPlanWhileFull(b *testing.B) {
 	c, now := busyCell(b, 70, 500)
 	c.Plan(now, epoch)
@@ -48,8 +48,8 @@
 	}
 }
 
-// BenchmarkPlanOfManyWorkspaces is a plan over two thousand waiting steps of 82 workspaces while
-// the pool is full, without limits, far from them, and with each at its limit.
+// BenchmarkPlanOfManyWorkspaces measures a plan over two thousand waiting steps of 82 workspaces while
+// the pool is full: without limits, far from the limits, and with each workspace at its limit.
 func BenchmarkPlanOfManyWorkspaces(b *testing.B) {
 	const workspaces, waiting = 82, 2000
 	for _, c := range []struct {
@@ -79,8 +79,8 @@
 	}
 }
 
-// BenchmarkReport is what the fleet's owner asks of each cell several times a
-// second.
+// BenchmarkReport measures the report that the fleet's owner requests from each cell several
+// times a second.
 func BenchmarkReport(b *testing.B) {
 	c, now := busyCell(b, 70, 500)
 	c.Plan(now, epoch)
@@ -90,10 +90,9 @@
 	}
 }
 
-// BenchmarkBurstOfALargeCell plays a second of a burst on a cell that has drawn most
-// of a fleet: 270 workers, ten tasks on each, more waiting than fits. Workers are
-// polled and plans made as often as an engine does. The figure to read is the time
-// for each start.
+// BenchmarkBurstOfALargeCell simulates a second of a burst on a cell that has most of a fleet's
+// VMs: 270 workers with ten tasks each, and more tasks waiting than fit. Workers are polled and
+// plans made as often as by an engine. The relevant result is ns/start.
 func BenchmarkBurstOfALargeCell(b *testing.B) {
 	starts := 0
 	for b.Loop() {
@@ -108,6 +107,7 @@
 	burstPlanInterval = 10 * time.Millisecond // between plans
 )
 
+// runBurst simulates the burst and returns the number of starts.
 func runBurst(b *testing.B) (starts int) {
 	c, now := busyCell(b, burstWorkers, 0)
 	accept := func(n int) {
@@ -165,8 +165,8 @@
 	return starts
 }
 
-// BenchmarkWorkerCrashes is the crash of one of six hundred full workers: what ran there is
-// blamed or not, and waits again.
+// BenchmarkWorkerCrashes measures the handling of a crash of one of six hundred full workers: the core
+// decides which of its tasks are suspects and queues them again.
 func BenchmarkWorkerCrashes(b *testing.B) {
 	c, now := busyCell(b, 600, 1000)
 	for range 8 {
@@ -209,8 +209,8 @@
 	}
 }
 
-// BenchmarkStartsInALargePool is what the starts of a burst cost the owner of a pool that is
-// nearly empty: twelve jobs arrive between two plans. The figure to read is the time a start.
+// BenchmarkStartsInALargePool measures the starts of a burst in a pool that is nearly empty: twelve jobs
+// arrive between two plans. The relevant result is ns/start.
 func BenchmarkStartsInALargePool(b *testing.B) {
 	for _, workers := range []int{365, 1460, 2920} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -9,9 +9,9 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// A task is cut by a move. The decision saw the VM empty, and a task was started
-// before the order: the claim of the VM and the start are one after the other at
-// the cell's owner, so one of them loses.
+// Guards against a VM being moved to another pool under a running task: the VM was empty
+// when the move was decided, and a task was started on it before the order. The cell's owner
+// handles the claim of a VM and starts one after the other, so that one of them fails.
 func TestAWorkerInUseIsNotClaimedAndAClaimedOneGetsNothing(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -29,8 +29,8 @@
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
-// The operator sees a wave that is late: a lasting task can't leave its VM, as
-// every other VM has one of its step. The cell tells that it is short of a VM.
+// Guards against a late wave: a long-running task can't leave its VM, because every other VM
+// runs a task of the same step. The cell must report that it is short of a VM.
 func TestACellThatCannotEmptyAVMReportsThatItIsShortOfOne(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -51,12 +51,12 @@
 	assert.Equal(t, len(b.plan().Stops), 1)
 }
 
-// A job's second half waits for twenty seconds with VMs parked: its caller guessed
-// 20 ms a task, so what waits counted as nothing. It counts as what its running half
-// has shown.
+// Guards against a job whose second half waits for 20 s beside idle VMs: its caller estimated
+// 20 ms for each task, so the waiting tasks hardly counted as backlog. They must count with the
+// time that the job's running tasks have taken so far.
 func TestBacklogUsesTheObservedRunTimeOfAStep(t *testing.T) {
 	b := newRig(t)
-	b.worker("w1") // room for four tasks
+	b.worker("w1") // has capacity for four tasks
 	step := short(8)
 	step.Estimate = 20 * time.Millisecond
 	b.accept("j1", step)
@@ -68,8 +68,8 @@
 	assert.Assert(t, backlog >= 4*10*step.Size.Cores(), "%f core-seconds", backlog)
 }
 
-// A job that fits on no VM waits for good. Counted as a backlog it would draw VMs from all
-// other pools, and their callers would wait as well.
+// Guards against a job that fits on no VM, and so waits forever, being counted as backlog: its
+// pool would request VMs from all other pools, whose callers would wait as well.
 func TestAJobThatFitsOnNoVMIsNoBacklog(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -80,9 +80,9 @@
 	assert.Equal(t, b.core.report(b.now).Backlog, 0.0)
 }
 
-// The operator sees a wave over a large pool that is late: each of its VMs waits
-// for one more VM, and the pool drew them one after the other. It draws as many as
-// the step lets move at a time.
+// Guards against a late wave over a large pool: each VM's task needs another VM to move to, and
+// the pool requested these one after the other. The cell must report a shortage of as many VMs as
+// tasks of the step may move at the same time.
 func TestACellIsShortOfAsManyVMsAsTasksMayMoveAtATime(t *testing.T) {
 	b := newRig(t)
 	for _, id := range []work.WorkerID{"w1", "w2", "w3", "w4"} {
@@ -104,8 +104,8 @@
 	assert.Equal(t, b.core.report(b.now).Short, 2)
 }
 
-// How long a wave's lasting tasks take goes by the step with the most of them on VMs
-// that are due, as many at a time as it bears.
+// The time that a wave needs for long-running tasks depends on the step with the most tasks on VMs
+// that are due, divided by the number of its tasks that may be unavailable at a time.
 func TestReportCountsTheLongestSequenceOfMoves(t *testing.T) {
 	b := newRig(t)
 	ids := []work.WorkerID{"w1", "w2", "w3", "w4", "w5"}
@@ -123,9 +123,9 @@
 	assert.Equal(t, b.core.report(b.now).Serial, 2)
 }
 
-// A caller's task runs twice: it had ended well, its worker's VM was moved while the
-// store did not take the end, and then the owner was lost. The worker was the only other
-// that knew. A VM is claimed once all ends of its worker are stored.
+// Guards against a task that runs again although it was done: while the store didn't take the end,
+// the worker's VM was moved, and then the owner was lost; only the owner and the worker knew of the
+// end. A VM may be claimed only once all ends of its worker are stored.
 func TestAWorkerIsNotClaimedWhileItsEndsAreNotStored(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -134,21 +134,21 @@
 	b.answer(o, OutcomeOK)
 	b.look("w1", Listing{Ended: []RunEnd{ended(1, o.Starts[0], work.Done)}})
 	claim := CellOrder{Kind: OrderClaim, Worker: "w1"}
-	assert.Assert(t, !b.core.obey(claim, token, b.now), "it ended, and that is not stored")
+	assert.Assert(t, !b.core.obey(claim, token, b.now), "the end is not stored yet")
 	under := b.core.TakeFlush(100)
-	assert.Assert(t, !b.core.obey(claim, token, b.now), "it is on its way")
+	assert.Assert(t, !b.core.obey(claim, token, b.now), "the end's transaction is in flight")
 	b.core.Flushed(under, nil)
 	assert.Assert(t, b.core.obey(claim, token, b.now))
 }
 
-// Maintenance ends tasks that a new owner of the cell had not heard of yet. It
-// claims nothing of what it does not know, or can't reach.
+// Guards against maintenance of a VM under running tasks that a new owner of the cell does not know
+// yet. An owner must refuse to claim a worker that it does not know, has no answer from or can't reach.
 func TestOnlyAReachableWorkerKnownToBeEmptyIsClaimed(t *testing.T) {
 	b := newRig(t)
 	claim := CellOrder{Kind: OrderClaim, Worker: "w1"}
 	assert.Assert(t, !b.core.obey(claim, token, b.now), "not registered here")
 	b.core.WorkerSeen(info("w1"))
-	assert.Assert(t, !b.core.obey(claim, token, b.now), "not heard yet")
+	assert.Assert(t, !b.core.obey(claim, token, b.now), "has not answered yet")
 	b.look("w1", Listing{})
 	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
 	assert.Assert(t, !b.core.obey(claim, token, b.now), "does not answer")
@@ -156,9 +156,9 @@
 	assert.Assert(t, b.core.obey(claim, token, b.now))
 }
 
-// A whole fleet is parked before the first caller comes, and VMs that have just been drawn
-// for a burst are given away again: a worker that never had a task counted as empty since
-// the entry VM's start.
+// Guards against VMs being given back too early: a worker that never had a task counted as empty
+// since the entry VM's start. The whole fleet was parked before the first caller came, and VMs just
+// obtained for a burst were given away again.
 func TestEmptyTimeOfAWorkerStartsWithItsFirstAnswer(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -168,7 +168,8 @@
 	assert.Assert(t, r.Workers[0].EmptyFor <= time.Second, "%s", r.Workers[0].EmptyFor)
 }
 
-// Reads of the store are spent on workers that are known, or whose life is over.
+// Guards against needless reads of the store for workers that are known or whose incarnation has
+// ended.
 func TestOnlyUnknownWorkersAreReadFromTheStore(t *testing.T) {
 	b := newRig(t)
 	b.worker("known")
--- a/internal/engine/inbox_test.go
+++ b/internal/engine/inbox_test.go
@@ -26,11 +26,13 @@
 func (f *fakeTerm) End(reason string)           { f.ended = reason }
 func (f *fakeTerm) Relieve()                    { f.ended = "relieved" }
 
+// fixedClock is a clock that does not move.
 type fixedClock struct{}
 
 func (fixedClock) Now() time.Duration { return time.Minute }
 func (fixedClock) Wall() time.Time    { return epoch }
 
+// newEngine returns an engine that counts as restored, and its store.
 func newEngine(t *testing.T, term Term) (*Engine, infra.Store) {
 	t.Helper()
 	store := memstore.New(clockwork.NewFakeClock())
@@ -43,7 +45,8 @@
 	return e, store
 }
 
-// storeWithMessage stores a job as an entry VM does that can't reach the owner.
+// storeWithMessage stores a job and an inbox message, as an entry VM does that can't reach the
+// owner. It returns the message's key.
 func storeWithMessage(t *testing.T, store infra.Store, id work.JobID) string {
 	t.Helper()
 	ops, err := CreateOps(service, &work.Job{ID: id, Queue: queue, Steps: []work.Step{short(1)}}, Queue{Name: queue, Service: service})
@@ -61,12 +64,12 @@
 	assert.Assert(t, e.core.Known("j1"))
 	kv, _, err := store.Get(context.Background(), note)
 	assert.NilError(t, err)
-	assert.Equal(t, kv.ModRevision, infra.Revision(0), "read notes are removed")
+	assert.Equal(t, kv.ModRevision, infra.Revision(0), "handled messages are deleted")
 }
 
-// A job runs twice as a cut heals. The owner inside it, whose lease had lapsed,
-// could read the store again for a moment, found a note, and started a job that
-// its successor had found by the same note.
+// Guards against a job that runs twice when a network partition heals: the partitioned owner, whose
+// lease had expired, could read the store again for a moment, found an inbox message and started a
+// job that its successor had started because of the same message.
 func TestAnOwnerThatIsNotCertainLeavesInboxMessagesToItsSuccessor(t *testing.T) {
 	term := &fakeTerm{}
 	e, store := newEngine(t, term)
@@ -75,11 +78,11 @@
 	assert.Assert(t, !e.core.Known("j1"))
 	kv, _, err := store.Get(context.Background(), note)
 	assert.NilError(t, err)
-	assert.Assert(t, kv.ModRevision != 0, "the note is the successor's")
+	assert.Assert(t, kv.ModRevision != 0, "the message is left to the successor")
 }
 
-// A VM is maintained under running tasks. The owner of its cell had lost its lease
-// and answered the fleet's owner from old books, while its successor used the VM.
+// Guards against maintenance of a VM under running tasks: the owner of the VM's cell had lost its
+// lease and answered the fleet's owner from outdated state, while its successor used the VM.
 func TestAnOwnerThatIsNotCertainAnswersNothingToTheFleet(t *testing.T) {
 	term := &fakeTerm{certain: true}
 	e, _ := newEngine(t, term)
--- a/internal/engine/model_end_test.go
+++ b/internal/engine/model_end_test.go
@@ -2,8 +2,8 @@
 
 import "github.com/pumicestage/pumicestage/policy/work"
 
-// allEnded reports whether every job ended as it may: completed, or failed with a task under
-// which two workers had crashed.
+// allEnded reports whether every job ended in an allowed state: completed, failed because of a task
+// under which two workers crashed, or cancelled if the model cancels jobs.
 func (m *model) allEnded() bool {
 	for id := range m.jobs {
 		switch m.ended[id] {
@@ -23,7 +23,7 @@
 	return true
 }
 
-// idle reports whether nothing runs on a worker that is up.
+// idle reports whether no live worker runs a task.
 func (m *model) idle() bool {
 	for _, w := range m.workers {
 		if !w.dead && len(w.running) > 0 {
@@ -33,6 +33,7 @@
 	return true
 }
 
+// mayFail reports whether two workers crashed under a task of the job.
 func (m *model) mayFail(id work.JobID) bool {
 	for task, crashed := range m.crashed {
 		if task.Job == id && crashed >= 2 {
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -16,27 +16,27 @@
 )
 
 var (
-	modelSeeds = flag.Int("model-seeds", 60, "how many seeds the model of take-overs runs")
-	modelFirst = flag.Uint64("model-first", 1, "its first seed")
+	modelSeeds = flag.Int("model-seeds", 60, "number of seeds for the model of take-overs")
+	modelFirst = flag.Uint64("model-first", 1, "first seed for the model of take-overs")
 )
 
-// modelWorker is one life of a worker as the platform promises it: fences, run
-// numbers, a lease on a clock of its own that may be slow, ends listed until they
-// are acknowledged.
+// modelWorker is an incarnation of a worker with the guarantees that the platform gives: fencing by
+// token, run numbers, one lease on a clock of its own, which may be slow, and ends that are listed until
+// they are acknowledged.
 type modelWorker struct {
 	id          work.WorkerID
 	incarnation work.Incarnation
-	clockRate   float64 // its clock's rate
+	clockRate   float64 // 1: real time
 	startedAt   time.Duration
 	token       int64
 	deadline    time.Duration
 	running     map[work.TaskRef]int
 	highest     map[work.TaskRef]int
-	inDoubt     map[work.TaskRef]bool // whose starts or ends are not known for certain
+	inDoubt     map[work.TaskRef]bool // tasks whose starts or ends are not known for certain
 	ends        []RunEnd
 	seq         int64
-	// lapsedSeq is the last end listed before its lease last lapsedSeq. The platform
-	// does not hold such ends against a later start: they could not be known.
+	// lapsedSeq is the seq of the last end before the lease last expired. An end up to it
+	// doesn't forbid a later start of the task, since the owner could not know of it.
 	lapsedSeq int64
 	dead      bool
 }
@@ -45,7 +45,7 @@
 	return time.Second + time.Duration(float64(now-w.startedAt)*w.clockRate)
 }
 
-// tasks returns what runs, in an order of its own: a seed must play the same.
+// tasks returns the running tasks in a fixed order, so that a seed always gives the same sequence.
 func (w *modelWorker) tasks() []work.TaskRef {
 	out := make([]work.TaskRef, 0, len(w.running))
 	for task := range w.running {
@@ -55,6 +55,7 @@
 	return out
 }
 
+// sortedIDs returns the keys of m in order.
 func sortedIDs[V any](m map[work.JobID]V) []work.JobID {
 	out := make([]work.JobID, 0, len(m))
 	for id := range m {
@@ -64,15 +65,15 @@
 	return out
 }
 
-// modelOwner is one owner: a core, what is on its way from it, and what it reaches.
+// modelOwner is one owner: its core, its orders in flight and the workers that it can't reach.
 type modelOwner struct {
 	core        *Core
-	orders      []func() // each carries one order out and may answer
+	orders      []func() // each call delivers one order and may answer it
 	unreachable map[work.WorkerID]bool
-	stopped     bool // gives no orders any more
+	stopped     bool // the owner has ended and gives no orders
 }
 
-// model is the world around the cores.
+// model simulates what surrounds the cores of successive owners: workers, store and network.
 type model struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -83,19 +84,19 @@
 	token        int64
 
 	// The store.
-	commit   int64 // token of the owner that may write
+	commit   int64 // token of the only owner whose transactions succeed
 	jobs     map[work.JobID]*JobRecord
 	progress map[work.JobID]*Progress
 	ended    map[work.JobID]work.State
 
-	// What workers saw.
-	doneAcked map[work.TaskRef]bool
-	crashed   map[work.TaskRef]int // workers that crashed while they ran it, or may have
-	cancelled map[work.JobID]bool  // as was acknowledged
-	faultsOff bool                 // no more faults
-	// restarts: workers start restarts under their IDs, and registrations come late; jobs are cancelled.
+	// What has happened, for the checks.
+	doneAcked map[work.TaskRef]bool // tasks whose end as done was acknowledged to the worker
+	crashed   map[work.TaskRef]int  // workers that crashed while they ran the task, or may have
+	cancelled map[work.JobID]bool   // jobs whose cancellation was acknowledged
+	faultsOff bool                  // no faults are injected any more
+	// restarts: workers restart under the same IDs, registrations come late, and jobs are cancelled.
 	restarts bool
-	// concurrentTxns: outcomes of transactions come later and in any order.
+	// concurrentTxns: outcomes of transactions may come later and in any order.
 	concurrentTxns bool
 	bounds         Bounds
 	limited        *limitWorld // nil: no workspace has a limit
@@ -106,6 +107,7 @@
 	modelJobs    = 4
 )
 
+// newModel returns a model with a first owner, workers and jobs. All choices follow from the seed.
 func newModel(t *testing.T, seed uint64) *model {
 	m := &model{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, jobs: make(map[work.JobID]*JobRecord),
@@ -128,10 +130,11 @@
 
 func (m *model) chance(percent int) bool { return m.rng.IntN(100) < percent }
 
+// current returns the owner whose term is the latest.
 func (m *model) current() *modelOwner { return m.owners[len(m.owners)-1] }
 
-// takeOver begins a new term. The old owner may not know for a while: it goes on
-// for the grace at most, without certainty, and reaches some of the workers.
+// takeOver begins a new term. Earlier owners may not know of it for up to OwnerGrace, in which they
+// go on without a certain lease and reach some of the workers.
 func (m *model) takeOver(first bool) {
 	m.token++
 	m.commit = m.token
@@ -167,7 +170,7 @@
 	m.register(o)
 }
 
-// register tells the owner which workers there are.
+// register gives the owner the registrations and the VM list.
 func (m *model) register(o *modelOwner) {
 	var vms []work.VM
 	for _, w := range m.workers {
@@ -183,7 +186,7 @@
 	o.core.endLives(m.now, m.now)
 }
 
-// step is one event of the world.
+// step simulates one random event.
 func (m *model) step() {
 	m.now += time.Duration(m.rng.IntN(60)) * time.Millisecond
 	m.expireLeases()
@@ -207,6 +210,7 @@
 	}
 }
 
+// plan has the owner plan and puts its orders in flight.
 func (m *model) plan(o *modelOwner) {
 	if o.stopped {
 		return
@@ -222,7 +226,7 @@
 	}
 }
 
-// deliver carries one order out, in any order.
+// deliver delivers one of the owner's orders in flight, in random sequence.
 func (m *model) deliver(o *modelOwner) {
 	if len(o.orders) == 0 {
 		return
@@ -233,7 +237,7 @@
 	order()
 }
 
-// start plays one start: lost before or after its effect, or carried out late.
+// start simulates a start order, which may be lost before or after its effect or be carried out late.
 func (m *model) start(o *modelOwner, s StartOrder) {
 	if leaves := o.core.StartLeaves(s, m.now); m.restarts && !leaves {
 		o.core.StartAnswered(s, OutcomeNotSent, 0, m.now)
@@ -266,6 +270,7 @@
 	o.core.StartAnswered(s, out, w.clock(m.now), m.now)
 }
 
+// begin simulates the worker's handling of a start and returns its outcome.
 func (m *model) begin(w *modelWorker, s StartOrder) Outcome {
 	st := s.Start
 	live, runs := w.running[st.Task]
@@ -290,8 +295,8 @@
 	return OutcomeOK
 }
 
-// checkStart holds the promise: no other run of the task, and none after an end as
-// done that was acknowledged.
+// checkStart fails the test if another run of the task is running on a live worker, or if the task
+// was done before and that end was acknowledged.
 func (m *model) checkStart(on *modelWorker, task work.TaskRef, run int) {
 	for _, w := range m.workers {
 		if other, runs := w.running[task]; runs && !w.dead {
@@ -302,6 +307,7 @@
 	assert.Assert(m.t, !m.doneAcked[task], "%s: run %d begins after it was done and acknowledged", task, run)
 }
 
+// stop simulates a stop order, which may be lost.
 func (m *model) stop(o *modelOwner, s StopOrder) {
 	w := m.worker(s.Worker.ID)
 	if w == nil {
@@ -319,12 +325,13 @@
 	w.token = o.core.token
 	w.highest[s.Task] = max(w.highest[s.Task], s.Run)
 	if run, runs := w.running[s.Task]; runs && run <= s.Run {
-		// It goes on for a moment after the answer.
+		// The run goes on for a moment after the answer.
 		o.orders = append(o.orders, func() { m.end(w, s.Task, work.Stopped) })
 	}
 	o.core.StopAnswered(s, OutcomeOK, m.now)
 }
 
+// end ends the worker's run of the task, if there is one.
 func (m *model) end(w *modelWorker, task work.TaskRef, how work.End) {
 	run, runs := w.running[task]
 	if !runs || w.dead {
@@ -336,7 +343,7 @@
 	w.ends = append(w.ends, RunEnd{Seq: w.seq, Task: task, Run: run, How: how})
 }
 
-// poll plays one poll; its answer may be lost after its effect.
+// poll simulates one poll of the worker, whose answer may be lost after its effect.
 func (m *model) poll(o *modelOwner, w *modelWorker) {
 	if o.stopped {
 		return
@@ -380,6 +387,7 @@
 	o.core.HoldAnswered(w.id, h, l, m.now, m.now)
 }
 
+// expireLeases ends all runs of workers whose lease has expired.
 func (m *model) expireLeases() {
 	for _, w := range m.workers {
 		if w.clock(m.now) <= w.deadline {
@@ -392,6 +400,7 @@
 	}
 }
 
+// finish ends a random task of the worker, as done or as failed.
 func (m *model) finish(w *modelWorker) {
 	tasks := w.tasks()
 	if len(tasks) == 0 {
@@ -404,8 +413,8 @@
 	m.end(w, tasks[m.rng.IntN(len(tasks))], how)
 }
 
-// flush plays one transaction. An earlier owner's fails; an answer may be lost
-// after the effect, and the owner then stores the same again.
+// flush simulates one transaction. It fails if the owner is not the current one. The answer may be lost
+// after the effect, and the owner then stores the changes again.
 func (m *model) flush(o *modelOwner) {
 	if o.stopped {
 		return
@@ -433,6 +442,7 @@
 	o.core.Flushed(f, err)
 }
 
+// fault injects a random fault, or none.
 func (m *model) fault() {
 	if m.faultsOff {
 		return
@@ -453,7 +463,7 @@
 	}
 }
 
-// heal ends all faults: old owners have gone, everything is reached.
+// heal ends all faults: earlier owners are stopped, and the current one reaches all workers.
 func (m *model) heal() {
 	m.faultsOff = true
 	m.takeOver(false)
@@ -464,15 +474,15 @@
 	}
 }
 
-// regressionSeeds once showed a fault: a stray beside a new start, an owner in its grace
-// that used a worker its successor did not wait for, and two in which such an owner
-// started again what its successor had seen done.
+// regressionSeeds are seeds with which faults were found: an orphaned run beside a new start, an owner
+// within OwnerGrace that used a worker for which its successor did not wait, and two in which such an
+// owner started a task again that its successor had seen done.
 var regressionSeeds = []uint64{3035, 11174, 20010, 24025}
 
-// Owners change while orders are lost and carried out late, answers are lost
-// after their effect, workers die, clocks are slow and an owner that lost its
-// lease goes on for its grace: no task runs twice, and once it is calm every job
-// is completed, but for those with a task under which two workers crashed.
+// Guards against tasks that run twice, and jobs that never end, at changes of owner. Meanwhile orders are lost
+// or carried out late, answers are lost after their effect, workers crash, clocks are slow and an owner
+// that lost its lease goes on for OwnerGrace. Once faults end, every job must complete, except those with
+// a task under which two workers crashed.
 func TestNoTaskRunsTwiceThroughTakeOversAndLateOrders(t *testing.T) {
 	seeds := slices.Clone(regressionSeeds)
 	for i := range *modelSeeds {
@@ -481,7 +491,7 @@
 	for i, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			m := newModel(t, seed)
-			m.concurrentTxns = i >= len(regressionSeeds) // these play as they did
+			m.concurrentTxns = i >= len(regressionSeeds) // the regression seeds need the sequence of events without it
 			for range 1500 {
 				m.step()
 			}
--- a/internal/engine/progress_test.go
+++ b/internal/engine/progress_test.go
@@ -9,6 +9,7 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
+// decodeProgress returns the progress in a change; nil if the job has ended.
 func decodeProgress(t testing.TB, ch Change) *Progress {
 	t.Helper()
 	if ch.Final != "" {
@@ -19,9 +20,9 @@
 	return p
 }
 
-// A worker forgets an end whose effect is stored by a transaction that is still under
-// way, and the task runs again after a take-over: a later transaction was through
-// first, and all ends up to its own were acknowledged.
+// Guards against a task that runs again after a take-over: a later transaction completed before an
+// earlier one, and all ends up to the later one's were acknowledged. The worker then forgot an end whose
+// effect was not stored yet.
 func TestEndsAreAcknowledgedUpToTheFirstTransactionUnderWay(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -49,8 +50,8 @@
 	assert.Equal(t, b.core.workers["w1"].stored, int64(2))
 }
 
-// A caller's job goes back: an older progress took effect after a newer one. A job
-// with a change under way is in no other transaction until that is known.
+// Guards against a job's progress going back, because an older change took effect after a newer one. A
+// job with a change in flight must be in no other transaction until the outcome is known.
 func TestAJobIsInOneTransactionAtATime(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -62,7 +63,7 @@
 	b.look("w1", Listing{Brief: true, Ended: []RunEnd{ended(2, o.Starts[1], work.Done)}})
 	assert.Equal(t, len(b.core.TakeFlush(100).Changes), 0)
 	all, final := b.core.Dirty()
-	assert.Equal(t, all+final, 0, "there is nothing that could be sent")
+	assert.Equal(t, all+final, 0, "nothing can be sent")
 	b.core.Flushed(first, ErrUncertain)
 	again := b.core.TakeFlush(100)
 	assert.Equal(t, again.Changes[0].Final, work.Completed)
--- a/internal/engine/restore_test.go
+++ b/internal/engine/restore_test.go
@@ -10,10 +10,10 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// rangeCounter is a store that notes whether lists had to be read within a time.
+// rangeCounter is a store that counts the reads of prefixes, and those with a deadline.
 type rangeCounter struct {
 	infra.Store
-	ranges, withDeadline atomic.Int32 // they are read side by side
+	ranges, withDeadline atomic.Int32 // atomic: reads run in parallel
 }
 
 func (u *rangeCounter) Range(ctx context.Context, prefix string) ([]infra.KV, infra.Revision, error) {
@@ -24,9 +24,9 @@
 	return u.Store.Range(ctx, prefix)
 }
 
-// A cell stays without an owner while the store is slow: thousands of open jobs are dozens of
-// pages of a fifth of a second each, and the time for all of them was over before the last,
-// again and again. Each page has its own time, at the store's client.
+// Guards against a cell that stays without an owner while the store is slow: thousands of open jobs are
+// dozens of pages that take a fifth of a second each, and a deadline for all of them expired before the
+// last page in each attempt. Only the store's client sets a deadline, for each page.
 func TestTakeOverReadsHaveNoOverallDeadline(t *testing.T) {
 	e, inner := newEngine(t, &fakeTerm{certain: true})
 	store := &rangeCounter{Store: inner}
--- a/internal/engine/retention_test.go
+++ b/internal/engine/retention_test.go
@@ -15,9 +15,9 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// The store grows with every job there ever was. Keys of jobs that ended long ago go;
-// those whose state may still be asked, whose request may still be repeated, or that
-// have not ended stay.
+// Guards against a store that grows with every job. Short keys of jobs that ended long ago must be
+// deleted. Keys of jobs that have not ended, whose state may still be queried or whose request may
+// still be repeated must stay.
 func TestShortKeysOfJobsThatEndedLongAgoAreDeleted(t *testing.T) {
 	ctx := context.Background()
 	store := memstore.New(clockwork.NewFakeClock())
--- a/internal/engine/takeover_bench_test.go
+++ b/internal/engine/takeover_bench_test.go
@@ -13,9 +13,8 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// BenchmarkTakeOver is what a new owner does before it gives its first order: it reads the
-// open jobs of its cell, looks at every worker and plans. The store answers at once, so that
-// the figure is the processor's part alone.
+// BenchmarkTakeOver measures what a new owner does before its first order: it reads the open jobs of its cell,
+// polls every worker and plans. The store answers at once, so that only processor time is measured.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, size := range []struct{ workers, jobs int }{{130, 1500}, {1000, 5000}, {1000, 20000}} {
 		b.Run(fmt.Sprintf("workers=%d/jobs=%d", size.workers, size.jobs), func(b *testing.B) {
@@ -57,6 +56,7 @@
 	return stored
 }
 
+// takeOver restores an engine from the store and makes its first plan.
 func takeOver(b *testing.B, store infra.Store, workers []WorkerInfo) {
 	b.Helper()
 	e := New(Options{
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -12,9 +12,9 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// A caller's job is shown as failed with attempts left. A run failed, its end
-// was stored but not yet acknowledged, and the owner died: the worker listed the
-// end to the successor again, which must not count it as a second failure.
+// Guards against a job that fails with attempts left: a run failed, its end was stored but not yet
+// acknowledged, and the owner crashed. The worker lists the end to the next owner again, which must not
+// count it as a second failure.
 func TestAFailureListedAgainToASuccessorCountsOnce(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -35,8 +35,8 @@
 	assert.Assert(t, state != work.Failed)
 }
 
-// takeOver replaces the core by a successor's, restored from what is stored, and
-// registers the workers.
+// takeOver replaces the core by that of a next owner, which restores the open jobs with all changes so
+// far stored, and registers the workers.
 func (b *rig) takeOver(token int64, workers ...work.WorkerID) {
 	b.t.Helper()
 	records := make(map[work.JobID]*JobRecord)
@@ -63,9 +63,8 @@
 	b.core = next
 }
 
-// The caller's work is thrown away, or runs twice, at every change of owner: the
-// successor takes what runs for strays, or starts it anew elsewhere, before the
-// workers have said what they run.
+// Guards against work that is lost or runs twice at a change of owner: before the workers have told what
+// they run, the new owner took their runs for orphaned ones, or started the tasks again elsewhere.
 func TestASuccessorAdoptsWhatRunsAndStartsNothingBefore(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -80,21 +79,22 @@
 	}
 	b.takeOver(8, "w1", "w2")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
-	assert.Equal(t, len(b.plan().Starts), 0, "no worker was heard yet")
+	assert.Equal(t, len(b.plan().Starts), 0, "no worker has answered yet")
 	b.look("w1", Listing{Running: byWorker["w1"]})
 	assert.Equal(t, len(b.plan().Starts), 0, "w2 may run the rest")
 	b.look("w2", Listing{Running: byWorker["w2"]})
 	next := b.plan()
-	assert.Equal(t, len(next.Starts)+len(next.Stops), 0, "all of it runs")
+	assert.Equal(t, len(next.Starts)+len(next.Stops), 0, "all tasks are running")
 }
 
+// vm returns a VM of the service's pool that is up and runs the worker.
 func vm(id string, w work.WorkerID) work.VM {
 	return work.VM{ID: id, Pool: service, State: work.VMUp, Worker: w}
 }
 
-// Everything runs twice after an outage of the store. Registrations lapsed in
-// it while the workers ran on; the new owner saw none, so none was unheard, and it
-// started all jobs anew as the registrations came back.
+// Guards against all tasks running twice after an outage of the store: registrations expired in it while
+// the workers ran on. The new owner saw no workers, so it waited for none, and started all jobs again
+// when the registrations came back.
 func TestASuccessorDoesNotTrustAnEmptyListOfWorkers(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -105,14 +105,14 @@
 	b.look("w3", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 0, "the VM list was not read")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v3", "w3")})
-	assert.Equal(t, len(b.plan().Starts), 0, "w1 lives by the VM list and was not heard")
+	assert.Equal(t, len(b.plan().Starts), 0, "w1 is up by the VM list and has not answered")
 	b.core.SetFleet([]work.VM{{ID: "v1", Pool: service, State: work.VMDown}, vm("v3", "w3")})
-	assert.Equal(t, len(b.plan().Starts), 1, "w1 is over")
+	assert.Equal(t, len(b.plan().Starts), 1, "w1 has ended")
 }
 
-// A task runs on both sides of a cut. The owner inside it can't reach the workers
-// outside, whose leases its successor extends; by its own books they have run
-// out. Without certainty of its lease it must not restart what ran there.
+// Guards against a task that runs on both sides of a network partition: the owner on one side can't reach
+// workers on the other, whose leases its successor extends, whereas by its own state they have expired. An
+// owner that is not certain of its lease must not restart the tasks of these workers.
 func TestAnOwnerCutOffRestartsNothingOfUnreachableWorkers(t *testing.T) {
 	b := newRig(t)
 	b.running(short(8), "near", "far")
@@ -125,12 +125,12 @@
 	assert.Equal(t, len(b.core.workers["far"].tasks), held, "it still counts as running there")
 	b.core.SetCertain(true)
 	b.core.HoldFailed("far", OutcomeUnknown, b.now)
-	assert.Assert(t, len(b.core.workers["far"].tasks) == 0, "with certainty it is restarted")
+	assert.Assert(t, len(b.core.workers["far"].tasks) == 0, "it is restarted when the lease is certain")
 }
 
-// A pool's work is lost and started anew several times a second. The entry of a
-// worker that ended stays for seconds beside that of the next at its address, and
-// each in turn was taken for proof that the other is over.
+// Guards against a pool's work being lost and restarted several times a second: the registration of a
+// worker that ended remains for seconds beside that of the next worker at the same address, and each was
+// taken in turn as proof that the other has ended.
 func TestTwoRegistrationsAtOneAddressEndNeither(t *testing.T) {
 	b := newRig(t)
 	next := info("next")
@@ -148,12 +148,12 @@
 
 	b.core.HoldFailed("old", OutcomeOtherLife, b.now)
 	b.core.WorkerSeen(info("old"))
-	assert.Assert(t, b.core.workers["old"] == nil, "an ID that is over does not come back")
+	assert.Assert(t, b.core.workers["old"] == nil, "a worker ID that has ended is not added again")
 }
 
-// A task runs beside itself after a take-over: two runs of it are listed, the
-// older one first. The newer was ordered after the older had been settled; it is
-// kept, and the task starts nowhere until the other is certain to be over.
+// Guards against two runs of a task at the same time after a take-over: workers list two runs, the older
+// one first. The newer run was ordered after the older one had been dealt with, so it is the one to keep,
+// and the task must not start again until the older run is certain to have ended.
 func TestOfTwoListedRunsTheHigherIsKept(t *testing.T) {
 	b := newRig(t)
 	b.accept("j1", short(1))
@@ -173,8 +173,8 @@
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
-// A task that was done runs again. An owner that can't reach the store, in its
-// grace, saw the worker go; its successor had acknowledged the end before.
+// Guards against a task that runs again although it was done: an owner that couldn't reach the store, within
+// OwnerGrace, found that the worker was gone, but its successor had acknowledged the task's end before.
 func TestAnOwnerThatIsNotCertainStartsOnlyTasksNeverStarted(t *testing.T) {
 	b := newRig(t)
 	o := b.running(short(1), "w1", "w2")
@@ -190,15 +190,15 @@
 	b.accept("j3", short(4))
 	b.accept("j4", short(4))
 	for _, s := range b.plan().Starts {
-		assert.Assert(t, s.Worker.ID != "late", "its successor does not wait for this one")
+		assert.Assert(t, s.Worker.ID != "late", "a successor does not wait for this worker")
 	}
 	b.core.SetCertain(true)
 	b.look("late", Listing{})
 	assert.Assert(t, len(b.plan().Starts) > 0)
 }
 
-// A task runs twice. An owner gave its term up; its core went by the longest
-// permission it ever had and ordered a start beside the successor's.
+// Guards against a task that runs twice: an owner gave its term up, but its core relied on the latest
+// deadline it had ever been allowed and ordered a start beside its successor's.
 func TestNoOrdersAfterTheTermsPermissionIsWithdrawn(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
@@ -206,12 +206,12 @@
 	b.core.AllowUntil(b.now - time.Millisecond)
 	assert.Equal(t, len(b.plan().Starts), 0)
 	_, _, due := b.core.HoldFor("w1", b.now)
-	assert.Assert(t, !due, "no extension of leases either")
+	assert.Assert(t, !due, "leases are not extended either")
 }
 
-// A task runs twice. A successor heard a worker once, took its run over and lost
-// the worker before it had extended anything: the lease there is the earlier
-// owner's, and the successor's books have none.
+// Guards against a task that runs twice: a new owner got one answer of a worker, adopted its run and lost the
+// worker before it had extended a lease. The run still has a lease of the earlier owner, of which the new
+// owner's state has no record.
 func TestAnAdoptedRunIsNotRestartedBeforeTheEarlierOwnersLeaseIsOver(t *testing.T) {
 	b := newRig(t)
 	o := b.running(short(1), "w1")
@@ -230,8 +230,8 @@
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
-// A worker that is well is given up, and its tasks run twice. It registered after
-// the list of VMs was asked for, and missed one poll since.
+// Guards against a healthy worker being given up, so that its tasks run twice: it registered after the list of
+// VMs was requested, and then missed one poll.
 func TestAVMListOlderThanAWorkersAnswerDoesNotEndTheWorker(t *testing.T) {
 	b := newRig(t)
 	b.running(short(1), "w1")
@@ -242,12 +242,12 @@
 	b.core.endLives(asked, b.now)
 	assert.Assert(t, b.core.workers["w1"] != nil)
 	b.core.endLives(b.now+time.Millisecond, b.now+time.Millisecond)
-	assert.Assert(t, b.core.workers["w1"] == nil, "a list since then ends it")
+	assert.Assert(t, b.core.workers["w1"] == nil, "a later list ends the worker")
 }
 
-// The caller's step loses two tasks where it bears the loss of one. An owner orders
-// one of them to stop and is replaced; its worker lists the run for as long as the
-// stop takes, and the new owner, asked to empty a VM, stops another.
+// Guards against a step with two unavailable tasks that tolerates one: an owner orders one task to stop and is
+// replaced. The worker lists the run until it has stopped, and the new owner, asked to empty a VM, stops
+// another one.
 func TestANewOwnerStopsNothingWhileAnEarlierStopMayBeUnderWay(t *testing.T) {
 	b := newRig(t)
 	o := b.running(lasting(2), "w1", "w2")
@@ -277,8 +277,8 @@
 	assert.Equal(t, len(b.plan().Stops), 1)
 }
 
-// barrierStore is a store whose reads of prefixes, and the list of workers, are answered
-// once all four were asked for.
+// barrierStore is a store whose reads of prefixes, and the list of workers, are answered only
+// when all four have been requested.
 type barrierStore struct {
 	infra.Store
 	all sync.WaitGroup
@@ -303,9 +303,8 @@
 	return m.Store.Range(ctx, prefix)
 }
 
-// Callers wait while the store is slow and an owner was replaced: the new one read one
-// thing after the other, a fifth of a second each, with nobody owning the cell. What it
-// reads does not depend on each other and is asked for at once.
+// Guards against a long time without an owner while the store is slow: a new owner made its reads one after the
+// other, a fifth of a second each, while callers waited. The reads are independent and must run in parallel.
 func TestTakeOverReadsStoreInParallel(t *testing.T) {
 	e, store := newEngine(t, &fakeTerm{certain: true})
 	m := &barrierStore{Store: store}
@@ -316,9 +315,9 @@
 	assert.NilError(t, e.load(ctx, true))
 }
 
-// Callers of a burst wait while idle VMs stand in another pool. Its owner has just taken
-// over with a zone cut off, and jobs of before wait for workers there that it has not heard.
-// They want no room, so they are no backlog, for which a pool would keep its VMs.
+// Guards against callers of a burst that wait while VMs are idle in another pool: the other pool's owner has just
+// taken over while a zone is partitioned, and older jobs wait for workers there that have not answered. These
+// jobs need no capacity, so they must not count as backlog, for which a pool keeps its VMs.
 func TestWorkThatMayRunOnUnheardWorkersIsNoBacklog(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
--- a/internal/engine/writer_test.go
+++ b/internal/engine/writer_test.go
@@ -16,6 +16,7 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
+// newCreation returns a creation of a job with one short task.
 func newCreation(t *testing.T, id work.JobID) *creation {
 	t.Helper()
 	j := &work.Job{ID: id, Queue: queue, Steps: []work.Step{short(1)}}
@@ -25,9 +26,9 @@
 	return &creation{job: j, queue: q, ops: ops, done: make(chan error, 2)}
 }
 
-// A job that was refused runs, or one that was accepted never starts. The store
-// carried its transaction out and the answer was lost: sent again, it finds its
-// own mark.
+// Guards against a refused job that runs, or an accepted one that never starts: the store applied
+// the transaction, but its answer was lost. Sent again, the transaction must recognise its own mark
+// in the commit key.
 func TestATransactionWithoutAnswerIsNeitherRefusedNorForgotten(t *testing.T) {
 	e, inner := newEngine(t, &fakeTerm{certain: true})
 	store := faulty.Wrap(inner)
@@ -40,9 +41,9 @@
 	assert.Assert(t, e.core.Known("j1"), "the owner works on it")
 }
 
-// Callers time out one after the other while the store is away. What it did not
-// take is refused at once, and what would wait behind a transaction without answer
-// as well.
+// Guards against callers that time out one after the other during an outage of the store. Jobs that
+// the store did not take must be refused at once, and so must jobs that would wait behind a
+// transaction without an answer.
 func TestJobsAreRefusedAtOnceWhileTheStoreIsAway(t *testing.T) {
 	e, inner := newEngine(t, &fakeTerm{certain: true})
 	store := faulty.Wrap(inner)
@@ -57,6 +58,7 @@
 	assert.Equal(t, len(e.writer.waiting), 0)
 }
 
+// waitingJobs returns the number of creations that are in no batch yet.
 func waitingJobs(w *writer) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,9 +78,10 @@
 	return g.Store.Txn(context.WithoutCancel(ctx), t) // however long the gate was closed
 }
 
-// Callers of a burst wait for seconds to be told of jobs that ended: four hundred a
-// second come, and one transaction at a time stores five. While more waits than one
-// holds others join it; less waits for it, as it would only take more calls.
+// Guards against callers of a burst that wait for seconds until they are told that their jobs ended:
+// four hundred jobs a second arrive, and one transaction stores the ends of five. More committers must
+// start while the pending changes exceed one transaction; otherwise the changes must wait for the one
+// in flight, as further transactions would only add calls.
 func TestMoreCommittersStartWhenOneTransactionIsNotEnough(t *testing.T) {
 	e, inner := newEngine(t, &fakeTerm{certain: true})
 	g := &gatedStore{Store: inner, gate: make(chan struct{}), calls: make(chan int, committerCount)}
@@ -100,22 +103,22 @@
 	for waitingJobs(e.writer) < maxCreates {
 		runtime.Gosched()
 	}
-	assert.Equal(t, len(g.calls), 0, "they fit into the next")
+	assert.Equal(t, len(g.calls), 0, "they fit into the next transaction")
 	submit(1+maxCreates, 4)
 	second := <-g.calls
 	if second < commitEntries+maxCreates*createEntries {
-		// A third began before the second had taken its part, and called first.
+		// A third committer started before the second had taken its batch, and sent first.
 		second = <-g.calls
 	}
-	assert.Equal(t, second, commitEntries+maxCreates*createEntries, "a second is under way")
+	assert.Equal(t, second, commitEntries+maxCreates*createEntries, "a second transaction is in flight")
 	close(g.gate)
 	callers.Wait()
 	cancel()
 	writers.Wait()
 }
 
-// The predecessor's transaction is on its way when the cell changes hands. Each of
-// its commit keys is rewritten, so none takes effect after the new owner has read.
+// Guards against a transaction of the previous owner that takes effect after the new owner has read
+// the store. A take-over rewrites each commit key, so that all such transactions fail.
 func TestATakeOverFencesEveryTransaction(t *testing.T) {
 	old, store := newEngine(t, &fakeTerm{certain: true})
 	_, err := old.takeCommitKeys(t.Context())
