--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -11,19 +11,19 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// fullAnswers is a store whose watch answers with batches, all but the last of them full.
-type fullAnswers struct {
+// batchStore is a store whose watch delivers that many batches, all but the last incomplete.
+type batchStore struct {
 	infra.Store
-	batches int
-	bounded bool // the list had to be read within a time
+	batches     int
+	hadDeadline bool // the list was read with a deadline
 }
 
-func (f *fullAnswers) Range(ctx context.Context, _ string) ([]infra.KV, infra.Revision, error) {
-	_, f.bounded = ctx.Deadline()
+func (f *batchStore) Range(ctx context.Context, _ string) ([]infra.KV, infra.Revision, error) {
+	_, f.hadDeadline = ctx.Deadline()
 	return nil, 1, nil
 }
 
-func (f *fullAnswers) Watch(ctx context.Context, _ string, from infra.Revision) (<-chan infra.WatchBatch, error) {
+func (f *batchStore) Watch(ctx context.Context, _ string, from infra.Revision) (<-chan infra.WatchBatch, error) {
 	out := make(chan infra.WatchBatch)
 	go func() {
 		defer close(out)
@@ -40,24 +40,23 @@
 	return out, nil
 }
 
-// A worker said that it leaves, and its owner started tasks there for five seconds more: the
-// watch brings five hundred changes with an answer, three thousand workers make two thousand
-// a second, and a pause was made after each answer, so that it fell ever further behind. It
-// pauses only where an answer left nothing out.
-func TestAWatchThatLeftChangesOutIsReadOnAtOnce(t *testing.T) {
+// An owner started tasks on a draining worker for five more seconds: an answer of the watch
+// holds 500 changes, 3000 workers make 2000 a second, and with a pause after every answer the
+// watch lagged ever further behind. It pauses only after an answer that left nothing out.
+func TestWatchPausesOnlyAfterACompleteAnswer(t *testing.T) {
 	const batches = 40
 	ctx, cancel := context.WithCancel(t.Context())
 	seen := 0
-	store := &fullAnswers{batches: batches}
-	follow(ctx, store, logr.Discard(), source{
-		pace: time.Hour,
-		all:  func([]infra.KV) {},
-		each: func(infra.Event) {
+	store := &batchStore{batches: batches}
+	followPrefix(ctx, store, logr.Discard(), source{
+		minInterval: time.Hour,
+		replace:     func([]infra.KV) {},
+		apply: func(infra.Event) {
 			if seen++; seen == batches {
 				cancel()
 			}
 		},
 	})
 	assert.Equal(t, seen, batches)
-	assert.Assert(t, !store.bounded, "a list of thousands would never come from a slow store")
+	assert.Assert(t, !store.hadDeadline, "with one deadline a list of thousands of keys would never arrive from a slow store")
 }
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// endLeaseEvery separates tries to end a lease.
-	endLeaseEvery = 100 * time.Millisecond
-	// endLeaseWithin is when it is given up: outages of the store last some seconds, and
-	// once it is back the lease runs out by itself.
-	endLeaseWithin = 15 * time.Second
-	// handLeaseTimeout ends one attempt to hand a lease to another entry VM.
-	handLeaseTimeout = 300 * time.Millisecond
+	// revokeRetryInterval separates attempts to revoke a lease.
+	revokeRetryInterval = 100 * time.Millisecond
+	// revokeTimeout ends these attempts: outages of the store last some seconds, and once
+	// it is reachable again the lease expires by itself.
+	revokeTimeout = 15 * time.Second
+	// leaseHandOverTimeout ends one attempt to hand a lease over to another entry VM.
+	leaseHandOverTimeout = 300 * time.Millisecond
 )
 
-// leases ends leases that their holders could not end, as the store was away when they
-// left. Their duties would have no owner for the length of a lease after its return, 1.6 s
-// in which the backlog of the outage waits.
-type leases struct {
-	store  infra.Store
-	give   func(ctx context.Context, address string, lease int64) error
-	others func() []cutoff.Peer // of other zones
-	log    logr.Logger
+// leaseEnder revokes leases whose holders could not do so themselves, as the store was
+// unreachable when they shut down. Otherwise their duties would have no owner for the length
+// of a lease after the outage: 1.6 s, in which the jobs that came in during the outage wait.
+type leaseEnder struct {
+	store      infra.Store
+	send       func(ctx context.Context, address string, lease int64) error
+	recipients func() []cutoff.Peer // entry VMs of other zones
+	log        logr.Logger
 }
 
-// handOver hands the lease to another entry VM; one will do, as any reaches the same store.
-func (l *leases) handOver(lease infra.LeaseID) {
-	for _, p := range l.others() {
-		ctx, cancel := context.WithTimeout(context.Background(), handLeaseTimeout)
-		err := l.give(ctx, p.Address, int64(lease))
+// handOver asks other entry VMs, one after the other, to revoke the lease until one accepts.
+// One suffices, as all of them use the same store.
+func (l *leaseEnder) handOver(lease infra.LeaseID) {
+	for _, p := range l.recipients() {
+		ctx, cancel := context.WithTimeout(context.Background(), leaseHandOverTimeout)
+		err := l.send(ctx, p.Address, int64(lease))
 		cancel()
 		if err == nil {
 			l.log.Info("lease handed over", "lease", int64(lease), "to", p.Name)
@@ -45,9 +46,10 @@
 	}
 }
 
-// end ends the lease as soon as the store answers.
-func (l *leases) end(ctx context.Context, lease infra.LeaseID) {
-	ctx, cancel := context.WithTimeout(ctx, endLeaseWithin)
+// revoke revokes the lease as soon as the store answers, or gives up after revokeTimeout. A lease
+// that has expired meanwhile counts as revoked.
+func (l *leaseEnder) revoke(ctx context.Context, lease infra.LeaseID) {
+	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
 	for {
 		call, done := context.WithTimeout(ctx, probeTimeout)
@@ -57,7 +59,7 @@
 			l.log.Info("lease of another entry VM ended", "lease", int64(lease))
 			return
 		}
-		if !sleep.For(ctx, endLeaseEvery) {
+		if !sleep.For(ctx, revokeRetryInterval) {
 			l.log.Info("lease of another entry VM not ended", "lease", int64(lease), "error", err.Error())
 			return
 		}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -21,80 +21,84 @@
 )
 
 const (
-	// confirmTimeout ends a read of the configuration for which a caller waits.
+	// confirmTimeout ends a read of the configuration that a caller waits for.
 	confirmTimeout = 600 * time.Millisecond
-	// confirmPause separates such reads where they fail: calls with unknown keys come at any
-	// rate, also while the store turns this entry VM away.
-	confirmPause = 250 * time.Millisecond
+	// confirmRetryInterval is the minimum time between such a read that failed and the
+	// next: calls with unknown keys may come at any rate while the store refuses this
+	// entry VM's reads.
+	confirmRetryInterval = 250 * time.Millisecond
 )
 
-// errStoreSilent: the store is not asked, as it did not answer a moment ago.
-var errStoreSilent = errors.New("node: the store did not answer a moment ago")
+// errStoreUnresponsive is returned without a call to the store, as one has just failed.
+var errStoreUnresponsive = errors.New("node: the store did not answer a moment ago")
 
-// operator holds what the operator wrote, as this entry VM knows it. The
-// configuration never steps back.
-type operator struct {
+// operatorState holds the operator's configuration and ordered waves, as far as this entry VM
+// knows them. A configuration is only ever replaced by a newer version. A wave is an
+// operator's order to maintain a set of VMs, some at a time.
+type operatorState struct {
 	store infra.Store
 	clock engine.Clock
 	log   logr.Logger
 
-	// changed is called after each change of the configuration.
-	changed func()
+	// onChange is called after each change of the configuration.
+	onChange func()
 
-	catchingUp atomic.Bool   // a read is under way as another entry VM has a newer one
-	confirming sync.Mutex    // held while the configuration is read on demand
-	failedAt   time.Duration // when such a read last failed; 0: it did not
+	catchingUp      atomic.Bool   // a read is in progress because another entry VM has a newer version
+	confirmMu       sync.Mutex    // held while the configuration is read on demand; guards confirmFailedAt
+	confirmFailedAt time.Duration // when the last such read failed; 0: it succeeded
 
 	mu     sync.Mutex
 	config *jobfront.Config
 	routes *jobfront.Routes
 	waves  map[string]fleetowner.OrderedWave
-	// confirmed is when the configuration was last known to be the newest; 0: never.
-	confirmed time.Duration
+	// confirmedAt is the last time at which the configuration was known to be the
+	// newest; 0: never.
+	confirmedAt time.Duration
 }
 
-func newOperator(store infra.Store, clock engine.Clock, log logr.Logger, changed func()) *operator {
-	return &operator{store: store, clock: clock, log: log, changed: changed, waves: make(map[string]fleetowner.OrderedWave)}
+func newOperatorState(store infra.Store, clock engine.Clock, log logr.Logger, onChange func()) *operatorState {
+	return &operatorState{store: store, clock: clock, log: log, onChange: onChange, waves: make(map[string]fleetowner.OrderedWave)}
 }
 
-func (o *operator) run(ctx context.Context) {
-	follow(ctx, o.store, o.log, source{
+func (o *operatorState) run(ctx context.Context) {
+	followPrefix(ctx, o.store, o.log, source{
 		prefix: platform.OperatorPrefix,
-		all: func(kvs []infra.KV) {
+		replace: func(kvs []infra.KV) {
 			for _, kv := range kvs {
-				o.take(kv)
+				o.apply(kv)
 			}
 		},
-		each: func(ev infra.Event) {
+		apply: func(ev infra.Event) {
 			if ev.Kind == infra.EventPut {
-				o.take(ev.KV)
+				o.apply(ev.KV)
 			}
 		},
-		current: func(age time.Duration) { o.confirm(o.clock.Now() - age) },
+		confirm: func(age time.Duration) { o.confirm(o.clock.Now() - age) },
 	})
 }
 
-// confirm notes that the configuration was the newest at that time.
-func (o *operator) confirm(at time.Duration) {
+// confirm records that the configuration was the newest at that time.
+func (o *operatorState) confirm(at time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config != nil {
-		o.confirmed = max(o.confirmed, at)
+		o.confirmedAt = max(o.confirmedAt, at)
 	}
 }
 
-// Confirmed is when the configuration was last known to be the newest.
-func (o *operator) Confirmed() time.Duration {
+// Confirmed returns the last time at which the configuration was known to be the newest; 0
+// means never.
+func (o *operatorState) Confirmed() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.confirmed
+	return o.confirmedAt
 }
 
 // Age implements jobfront.Configs.
-func (o *operator) Age() time.Duration { return o.clock.Now() - o.Confirmed() }
+func (o *operatorState) Age() time.Duration { return o.clock.Now() - o.Confirmed() }
 
 // Keys implements jobfront.Configs.
-func (o *operator) Keys() workspace.Keys {
+func (o *operatorState) Keys() workspace.Keys {
 	if c, _ := o.current(); c != nil {
 		return c.Keys
 	}
@@ -102,87 +106,87 @@
 }
 
 // Confirm implements jobfront.Configs.
-func (o *operator) Confirm(ctx context.Context) error {
+func (o *operatorState) Confirm(ctx context.Context) error {
 	asked := o.clock.Now()
-	o.confirming.Lock()
-	defer o.confirming.Unlock()
+	o.confirmMu.Lock()
+	defer o.confirmMu.Unlock()
 	if o.Confirmed() >= asked {
-		return nil // another caller's read began after this one asked
+		return nil // a read for another caller began after this call
 	}
-	if o.failedAt != 0 && o.clock.Now() < o.failedAt+confirmPause {
-		return errStoreSilent
+	if o.confirmFailedAt != 0 && o.clock.Now() < o.confirmFailedAt+confirmRetryInterval {
+		return errStoreUnresponsive
 	}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	sent := o.clock.Now()
 	kv, _, err := o.store.Get(ctx, platform.ConfigKey)
 	if err != nil {
-		o.failedAt = o.clock.Now()
+		o.confirmFailedAt = o.clock.Now()
 		return trace.Wrap(err)
 	}
-	o.failedAt = 0
+	o.confirmFailedAt = 0
 	if kv.ModRevision != 0 {
-		o.takeConfig(kv)
+		o.applyConfig(kv)
 	}
 	o.confirm(sent)
 	return nil
 }
 
 // Status implements ownerlink.Configs.
-func (o *operator) Status() ownerlink.ConfigStatus {
+func (o *operatorState) Status() ownerlink.ConfigStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil {
 		return ownerlink.ConfigStatus{}
 	}
-	return ownerlink.ConfigStatus{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmed).Milliseconds() + 1}
+	return ownerlink.ConfigStatus{Version: o.config.Version, AgeMS: (o.clock.Now() - o.confirmedAt).Milliseconds() + 1}
 }
 
 // Now implements ownerlink.Configs.
-func (o *operator) Now() time.Duration { return o.clock.Now() }
+func (o *operatorState) Now() time.Duration { return o.clock.Now() }
 
 // Encoded implements ownerlink.Configs.
-func (o *operator) Encoded() []byte {
+func (o *operatorState) Encoded() []byte {
 	c, _ := o.current()
 	raw, err := msgpack.Marshal(c)
 	if err != nil {
-		o.log.Error(err, "configuration not packed for another entry VM")
+		o.log.Error(err, "configuration not encoded for another entry VM")
 		return nil
 	}
 	return raw
 }
 
 // NotifyOutdated implements ownerlink.Configs.
-func (o *operator) NotifyOutdated() {
+func (o *operatorState) NotifyOutdated() {
 	if !o.catchingUp.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer o.catchingUp.Store(false)
 		if err := o.Confirm(context.Background()); err != nil {
-			o.log.Info("another entry VM has a newer configuration, and the store does not tell it", "error", err.Error())
+			o.log.Info("another entry VM has a newer configuration, but reading it from the store failed", "error", err.Error())
 		}
 	}()
 }
 
 // Observe implements ownerlink.Configs.
-func (o *operator) Observe(s ownerlink.ConfigStatus, sent time.Duration) bool {
+func (o *operatorState) Observe(s ownerlink.ConfigStatus, sent time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config == nil || s.Version > o.config.Version {
 		return true
 	}
 	if s.Version == o.config.Version {
-		o.confirmed = max(o.confirmed, sent-s.Age())
+		o.confirmedAt = max(o.confirmedAt, sent-s.Age())
 	}
 	return false
 }
 
 // Install implements ownerlink.Configs.
-func (o *operator) Install(packed []byte, s ownerlink.ConfigStatus, sent time.Duration) {
+func (o *operatorState) Install(encoded []byte, s ownerlink.ConfigStatus, sent time.Duration) {
 	c := new(jobfront.Config)
-	if err := msgpack.Unmarshal(packed, c); err != nil {
-		o.log.Error(err, "another entry VM's configuration is malformed")
+	if err := msgpack.Unmarshal(encoded, c); err != nil {
+		o.log.Error(err, "malformed configuration from another entry VM")
 		return
 	}
 	if !o.adopt(c, jobfront.NewRoutes(c.Routes)) {
@@ -190,20 +194,21 @@
 	}
 	o.confirm(sent - s.Age())
 	o.log.Info("configuration in force", "version", c.Version, "from", "another entry VM", "routes", len(c.Routes))
-	o.changed()
+	o.onChange()
 }
 
-func (o *operator) take(kv infra.KV) {
+// apply takes over one of the operator's keys: the configuration, or a wave not yet known.
+func (o *operatorState) apply(kv infra.KV) {
 	if kv.Key == platform.ConfigKey {
-		o.takeConfig(kv)
+		o.applyConfig(kv)
 		return
 	}
-	w, is, err := platform.DecodeWave(kv)
+	w, isWave, err := platform.DecodeWave(kv)
 	if err != nil {
-		o.log.Error(err, "wave is malformed", "key", kv.Key)
+		o.log.Error(err, "malformed wave", "key", kv.Key)
 		return
 	}
-	if !is {
+	if !isWave {
 		return
 	}
 	o.mu.Lock()
@@ -214,10 +219,10 @@
 	}
 }
 
-func (o *operator) takeConfig(kv infra.KV) {
+func (o *operatorState) applyConfig(kv infra.KV) {
 	c, err := platform.DecodeConfig(kv.Value)
 	if err != nil {
-		o.log.Error(err, "configuration is malformed; the last one stays in force", "revision", int64(kv.ModRevision))
+		o.log.Error(err, "malformed configuration; the previous one stays in force", "revision", int64(kv.ModRevision))
 		return
 	}
 	routes := jobfront.NewRoutes(c.Routes)
@@ -225,10 +230,11 @@
 		return
 	}
 	o.log.Info("configuration in force", "version", c.Version, "revision", int64(kv.ModRevision), "routes", len(c.Routes))
-	o.changed()
+	o.onChange()
 }
 
-func (o *operator) adopt(c *jobfront.Config, routes *jobfront.Routes) bool {
+// adopt puts the configuration in force; false if the one in force is as new or newer.
+func (o *operatorState) adopt(c *jobfront.Config, routes *jobfront.Routes) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.config != nil && c.Version <= o.config.Version {
@@ -238,13 +244,16 @@
 	return true
 }
 
-func (o *operator) current() (*jobfront.Config, *jobfront.Routes) {
+// current returns the configuration in force and its routes; nil while none is known.
+func (o *operatorState) current() (*jobfront.Config, *jobfront.Routes) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.config, o.routes
 }
 
-func (o *operator) declared() engine.Declared {
+// declared returns what the operator declared for engines; the zero value while no
+// configuration is known.
+func (o *operatorState) declared() engine.Declared {
 	c, _ := o.current()
 	if c == nil {
 		return engine.Declared{}
@@ -253,7 +262,7 @@
 }
 
 // Ordered implements fleetowner.Waves.
-func (o *operator) Ordered() []fleetowner.OrderedWave {
+func (o *operatorState) Ordered() []fleetowner.OrderedWave {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make([]fleetowner.OrderedWave, 0, len(o.waves))
@@ -264,6 +273,6 @@
 }
 
 // Report implements fleetowner.Waves.
-func (o *operator) Report(ctx context.Context, wave string, completed bool) error {
+func (o *operatorState) Report(ctx context.Context, wave string, completed bool) error {
 	return platform.ReportWave(ctx, o.store, wave, completed)
 }
