--- a/internal/engine/claim_test.go
+++ b/internal/engine/claim_test.go
@@ -157,8 +157,8 @@
 }
 
 // Guards against VMs being given back too early: a worker that never had a task counted as empty
-// since the entry VM's start. The whole fleet was parked before the first caller came, and VMs just
-// obtained for a burst were given away again.
+// since the entry VM's start. The whole fleet was parked (switched off) before the first caller came, and
+// VMs just obtained for a burst were given away again.
 func TestEmptyTimeOfAWorkerStartsWithItsFirstAnswer(t *testing.T) {
 	b := newRig(t)
 	b.worker("w1")
--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -70,8 +70,8 @@
 // reviews.
 func (c *Core) claimDue(a *account, claim *workspace.Claim, now time.Duration) bool {
 	has := a.ledger.Of(c.cell, len(c.cells))
-	waits, claimed := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
-	if waits && !claimed {
+	waits, recorded := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
+	if waits && !recorded {
 		return true
 	}
 	givesBack := a.explicit && a.granted < has && claim.InUse < has && a.ledger.Contended(*claim)
@@ -90,7 +90,7 @@
 	}
 	claim.Need = peak
 	restores := a.explicit && a.granted < min(has, claim.Need)
-	return waits || claimed || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
+	return waits || recorded || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
 }
 
 // settle computes the result of the claim on the last known ledger and lowers what the cell may
@@ -104,9 +104,9 @@
 	return s, !same || s.Usable > before || a.inDoubt
 }
 
-// hasUnclaimedNeed reports whether a workspace's work waits for a larger share that the cell has
-// not claimed yet.
-func (c *Core) hasUnclaimedNeed() bool {
+// hasUnrecordedNeed reports whether a workspace's work waits for a larger share and the ledger does
+// not record this yet.
+func (c *Core) hasUnrecordedNeed() bool {
 	for _, a := range c.limits.accounts {
 		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
 			return true
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -227,7 +227,7 @@
 	deposed := e.core.Deposed()
 	all, final := e.core.Dirty()
 	ack := e.core.hasUnacknowledgedEnds()
-	wants := e.core.hasUnclaimedNeed()
+	wants := e.core.hasUnrecordedNeed()
 	e.mu.Unlock()
 	if deposed {
 		return false
--- a/internal/engine/inbox_test.go
+++ b/internal/engine/inbox_test.go
@@ -51,18 +51,20 @@
 	t.Helper()
 	ops, err := CreateOps(service, &work.Job{ID: id, Queue: queue, Steps: []work.Step{short(1)}}, Queue{Name: queue, Service: service})
 	assert.NilError(t, err)
-	note := infra.WorkInboxKey(service, InboxSubmit, string(id))
-	_, err = store.Txn(context.Background(), infra.Txn{Then: append(ops, infra.Put(note, nil))})
+	key := infra.WorkInboxKey(service, InboxSubmit, string(id))
+	_, err = store.Txn(context.Background(), infra.Txn{Then: append(ops, infra.Put(key, nil))})
 	assert.NilError(t, err)
-	return note
+	return key
 }
 
+// Guards against jobs that are accepted and never run: the owner must add jobs that entry VMs stored
+// without reaching it, and then delete their messages.
 func TestJobsThatEntryVMsStoredAreFoundByInboxMessages(t *testing.T) {
 	e, store := newEngine(t, &fakeTerm{certain: true})
-	note := storeWithMessage(t, store, "j1")
-	assert.NilError(t, e.handleMessages(context.Background(), []string{note}))
+	key := storeWithMessage(t, store, "j1")
+	assert.NilError(t, e.handleMessages(context.Background(), []string{key}))
 	assert.Assert(t, e.core.Known("j1"))
-	kv, _, err := store.Get(context.Background(), note)
+	kv, _, err := store.Get(context.Background(), key)
 	assert.NilError(t, err)
 	assert.Equal(t, kv.ModRevision, infra.Revision(0), "handled messages are deleted")
 }
@@ -73,10 +75,10 @@
 func TestAnOwnerThatIsNotCertainLeavesInboxMessagesToItsSuccessor(t *testing.T) {
 	term := &fakeTerm{}
 	e, store := newEngine(t, term)
-	note := storeWithMessage(t, store, "j1")
-	assert.Assert(t, e.handleMessages(context.Background(), []string{note}) != nil)
+	key := storeWithMessage(t, store, "j1")
+	assert.Assert(t, e.handleMessages(context.Background(), []string{key}) != nil)
 	assert.Assert(t, !e.core.Known("j1"))
-	kv, _, err := store.Get(context.Background(), note)
+	kv, _, err := store.Get(context.Background(), key)
 	assert.NilError(t, err)
 	assert.Assert(t, kv.ModRevision != 0, "the message is left to the successor")
 }
--- a/internal/engine/restore_test.go
+++ b/internal/engine/restore_test.go
@@ -18,7 +18,7 @@
 
 func (u *rangeCounter) Range(ctx context.Context, prefix string) ([]infra.KV, infra.Revision, error) {
 	u.ranges.Add(1)
-	if _, is := ctx.Deadline(); is {
+	if _, limited := ctx.Deadline(); limited {
 		u.withDeadline.Add(1)
 	}
 	return u.Store.Range(ctx, prefix)
