--- a/internal/engine/committer.go
+++ b/internal/engine/committer.go
@@ -9,29 +9,32 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// commitMark is the value of a committer's key: who wrote last, and which of its batches.
+// commitMark is the value of a commit key. It tells which owner wrote the key last and
+// with which of its batches.
 type commitMark struct {
-	Token int64 `json:"token"`
-	Seq   int64 `json:"seq"`
+	Token int64 `json:"token"` // fencing token of the owner's term
+	Seq   int64 `json:"seq"`   // number of the committer's batch
 }
 
-// committer sends one transaction at a time, under a commit key of its own.
+// committer sends one transaction at a time to the store. Each transaction is conditional
+// on the revision of the committer's commit key and rewrites that key, so that a later
+// owner, which rewrites all commit keys, fences it.
 type committer struct {
 	w   *writer
 	key string
 
-	rev  infra.Revision // of the key
-	seq  int64
-	busy time.Duration // since when the present batch is under way; 0: none. Locked by the writer
+	rev        infra.Revision // of the commit key
+	seq        int64
+	batchSince time.Duration // start of the current batch on the engine's clock; 0: none. Guarded by writer.mu
 }
 
-// batch is the content of one transaction. It is sent again unchanged until its
-// outcome is known: its mark tells a later answer that it took effect.
+// batch is the content of one transaction. It is sent again until its outcome is known:
+// if an earlier attempt took effect, the commit key holds the batch's seq.
 type batch struct {
-	creates []*creation
-	flush   Flush
-	seq     int64
-	sent    bool // may have taken effect
+	creates     []*creation
+	flush       Flush
+	seq         int64
+	mayBeStored bool // an attempt may have taken effect
 }
 
 func (b *batch) empty() bool { return len(b.creates) == 0 && len(b.flush.Changes) == 0 }
@@ -43,25 +46,25 @@
 			return
 		case <-c.w.engine.storeKick:
 		}
-		first, begin := c.w.begin()
+		first, begin := c.w.startBatch()
 		if !begin {
-			kick(c.w.gathering)
+			kick(c.w.gatherWake)
 			continue
 		}
 		if first {
 			c.w.gather(ctx)
 		}
-		c.store(ctx, c.take())
-		c.rest()
+		c.store(ctx, c.nextBatch())
+		c.finishBatch()
 	}
 }
 
-// rest ends a batch and asks for the next if more has gathered.
-func (c *committer) rest() {
+// finishBatch marks the committer as idle and triggers another batch if changes are pending.
+func (c *committer) finishBatch() {
 	w := c.w
 	w.mu.Lock()
 	w.active--
-	c.busy = 0
+	c.batchSince = 0
 	more := len(w.waiting) > 0
 	w.mu.Unlock()
 	w.engine.mu.Lock()
@@ -72,7 +75,9 @@
 	}
 }
 
-func (c *committer) take() *batch {
+// nextBatch takes pending creations and changes, as many as fit into one transaction, and
+// triggers another committer if some are left.
+func (c *committer) nextBatch() *batch {
 	w := c.w
 	c.seq++
 	b := &batch{seq: c.seq}
@@ -82,11 +87,11 @@
 	w.mu.Lock()
 	n := min(len(w.waiting), maxCreates)
 	if final > 0 {
-		n = min(n, sharedCreates)
+		n = min(n, maxCreatesBesideEnds)
 	}
 	b.creates = append(b.creates, w.waiting[:n]...)
 	w.waiting = append(w.waiting[:0], w.waiting[n:]...)
-	c.busy = w.engine.Clock.Now()
+	c.batchSince = w.engine.Clock.Now()
 	left := len(w.waiting)
 	w.mu.Unlock()
 	w.engine.mu.Lock()
@@ -99,7 +104,8 @@
 	return b
 }
 
-// store sends the batch until its outcome is known.
+// store sends the batch until its outcome is known or ctx ends. If the store certainly did
+// not take it, pending creations fail with ErrStore and the changes are sent again.
 func (c *committer) store(ctx context.Context, b *batch) {
 	w := c.w
 	for !b.empty() {
@@ -108,7 +114,7 @@
 		cancel()
 		w.engine.Metrics.txn(err)
 		if err != nil && ctx.Err() != nil {
-			b.sent = true
+			b.mayBeStored = true
 			w.abandon(b)
 			return
 		}
@@ -123,13 +129,13 @@
 			continue
 		}
 		if infra.IsKind(err, infra.KindUnknown) {
-			b.sent = true
+			b.mayBeStored = true
 		}
-		w.engine.Log.Info("store does not take a transaction", "seq", b.seq, "creates", len(b.creates), "changes", len(b.flush.Changes), "error", err.Error())
-		if !b.sent {
+		w.engine.Log.Info("store transaction failed, will retry", "seq", b.seq, "creates", len(b.creates), "changes", len(b.flush.Changes), "error", err.Error())
+		if !b.mayBeStored {
 			w.refuse(b)
 		}
-		sleep.For(ctx, storePause)
+		sleep.For(ctx, storeRetryDelay)
 	}
 	w.finishFlush(b, nil)
 }
@@ -138,7 +144,7 @@
 	w := c.w
 	mark, err := json.Marshal(commitMark{Token: w.engine.Term.Token(), Seq: b.seq})
 	if err != nil {
-		panic(err) // two integers: it can't fail
+		panic(err) // two integers always marshal
 	}
 	t := infra.Txn{
 		If:   []infra.Cond{{Key: c.key, ModRevision: c.rev}},
@@ -157,20 +163,22 @@
 	return t
 }
 
+// changeOps returns the writes of one job's change.
 func (w *writer) changeOps(ch Change) []infra.Op {
 	if ch.Final == "" {
 		return []infra.Op{infra.Put(infra.WorkProgressKey(w.engine.Cell, string(ch.Job)), ch.Progress)}
 	}
 	ops, err := EndOps(ch.Job, JobStub{Cell: w.engine.Cell, Workspace: ch.Workspace, State: ch.Final, Ended: w.engine.Clock.Wall()})
 	if err != nil {
-		panic(err) // strings and a time: it can't fail
+		panic(err) // strings and a time always marshal
 	}
-	if ch.Clear {
+	if ch.DeleteProgress {
 		ops = append(ops, infra.Delete(infra.WorkProgressKey(w.engine.Cell, string(ch.Job))))
 	}
 	return ops
 }
 
+// succeeded completes a batch that took effect at the revision.
 func (c *committer) succeeded(b *batch, rev infra.Revision) {
 	c.rev = rev
 	for _, create := range b.creates {
@@ -180,8 +188,10 @@
 	c.w.finishFlush(b, nil)
 }
 
-// conflict sorts out why the conditions failed; true where the rest of the
-// batch is to be sent again.
+// conflict handles a transaction whose conditions failed; reads holds the commit key and
+// then the key of each new job. It reports whether the rest of the batch must be sent again:
+// not if a later owner has written, which ends the term, nor if an earlier attempt of this
+// batch took effect. New jobs that are stored already are taken out of the batch.
 func (c *committer) conflict(b *batch, reads []infra.KV) bool {
 	w := c.w
 	var mark commitMark
@@ -191,7 +201,7 @@
 		}
 	}
 	if len(reads) == 0 || mark.Token != w.engine.Term.Token() {
-		w.engine.Log.Info("a later owner has written", "token", mark.Token)
+		w.engine.Log.Info("fenced: a later owner has written the commit key", "token", mark.Token)
 		w.abandon(b)
 		w.engine.Term.End("a later owner has written")
 		return false
@@ -207,7 +217,7 @@
 	kept := b.creates[:0]
 	for i, create := range b.creates {
 		if i+1 < len(reads) && reads[i+1].ModRevision != 0 {
-			w.existed(create, reads[i+1].Value)
+			w.alreadyStored(create, reads[i+1].Value)
 			continue
 		}
 		kept = append(kept, create)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -43,7 +43,7 @@
 	workers           map[work.WorkerID]*worker
 	sorted            []*worker                            // workers by ID; nil: has to be rebuilt
 	endedIncarnations map[work.WorkerID][]work.Incarnation // incarnations that have ended
-	endedJobs         []staleJob                           // ended jobs, oldest first
+	endedJobs         []endedJob                           // ended jobs, oldest first
 	durationRatios    estimateRatios
 	sizes             map[string]*meanSize
 	limits            *limits
@@ -143,7 +143,7 @@
 	if a := added.account; a != nil {
 		added.overShare = !a.arrivals.Take(c.declared.Workspaces[a.name].Weight, now)
 	}
-	c.arrived(added, now)
+	c.recordArrival(added, now)
 }
 
 func (c *Core) add(j *job) {
@@ -170,7 +170,7 @@
 // shows reports whether callers of the workspace may see and cancel the job.
 func (c *Core) shows(id work.JobID, workspace work.WorkspaceName) bool {
 	j := c.jobs[id]
-	return j != nil && Shows(j.Workspace, workspace)
+	return j != nil && MayAccess(j.Workspace, workspace)
 }
 
 // State returns the job's state as callers see it, and whether the job is known.
--- a/internal/engine/crash_sim_test.go
+++ b/internal/engine/crash_sim_test.go
@@ -113,13 +113,13 @@
 // takeOver replaces the owner by one that knows only what is stored.
 func (w *crashSim) takeOver() {
 	w.core = w.successor(w.core.token + 1)
-	for _, id := range sorted(w.records) {
+	for _, id := range sortedIDs(w.records) {
 		if w.ended[id] == "" {
 			w.core.Restore(w.records[id], w.progress[id], w.now, w.wall)
 		}
 	}
-	w.core.Reaffirm(w.now, w.wall)
-	w.core.InheritLeases(w.now + inheritedFor())
+	w.core.FinishRestore(w.now, w.wall)
+	w.core.InheritLeases(w.now + inheritedLeaseTime())
 	var vms []work.VM
 	for _, id := range w.alive() {
 		vms = append(vms, vm("v-"+string(id), id))
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -237,9 +237,9 @@
 	}
 }
 
-// runBurst simulates a burst of sound jobs that fills the pool, with three faulty ones among
+// runCrashBurst simulates a burst of sound jobs that fills the pool, with three faulty ones among
 // them.
-func runBurst(t testing.TB, seed uint64, spontaneousRate float64) *crashSim {
+func runCrashBurst(t testing.TB, seed uint64, spontaneousRate float64) *crashSim {
 	w := newSeededCrashSim(t, 12, seed)
 	w.spontaneousRate = spontaneousRate
 	w.workTime = func(ref work.TaskRef) time.Duration {
@@ -276,7 +276,7 @@
 // Guards against giving up sound jobs of a burst, or holding them back for good, because
 // faulty ones crash the workers that they share.
 func TestSoundJobsOfABurstSurviveFaultyJobs(t *testing.T) {
-	w := runBurst(t, 1, 0)
+	w := runCrashBurst(t, 1, 0)
 	for _, id := range []work.JobID{"b0", "b1", "b2"} {
 		assertGivenUp(t, w, id)
 	}
@@ -370,7 +370,7 @@
 	lost, seed, runs := 0, uint64(0), 0
 	var waited time.Duration
 	for b.Loop() {
-		w := runBurst(b, seed, 0)
+		w := runCrashBurst(b, seed, 0)
 		seed++
 		_, l := w.soundBurstJobs()
 		lost += l
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -46,7 +46,7 @@
 		return
 	}
 	e.mu.Lock()
-	uses := e.core.usesShares()
+	uses := e.core.exceedsProvisionalShare()
 	e.mu.Unlock()
 	if !uses {
 		return
@@ -60,7 +60,7 @@
 // else tells it.
 func (e *Engine) readLedgers(ctx context.Context) {
 	e.mu.Lock()
-	due := e.core.lookDue(e.Clock.Now())
+	due := e.core.ledgerReadDue(e.Clock.Now())
 	e.mu.Unlock()
 	if !due {
 		return
@@ -73,7 +73,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, kv := range kvs {
-		e.core.LedgerSeen(kv)
+		e.core.ApplyNewerLedger(kv)
 	}
 }
 
@@ -87,7 +87,7 @@
 			return
 		}
 		if !e.storeClaims(ctx, claims) {
-			sleep.For(ctx, storePause)
+			sleep.For(ctx, storeRetryDelay)
 			return
 		}
 		kick(e.planKick)
@@ -112,10 +112,10 @@
 	for i := range claims {
 		switch {
 		case err == nil && res.Succeeded:
-			e.core.Claimed(claims[i], res.Revision)
+			e.core.ClaimStored(claims[i], res.Revision)
 			continue
 		case err == nil:
-			e.core.LedgerRead(claims[i].workspace, res.Reads[i].Value, res.Reads[i].ModRevision)
+			e.core.ApplyLedger(claims[i].workspace, res.Reads[i].Value, res.Reads[i].ModRevision)
 		}
 		e.core.ClaimFailed(claims[i], infra.IsKind(err, infra.KindUnknown))
 	}
@@ -148,7 +148,7 @@
 	e.mu.Lock()
 	ready := e.restored
 	if ready {
-		e.core.LookAtLimits(names)
+		e.core.MarkLedgersStale(names)
 	}
 	e.mu.Unlock()
 	if !ready {
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -134,7 +134,7 @@
 	}
 	txn := infra.Txn{
 		If:   []infra.Cond{{Key: infra.WorkJobKey(string(j.ID))}},
-		Then: append(ops, infra.Put(infra.WorkInboxKey(q.Service, engine.NoteSubmit, string(j.ID)), nil)),
+		Then: append(ops, infra.Put(infra.WorkInboxKey(q.Service, engine.InboxSubmit, string(j.ID)), nil)),
 		Else: []infra.Op{infra.Read(infra.WorkJobKey(string(j.ID)))},
 	}
 	for {
@@ -234,7 +234,7 @@
 // another workspace's job: callers must not learn which IDs other workspaces use.
 func (f *Front) readStubFor(ctx context.Context, id work.JobID, workspace work.WorkspaceName) (*engine.JobStub, infra.Revision, error) {
 	stub, rev, err := f.readStub(ctx, id)
-	if err == nil && !engine.Shows(stub.Workspace, workspace) {
+	if err == nil && !engine.MayAccess(stub.Workspace, workspace) {
 		f.Log.Info("request for another workspace's job", "job", id, "workspace", stub.Workspace, "by", workspace)
 		return nil, 0, ErrUnknownJob
 	}
@@ -306,7 +306,7 @@
 		}
 		res, err := f.runTxn(ctx, infra.Txn{
 			If:   []infra.Cond{{Key: infra.WorkJobKey(string(id)), ModRevision: rev}},
-			Then: append(ops, infra.Put(infra.WorkInboxKey(stub.Cell, engine.NoteCancel, string(id)), nil)),
+			Then: append(ops, infra.Put(infra.WorkInboxKey(stub.Cell, engine.InboxCancel, string(id)), nil)),
 		})
 		if err == nil && res.Succeeded {
 			return nil
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -95,7 +95,7 @@
 	r.owner.err = engine.ErrNotReady
 	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue))
 	assert.Assert(t, r.stored(t, infra.WorkOpenKey(cell, "j1")))
-	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")))
+	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.InboxSubmit, "j1")))
 	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue), "a repeat is the same job")
 }
 
@@ -109,7 +109,7 @@
 	assert.NilError(t, err)
 	r.owner.err = engine.ErrUncertain
 	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue))
-	assert.Assert(t, !r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")), "the job existed already")
+	assert.Assert(t, !r.stored(t, infra.WorkInboxKey(cell, engine.InboxSubmit, "j1")), "the job existed already")
 }
 
 func TestStatesAndCancellationsWithoutAnOwner(t *testing.T) {
@@ -130,7 +130,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, state, work.Cancelled)
 	assert.Assert(t, !r.stored(t, infra.WorkOpenKey(cell, "j1")), "a later owner would start it")
-	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.NoteCancel, "j1")))
+	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.InboxCancel, "j1")))
 	assert.NilError(t, r.front.Cancel(ctx, "j1", queue, ""), "it has ended already")
 }
 
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -165,7 +165,7 @@
 // have expired, for one term.
 func (d *duties) ownFleet(ctx context.Context, t *ownership.Term) {
 	n := d.node
-	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), Status: n.settings.StatusRetention}
+	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), StatusPeriod: n.settings.StatusRetention}
 	var background sync.WaitGroup
 	background.Go(func() { retention.Run(ctx) })
 	defer background.Wait()
