--- a/internal/fleet/audit_test.go
+++ b/internal/fleet/audit_test.go
@@ -15,59 +15,60 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// auditor checks the invariants at every write and every outside effect, and
-// records the history of VM and ledger keys.
+// auditor checks the invariants at every write to the store and every effect on
+// a VM, and records the history of the keys of VMs and ledgers.
 type auditor struct {
-	w   *world
-	off bool // in comparisons, which measure by themselves
+	w   *simulation
+	off bool // in comparisons and benchmarks, which do their own measurements
 
-	mu      sync.Mutex
-	faults  []string
-	history []porcupine.Operation
-	clients map[model.EntryID]int
-	seen    map[string]int // state changes and effects, to see that a run is not empty
-	now     int64
+	mu         sync.Mutex
+	violations []string
+	history    []porcupine.Operation
+	clients    map[model.EntryID]int
+	counts     map[string]int // number of state changes and effects, to show that a run did something
+	now        int64
 }
 
-func newAuditor(w *world) *auditor {
-	a := &auditor{w: w, clients: make(map[model.EntryID]int), seen: make(map[string]int)}
-	w.machines.took = a.effect
+func newAuditor(w *simulation) *auditor {
+	a := &auditor{w: w, clients: make(map[model.EntryID]int), counts: make(map[string]int)}
+	w.machines.onEffect = a.checkEffect
 	return a
 }
 
-func (a *auditor) summary() string { return fmt.Sprint(a.seen) }
+func (a *auditor) summary() string { return fmt.Sprint(a.counts) }
 
-func (a *auditor) fault(format string, args ...any) {
-	a.faults = append(a.faults, fmt.Sprintf(format, args...))
+func (a *auditor) report(format string, args ...any) {
+	a.violations = append(a.violations, fmt.Sprintf(format, args...))
 }
 
-// verify fails the test on anything the auditor has seen.
+// verify fails the test if an invariant was violated or the history is not
+// linearizable.
 func (a *auditor) verify(t rapid.TB) {
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.faults) > 0 {
-		t.Fatalf("%d invariants broken, first: %s", len(a.faults), a.faults[0])
+	if len(a.violations) > 0 {
+		t.Fatalf("%d invariants violated, first: %s", len(a.violations), a.violations[0])
 	}
-	assert.Assert(t, porcupine.CheckOperations(casModel, a.history), "history is not that of compare-and-swap objects")
+	assert.Assert(t, porcupine.CheckOperations(casModel, a.history), "history is not linearizable as compare-and-swap registers")
 }
 
-// auditedStore is one node's way to the store under audit.
+// auditedStore is one node's connection to the store, checked by the auditor.
 type auditedStore struct {
 	infra.Store
 	audit *auditor
 	node  model.EntryID
 }
 
-// Txn checks the write against what stood before and what stands after. The
-// schedules let one node run at a time, so nothing comes in between.
+// Txn checks the write against the state before and after it. The tests let one
+// node run at a time, so there is no concurrent write.
 func (s *auditedStore) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
 	a := s.audit
 	if a.off {
 		return s.Store.Txn(ctx, txn)
 	}
 	if len(txn.If) == 0 {
-		a.fenced(txn)
+		a.checkConditions(txn)
 		return s.Store.Txn(ctx, txn)
 	}
 	a.mu.Lock()
@@ -80,16 +81,16 @@
 	if err != nil {
 		return res, err
 	}
-	a.record(s.node, txn, res, call)
+	a.recordHistory(s.node, txn, res, call)
 	if res.Succeeded {
-		a.fenced(txn)
+		a.checkConditions(txn)
 		after := a.w.snapshot()
 		for id, vm := range after.VMs {
 			if old, ok := before.VMs[id]; ok {
-				a.legal(old.VM, vm.VM)
+				a.checkTransition(old.VM, vm.VM)
 			}
 		}
-		a.consistent(after.VMs)
+		a.checkLedgers(after.VMs)
 	}
 	return res, err
 }
@@ -98,21 +99,22 @@
 	return strings.HasPrefix(key, infra.VMPrefix) || strings.HasPrefix(key, infra.LedgerPrefix)
 }
 
-// fenced: every write of a VM or ledger is bound to the revision it was made
-// from, else a reconciler that was paused could write over a newer state.
-func (a *auditor) fenced(txn infra.Txn) {
+// checkConditions checks that every write of a VM or ledger is conditional on the
+// revision it is based on. Otherwise a reconciler that was paused could overwrite
+// newer state.
+func (a *auditor) checkConditions(txn infra.Txn) {
 	bound := make(map[string]bool)
 	for _, c := range txn.If {
 		bound[c.Key] = true
 	}
 	for _, op := range txn.Then {
 		if op.Kind != infra.OpGet && audited(op.Key) && !bound[op.Key] {
-			a.fault("%s written without a condition on it", op.Key)
+			a.report("%s written without a condition on it", op.Key)
 		}
 	}
 }
 
-var legalSteps = map[model.VMState][]model.VMState{
+var allowedTransitions = map[model.VMState][]model.VMState{
 	model.VMInPool:    {model.VMLeaving},
 	model.VMLeaving:   {model.VMEmpty, model.VMRebooting, model.VMProbation, model.VMLeaving},
 	model.VMEmpty:     {model.VMInPool, model.VMProbation},
@@ -120,43 +122,43 @@
 	model.VMProbation: {model.VMInPool},
 }
 
-// legal: a VM takes the steps of its life in order and changes its pool only
-// out of empty.
-func (a *auditor) legal(old, vm model.VM) {
+// checkTransition checks that a VM goes through its states in order and changes its
+// pool only when it leaves the empty state.
+func (a *auditor) checkTransition(old, vm model.VM) {
 	if old.Change == vm.Change {
 		return
 	}
-	a.seen[string(vm.State)]++
+	a.counts[string(vm.State)]++
 	if old.Pool != vm.Pool {
-		a.seen["moved"]++
+		a.counts["moved"]++
 	}
 	ok := false
-	for _, to := range legalSteps[old.State] {
+	for _, to := range allowedTransitions[old.State] {
 		ok = ok || to == vm.State
 	}
 	if !ok {
-		a.fault("VM %s went from %s to %s", vm.ID, old.State, vm.State)
+		a.report("VM %s went from %s to %s", vm.ID, old.State, vm.State)
 	}
 	if old.Pool != vm.Pool && old.State != model.VMEmpty {
-		a.fault("VM %s changed its pool while %s", vm.ID, old.State)
+		a.report("VM %s changed its pool while %s", vm.ID, old.State)
 	}
 }
 
-// consistent: the ledgers hold exactly the stops in progress, and no more than
-// the budgets allow.
-func (a *auditor) consistent(vms map[model.VMID]view.VMRecord) {
+// checkLedgers checks that the ledgers hold exactly the stops in progress, and no
+// more than the budgets allow.
+func (a *auditor) checkLedgers(vms map[model.VMID]view.VMRecord) {
 	for i := range a.w.decl.Services {
 		s := &a.w.decl.Services[i]
 		kv, _, _ := a.w.store.Get(context.Background(), infra.LedgerKey(s.Name))
 		l, err := decode[Ledger](kv)
 		if err != nil {
-			a.fault("ledger of %s: %v", s.Name, err)
+			a.report("ledger of %s: %v", s.Name, err)
 		}
-		a.ledger(s, l.value, vms)
+		a.checkLedger(s, l.value, vms)
 	}
 }
 
-func (a *auditor) ledger(s *model.Service, l Ledger, vms map[model.VMID]view.VMRecord) {
+func (a *auditor) checkLedger(s *model.Service, l Ledger, vms map[model.VMID]view.VMRecord) {
 	total, out := 0, 0
 	for _, vm := range vms {
 		if len(s.Pools) == 0 || vm.Pool != s.Pools[0] {
@@ -168,25 +170,26 @@
 		}
 	}
 	if required := s.Budget.MinAvailable.Of(total); total-out < required {
-		a.fault("budget of %s broken by plan: %d of %d out, %d required", s.Name, out, total, required)
+		a.report("budget of %s violated by planned stops: %d of %d VMs out, %d required up", s.Name, out, total, required)
 	}
 	if len(l.Stops) != out {
-		a.fault("ledger of %s holds %d stops, %d VMs are out", s.Name, len(l.Stops), out)
+		a.report("ledger of %s holds %d stops, %d VMs are out", s.Name, len(l.Stops), out)
 	}
 	for _, stop := range l.Stops {
 		if vms[stop.VM].Holder == "" {
-			a.fault("ledger of %s holds a stop of VM %s, which nothing holds", s.Name, stop.VM)
+			a.report("ledger of %s holds a stop of VM %s, which nothing holds", s.Name, stop.VM)
 		}
 	}
 }
 
-// effect: an outside effect happens only while the record calls for this very
-// attempt. A late one would hit a VM that serves again.
-func (a *auditor) effect(op string, id model.VMID, attempt model.AttemptID) {
+// checkEffect checks that an effect on a VM takes place only while the VM's record
+// has this attempt and a state that requires it. A late effect would hit a VM that
+// serves again.
+func (a *auditor) checkEffect(op string, id model.VMID, attempt model.AttemptID) {
 	if a.off {
 		return
 	}
-	a.seen[op]++
+	a.counts[op]++
 	vm := a.w.snapshot().VMs[id]
 	want := map[string][]model.VMState{
 		"drain":   {model.VMLeaving, model.VMProbation},
@@ -197,20 +200,20 @@
 	for _, s := range want {
 		ok = ok || vm.State == s
 	}
-	current := attempt == vm.Attempt || attempt == undrainOf(vm.Attempt)
+	current := attempt == vm.Attempt || attempt == undrainAttempt(vm.Attempt)
 	if !ok || !current {
-		a.fault("%s of VM %s (%s) took effect while it is %s (%s)", op, id, attempt, vm.State, vm.Attempt)
+		a.report("%s of VM %s (%s) took effect while it is %s (%s)", op, id, attempt, vm.State, vm.Attempt)
 	}
 }
 
-// casOp is a compare-and-swap of one key: from the revision it was bound to, to
-// the revision it was given, or refused.
+// casOp is a successful compare-and-swap of one key: from is the revision it was
+// conditional on, to the revision after it.
 type casOp struct {
 	key      string
 	from, to infra.Revision
 }
 
-func (a *auditor) record(node model.EntryID, txn infra.Txn, res infra.TxnResult, call int64) {
+func (a *auditor) recordHistory(node model.EntryID, txn infra.Txn, res infra.TxnResult, call int64) {
 	client, ok := a.clients[node]
 	if !ok {
 		client = len(a.clients)
@@ -221,7 +224,7 @@
 	}
 	for _, c := range txn.If {
 		if strings.HasPrefix(c.Key, infra.ShardPrefix) {
-			continue // leased: the store deletes them by itself
+			continue // the store deletes these keys when their lease expires
 		}
 		op := casOp{key: c.Key, from: c.ModRevision, to: c.ModRevision}
 		for _, put := range txn.Then {
--- a/internal/fleet/bootstrap.go
+++ b/internal/fleet/bootstrap.go
@@ -7,21 +7,22 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// holderJoin holds a VM that was declared later than its pool, until it is
-// proven healthy. Before that no budget counts it: a share of a larger whole
-// would need more VMs up before the new one helps.
+// holderJoin is the holder of a VM that was declared later than its pool, until
+// the VM has proven healthy. Until then no budget counts it: a budget that is a
+// share of the service's VMs would require more VMs to be up before the new one
+// serves.
 const holderJoin = "join"
 
-// Bootstrap creates the keys of declared VMs that have none, and takes over
-// addresses and places that are declared anew. The first VMs of a pool are in
-// it at once; later ones join by proof of health. VMs that are no longer
-// declared are left alone, see Undeclared.
+// Bootstrap creates the keys of declared VMs that have none, and updates the
+// address, zone, rack and capacity of VMs whose declaration has changed. The
+// first VMs of a pool are members at once; later ones join after they have proven
+// healthy. VMs that are no longer declared are left as they are, see Undeclared.
 func (f *Fleet) Bootstrap(ctx context.Context) error {
 	p := f.newPass()
 	if p.snap.Declaration == nil {
 		return nil
 	}
-	for _, batch := range p.newcomers() {
+	for _, batch := range p.outdatedVMs() {
 		if err := p.create(ctx, batch); err != nil {
 			return err
 		}
@@ -29,8 +30,8 @@
 	return nil
 }
 
-// Undeclared returns the VMs that have a key and are not declared, sorted. They
-// keep working until an operator drains them.
+// Undeclared returns the VMs that have a key but are not declared, sorted by ID.
+// They keep serving until an operator drains them.
 func (f *Fleet) Undeclared() []model.VMID {
 	p := f.newPass()
 	if p.snap.Declaration == nil {
@@ -50,13 +51,13 @@
 	return ids
 }
 
-// newcomers returns declared VMs whose key is not as declared, in batches of
-// one pool.
-func (p *pass) newcomers() [][]model.VMDecl {
+// outdatedVMs returns the declared VMs whose record is missing or differs from
+// the declaration, in batches that each belong to one pool.
+func (p *pass) outdatedVMs() [][]model.VMDecl {
 	byPool := make(map[model.PoolName][]model.VMDecl)
 	var pools []model.PoolName
 	for _, d := range p.snap.Declaration.VMs {
-		if vm, ok := p.snap.VMs[d.ID]; ok && asDeclared(&vm.VM, d) {
+		if vm, ok := p.snap.VMs[d.ID]; ok && matchesDeclaration(&vm.VM, d) {
 			continue
 		}
 		if len(byPool[d.Pool]) == 0 {
@@ -76,32 +77,33 @@
 	return batches
 }
 
-// asDeclared reports whether a record agrees with what only the declaration
-// says. The declared pool is only where a VM starts.
-func asDeclared(vm *model.VM, d model.VMDecl) bool {
+// matchesDeclaration reports whether a record agrees with the declaration in the
+// fields that only the declaration sets. The pool is not among them: it is
+// declared only as the VM's first pool.
+func matchesDeclaration(vm *model.VM, d model.VMDecl) bool {
 	return vm.Address == d.Address && vm.Zone == d.Zone && vm.Rack == d.Rack && vm.Capacity == d.Capacity
 }
 
-// create writes the keys of one batch. Keys that are as declared, since the
-// view lags or another entry VM was first, are left alone.
+// create writes the records of one batch. It skips records that match the
+// declaration already, because the view lags or another entry VM was first.
 func (p *pass) create(ctx context.Context, batch []model.VMDecl) error {
 	ids := make([]model.VMID, len(batch))
 	for i, d := range batch {
 		ids[i] = d.ID
 	}
-	names := p.concerned(append(p.poolsOf(ids), batch[0].Pool))
+	names := p.affectedServices(append(p.poolsOf(ids), batch[0].Pool))
 	r, err := p.f.read(ctx, ids, names, "")
 	if err != nil {
 		return err
 	}
-	if p.behind(r) != "" {
+	if p.viewBehindLedger(r) != "" {
 		return nil
 	}
 	change := p.f.changeID()
-	w := &write{}
+	w := &writeSet{}
 	for _, d := range batch {
 		c := r.vms[d.ID]
-		if c.rev != 0 && asDeclared(&c.value, d) {
+		if c.rev != 0 && matchesDeclaration(&c.value, d) {
 			continue
 		}
 		if c.rev == 0 {
@@ -109,7 +111,7 @@
 		}
 		c.value.Address, c.value.Zone, c.value.Rack, c.value.Capacity = d.Address, d.Zone, d.Rack, d.Capacity
 		c.value.Change = change
-		w.change(c.cond(), c.put())
+		w.update(c.cond(), c.put())
 	}
 	if len(w.ops) == 0 {
 		return nil
@@ -117,9 +119,9 @@
 	for _, name := range names {
 		l := r.ledgers[name]
 		l.value.Change = change
-		w.change(l.cond(), l.put())
+		w.update(l.cond(), l.put())
 	}
-	_, err = p.settle(ctx, "create VMs", w)
+	_, err = p.commitStep(ctx, "create VMs", w)
 	return err
 }
 
--- a/internal/fleet/compare_test.go
+++ b/internal/fleet/compare_test.go
@@ -12,11 +12,11 @@
 )
 
 // runWave is the strategy under test: the planner and the reconciler.
-func runWave(t testing.TB, u user, sc scenario) result {
+func runWave(t testing.TB, u deployment, sc scenario) result {
 	tr := newTrial(u, sc)
 	tr.start(t)
 	n := tr.nodes[0]
-	tr.out = func() int {
+	tr.plannedOut = func() int {
 		out := 0
 		for _, vm := range tr.snapshot().VMs {
 			if wave.HeldByWave(vm.Holder) {
@@ -33,24 +33,25 @@
 		tr.sync()
 		_ = n.Step(ctx)
 		tr.sync()
-		if moved < sc.toMove() && tr.elapsed%time.Minute == 0 && tr.move(n, moved) {
+		if moved < sc.moveCount() && tr.elapsed%time.Minute == 0 && tr.move(n, moved) {
 			moved++
 		}
 		tr.resume(t, n)
-		if tr.waveState(t, "spring") == WaveFinished && moved == sc.toMove() && tr.find(model.VMLeaving) == "" && tr.find(model.VMEmpty) == "" {
+		if tr.waveState(t, "spring") == WaveFinished && moved == sc.moveCount() && tr.find(model.VMLeaving) == "" && tr.find(model.VMEmpty) == "" {
 			tr.result.finished = true
 		}
 	}
 	return tr.close()
 }
 
-// move gives one of the orders; a refusal is tried again.
+// move gives the order for one of the moves and reports whether it was accepted.
+// The caller retries it.
 func (tr *trial) move(n *node, k int) bool {
-	_, err := n.Move(ctx, swapped[k].vm, swapped[k].to, order(fmt.Sprint("move", k)))
+	_, err := n.Move(ctx, orderedMoves[k].vm, orderedMoves[k].to, order(fmt.Sprint("move", k)))
 	return err == nil
 }
 
-// resume does what an operator does who looks after a wave that paused itself.
+// resume resumes a paused wave, as an operator would who checks it every minute.
 func (tr *trial) resume(t testing.TB, n *node) {
 	if tr.waveState(t, "spring") == WavePaused && tr.elapsed%time.Minute == 0 {
 		_, _ = n.ResumeWave(ctx, "spring", order(fmt.Sprint("resume", tr.elapsed)))
@@ -59,7 +60,7 @@
 
 func (tr *trial) close() result {
 	tr.result.rollOut = tr.elapsed
-	tr.result.cut = len(tr.machines.cut)
+	tr.result.cut = len(tr.machines.rebootedWithWork)
 	for i := range tr.decl.VMs {
 		vm := tr.decl.VMs[i]
 		if tr.snapshot().VMs[vm.ID].Pool != vm.Pool {
@@ -69,20 +70,20 @@
 	return tr.result
 }
 
-// runBatches is the baseline: batches of a fixed size, each when the one before
-// is back, with a drain but without budgets. A batch takes its VMs from
-// different services, as a careful operator would.
-func runBatches(t testing.TB, u user, sc scenario, size int) result {
+// runBatches is the baseline: batches of a fixed size, each started when the one
+// before has returned, with a drain but without budgets. A batch takes its VMs
+// from different services, as a careful operator would.
+func runBatches(t testing.TB, u deployment, sc scenario, size int) result {
 	tr := newTrial(u, sc)
 	tr.start(t)
-	tr.machines.sending = func(model.VMID) bool { return false }
+	tr.machines.mayReceive = func(model.VMID) bool { return false }
 	var batch []model.VMID
-	tr.out = func() int { return len(batch) }
+	tr.plannedOut = func() int { return len(batch) }
 	probation := tr.decl.Waves[0].Probation
 	vms := acrossServices(tr.decl)
 	for at := 0; at < len(vms); at += size {
 		batch = vms[at:min(at+size, len(vms))]
-		for !tr.batchBack(batch, probation) && tr.elapsed < 24*time.Hour {
+		for !tr.stepBatch(batch, probation) && tr.elapsed < 24*time.Hour {
 			tr.tick()
 		}
 		for _, id := range batch {
@@ -94,7 +95,8 @@
 	return tr.close()
 }
 
-// acrossServices returns the VMs with those of one service far apart.
+// acrossServices returns the VMs in an order that takes one of each service in
+// turn.
 func acrossServices(d *model.Declaration) []model.VMID {
 	var ids []model.VMID
 	for k := range 10 {
@@ -105,9 +107,9 @@
 	return ids
 }
 
-// batchBack does the next step of each VM of a batch and reports whether all
-// are back.
-func (tr *trial) batchBack(batch []model.VMID, probation time.Duration) bool {
+// stepBatch does the next step of each VM of a batch and reports whether all have
+// returned.
+func (tr *trial) stepBatch(batch []model.VMID, probation time.Duration) bool {
 	back := 0
 	now := tr.clock.Now()
 	for _, id := range batch {
@@ -126,14 +128,14 @@
 	return back == len(batch)
 }
 
-// sum adds results up over seeds.
-type sum struct {
+// totals adds up the results of several seeds.
+type totals struct {
 	result
-	buffer               time.Duration
-	runs, slower, dearer int // runs slower or dearer than fixed batches
+	buffer                 time.Duration
+	runs, slower, costlier int // runs that were slower or cost more than fixed batches
 }
 
-func (s *sum) add(r result) {
+func (s *totals) add(r result) {
 	s.runs++
 	s.buffer += r.bufferCost()
 	s.rollOut += r.rollOut
@@ -145,53 +147,54 @@
 	s.moves += r.moves
 }
 
-func (s *sum) line(name string) string {
+func (s *totals) line(name string) string {
 	n := time.Duration(s.runs)
 	return fmt.Sprintf("%-14s roll-out %-9s buffer %-10s peak %4.1f  VM-time out %-10s broken %d (by failures alone %d) cut %d moves %d",
 		name, (s.rollOut / n).Round(time.Second), (s.buffer / n).Round(time.Second), float64(s.peak)/float64(s.runs),
 		(s.outTime / n).Round(time.Second), s.broken, s.failed, s.cut, s.moves)
 }
 
-// Waves are compared with one VM at a time and with fixed batches of a tenth,
-// over both users' sizes, with and without failures. More seeds:
+// Compares waves with maintaining one VM at a time and with fixed batches of a
+// tenth of the VMs, for both deployments, with and without failures. For more
+// seeds:
 //
 //	go test ./internal/fleet -run WavesAgainstBaselines -v -contests 1000 -timeout 60m
 func TestWavesAgainstBaselines(t *testing.T) {
-	for _, u := range users {
-		for w, name := range weathers {
+	for _, u := range deployments {
+		for w, name := range failureLevelNames {
 			t.Run(u.name+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				compare(t, u, weather(w))
+				compareStrategies(t, u, failureLevel(w))
 			})
 		}
 	}
 }
 
-// contest is what one seed came to for each strategy.
-type contest struct{ ours, single, tenth result }
+// comparison holds the results of each strategy for one seed.
+type comparison struct{ ours, single, tenth result }
 
-func hold(t testing.TB, u user, sc scenario) contest {
-	return contest{ours: runWave(t, u, sc), single: runBatches(t, u, sc, 1), tenth: runBatches(t, u, sc, 5)}
+func runStrategies(t testing.TB, u deployment, sc scenario) comparison {
+	return comparison{ours: runWave(t, u, sc), single: runBatches(t, u, sc, 1), tenth: runBatches(t, u, sc, 5)}
 }
 
-// contests holds one contest per seed.
-func contests(t testing.TB, u user, w weather) []contest {
-	all := make([]contest, *contestsFlag)
+// runComparisons runs one comparison per seed.
+func runComparisons(t testing.TB, u deployment, w failureLevel) []comparison {
+	all := make([]comparison, *contestsFlag)
 	for i := range all {
-		all[i] = hold(t, u, scenario{seed: int64(i + 1), weather: w})
+		all[i] = runStrategies(t, u, scenario{seed: int64(i + 1), failures: w})
 	}
 	return all
 }
 
-func compare(t *testing.T, u user, w weather) {
-	var ours, single, tenth sum
-	for i, c := range contests(t, u, w) {
-		assert.Assert(t, c.ours.finished, "seed %d never ended", i+1)
-		if w != violent || u.standsZone {
-			assert.Equal(t, c.ours.broken, 0, "seed %d broke a budget", i+1)
+func compareStrategies(t *testing.T, u deployment, w failureLevel) {
+	var ours, single, tenth totals
+	for i, c := range runComparisons(t, u, w) {
+		assert.Assert(t, c.ours.finished, "seed %d: wave did not finish", i+1)
+		if w != zoneFailures || u.toleratesZoneLoss {
+			assert.Equal(t, c.ours.broken, 0, "seed %d violated a budget", i+1)
 		}
-		assert.Equal(t, c.ours.cut, 0, "seed %d cut a request", i+1)
-		assert.Assert(t, c.ours.moves <= scenario{weather: w}.toMove(), "seed %d moved %d VMs", i+1, c.ours.moves)
+		assert.Equal(t, c.ours.cut, 0, "seed %d rebooted a VM with work on it", i+1)
+		assert.Assert(t, c.ours.moves <= scenario{failures: w}.moveCount(), "seed %d moved %d VMs", i+1, c.ours.moves)
 		ours.add(c.ours)
 		single.add(c.single)
 		tenth.add(c.tenth)
@@ -199,17 +202,17 @@
 			ours.slower++
 		}
 		if c.ours.bufferCost() > c.tenth.bufferCost() {
-			ours.dearer++
+			ours.costlier++
 		}
 	}
 	t.Log(ours.line("waves"))
 	t.Log(single.line("one at a time"))
 	t.Log(tenth.line("tenths"))
-	t.Logf("of %d runs %d slower and %d dearer than tenths", ours.runs, ours.slower, ours.dearer)
+	t.Logf("of %d runs %d were slower and %d cost more than tenths", ours.runs, ours.slower, ours.costlier)
 	if u.weights.RollOutTime > u.weights.BufferCost {
 		assert.Assert(t, 3*ours.rollOut <= single.rollOut, "roll-out over a third of one at a time")
 		return
 	}
 	assert.Assert(t, ours.rollOut <= tenth.rollOut, "slower than tenths")
-	assert.Assert(t, ours.buffer <= tenth.buffer, "dearer than tenths")
+	assert.Assert(t, ours.buffer <= tenth.buffer, "costs more than tenths")
 }
--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -8,25 +8,25 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// Code says why an order was refused.
+// Code is the reason why an order was refused.
 type Code string
 
-// The codes of a Refusal. In every case the order changed nothing.
+// The codes of a Refusal. A refused order changed nothing.
 const (
 	CodeNotFound    Code = "not-found"   // no such VM, pool or wave
-	CodeConflict    Code = "conflict"    // something else holds it; Winner names it
-	CodeRevision    Code = "revision"    // if-revision does not hold
-	CodeBudget      Code = "budget"      // an availability budget would break
+	CodeConflict    Code = "conflict"    // something else holds the VM or wave; Winner names it
+	CodeRevision    Code = "revision"    // the key is not at the revision that the order requires
+	CodeBudget      Code = "budget"      // an availability budget would be violated
 	CodeState       Code = "state"       // there is nothing to pause, resume, undrain, ...
-	CodeUnavailable Code = "unavailable" // the platform or a fresh view is out of reach
+	CodeUnavailable Code = "unavailable" // the platform can't be reached, or the view is too old
 )
 
-// Refusal says that an order was certainly not carried out, and why.
+// Refusal is the error for an order that certainly had no effect.
 type Refusal struct {
 	Code     Code
-	Winner   string         // what holds the VM or wave, "wave spring" or "order c-17"
-	Revision infra.Revision // of the key that decided
-	Detail   string         // a sentence a person reads
+	Winner   string         // what holds the VM or wave, such as "wave spring" or "order c-17"
+	Revision infra.Revision // of the key that the refusal is based on; 0 if none
+	Detail   string         // explanation for operators
 }
 
 // Error implements error.
@@ -34,11 +34,11 @@
 	return fmt.Sprintf("refused (%s): %s", r.Code, r.Detail)
 }
 
-// Error is a call to the platform that failed.
+// Error is a failed call to the platform or the store.
 type Error struct {
 	Op string
-	// Uncertain is true where the change may be in effect or come into
-	// effect; repeating the order under its change ID tells.
+	// Uncertain is true if the change may have taken effect or may still do
+	// so. Repeating the order under its change ID finds out.
 	Uncertain bool
 	Err       error
 }
@@ -49,8 +49,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// fault turns an error of the platform into this package's.
-func fault(op string, err error) error {
+// wrapError wraps an error of the platform or store as an Error; nil if err is
+// nil.
+func wrapError(op string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/fleet/failure_test.go
+++ b/internal/fleet/failure_test.go
@@ -11,49 +11,49 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// tick is one turn of the failure tables; every wait of the life of a VM takes
-// several.
+// tick is the time between two passes in the fault injection tests. Every wait in
+// the lifecycle of a VM lasts several ticks.
 const tick = 10 * time.Second
 
-// outage is how long the platform is out in the failure tables.
+// outage is the duration of an outage in the fault injection tests.
 const outage = 4 * time.Minute
 
-// stepper runs one node's passes in a goroutine of its own, so that a fault can
-// stop it in the middle of one.
+// stepper runs one node's passes in a goroutine of their own, so that a fault can
+// stop the node in the middle of a pass.
 type stepper struct {
-	w      *world
-	n      *node
-	calls  int
-	point  int // the call at which the fault strikes; 0 for never
-	strike func(s *stepper, op string)
-	struck string // the call it struck at
+	w          *simulation
+	n          *node
+	calls      int
+	faultCall  int // the number of the call at which the fault is injected; 0 for never
+	inject     func(s *stepper, op string)
+	injectedAt string // the operation at which the fault was injected; empty if it was not
 
 	paused chan struct{}
 	resume chan struct{}
-	ended  chan struct{} // closed when the pass under way is over
+	ended  chan struct{} // closed when the current pass is over
 	dead   bool
 }
 
-func newStepper(w *world, n *node, point int, strike func(*stepper, string)) *stepper {
-	s := &stepper{w: w, n: n, point: point, strike: strike}
+func newStepper(w *simulation, n *node, point int, strike func(*stepper, string)) *stepper {
+	s := &stepper{w: w, n: n, faultCall: point, inject: strike}
 	s.paused = make(chan struct{})
 	s.resume = make(chan struct{})
-	n.at = func(op string) {
+	n.beforeCall = func(op string) {
 		s.calls++
-		if s.calls == s.point {
-			s.struck = op
-			s.strike(s, op)
+		if s.calls == s.faultCall {
+			s.injectedAt = op
+			s.inject(s, op)
 		}
 	}
 	return s
 }
 
-// pass runs a pass until it is over, or paused in the middle.
+// pass runs a pass until it is over, and returns true, or until it is paused.
 func (s *stepper) pass() (over bool) {
 	s.ended = make(chan struct{})
 	go func() {
 		defer close(s.ended)
-		_ = s.n.Step(ctx) // what fails is tried again; the table checks the end
+		_ = s.n.Step(ctx) // failed steps are retried; the test checks the final state
 	}()
 	select {
 	case <-s.ended:
@@ -63,8 +63,9 @@
 	}
 }
 
-// The faults that strike one entry VM, or the platform, at one call.
-var strikes = []struct {
+// faultCases are the faults injected into one entry VM, the store or the platform
+// at one call.
+var faultCases = []struct {
 	name   string
 	strike func(s *stepper, op string)
 }{
@@ -72,7 +73,7 @@
 		s.dead = true
 		runtime.Goexit()
 	}},
-	{"paused past everything", func(s *stepper, _ string) {
+	{"paused until the wave is over", func(s *stepper, _ string) {
 		s.paused <- struct{}{}
 		<-s.resume
 	}},
@@ -81,26 +82,27 @@
 		s.w.machines.loseReplies(2)
 	}},
 	{"request lost", func(s *stepper, _ string) { s.n.store.LoseRequests(1) }},
-	{"store out for minutes", func(s *stepper, _ string) { s.w.storeOut(outage) }},
-	{"machines out for minutes", func(s *stepper, _ string) { s.w.machines.outFor(outage) }},
-	{"cut off with its zone for minutes", func(s *stepper, _ string) {
-		s.n.blind = true
+	{"store unavailable for minutes", func(s *stepper, _ string) { s.w.startStoreOutage(outage) }},
+	{"platform unavailable for minutes", func(s *stepper, _ string) { s.w.machines.startOutage(outage) }},
+	{"isolated with its zone for minutes", func(s *stepper, _ string) {
+		s.n.isolated = true
 		s.n.store.SetDown(true)
-		s.w.outUntil = s.w.clock.Now().Add(outage)
+		s.w.outageEnd = s.w.clock.Now().Add(outage)
 	}},
 }
 
-// An entry VM carries a wave. At one call to the platform, every one in turn,
-// it is killed, paused until all is over, its replies are lost, or the platform
-// goes out. Another entry VM carries on. The operator sees the wave finish, every
-// VM rebooted once, none with work on it, and no VM left drained: each step is
-// bound to the record it was made from and each effect to its attempt.
+// A fault is injected at each call in turn that an entry VM makes while it runs a
+// wave: the entry VM is killed, paused or isolated, replies or requests are lost,
+// or the store or the platform is unavailable. Another entry VM continues. The
+// wave must still finish with every VM rebooted exactly once, none with work on
+// it, and none left drained. A write that is not conditional on the record it is
+// based on, or an effect that is not bound to its attempt, would break this.
 func TestWaveSurvivesAFaultAtEveryCall(t *testing.T) {
-	for _, tc := range strikes {
+	for _, tc := range faultCases {
 		t.Run(tc.name, func(t *testing.T) {
 			for point := 1; ; point++ {
-				if !surviveFault(t, point, tc.strike) {
-					t.Logf("struck at %d calls", point-1)
+				if !runWaveWithFault(t, point, tc.strike) {
+					t.Logf("fault injected at %d calls", point-1)
 					assert.Assert(t, point > 20, "the wave took only %d calls", point)
 					return
 				}
@@ -109,42 +111,43 @@
 	}
 }
 
-// surviveFault runs a wave with one fault and reports whether it struck before
-// the wave was over.
-func surviveFault(t *testing.T, point int, strike func(*stepper, string)) bool {
+// runWaveWithFault runs a wave with one fault and reports whether the fault was
+// injected before the wave was over.
+func runWaveWithFault(t *testing.T, point int, strike func(*stepper, string)) bool {
 	d := declare(2, 1, 2, 1)
-	w := newWorld(d, 2)
+	w := newSimulation(d, 2)
 	w.start(t)
 	_, err := w.nodes[1].StartWave(ctx, "spring", nil, order("c1"))
 	assert.NilError(t, err)
 	w.sync()
 	s := newStepper(w, w.nodes[0], point, strike)
-	paused := w.carry(t, s)
+	paused := w.runToEnd(t, s)
 	if paused {
 		s.resume <- struct{}{}
 		<-s.ended
-		w.carry(t, s)
+		w.runToEnd(t, s)
 	}
 	if t.Failed() {
-		t.Fatalf("fault at call %d (%s)", point, s.struck)
+		t.Fatalf("fault at call %d (%s)", point, s.injectedAt)
 	}
-	w.whole(t, 1)
-	return s.struck != ""
+	w.checkFinalState(t, 1)
+	return s.injectedAt != ""
 }
 
-// carry lets the node of s pass, and the other one while it is out, until the
-// wave is over. It reports whether s is paused in the middle of a pass.
-func (w *world) carry(t *testing.T, s *stepper) (paused bool) {
-	const most = 400
-	for range most {
+// runToEnd lets the node of s do passes, and the other node while that one is
+// dead, paused or isolated, until the wave is over. It reports whether s is paused
+// in the middle of a pass.
+func (w *simulation) runToEnd(t *testing.T, s *stepper) (paused bool) {
+	const maxPasses = 400
+	for range maxPasses {
 		w.clock.Advance(tick)
-		w.heal()
+		w.endOutage()
 		w.sync()
 		if !s.dead && !paused {
 			paused = !s.pass()
 		}
 		w.sync()
-		if s.dead || paused || s.n.blind {
+		if s.dead || paused || s.n.isolated {
 			_ = w.nodes[1].Step(ctx)
 			w.sync()
 		}
@@ -152,12 +155,12 @@
 			return paused
 		}
 	}
-	t.Errorf("not over at call %d (%s):%s", s.point, s.struck, w.describe())
+	t.Errorf("not over at call %d (%s):%s", s.faultCall, s.injectedAt, w.describe())
 	return paused
 }
 
-// settled reports whether no wave runs and nothing holds a VM.
-func (w *world) settled() bool {
+// settled reports whether no wave runs and no VM is held.
+func (w *simulation) settled() bool {
 	ws, err := w.nodes[1].loadWaves(ctx)
 	if err != nil || len(ws.running()) > 0 {
 		return false
@@ -170,14 +173,14 @@
 	return true
 }
 
-// whole checks the end of a run: each VM rebooted so often, nothing cut, none
-// left drained, and no invariant broken on the way.
-func (w *world) whole(t rapid.TB, reboots int) {
+// checkFinalState checks that each VM was rebooted so many times and never with
+// work on it, that none is left drained, and that no invariant was violated.
+func (w *simulation) checkFinalState(t rapid.TB, reboots int) {
 	t.Helper()
 	w.audit.verify(t)
 	for id, m := range w.machines.vms {
 		assert.Equal(t, w.machines.reboots[id], reboots, "reboots of VM %s", id)
 		assert.Assert(t, !m.drained, "VM %s was left drained", id)
 	}
-	assert.DeepEqual(t, w.machines.cut, []model.VMID(nil))
+	assert.DeepEqual(t, w.machines.rebootedWithWork, []model.VMID(nil))
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,14 @@
-// Package fleet carries maintenance waves, drains and moves through the fleet.
+// Package fleet runs maintenance waves, drains and moves of VMs between pools.
 //
-// Every entry VM may run a Fleet. It is level-driven: each pass reads where a
-// VM stands and does the next step towards where it should stand. All steps
-// are compare-and-swap on the VM's key, the ledgers of the services concerned
-// and the wave's key, so any number of them may work at once, pause or die.
+// Every entry VM may run a Fleet. It is a level-triggered reconciler: each pass
+// reads the current state of a VM and does the next step towards its desired
+// state. Every step is a compare-and-swap on the VM's key, the ledgers of the
+// affected services and the wave's key, so any number of reconcilers may run
+// concurrently, pause or crash.
+//
+// A wave is a maintenance roll-out that reboots the VMs of its pools one batch
+// after another. A ledger lists the planned stops of one service's VMs that are
+// in progress. A planned stop takes a VM out of its pool.
 package fleet
 
 import (
@@ -21,107 +26,111 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Acks tells which live entry VMs have not yet a view of at least a revision.
+// Acks reports which live entry VMs have not yet acknowledged a store revision,
+// that is, whose view of the fleet may be older.
 type Acks interface {
-	// Missing names the live entry VMs that may still act on a view older
-	// than since. An error means that it is not known.
+	// Missing returns the live entry VMs that may still act on a view older
+	// than since. It returns an error if that can't be determined.
 	Missing(ctx context.Context, since infra.Revision) ([]model.EntryID, error)
 }
 
-// Options are what a Fleet works with. Store, Machines, View, Acks, Health
-// and Self are required.
+// Options configures a Fleet. Store, Machines, View, Acks, Health and Self are
+// required.
 type Options struct {
 	Store    infra.Store
 	Machines infra.Machines
 	View     *view.Holder
 	Acks     Acks
-	// Health returns what this entry VM knows of a VM first hand; it must
-	// know VMs in probation as well as those in a pool.
+	// Health returns the health of a VM as this entry VM observes it. It must
+	// cover VMs in probation as well as those in a pool.
 	Health func(model.VMID) model.Health
-	Clock  clockwork.Clock // the real one if nil
+	Clock  clockwork.Clock // the system clock if nil
 	Log    logr.Logger
 	Self   model.EntryID
-	NewID  func() string // makes unique IDs; random if nil
-	Every  time.Duration // between two passes while there is work; a second if 0
+	NewID  func() string // returns a unique ID; random IDs if nil
+	Every  time.Duration // time between two passes while there is work; busyPassInterval if 0
 }
 
-// Fleet is the reconciler of one entry VM, and the commands and questions on
-// waves and VMs. It is safe for concurrent use.
+// Fleet is the reconciler of one entry VM. It also carries out the orders of
+// operators on waves and VMs and answers queries about them. It is safe for
+// concurrent use.
 type Fleet struct {
-	store    infra.Store
-	machines infra.Machines
-	view     *view.Holder
-	acks     Acks
-	health   func(model.VMID) model.Health
-	clock    clockwork.Clock
-	log      logr.Logger
-	self     model.EntryID
-	newID    func() string
-	every    time.Duration
-	kick     chan struct{} // wakes Run
+	store        infra.Store
+	machines     infra.Machines
+	view         *view.Holder
+	acks         Acks
+	health       func(model.VMID) model.Health
+	clock        clockwork.Clock
+	log          logr.Logger
+	self         model.EntryID
+	newID        func() string
+	passInterval time.Duration
+	wake         chan struct{} // makes Run start a pass at once
 
-	step sync.Mutex // one pass at a time
-	// What follows is used by passes alone.
-	shards  shards
-	effects effects
-	asks    asks
-	healthy map[model.VMID]time.Time // since when a VM in probation is seen healthy
+	passMu sync.Mutex // held during a pass
+	// The fields up to mu are used only by passes, under passMu.
+	shards        shards
+	confirmed     confirmedAttempts
+	inFlightPolls pollTimes
+	healthySince  map[model.VMID]time.Time // when each VM in probation was first seen healthy without a break
 
-	mu     sync.Mutex
-	list   infra.MachineList // the newest list fetched
-	listed time.Time         // when it was fetched
+	mu                 sync.Mutex
+	machineList        infra.MachineList // the newest list of VMs fetched from the platform
+	machineListFetched time.Time         // when a list was last fetched; zero if never
 }
 
-// New returns a Fleet. It does nothing until Step or Run is called.
+// New returns a Fleet. It does nothing until one of its methods is called.
 func New(o Options) *Fleet {
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
 	}
 	if o.Every == 0 {
-		o.Every = busyEvery
+		o.Every = busyPassInterval
 	}
 	if o.NewID == nil {
 		o.NewID = randomID
 	}
 	return &Fleet{
-		store:    o.Store,
-		machines: o.Machines,
-		view:     o.View,
-		acks:     o.Acks,
-		health:   o.Health,
-		clock:    o.Clock,
-		log:      o.Log,
-		self:     o.Self,
-		newID:    o.NewID,
-		every:    o.Every,
-		kick:     make(chan struct{}, 1),
-		shards:   newShards(),
-		effects:  make(effects),
-		asks:     make(asks),
-		healthy:  make(map[model.VMID]time.Time),
+		store:         o.Store,
+		machines:      o.Machines,
+		view:          o.View,
+		acks:          o.Acks,
+		health:        o.Health,
+		clock:         o.Clock,
+		log:           o.Log,
+		self:          o.Self,
+		newID:         o.NewID,
+		passInterval:  o.Every,
+		wake:          make(chan struct{}, 1),
+		shards:        newShards(),
+		confirmed:     make(confirmedAttempts),
+		inFlightPolls: make(pollTimes),
+		healthySince:  make(map[model.VMID]time.Time),
 	}
 }
 
 func randomID() string {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails, by its contract
+	_, _ = rand.Read(b[:]) // documented never to fail
 	return hex.EncodeToString(b[:])
 }
 
-// changeID returns the ID of a change this reconciler makes by itself.
+// changeID returns a new ID for a change that this reconciler makes without an
+// order.
 func (f *Fleet) changeID() model.ChangeID {
 	return model.ChangeID(string(f.self) + "-" + f.newID())
 }
 
-// attemptID returns the ID of a new attempt at an outside effect.
+// attemptID returns the ID of a new attempt to drain or reboot a VM. The platform
+// applies an attempt at most once.
 func (f *Fleet) attemptID(vm model.VMID) model.AttemptID {
 	return model.AttemptID(string(vm) + "-" + f.newID())
 }
 
-// Wake lets Run pass at once.
+// Wake makes Run start its next pass at once.
 func (f *Fleet) Wake() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -9,56 +9,56 @@
 	"github.com/pumicestage/pumicestage/policy/wave"
 )
 
-// maxGrants bounds the VMs of one transaction; with their ledgers it stays
-// under the 128 operations that the service takes in one.
+// maxGrants bounds the number of VMs in one transaction. With their ledgers the
+// transaction stays under the store's limit of 128 operations.
 const maxGrants = 40
 
-// stopRequest asks to take VMs out of their pools.
+// stopRequest is a request to take VMs out of their pools.
 type stopRequest struct {
 	vms    []model.VMID
 	holder string
-	wave   *cell[WaveRecord] // whose run this is part of; nil for orders
+	wave   *versioned[WaveRecord] // the wave that requests the stops; nil for an order
 	change model.ChangeID
 	reason string
-	edit   func(*model.VM) // what else changes in each record; may be nil
+	edit   func(*model.VM) // makes further changes to each record; may be nil
 }
 
-// grant is what came of a stopRequest.
+// grant is the result of a stopRequest.
 type grant struct {
-	vms     []model.VMID // those that are leaving now
-	records []model.VM   // their records
-	rev     infra.Revision
-	why     string // why not all
-	behind  bool   // the view is too old to count by
+	vms       []model.VMID // the VMs that are leaving now
+	records   []model.VM   // their records
+	rev       infra.Revision
+	reason    string // why one or more VMs were refused; empty if none was
+	staleView bool   // the view is older than a ledger, so budgets can't be counted
 }
 
-// grantStops writes the stops that every budget concerned allows into the
-// ledgers and the VMs' keys, all in one step. Ledgers are read fresh; the
-// count is redone here whatever the plan said.
+// grantStops writes the stops that all affected budgets allow into the ledgers
+// and the VMs' keys, in one transaction. It reads the ledgers from the store and
+// counts the budgets itself, because the plan may be based on older state.
 func (p *pass) grantStops(ctx context.Context, req stopRequest) (grant, error) {
 	if len(req.vms) > maxGrants {
 		req.vms = req.vms[:maxGrants]
 	}
-	names := p.concerned(p.poolsOf(req.vms))
+	names := p.affectedServices(p.poolsOf(req.vms))
 	r, err := p.f.read(ctx, req.vms, names, req.waveName())
 	if err != nil {
 		return grant{}, err
 	}
 	if req.wave != nil && r.wave.rev != req.wave.rev {
-		return grant{why: "the wave was changed meanwhile"}, nil
+		return grant{reason: "the wave was changed meanwhile"}, nil
 	}
-	if why := p.behind(r); why != "" {
-		return grant{why: why, behind: true}, nil
+	if why := p.viewBehindLedger(r); why != "" {
+		return grant{reason: why, staleView: true}, nil
 	}
-	w, g := p.collect(r, req)
+	w, g := p.buildGrant(r, req)
 	if len(g.vms) == 0 {
 		return g, nil
 	}
 	if req.wave != nil {
-		w.guard(req.wave.cond())
+		w.require(req.wave.cond())
 	}
-	if why := p.stale(); why != "" {
-		return grant{why: why}, nil
+	if why := p.staleEvidence(); why != "" {
+		return grant{reason: why}, nil
 	}
 	g.rev, err = p.f.commit(ctx, "grant", w)
 	if err != nil {
@@ -82,35 +82,36 @@
 	return pools
 }
 
-// collect puts into one write what the budgets allow, in the request's order.
-func (p *pass) collect(r *reading, req stopRequest) (*write, grant) {
+// buildGrant adds the stops that the budgets allow to one transaction, in the
+// order of the request.
+func (p *pass) buildGrant(r *readSet, req stopRequest) (*writeSet, grant) {
 	tallies := p.tallies(r, p.weights(req.wave))
-	w := &write{}
+	w := &writeSet{}
 	var g grant
 	touched := make(map[model.ServiceName]bool)
 	for _, id := range req.vms {
-		if why := p.refuseStop(r, id, tallies, req.wave != nil); why != "" {
-			g.why = why
+		if why := p.stopRefusal(r, id, tallies, req.wave != nil); why != "" {
+			g.reason = why
 			continue
 		}
-		p.take(w, r, tallies, req, id)
+		p.addStop(w, r, tallies, req, id)
 		for _, s := range r.vms[id].value.Ledgers {
 			touched[s] = true
 		}
 		g.vms = append(g.vms, id)
 		g.records = append(g.records, r.vms[id].value)
 	}
-	for _, name := range sorted(r.ledgers) {
+	for _, name := range sortedServices(r.ledgers) {
 		if l := r.ledgers[name]; touched[name] {
 			l.value.Change = req.change
-			w.change(l.cond(), l.put())
+			w.update(l.cond(), l.put())
 		}
 	}
 	return w, g
 }
 
-// tallies counts the services whose ledgers were read.
-func (p *pass) tallies(r *reading, w model.Weights) map[model.ServiceName]*wave.Tally {
+// tallies returns the budget counts of the services whose ledgers were read.
+func (p *pass) tallies(r *readSet, w model.Weights) map[model.ServiceName]*wave.Tally {
 	counts := make(map[model.ServiceName]*wave.Tally)
 	for name, l := range r.ledgers {
 		counts[name] = p.tally(p.snap.Declaration.Service(name), l.value, w)
@@ -118,7 +119,7 @@
 	return counts
 }
 
-func (p *pass) weights(w *cell[WaveRecord]) model.Weights {
+func (p *pass) weights(w *versioned[WaveRecord]) model.Weights {
 	var declared *model.Wave
 	if w != nil {
 		declared = p.declaredWave(w.value.Name)
@@ -126,8 +127,8 @@
 	return wave.Weights(p.snap.Declaration, declared)
 }
 
-// refuseStop says why a VM can't be taken out, or nothing.
-func (p *pass) refuseStop(r *reading, id model.VMID, tallies map[model.ServiceName]*wave.Tally, byWave bool) string {
+// stopRefusal returns why a VM can't be taken out of its pool; empty if it can.
+func (p *pass) stopRefusal(r *readSet, id model.VMID, tallies map[model.ServiceName]*wave.Tally, byWave bool) string {
 	vm := &r.vms[id].value
 	switch {
 	case r.vms[id].rev == 0:
@@ -158,9 +159,10 @@
 	return budget.Member{ID: vm.ID, Zone: vm.Zone, Rack: vm.Rack, Up: up}
 }
 
-// take adds one VM's stop to the write and to the counts. The record is the
-// intent: its attempt ID stands in the store before the platform is told.
-func (p *pass) take(w *write, r *reading, tallies map[model.ServiceName]*wave.Tally, req stopRequest, id model.VMID) {
+// addStop adds one VM's stop to the transaction and to the budget counts. The
+// VM's record is the intent: its attempt ID is in the store before the platform
+// is called.
+func (p *pass) addStop(w *writeSet, r *readSet, tallies map[model.ServiceName]*wave.Tally, req stopRequest, id model.VMID) {
 	c := r.vms[id]
 	vm := &c.value
 	m := p.member(vm)
@@ -185,5 +187,5 @@
 		vm.Ledgers = append(vm.Ledgers, s.Name)
 		tallies[s.Name].MarkTakenOut(m)
 	}
-	w.change(c.cond(), c.put())
+	w.update(c.cond(), c.put())
 }
--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -17,36 +17,37 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// node is one entry VM: a Fleet with a view and a way to the store of its own.
+// node is one entry VM: a Fleet with its own view and its own connection to the
+// store.
 type node struct {
 	*Fleet
-	store *faulty.Store
-	view  *view.Holder
-	blind bool // its view gets no news, and others don't count it as live
-	// at is called before each call to the platform; a schedule
+	store    *faulty.Store
+	view     *view.Holder
+	isolated bool // its view gets no updates, and the others don't count it as live
+	// beforeCall is called before each call to the store or the platform. A test
 	// pauses or kills the entry VM in it.
-	at func(op string)
+	beforeCall func(op string)
 }
 
-// world is a fleet with its platform and entry VMs on a fake clock.
-type world struct {
-	clock    *clockwork.FakeClock
-	store    *memstore.Store
-	machines *machines
-	decl     *model.Declaration
-	nodes    []*node
-	ids      int
-	audit    *auditor
-	cached   *view.Snapshot // of the store's revision, to spare decoding
-	outUntil time.Time      // a node or all are without the store before
-	dark     bool           // all are
+// simulation is a fleet with its platform and entry VMs on a fake clock.
+type simulation struct {
+	clock      *clockwork.FakeClock
+	store      *memstore.Store
+	machines   *machines
+	decl       *model.Declaration
+	nodes      []*node
+	ids        int
+	audit      *auditor
+	cachedView *view.Snapshot // the view at the store's revision, kept to avoid decoding it again
+	outageEnd  time.Time      // end of the outage of the store, for one node or all; zero if there is none
+	storeDown  bool           // the outage affects all nodes
 }
 
-func newWorld(d *model.Declaration, nodes int) *world {
+func newSimulation(d *model.Declaration, nodes int) *simulation {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC))
-	w := &world{clock: clock, store: memstore.New(clock), decl: d}
+	w := &simulation{clock: clock, store: memstore.New(clock), decl: d}
 	w.machines = newMachines(clock, d)
-	w.machines.sending = w.anySending
+	w.machines.mayReceive = w.anySending
 	w.audit = newAuditor(w)
 	for i := range nodes {
 		w.addNode(model.EntryID(fmt.Sprintf("e%d", i)))
@@ -54,85 +55,85 @@
 	return w
 }
 
-func (w *world) addNode(id model.EntryID) *node {
-	n := &node{view: view.NewHolder(), at: func(string) {}}
+func (w *simulation) addNode(id model.EntryID) *node {
+	n := &node{view: view.NewHolder(), beforeCall: func(string) {}}
 	n.store = faulty.Wrap(&auditedStore{Store: w.store, audit: w.audit, node: id})
 	n.Fleet = New(Options{
-		Store: &tapStore{n.store, n}, Machines: &tapMachines{w.machines, n}, View: n.view, Acks: w, Health: w.machines.health,
+		Store: &hookedStore{n.store, n}, Machines: &hookedMachines{w.machines, n}, View: n.view, Acks: w, Health: w.machines.health,
 		Clock: w.clock, Log: logr.Discard(), Self: id, NewID: w.newID,
 	})
 	w.nodes = append(w.nodes, n)
 	return n
 }
 
-func (w *world) newID() string {
+func (w *simulation) newID() string {
 	w.ids++
 	return fmt.Sprintf("%06d", w.ids)
 }
 
 // Missing implements Acks by what the nodes' views hold.
-func (w *world) Missing(_ context.Context, since infra.Revision) ([]model.EntryID, error) {
+func (w *simulation) Missing(_ context.Context, since infra.Revision) ([]model.EntryID, error) {
 	var missing []model.EntryID
 	for _, n := range w.nodes {
-		if !n.blind && n.view.Load().Revision < since {
+		if !n.isolated && n.view.Load().Revision < since {
 			missing = append(missing, n.self)
 		}
 	}
 	return missing, nil
 }
 
-// anySending reports whether a live entry VM's view lets it send to the VM. One
-// that is cut off may too, and is refused by the drained runner.
-func (w *world) anySending(id model.VMID) bool {
+// anySending reports whether a live entry VM's view lets it send to the VM. An
+// isolated one may still send too, but the drained runner refuses it.
+func (w *simulation) anySending(id model.VMID) bool {
 	for _, n := range w.nodes {
-		if vm, ok := n.view.Load().VMs[id]; ok && !n.blind && vm.State == model.VMInPool {
+		if vm, ok := n.view.Load().VMs[id]; ok && !n.isolated && vm.State == model.VMInPool {
 			return true
 		}
 	}
 	return false
 }
 
-// sync brings the views of all nodes that see to the store's state.
-func (w *world) sync() {
-	if w.dark {
+// sync updates the views of all nodes that are not isolated to the store's state.
+func (w *simulation) sync() {
+	if w.storeDown {
 		return
 	}
 	snap := w.snapshot()
 	for _, n := range w.nodes {
-		if !n.blind {
+		if !n.isolated {
 			n.view.Publish(snap)
 		}
 	}
 }
 
-// storeOut takes the store away from every node for a time.
-func (w *world) storeOut(d time.Duration) {
-	w.outUntil = w.clock.Now().Add(d)
-	w.dark = true
+// startStoreOutage makes the store unavailable to every node for d.
+func (w *simulation) startStoreOutage(d time.Duration) {
+	w.outageEnd = w.clock.Now().Add(d)
+	w.storeDown = true
 	for _, n := range w.nodes {
 		n.store.SetDown(true)
 	}
 }
 
-// heal ends an outage of the store that is over.
-func (w *world) heal() {
-	if w.outUntil.IsZero() || w.clock.Now().Before(w.outUntil) {
+// endOutage restores the store when the time of its outage is over.
+func (w *simulation) endOutage() {
+	if w.outageEnd.IsZero() || w.clock.Now().Before(w.outageEnd) {
 		return
 	}
-	w.outUntil = time.Time{}
-	w.dark = false
+	w.outageEnd = time.Time{}
+	w.storeDown = false
 	for _, n := range w.nodes {
 		n.store.SetDown(false)
-		n.blind = false
+		n.isolated = false
 	}
 }
 
-// snapshot returns a view as of now.
-func (w *world) snapshot() *view.Snapshot {
-	if rev := w.store.Revision(); w.cached == nil || w.cached.Revision != rev {
-		w.cached = &view.Snapshot{Revision: rev, VMs: w.readVMs()}
+// snapshot returns a view of the store's current state.
+func (w *simulation) snapshot() *view.Snapshot {
+	if rev := w.store.Revision(); w.cachedView == nil || w.cachedView.Revision != rev {
+		w.cachedView = &view.Snapshot{Revision: rev, VMs: w.readVMs()}
 	}
-	snap := *w.cached
+	snap := *w.cachedView
 	snap.AsOf = w.clock.Now()
 	snap.Declaration = w.decl
 	for _, n := range w.nodes {
@@ -141,7 +142,7 @@
 	return &snap
 }
 
-func (w *world) readVMs() map[model.VMID]view.VMRecord {
+func (w *simulation) readVMs() map[model.VMID]view.VMRecord {
 	kvs, _, err := w.store.Range(context.Background(), infra.VMPrefix)
 	if err != nil {
 		panic(err)
@@ -158,15 +159,16 @@
 }
 
 // start creates the VMs and brings every view up to date.
-func (w *world) start(t rapid.TB) {
+func (w *simulation) start(t rapid.TB) {
 	w.sync()
 	assert.NilError(t, w.nodes[0].Bootstrap(context.Background()))
 	w.sync()
-	w.audit.faults = nil // pools come to be one after the other
+	w.audit.violations = nil // budgets don't hold while the pools are created one after the other
 }
 
-// turn advances the clock by d and lets every node do one pass.
-func (w *world) turn(d time.Duration) error {
+// advance advances the clock by d and lets every node do one pass. It returns the
+// first error.
+func (w *simulation) advance(d time.Duration) error {
 	w.clock.Advance(d)
 	var first error
 	for _, n := range w.nodes {
@@ -179,21 +181,22 @@
 	return first
 }
 
-// until turns until done, and fails the test after limit.
-func (w *world) until(t rapid.TB, limit time.Duration, done func() bool) time.Duration {
+// runUntil advances the clock until done, and returns the time that took. It
+// fails the test after limit.
+func (w *simulation) runUntil(t rapid.TB, limit time.Duration, done func() bool) time.Duration {
 	t.Helper()
 	const tick = time.Second
 	for passed := time.Duration(0); passed < limit; passed += tick {
 		if done() {
 			return passed
 		}
-		_ = w.turn(tick)
+		_ = w.advance(tick)
 	}
 	t.Fatalf("not done after %s: %s", limit, w.describe())
 	return limit
 }
 
-func (w *world) describe() string {
+func (w *simulation) describe() string {
 	var s string
 	for _, vm := range w.snapshot().VMs {
 		if vm.Holder != "" {
@@ -204,9 +207,9 @@
 	return fmt.Sprintf("%s\n%+v %v", s, st, err)
 }
 
-func (w *world) vm(id model.VMID) view.VMRecord { return w.snapshot().VMs[id] }
+func (w *simulation) vm(id model.VMID) view.VMRecord { return w.snapshot().VMs[id] }
 
-func (w *world) waveState(t rapid.TB, name model.WaveName) WaveState {
+func (w *simulation) waveState(t rapid.TB, name model.WaveName) WaveState {
 	kv, _, err := w.store.Get(context.Background(), infra.WaveKey(name))
 	assert.NilError(t, err)
 	c, err := decode[WaveRecord](kv)
@@ -218,8 +221,8 @@
 	return Order{Change: model.ChangeID(id), Actor: "test", Reason: "test"}
 }
 
-// declare makes a deployment: services s0.. with one pool each, VMs spread over
-// zones, perService each, with 4 VMs to a rack within their zone.
+// declare returns a declaration of services s0, s1, ... with one pool each and
+// perService VMs in each pool, spread over the zones, with 4 VMs to a rack.
 func declare(zones, services, perService, minUp int) *model.Declaration {
 	d := &model.Declaration{Generation: 1, Deployment: "test"}
 	inZone := make([]int, zones)
@@ -249,14 +252,15 @@
 	return d
 }
 
-// ackPlus counts one entry VM more than those that do passes.
-type ackPlus struct {
-	*world
+// acksWithExtraNode also waits for the acknowledgement of an entry VM that does
+// no passes.
+type acksWithExtraNode struct {
+	*simulation
 	extra *node
 }
 
-func (a *ackPlus) Missing(ctx context.Context, since infra.Revision) ([]model.EntryID, error) {
-	missing, err := a.world.Missing(ctx, since)
+func (a *acksWithExtraNode) Missing(ctx context.Context, since infra.Revision) ([]model.EntryID, error) {
+	missing, err := a.simulation.Missing(ctx, since)
 	if a.extra.view.Load().Revision < since {
 		missing = append(missing, a.extra.self)
 	}
--- a/internal/fleet/machines_test.go
+++ b/internal/fleet/machines_test.go
@@ -13,22 +13,22 @@
 
 // machine is one VM of the fake platform.
 type machine struct {
-	drained   bool
-	quietAt   time.Time // when a drained VM has finished its work
-	upAt      time.Time // when a reboot is over
-	boots     int
-	failed    bool          // live, but not healthy
-	hiddenTo  time.Time     // a failure is not seen before
-	drainTime time.Duration // how long its work takes to finish
-	bootTime  time.Duration
-	downAt    time.Time     // when the reboot ordered last begins
-	bootDelay time.Duration // from the order to that
-}
-
-// crash lets the machine fail, which is seen from a time on.
+	drained     bool
+	idleAt      time.Time // when a drained VM has completed its work
+	upAt        time.Time // when the last reboot is complete
+	boots       int
+	failed      bool          // live, but not healthy
+	visibleFrom time.Time     // from when a failure is visible
+	drainTime   time.Duration // how long its work takes to complete after a drain
+	bootTime    time.Duration
+	downAt      time.Time     // when the last reboot begins
+	bootDelay   time.Duration // time from the call to the beginning of the reboot
+}
+
+// crash makes the machine fail; its health shows that from the time seen.
 func (v *machine) crash(seen time.Time) {
 	v.failed = true
-	v.hiddenTo = seen
+	v.visibleFrom = seen
 }
 
 // rebooting reports whether the machine is down for a reboot.
@@ -36,32 +36,33 @@
 	return !now.Before(v.downAt) && now.Before(v.upAt)
 }
 
-// counted returns the boots that a list shows; a reboot shows once it is over.
-func (v *machine) counted(now time.Time) int {
+// listedBoots returns the number of boots that a list shows; it includes a
+// reboot once that is complete.
+func (v *machine) listedBoots(now time.Time) int {
 	if now.Before(v.upAt) {
 		return v.boots - 1
 	}
 	return v.boots
 }
 
-// machines is the fake of the platform's control of VMs. It counts effects per
-// attempt and what they cut.
+// machines is a fake of the platform's control of VMs. It applies an effect once
+// per attempt, and records reboots and the work they interrupt.
 type machines struct {
 	infra.Machines // tasks are not used here
 	clock          clockwork.Clock
-	sending        func(model.VMID) bool // whether an entry VM may still send to the VM
+	mayReceive     func(model.VMID) bool // whether an entry VM may still send to the VM
 
-	mu       sync.Mutex
-	vms      map[model.VMID]*machine
-	done     map[model.AttemptID]bool
-	outUntil time.Time  // no call gets through before
-	unlisted model.VMID // not in the list
-	lag      time.Duration
-	reboots  map[model.VMID]int
-	cut      []model.VMID                                      // VMs rebooted with work on them
-	took     func(op string, vm model.VMID, a model.AttemptID) // sees each effect once
-	calls    int
-	lose     int // so many next effects happen and report no reply
+	mu               sync.Mutex
+	vms              map[model.VMID]*machine
+	done             map[model.AttemptID]bool
+	outUntil         time.Time  // calls fail before this time
+	unlisted         model.VMID // this VM is missing from the list
+	lag              time.Duration
+	reboots          map[model.VMID]int
+	rebootedWithWork []model.VMID                                      // VMs rebooted with work on them
+	onEffect         func(op string, vm model.VMID, a model.AttemptID) // called once per effect
+	calls            int
+	repliesToLose    int // number of next effects whose reply is lost
 }
 
 func newMachines(clock clockwork.Clock, d *model.Declaration) *machines {
@@ -80,17 +81,17 @@
 func (m *machines) loseReplies(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lose = n
+	m.repliesToLose = n
 }
 
-// outFor lets no call through for a time.
-func (m *machines) outFor(d time.Duration) {
+// startOutage makes calls fail for d.
+func (m *machines) startOutage(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.outUntil = m.clock.Now().Add(d)
 }
 
-func (m *machines) out() bool { return m.clock.Now().Before(m.outUntil) }
+func (m *machines) unavailable() bool { return m.clock.Now().Before(m.outUntil) }
 
 func (m *machines) health(id model.VMID) model.Health {
 	m.mu.Lock()
@@ -100,7 +101,7 @@
 	switch {
 	case !ok:
 		return model.HealthUnknown
-	case v.rebooting(now) || (v.failed && !now.Before(v.hiddenTo)):
+	case v.rebooting(now) || (v.failed && !now.Before(v.visibleFrom)):
 		return model.HealthDown
 	}
 	return model.HealthHealthy
@@ -110,7 +111,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
-	if m.out() {
+	if m.unavailable() {
 		return infra.MachineList{}, infra.Errorf("list", infra.KindUnavailable, "down")
 	}
 	now := m.clock.Now()
@@ -119,17 +120,18 @@
 		if id == m.unlisted {
 			continue
 		}
-		list.Machines = append(list.Machines, infra.Machine{VM: id, Live: !v.rebooting(now), Boots: v.counted(now)})
+		list.Machines = append(list.Machines, infra.Machine{VM: id, Live: !v.rebooting(now), Boots: v.listedBoots(now)})
 	}
 	return list, nil
 }
 
-// effect runs do once per attempt, then reports what the faults want.
+// effect applies do once per attempt, then returns an error if the reply is to be
+// lost.
 func (m *machines) effect(op string, id model.VMID, a model.AttemptID, do func(*machine)) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
-	if m.out() {
+	if m.unavailable() {
 		return infra.Errorf(op, infra.KindUnavailable, "down")
 	}
 	v, ok := m.vms[id]
@@ -138,11 +140,11 @@
 	}
 	if !m.done[a] {
 		m.done[a] = true
-		m.took(op, id, a)
+		m.onEffect(op, id, a)
 		do(v)
 	}
-	if m.lose > 0 {
-		m.lose--
+	if m.repliesToLose > 0 {
+		m.repliesToLose--
 		return infra.Errorf(op, infra.KindUnknown, "reply lost")
 	}
 	return nil
@@ -151,7 +153,7 @@
 func (m *machines) Drain(_ context.Context, id model.VMID, a model.AttemptID) error {
 	return m.effect("drain", id, a, func(v *machine) {
 		v.drained = true
-		v.quietAt = m.clock.Now().Add(v.drainTime)
+		v.idleAt = m.clock.Now().Add(v.drainTime)
 	})
 }
 
@@ -161,8 +163,8 @@
 
 func (m *machines) Reboot(_ context.Context, id model.VMID, a model.AttemptID) error {
 	return m.effect("reboot", id, a, func(v *machine) {
-		if m.inFlight(v) > 0 || m.sending(id) {
-			m.cut = append(m.cut, id)
+		if m.inFlight(v) > 0 || m.mayReceive(id) {
+			m.rebootedWithWork = append(m.rebootedWithWork, id)
 		}
 		v.boots++
 		m.reboots[id]++
@@ -172,7 +174,7 @@
 }
 
 func (m *machines) inFlight(v *machine) int {
-	if !v.drained || m.clock.Now().Before(v.quietAt) {
+	if !v.drained || m.clock.Now().Before(v.idleAt) {
 		return 1
 	}
 	return 0
@@ -183,7 +185,7 @@
 	defer m.mu.Unlock()
 	m.calls++
 	v, ok := m.vms[id]
-	if m.out() || !ok {
+	if m.unavailable() || !ok {
 		return 0, infra.Errorf("in-flight", infra.KindUnavailable, "down")
 	}
 	return m.inFlight(v), nil
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -12,36 +12,37 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Order is what every command bears.
+// Order holds what every command of an operator carries.
 type Order struct {
-	Change     model.ChangeID // a repeat under the same ID is the same order
-	Actor      string         // who asks
-	IfRevision infra.Revision // of the VM's or wave's key; 0 for any
+	Change     model.ChangeID // identifies the order; repeating it under the same ID has no further effect
+	Actor      string         // who gives the order
+	IfRevision infra.Revision // required revision of the VM's or wave's key; 0 for any
 	Reason     string
 }
 
-// Outcome is what came of an order that is in effect.
+// Outcome is the result of an order that is in effect.
 type Outcome struct {
-	Revision infra.Revision // of the key it changed
-	Repeated bool           // it was in effect before this call
-	Detail   string         // a sentence a person reads
+	Revision infra.Revision // of the key that the order changed
+	Repeated bool           // the order was in effect before this call
+	Detail   string         // explanation for operators
 }
 
-// orderTries bounds how often an order is decided anew after another write
-// came in between. Each time the order either loses to what was written, and
-// is refused, or still stands.
-const orderTries = 5
+// maxOrderAttempts bounds how often an order is evaluated again after a
+// conflicting write. Each time the order is either refused because of what was
+// written, or is still valid.
+const maxOrderAttempts = 5
 
-// orderPrefix begins VM.Holder while an order holds the VM.
+// orderPrefix is the prefix of VM.Holder while an order holds the VM.
 const orderPrefix = "order "
 
-// holderOf is what VM.Holder says while an order holds the VM.
-func holderOf(change model.ChangeID) string { return orderPrefix + string(change) }
+// orderHolder returns the value of VM.Holder while an order holds the VM.
+func orderHolder(change model.ChangeID) string { return orderPrefix + string(change) }
 
-// decide runs one try of an order until it is not overtaken by another write.
-func (f *Fleet) decide(try func() (Outcome, error)) (Outcome, error) {
+// retryConflicts calls try until it succeeds or fails for another reason than a
+// conflicting write, at most maxOrderAttempts times. It wakes Run on success.
+func (f *Fleet) retryConflicts(try func() (Outcome, error)) (Outcome, error) {
 	var err error
-	for range orderTries {
+	for range maxOrderAttempts {
 		var out Outcome
 		out, err = try()
 		if err == nil {
@@ -55,7 +56,8 @@
 	return Outcome{}, asRefusal(err)
 }
 
-// asRefusal turns what certainly changed nothing into a Refusal.
+// asRefusal turns a failed call that certainly changed nothing into a Refusal,
+// and returns other errors as they are.
 func asRefusal(err error) error {
 	var refusal *Refusal
 	var failed *Error
@@ -69,16 +71,17 @@
 	return trace.Wrap(&Refusal{Code: code, Winner: winner, Revision: rev, Detail: fmt.Sprintf(format, args...)})
 }
 
-// Drain takes a VM out of its pool until it is undrained. The availability
-// budgets concerned are counted first.
+// Drain takes a VM out of its pool until it is undrained. The order is refused
+// if it would violate an availability budget.
 func (f *Fleet) Drain(ctx context.Context, vm model.VMID, o Order) (Outcome, error) {
-	return f.decide(func() (Outcome, error) { return f.takeOut(ctx, vm, "", o) })
+	return f.retryConflicts(func() (Outcome, error) { return f.takeOut(ctx, vm, "", o) })
 }
 
-// Move takes a VM out of its pool and, once it is empty and proven healthy,
-// into another.
+// Move takes a VM out of its pool and, once it is empty and has proven healthy,
+// puts it into another. The order is refused if it would violate an availability
+// budget.
 func (f *Fleet) Move(ctx context.Context, vm model.VMID, to model.PoolName, o Order) (Outcome, error) {
-	return f.decide(func() (Outcome, error) { return f.takeOut(ctx, vm, to, o) })
+	return f.retryConflicts(func() (Outcome, error) { return f.takeOut(ctx, vm, to, o) })
 }
 
 func (f *Fleet) takeOut(ctx context.Context, id model.VMID, to model.PoolName, o Order) (Outcome, error) {
@@ -105,11 +108,11 @@
 	return p.grantOrder(ctx, c, to, o)
 }
 
-func (p *pass) grantOrder(ctx context.Context, c *cell[model.VM], to model.PoolName, o Order) (Outcome, error) {
+func (p *pass) grantOrder(ctx context.Context, c *versioned[model.VM], to model.PoolName, o Order) (Outcome, error) {
 	id := c.value.ID
 	req := stopRequest{
 		vms:    []model.VMID{id},
-		holder: holderOf(o.Change),
+		holder: orderHolder(o.Change),
 		change: o.Change,
 		reason: o.Reason,
 		edit: func(vm *model.VM) {
@@ -118,34 +121,34 @@
 		},
 	}
 	g, err := p.grantStops(ctx, req)
-	// Where several operators order at once, each catching up may find the
-	// ledger moved on again; giving up at the first would refuse an order that
-	// nothing speaks against.
-	for tries := 0; err == nil && g.behind && tries < orderTries; tries++ {
-		g, err = p.grantFresh(ctx, req)
+	// When several operators give orders at once, the ledger may have changed
+	// again after each reload. Giving up at the first would refuse an order that
+	// the budgets allow.
+	for tries := 0; err == nil && g.staleView && tries < maxOrderAttempts; tries++ {
+		g, err = p.reloadAndGrant(ctx, req)
 	}
 	if err != nil {
 		return Outcome{}, err
 	}
-	if g.behind {
-		return Outcome{}, refuse(CodeUnavailable, "", c.rev, "%s", g.why)
+	if g.staleView {
+		return Outcome{}, refuse(CodeUnavailable, "", c.rev, "%s", g.reason)
 	}
 	if len(g.vms) == 0 {
-		return Outcome{}, refuse(CodeBudget, "", c.rev, "%s", g.why)
+		return Outcome{}, refuse(CodeBudget, "", c.rev, "%s", g.reason)
 	}
 	return Outcome{Revision: g.rev, Detail: fmt.Sprintf("VM %s is leaving pool %s", id, c.value.Pool)}, nil
 }
 
-func (p *pass) grantFresh(ctx context.Context, req stopRequest) (grant, error) {
-	if err := p.catchUp(ctx); err != nil {
+func (p *pass) reloadAndGrant(ctx context.Context, req stopRequest) (grant, error) {
+	if err := p.reloadVMs(ctx); err != nil {
 		return grant{}, err
 	}
 	return p.grantStops(ctx, req)
 }
 
-// Undrain puts a VM back that an order drained or is moving.
+// Undrain returns a VM that an order drained or is moving to its pool.
 func (f *Fleet) Undrain(ctx context.Context, vm model.VMID, o Order) (Outcome, error) {
-	return f.decide(func() (Outcome, error) { return f.undrainOnce(ctx, vm, o) })
+	return f.retryConflicts(func() (Outcome, error) { return f.undrainOnce(ctx, vm, o) })
 }
 
 func (f *Fleet) undrainOnce(ctx context.Context, id model.VMID, o Order) (Outcome, error) {
@@ -156,13 +159,13 @@
 	if out, done, err := checkVM(c, o); done || err != nil {
 		return out, err
 	}
-	if err := undrainable(c); err != nil {
+	if err := checkUndrain(c); err != nil {
 		return Outcome{}, err
 	}
 	vm := &c.value
 	vm.State = model.VMProbation
 	vm.Since = f.clock.Now()
-	vm.Holder = holderOf(o.Change)
+	vm.Holder = orderHolder(o.Change)
 	vm.Order = o.Change
 	vm.Change = o.Change
 	vm.Reason = o.Reason
@@ -172,12 +175,12 @@
 	return f.putVM(ctx, c, "undrain", fmt.Sprintf("VM %s is going back into pool %s", id, vm.Pool))
 }
 
-func undrainable(c *cell[model.VM]) error {
+func checkUndrain(c *versioned[model.VM]) error {
 	vm := &c.value
 	switch {
 	case vm.Holder == "":
 		return refuse(CodeState, "", c.rev, "VM %s is not drained", vm.ID)
-	case !byOrder(vm):
+	case !heldByOrder(vm):
 		return refuse(CodeConflict, vm.Holder, c.rev, "VM %s is held by %s", vm.ID, vm.Holder)
 	case vm.State == model.VMProbation:
 		return refuse(CodeConflict, vm.Holder, c.rev, "VM %s is going back already by %s", vm.ID, vm.Holder)
@@ -185,10 +188,10 @@
 	return nil
 }
 
-// Cut lets a VM that is leaving go on although requests or tasks still run on
-// it: they are cut. It is the only way in which anything is ever cut.
+// Cut lets a leaving VM proceed although requests or tasks still run on it, which
+// interrupts them. Nothing else ever interrupts running work.
 func (f *Fleet) Cut(ctx context.Context, vm model.VMID, o Order) (Outcome, error) {
-	return f.decide(func() (Outcome, error) { return f.cutOnce(ctx, vm, o) })
+	return f.retryConflicts(func() (Outcome, error) { return f.cutOnce(ctx, vm, o) })
 }
 
 func (f *Fleet) cutOnce(ctx context.Context, id model.VMID, o Order) (Outcome, error) {
@@ -210,31 +213,32 @@
 	return f.putVM(ctx, c, "cut", fmt.Sprintf("what still runs on VM %s will be cut", id))
 }
 
-func byOrder(vm *model.VM) bool { return strings.HasPrefix(vm.Holder, orderPrefix) }
+func heldByOrder(vm *model.VM) bool { return strings.HasPrefix(vm.Holder, orderPrefix) }
 
-// checkVM handles what all orders on a VM share. done means that the order was
-// in effect before.
-func checkVM(c *cell[model.VM], o Order) (out Outcome, done bool, err error) {
+// checkVM does the checks that all orders on a VM share. done is true if the
+// order was in effect before.
+func checkVM(c *versioned[model.VM], o Order) (out Outcome, done bool, err error) {
 	vm := &c.value
 	if vm.Order == o.Change && o.Change != "" {
 		return Outcome{Revision: c.rev, Repeated: true, Detail: "already in effect"}, true, nil
 	}
 	if o.IfRevision != 0 && o.IfRevision != c.rev {
-		return Outcome{}, false, refuse(CodeRevision, winnerOf(vm), c.rev,
+		return Outcome{}, false, refuse(CodeRevision, lastWriter(vm), c.rev,
 			"VM %s is at revision %d, not %d", vm.ID, c.rev, o.IfRevision)
 	}
 	return Outcome{}, false, nil
 }
 
-// winnerOf names what wrote the record last, for an order that lost to it.
-func winnerOf(vm *model.VM) string {
+// lastWriter returns what holds the VM or else the change that last wrote its
+// record, for the refusal of an order that conflicts with it.
+func lastWriter(vm *model.VM) string {
 	if vm.Holder != "" {
 		return vm.Holder
 	}
 	return "change " + string(vm.Change)
 }
 
-func (f *Fleet) readVM(ctx context.Context, id model.VMID) (*cell[model.VM], error) {
+func (f *Fleet) readVM(ctx context.Context, id model.VMID) (*versioned[model.VM], error) {
 	r, err := f.read(ctx, []model.VMID{id}, nil, "")
 	if err != nil {
 		return nil, err
@@ -246,9 +250,9 @@
 	return c, nil
 }
 
-func (f *Fleet) putVM(ctx context.Context, c *cell[model.VM], op, detail string) (Outcome, error) {
-	w := &write{}
-	w.change(c.cond(), c.put())
+func (f *Fleet) putVM(ctx context.Context, c *versioned[model.VM], op, detail string) (Outcome, error) {
+	w := &writeSet{}
+	w.update(c.cond(), c.put())
 	rev, err := f.commit(ctx, op, w)
 	if err != nil {
 		return Outcome{}, err
@@ -256,17 +260,17 @@
 	return Outcome{Revision: rev, Detail: detail}, nil
 }
 
-// orderPass returns a pass on fresh evidence, or a refusal: with the platform
-// out of reach no planned stop starts.
+// orderPass returns a pass on recent evidence, or a Refusal: no planned stop
+// starts while the platform can't be reached.
 func (f *Fleet) orderPass(ctx context.Context) (*pass, error) {
-	if err := f.refreshList(ctx, listPeriods*f.every); err != nil {
+	if err := f.refreshList(ctx, passesPerListFetch*f.passInterval); err != nil {
 		return nil, err
 	}
 	p := f.newPass()
 	if p.snap.Declaration == nil {
 		return nil, refuse(CodeUnavailable, "", 0, "no declaration is in force here yet")
 	}
-	if why := p.stale(); why != "" {
+	if why := p.staleEvidence(); why != "" {
 		return nil, refuse(CodeUnavailable, "", 0, "%s", why)
 	}
 	return p, nil
--- a/internal/fleet/order_test.go
+++ b/internal/fleet/order_test.go
@@ -19,9 +19,10 @@
 	v1 = model.VMID("v0-01")
 )
 
-// world of one service of four VMs that needs three, and a second pool.
-func orderWorld(t *testing.T) (*world, *node) {
-	w := newWorld(declare(2, 2, 4, 3), 2)
+// orderWorld returns a simulation of two services of four VMs that need three
+// each, and its first node.
+func orderWorld(t *testing.T) (*simulation, *node) {
+	w := newSimulation(declare(2, 2, 4, 3), 2)
 	w.start(t)
 	return w, w.nodes[0]
 }
@@ -58,7 +59,7 @@
 			func(n *node) (Outcome, error) { return n.Move(ctx, v0, "p1", order("b")) },
 			CodeConflict, "order a",
 		}, {
-			"undrain of what nobody drained",
+			"undrain of a VM that is not drained",
 			func(n *node) (Outcome, error) { return n.Drain(ctx, v0, order("a")) },
 			func(n *node) (Outcome, error) { return n.Undrain(ctx, v1, order("b")) },
 			CodeState, "",
@@ -81,12 +82,12 @@
 			func(n *node) (Outcome, error) { return n.PauseWave(ctx, "spring", order("b")) },
 			CodeConflict, "order a",
 		}, {
-			"a VM that is not there",
+			"a VM that does not exist",
 			func(n *node) (Outcome, error) { return n.Drain(ctx, v0, order("a")) },
 			func(n *node) (Outcome, error) { return n.Drain(ctx, "v9", order("b")) },
 			CodeNotFound, "",
 		}, {
-			"a revision that has passed",
+			"an outdated revision",
 			func(n *node) (Outcome, error) { return n.Drain(ctx, v0, order("a")) },
 			func(n *node) (Outcome, error) {
 				o := order("b")
@@ -102,7 +103,7 @@
 			out, err := tc.first(n)
 			must(t, out, err)
 
-			// The second comes from an entry VM whose view has not followed.
+			// The second order is given at an entry VM whose view is not updated yet.
 			_, err = tc.second(w.nodes[1])
 
 			r := refusal(t, err)
@@ -115,9 +116,9 @@
 	}
 }
 
-// An order's reply is lost after it took effect. The operator repeats it under
-// the same change ID and must hear that it is in effect, not of a conflict
-// with itself.
+// The reply to an order is lost after the order took effect. When the operator
+// repeats it under the same change ID, the answer must be that it is in effect,
+// not that it conflicts with itself.
 func TestOrderRepeatedAfterLostReplyIsTheSameOrder(t *testing.T) {
 	w, n := orderWorld(t)
 	out, err := n.Drain(ctx, v0, order("a"))
@@ -152,17 +153,16 @@
 	assert.Equal(t, refusal(t, err).Code, CodeUnavailable)
 }
 
-// The view still shows the service's VMs as they were, but one of them has
-// left for another pool since. Counting by the view would take out one more
-// than the budget allows.
+// The view is older than the move of a VM to another pool. Counting the budget by
+// this view would take out one more VM than the budget allows.
 func TestDrainCountsByTheStoreWhereTheViewIsBehind(t *testing.T) {
 	w, n := orderWorld(t)
-	w.nodes[1].blind = true
+	w.nodes[1].isolated = true
 	out, err := n.Move(ctx, v0, "p1", order("a"))
 	must(t, out, err)
 	stale := w.nodes[1].view.Load()
 	w.nodes = w.nodes[:1]
-	w.until(t, 10*time.Minute, func() bool { return w.vm(v0).Pool == "p1" })
+	w.runUntil(t, 10*time.Minute, func() bool { return w.vm(v0).Pool == "p1" })
 	behind := w.addNode("late")
 	fresh := *stale
 	fresh.AsOf = w.clock.Now()
@@ -181,10 +181,10 @@
 	assert.Equal(t, w.vm(v0).Pool, model.PoolName("p0"))
 	assert.Equal(t, w.vm(v0).State, model.VMLeaving)
 
-	w.until(t, 10*time.Minute, func() bool { return w.vm(v0).State == model.VMInPool })
+	w.runUntil(t, 10*time.Minute, func() bool { return w.vm(v0).State == model.VMInPool })
 
 	assert.Equal(t, w.vm(v0).Pool, model.PoolName("p1"))
-	assert.Equal(t, len(w.machines.cut), 0)
+	assert.Equal(t, len(w.machines.rebootedWithWork), 0)
 	assert.Equal(t, w.machines.reboots[v0], 0)
 	b, err := n.Budget(ctx, "s0")
 	assert.NilError(t, err)
@@ -196,21 +196,21 @@
 	w, n := orderWorld(t)
 	out, err := n.Drain(ctx, v0, order("a"))
 	must(t, out, err)
-	w.until(t, 10*time.Minute, func() bool { return w.vm(v0).State == model.VMEmpty })
+	w.runUntil(t, 10*time.Minute, func() bool { return w.vm(v0).State == model.VMEmpty })
 	for range 20 {
-		assert.NilError(t, w.turn(time.Minute))
+		assert.NilError(t, w.advance(time.Minute))
 	}
 	assert.Equal(t, w.vm(v0).State, model.VMEmpty)
 
 	out, err = n.Undrain(ctx, v0, order("b"))
 
 	must(t, out, err)
-	w.until(t, time.Minute, func() bool { return w.vm(v0).State == model.VMInPool })
+	w.runUntil(t, time.Minute, func() bool { return w.vm(v0).State == model.VMInPool })
 	assert.Assert(t, !w.machines.vms[v0].drained)
 }
 
-// A wave holds the VM: an order must not take it from under the wave. Where
-// the order was first, the wave goes round it and says what it waits for.
+// An order must not undrain a VM that a wave holds. Where an order holds a VM, the
+// wave must maintain the other VMs first and report what it waits for.
 func TestWaveAgainstOrder(t *testing.T) {
 	w, n := orderWorld(t)
 	out, err := n.Drain(ctx, v0, order("a"))
@@ -225,12 +225,12 @@
 		}
 		return ""
 	}
-	w.until(t, time.Minute, func() bool { return held() != "" })
+	w.runUntil(t, time.Minute, func() bool { return held() != "" })
 
 	_, err = n.Undrain(ctx, held(), order("c"))
 
 	assert.Equal(t, refusal(t, err).Winner, "wave spring")
-	w.until(t, time.Hour, func() bool {
+	w.runUntil(t, time.Hour, func() bool {
 		s, err := n.WaveStatus(ctx, "spring")
 		return err == nil && s.Progress.Remaining == 4 && s.Progress.Out == 0
 	})
@@ -239,22 +239,22 @@
 	assert.Equal(t, s.Hold, "VM v0-00 is held by order a")
 }
 
-// A long request keeps a VM from going empty. Nothing cuts it but the order
-// that says so.
+// A long request keeps a VM from becoming empty. Only an order to cut may
+// interrupt it.
 func TestOnlyAnExplicitOrderCuts(t *testing.T) {
 	w, n := orderWorld(t)
 	w.machines.vms[v0].drainTime = 24 * time.Hour
 	out, err := n.Drain(ctx, v0, order("a"))
 	must(t, out, err)
 	for range 60 {
-		assert.NilError(t, w.turn(time.Minute))
+		assert.NilError(t, w.advance(time.Minute))
 	}
 	assert.Equal(t, w.vm(v0).State, model.VMLeaving)
 
 	out, err = n.Cut(ctx, v0, order("b"))
 
 	must(t, out, err)
-	w.until(t, time.Minute, func() bool { return w.vm(v0).State == model.VMEmpty })
+	w.runUntil(t, time.Minute, func() bool { return w.vm(v0).State == model.VMEmpty })
 }
 
 func TestVMDeclaredLaterJoinsByProofOfHealth(t *testing.T) {
@@ -267,14 +267,14 @@
 	w.machines.vms[late.ID] = &machine{failed: true}
 	w.sync()
 	assert.NilError(t, n.Bootstrap(ctx))
-	assert.NilError(t, w.turn(time.Second))
+	assert.NilError(t, w.advance(time.Second))
 	b, err := n.Budget(ctx, "s0")
 	assert.NilError(t, err)
 	assert.Equal(t, b.Total, 4)
 
 	w.machines.vms[late.ID].failed = false
 
-	w.until(t, time.Minute, func() bool { return w.vm(late.ID).State == model.VMInPool })
+	w.runUntil(t, time.Minute, func() bool { return w.vm(late.ID).State == model.VMInPool })
 	b, err = n.Budget(ctx, "s0")
 	assert.NilError(t, err)
 	assert.Equal(t, b.Total, 5)
--- a/internal/fleet/pass.go
+++ b/internal/fleet/pass.go
@@ -14,10 +14,10 @@
 	"github.com/pumicestage/pumicestage/policy/wave"
 )
 
-// unknownAge is the age of evidence that was never had.
+// unknownAge is the age reported for a view or list that was never received.
 const unknownAge = 24 * time.Hour
 
-// pass is what one pass of the reconciler, or one order, goes by.
+// pass is the evidence that one pass of the reconciler, or one order, is based on.
 type pass struct {
 	f        *Fleet
 	now      time.Time
@@ -28,7 +28,7 @@
 	services map[model.PoolName][]*model.Service
 }
 
-// newPass takes the newest view and the newest list had.
+// newPass returns a pass on the newest view and the newest list of VMs received.
 func (f *Fleet) newPass() *pass {
 	p := &pass{
 		f:        f,
@@ -47,37 +47,38 @@
 func (f *Fleet) lastList() infra.MachineList {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.list
+	return f.machineList
 }
 
-// listPeriods is how many passes one fetch of the platform's list serves. It
-// lags by seconds anyway, and at 3,600 VMs it is the largest answer of all.
-const listPeriods = 2
+// passesPerListFetch is the number of passes that share one fetch of the
+// platform's list of VMs. The list lags by seconds anyway, and at 3,600 VMs it is
+// the largest answer of the platform.
+const passesPerListFetch = 2
 
-// refreshList fetches the platform's list unless it was fetched just now; where
-// that fails the old one ages.
+// refreshList fetches the platform's list of VMs unless the last fetch is more
+// recent than every. If the fetch fails, the old list is kept and ages.
 func (f *Fleet) refreshList(ctx context.Context, every time.Duration) error {
 	f.mu.Lock()
-	recent := !f.listed.IsZero() && f.clock.Since(f.listed) < every
+	recent := !f.machineListFetched.IsZero() && f.clock.Since(f.machineListFetched) < every
 	f.mu.Unlock()
 	if recent {
 		return nil
 	}
 	list, err := f.machines.List(ctx)
 	if err != nil {
-		return fault("list", err)
+		return wrapError("list", err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.listed = f.clock.Now()
-	if !list.AsOf.Before(f.list.AsOf) {
-		f.list = list
+	f.machineListFetched = f.clock.Now()
+	if !list.AsOf.Before(f.machineList.AsOf) {
+		f.machineList = list
 	}
 	return nil
 }
 
-// The ages are by the clock, not by the start of the pass: a process that was
-// paused in the middle of one must see that its evidence has aged.
+// The ages are relative to the current time and not to the start of the pass: a
+// process that was paused during a pass must see that its evidence has aged.
 func (p *pass) viewAge() time.Duration { return age(p.f.clock.Now(), p.snap.AsOf) }
 func (p *pass) listAge() time.Duration { return age(p.f.clock.Now(), p.list.AsOf) }
 
@@ -88,8 +89,8 @@
 	return max(0, now.Sub(then))
 }
 
-// stale says why no stop may start on this evidence, or nothing.
-func (p *pass) stale() string {
+// staleEvidence returns why no stop may start on this evidence; empty if one may.
+func (p *pass) staleEvidence() string {
 	if p.viewAge() > wave.MaxViewAge {
 		return "the view of the fleet is too old"
 	}
@@ -105,8 +106,8 @@
 	return budget.Evidence{Listed: listed, Health: p.f.health(id), Stopped: stopped}
 }
 
-// servicesOf returns the services that count the pool's VMs, in the
-// declaration's order.
+// servicesOf returns the services that the pool belongs to, in the order of the
+// declaration.
 func (p *pass) servicesOf(pool model.PoolName) []*model.Service {
 	if p.services == nil {
 		p.indexServices()
@@ -124,9 +125,9 @@
 	}
 }
 
-// concerned returns the services whose budgets a stop in one of the pools
-// touches, sorted by name.
-func (p *pass) concerned(pools []model.PoolName) []model.ServiceName {
+// affectedServices returns the services whose budgets a stop in one of the pools
+// affects, sorted by name.
+func (p *pass) affectedServices(pools []model.PoolName) []model.ServiceName {
 	seen := make(map[model.ServiceName]bool)
 	var names []model.ServiceName
 	for _, pool := range pools {
@@ -141,8 +142,8 @@
 	return names
 }
 
-// tally counts a service by the view and its ledger, with the reserve that the
-// weights call for.
+// tally counts the VMs of a service by the view and its ledger, with the reserve
+// for unplanned failures that the weights require.
 func (p *pass) tally(s *model.Service, l Ledger, w model.Weights) *wave.Tally {
 	stopped := make(map[model.VMID]Stop)
 	for _, stop := range l.Stops {
@@ -167,13 +168,13 @@
 	return wave.NewTally(budget.Count(s, members), held, w)
 }
 
-// catchUp replaces the view by one read from the store. Reading every VM is
-// dear, so only orders do it, whose actor would else be refused for a lag of
-// some milliseconds.
-func (p *pass) catchUp(ctx context.Context) error {
+// reloadVMs replaces the view by one that is read from the store. Reading every
+// VM is expensive, so only orders do it, which would otherwise be refused because
+// the view lags by some milliseconds.
+func (p *pass) reloadVMs(ctx context.Context) error {
 	kvs, rev, err := p.f.store.Range(ctx, infra.VMPrefix)
 	if err != nil {
-		return fault("read VMs", err)
+		return wrapError("read VMs", err)
 	}
 	fresh := *p.snap
 	fresh.Revision = rev
@@ -201,17 +202,18 @@
 	}
 }
 
-// sorted returns the services in order, so that runs are alike.
-func sorted(ledgers map[model.ServiceName]*cell[Ledger]) []model.ServiceName {
+// sortedServices returns the services of the ledgers sorted by name, so that
+// runs are deterministic.
+func sortedServices(ledgers map[model.ServiceName]*versioned[Ledger]) []model.ServiceName {
 	return slices.Sorted(maps.Keys(ledgers))
 }
 
-// behind says which ledger has been written since the view was made, or
-// nothing. Every change of a service's membership or stops writes its ledger,
-// so a view as new as the ledger has them all; an older one could count a VM
-// that has left the service since.
-func (p *pass) behind(r *reading) string {
-	for _, name := range sorted(r.ledgers) {
+// viewBehindLedger returns which ledger was written after the view was made;
+// empty if none was. Every change of a service's membership or stops writes its
+// ledger, so a view at least as new as the ledger includes them all. An older
+// view could count a VM that has left the service since.
+func (p *pass) viewBehindLedger(r *readSet) string {
+	for _, name := range sortedServices(r.ledgers) {
 		if r.ledgers[name].rev > p.snap.Revision {
 			return "the view is behind the ledger of service " + string(name)
 		}
--- a/internal/fleet/race_test.go
+++ b/internal/fleet/race_test.go
@@ -20,8 +20,8 @@
 	seedsFlag = flag.Int("seeds", 6, "how many seeds the randomized tests run")
 )
 
-// TestMain fixes the seed of property tests, so that CI's verdict is the same
-// every time; -rapid.seed on the command line overrides it.
+// TestMain sets a fixed seed for property tests, so that CI results are
+// reproducible; -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// eachSeed runs a test with the seeds that the flags ask for.
+// eachSeed runs a test with each of the seeds that the flags select.
 func eachSeed(t *testing.T, run func(t *testing.T, seed int64)) {
 	if *seedFlag != 0 {
 		run(t, *seedFlag)
@@ -44,39 +44,40 @@
 	}
 }
 
-// dice decide what happens: a seeded source, or rapid, which can shrink a run
-// that fails.
-type dice interface {
+// randomSource makes the random choices of a run: a seeded generator, or rapid,
+// which can shrink a run that fails.
+type randomSource interface {
 	Intn(n int) int // in [0,n)
 }
 
-type rapidDice struct{ t *rapid.T }
+type rapidSource struct{ t *rapid.T }
 
-func (d rapidDice) Intn(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "") }
+func (d rapidSource) Intn(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "") }
 
-// actor is one goroutine that calls the platform only when it is let.
+// actor is a goroutine that makes each call to the store or platform only when it
+// is given a turn.
 type actor struct {
-	node    *node
-	turn    chan bool     // true to go on, false to die
-	yielded chan struct{} // it waits for its turn, or is over
-	over    bool
-	entry   bool // an entry VM's reconciler, not an operator
-	asleep  int  // turns it stays paused
+	node        *node
+	turn        chan bool     // true to continue, false to exit
+	yielded     chan struct{} // the actor waits for its turn, or has ended
+	over        bool
+	entry       bool // an entry VM's reconciler, not an operator
+	pausedTurns int  // number of turns for which it stays paused
 }
 
-// races interleaves entry VMs and operators call by call. One actor runs at a
-// time, and the seed decides which and what fails, so that a seed always gives
-// the same run.
-type races struct {
-	*world
-	rng    dice
+// interleaving interleaves the calls of entry VMs and operators. One actor runs at
+// a time. The seed determines which one and what fails, so that a seed always
+// gives the same run.
+type interleaving struct {
+	*simulation
+	rng    randomSource
 	actors []*actor
 	active *actor
 	orders int
 }
 
 // spawn starts an actor that runs body on the node.
-func (r *races) spawn(n *node, body func()) *actor {
+func (r *interleaving) spawn(n *node, body func()) *actor {
 	a := &actor{node: n, turn: make(chan bool), yielded: make(chan struct{})}
 	go func() {
 		defer func() {
@@ -92,11 +93,11 @@
 	return a
 }
 
-// gate is where an actor waits for its turn before each call.
-func (r *races) gate(string) {
+// awaitTurn blocks the active actor before each call until its next turn.
+func (r *interleaving) awaitTurn(string) {
 	a := r.active
 	if a == nil {
-		return // the end phase runs nodes one after the other
+		return // finish runs the last node without actors
 	}
 	a.yielded <- struct{}{}
 	if !<-a.turn {
@@ -104,31 +105,33 @@
 	}
 }
 
-// let gives an actor one turn, up to its next call.
-func (r *races) let(a *actor, live bool) {
+// letRun gives an actor one turn, up to its next call; if live is false, the actor
+// exits instead.
+func (r *interleaving) letRun(a *actor, live bool) {
 	r.active = a
 	a.turn <- live
 	<-a.yielded
 	r.active = nil
 }
 
-func (r *races) addEntry() {
+func (r *interleaving) addEntry() {
 	n := r.addNode(model.EntryID(fmt.Sprintf("n%d", r.ids)))
 	r.ids++
-	n.at = r.gate
+	n.beforeCall = r.awaitTurn
 	n.view.Publish(r.snapshot())
 	a := r.spawn(n, func() {
 		for {
-			_ = n.Step(ctx) // refusals and faults are part of the run
-			r.gate("")
+			_ = n.Step(ctx) // failed steps are expected
+			r.awaitTurn("")
 		}
 	})
 	a.entry = true
 }
 
-// kill ends an entry VM's actor at the call it waits at, and replaces the VM.
-func (r *races) kill(a *actor) {
-	r.let(a, false)
+// kill ends an entry VM's actor before the call that it waits to make, and
+// replaces the entry VM.
+func (r *interleaving) kill(a *actor) {
+	r.letRun(a, false)
 	for i, n := range r.nodes {
 		if n == a.node {
 			r.nodes = append(r.nodes[:i], r.nodes[i+1:]...)
@@ -138,12 +141,12 @@
 	r.addEntry()
 }
 
-func (r *races) anyVM() model.VMID {
+func (r *interleaving) randomVM() model.VMID {
 	return r.decl.VMs[r.rng.Intn(len(r.decl.VMs))].ID
 }
 
-// heldVM returns a VM that something holds, or the one given.
-func (r *races) heldVM(otherwise model.VMID) model.VMID {
+// heldVM returns a VM that is held, or otherwise if there is none.
+func (r *interleaving) heldVM(otherwise model.VMID) model.VMID {
 	snap := r.snapshot()
 	for i := range r.decl.VMs {
 		if id := r.decl.VMs[i].ID; snap.VMs[id].Holder != "" {
@@ -153,27 +156,28 @@
 	return otherwise
 }
 
-// failAnother lets one VM fail and heals the one before.
-func (r *races) failAnother() {
+// failRandomVM makes all VMs healthy, then with probability one half makes one
+// fail.
+func (r *interleaving) failRandomVM() {
 	for _, v := range r.machines.vms {
 		v.failed = false
 	}
-	r.machines.vms[r.anyVM()].failed = r.rng.Intn(2) == 0
+	r.machines.vms[r.randomVM()].failed = r.rng.Intn(2) == 0
 }
 
-// healStores lets every entry VM reach the store again.
-func (r *races) healStores() {
+// healStores ends the outages of the store for all entry VMs.
+func (r *interleaving) healStores() {
 	for _, n := range r.nodes {
 		n.store.SetDown(false)
 	}
 }
 
-// command spawns an operator at a random entry VM who gives a random order.
-func (r *races) command() {
+// spawnOperator spawns an operator at a random entry VM who gives a random order.
+func (r *interleaving) spawnOperator() {
 	n := r.nodes[r.rng.Intn(len(r.nodes))]
 	r.orders++
 	o := order(fmt.Sprintf("o%d", r.orders))
-	id := r.anyVM()
+	id := r.randomVM()
 	pool := r.decl.Pools[r.rng.Intn(len(r.decl.Pools))].Name
 	var body func() (Outcome, error)
 	switch r.rng.Intn(10) {
@@ -193,8 +197,9 @@
 	r.spawn(n, func() { _, _ = body() })
 }
 
-// disturb lets one random thing happen besides the actors' own turns.
-func (r *races) disturb() {
+// injectEvent does one random event besides the actors' turns: time passes, a view
+// is updated, an order is given, or something fails or recovers.
+func (r *interleaving) injectEvent() {
 	a := r.actors[r.rng.Intn(len(r.actors))]
 	n := r.nodes[r.rng.Intn(len(r.nodes))]
 	switch p := r.rng.Intn(100); {
@@ -203,9 +208,9 @@
 	case p < 70:
 		n.view.Publish(r.snapshot())
 	case p < 80:
-		r.command()
+		r.spawnOperator()
 	case p < 83:
-		a.asleep = r.rng.Intn(200)
+		a.pausedTurns = r.rng.Intn(200)
 	case p < 86:
 		n.store.LoseReplies(1)
 	case p < 88:
@@ -217,37 +222,37 @@
 	case p < 96:
 		r.healStores()
 	case p < 98:
-		r.failAnother()
+		r.failRandomVM()
 	case a.entry:
 		r.kill(a)
 	}
-	r.sweep()
+	r.removeFinished()
 }
 
-// sweep forgets the actors that are over.
-func (r *races) sweep() {
+// removeFinished removes the actors that have ended.
+func (r *interleaving) removeFinished() {
 	r.actors = slices.DeleteFunc(r.actors, func(a *actor) bool { return a.over })
 }
 
-func (r *races) step() {
+func (r *interleaving) step() {
 	if r.rng.Intn(4) == 0 {
-		r.disturb()
+		r.injectEvent()
 	}
 	a := r.actors[r.rng.Intn(len(r.actors))]
-	if a.asleep > 0 {
-		a.asleep--
+	if a.pausedTurns > 0 {
+		a.pausedTurns--
 		return
 	}
 	if !a.over {
-		r.let(a, true)
+		r.letRun(a, true)
 	}
 }
 
-// finish ends all actors, heals everything, and lets the fleet come to rest.
-func (r *races) finish(t rapid.TB) {
+// finish ends all actors and faults, and runs one entry VM until no VM is held.
+func (r *interleaving) finish(t rapid.TB) {
 	for _, a := range r.actors {
 		if !a.over {
-			r.let(a, false)
+			r.letRun(a, false)
 		}
 	}
 	r.machines.loseReplies(0)
@@ -258,12 +263,12 @@
 	last := r.addNode("last")
 	r.sync()
 	_, _ = last.CancelWave(ctx, "spring", order("end"))
-	r.until(t, 2*time.Hour, func() bool { return r.undrainAll(last) })
+	r.runUntil(t, 2*time.Hour, func() bool { return r.undrainAll(last) })
 }
 
-// undrainAll takes back what operators drained, and reports whether nothing is
+// undrainAll undrains the VMs that operators drained, and reports whether no VM is
 // held any more.
-func (r *races) undrainAll(n *node) bool {
+func (r *interleaving) undrainAll(n *node) bool {
 	free := true
 	snap := r.snapshot()
 	for i := range r.decl.VMs {
@@ -278,11 +283,12 @@
 	return free
 }
 
-// newRaces starts three entry VMs over two services.
-func newRaces(t rapid.TB, rng dice) *races {
+// newInterleaving returns an interleaving of three entry VMs over two services of
+// five VMs that need three each.
+func newInterleaving(t rapid.TB, rng randomSource) *interleaving {
 	d := declare(2, 2, 5, 3)
 	d.Waves[0].Probation = 5 * time.Second
-	r := &races{world: newWorld(d, 1), rng: rng}
+	r := &interleaving{simulation: newSimulation(d, 1), rng: rng}
 	r.start(t)
 	r.nodes = nil
 	for i := range d.VMs {
@@ -296,15 +302,15 @@
 	return r
 }
 
-// run plays so many turns, brings all to rest, and checks what came of it.
-func (r *races) run(t rapid.TB, turns int) {
+// run does the given number of turns, then ends the run and checks its result.
+func (r *interleaving) run(t rapid.TB, turns int) {
 	for range turns {
 		r.step()
 	}
 	r.finish(t)
 	r.audit.verify(t)
-	if len(r.machines.cut) > 0 {
-		t.Errorf("cut: %v", r.machines.cut)
+	if len(r.machines.rebootedWithWork) > 0 {
+		t.Errorf("VMs rebooted with work on them: %v", r.machines.rebootedWithWork)
 	}
 	for id, m := range r.machines.vms {
 		if m.drained {
@@ -313,24 +319,24 @@
 	}
 }
 
-// Three entry VMs with lagging views carry a wave while operators give orders
-// that conflict, calls overtake each other, replies are lost, VMs fail, and
-// entry VMs pause or are replaced. Every write and every outside effect is
-// checked when it happens; at the end nothing is held, drained or cut.
+// Three entry VMs with lagging views run a wave while operators give conflicting
+// orders, calls are reordered, replies are lost, VMs fail, and entry VMs pause or
+// are replaced. Every write and every effect on a VM is checked when it happens.
+// At the end no VM may be held or drained, or have been rebooted with work on it.
 func TestRacesKeepTheInvariants(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed int64) {
 		const turns = 5000
-		r := newRaces(t, rand.New(rand.NewSource(seed)))
+		r := newInterleaving(t, rand.New(rand.NewSource(seed)))
 		r.run(t, turns)
 		t.Logf("seed %d: %s", seed, r.audit.summary())
 	})
 }
 
-// The same with every choice drawn by rapid, which shrinks a run that breaks an
+// The same with every choice drawn by rapid, which shrinks a run that violates an
 // invariant to a short one.
 func TestAnyScheduleKeepsTheInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const turns = 300
-		newRaces(t, rapidDice{t}).run(t, turns)
+		newInterleaving(t, rapidSource{t}).run(t, turns)
 	})
 }
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -11,25 +11,25 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Stop is one planned stop in progress.
+// Stop is a planned stop of a VM that is in progress.
 type Stop struct {
 	VM      model.VMID
 	Zone    model.ZoneName
 	Rack    model.RackName
-	Holder  string // "wave spring" or "order c-17"
+	Holder  string // what stops the VM, such as "wave spring" or "order c-17"
 	Attempt model.AttemptID
 	At      time.Time
 }
 
-// Ledger is the value of a service's ledger key: every planned stop of its VMs
-// in progress. All changes of a service's membership or stops write this key,
-// so that a count made meanwhile fails its CAS.
+// Ledger is the value of a service's ledger key: all planned stops of its VMs
+// that are in progress. Every change of a service's membership or stops writes
+// this key, so that a compare-and-swap based on an older count fails.
 type Ledger struct {
 	Change model.ChangeID
 	Stops  []Stop
 }
 
-// without returns the ledger without the stop of the VM.
+// without returns a copy of the ledger without the stop of the VM.
 func (l Ledger) without(vm model.VMID) Ledger {
 	kept := make([]Stop, 0, len(l.Stops))
 	for _, s := range l.Stops {
@@ -41,7 +41,7 @@
 	return l
 }
 
-// WaveState is where a started wave stands.
+// WaveState is the state of a started wave.
 type WaveState string
 
 // The states of a wave.
@@ -52,61 +52,61 @@
 	WaveFinished  WaveState = "finished"
 )
 
-// WaveRecord is the value of a wave's key: its last run.
+// WaveRecord is the value of a wave's key and describes its last run.
 type WaveRecord struct {
 	Name    model.WaveName
 	Run     model.ChangeID // the change that started this run
 	Change  model.ChangeID // the change that wrote this state
-	Actor   string         // who asked for it
+	Actor   string         // who requested the state: an operator or an entry VM
 	State   WaveState
 	Reason  string
 	Pools   []model.PoolName
 	Started time.Time
-	Resumed time.Time // when it was let go on last; zero if never
-	Ended   time.Time // zero while it runs or is paused
+	Resumed time.Time // when it was last resumed; zero if never
+	Ended   time.Time // when it was finished or cancelled; zero before that
 }
 
-// cell is a decoded value with the revision of its key.
-type cell[T any] struct {
+// versioned is a decoded value with its key and the revision of that key.
+type versioned[T any] struct {
 	key   string
-	rev   infra.Revision // 0 where the key does not exist
+	rev   infra.Revision // 0 if the key does not exist
 	value T
 }
 
-func decode[T any](kv infra.KV) (cell[T], error) {
-	c := cell[T]{key: kv.Key, rev: kv.ModRevision}
+func decode[T any](kv infra.KV) (versioned[T], error) {
+	c := versioned[T]{key: kv.Key, rev: kv.ModRevision}
 	if kv.ModRevision == 0 {
 		return c, nil
 	}
 	if err := json.Unmarshal(kv.Value, &c.value); err != nil {
-		return c, fault("decode", infra.Errorf("decode", infra.KindInvalid, "%s: %w", kv.Key, err))
+		return c, wrapError("decode", infra.Errorf("decode", infra.KindInvalid, "%s: %w", kv.Key, err))
 	}
 	return c, nil
 }
 
-// cond is the condition that the cell is still what was read.
-func (c *cell[T]) cond() infra.Cond {
+// cond returns the condition that the key is unchanged since it was read.
+func (c *versioned[T]) cond() infra.Cond {
 	return infra.Cond{Key: c.key, ModRevision: c.rev}
 }
 
-// put writes the cell's value.
-func (c *cell[T]) put() infra.Op {
+// put returns the operation that writes the value to its key.
+func (c *versioned[T]) put() infra.Op {
 	b, err := json.Marshal(c.value)
 	if err != nil {
-		panic("fleet: records always marshal: " + err.Error())
+		panic("fleet: encode record: " + err.Error())
 	}
 	return infra.Put(c.key, b)
 }
 
-// reading is one consistent read of the keys that one decision needs.
-type reading struct {
-	vms     map[model.VMID]*cell[model.VM]
-	ledgers map[model.ServiceName]*cell[Ledger]
-	wave    *cell[WaveRecord] // nil if no wave was asked for
+// readSet holds the records that one decision needs, read in one transaction.
+type readSet struct {
+	vms     map[model.VMID]*versioned[model.VM]
+	ledgers map[model.ServiceName]*versioned[Ledger]
+	wave    *versioned[WaveRecord] // nil if no wave was requested
 }
 
-// read reads VMs, ledgers and, unless it is empty, a wave as one step.
-func (f *Fleet) read(ctx context.Context, vms []model.VMID, ledgers []model.ServiceName, wave model.WaveName) (*reading, error) {
+// read reads VMs, ledgers and, if wave is not empty, a wave in one transaction.
+func (f *Fleet) read(ctx context.Context, vms []model.VMID, ledgers []model.ServiceName, wave model.WaveName) (*readSet, error) {
 	var ops []infra.Op
 	for _, id := range vms {
 		ops = append(ops, infra.Read(infra.VMKey(id)))
@@ -122,14 +122,14 @@
 		res, err = f.store.Txn(ctx, infra.Txn{Then: ops})
 	}
 	if err != nil {
-		// A read changes nothing, whatever became of its reply.
+		// A read changes nothing, so its outcome is never uncertain.
 		return nil, trace.Wrap(&Error{Op: "read", Err: err})
 	}
-	return decodeReading(res.Reads, vms, ledgers, wave)
+	return decodeReadSet(res.Reads, vms, ledgers, wave)
 }
 
-func decodeReading(kvs []infra.KV, vms []model.VMID, ledgers []model.ServiceName, wave model.WaveName) (*reading, error) {
-	r := &reading{vms: make(map[model.VMID]*cell[model.VM]), ledgers: make(map[model.ServiceName]*cell[Ledger])}
+func decodeReadSet(kvs []infra.KV, vms []model.VMID, ledgers []model.ServiceName, wave model.WaveName) (*readSet, error) {
+	r := &readSet{vms: make(map[model.VMID]*versioned[model.VM]), ledgers: make(map[model.ServiceName]*versioned[Ledger])}
 	for i, id := range vms {
 		c, err := decode[model.VM](kvs[i])
 		if err != nil {
@@ -155,30 +155,30 @@
 	return r, nil
 }
 
-// write is one transaction in the making.
-type write struct {
+// writeSet collects the conditions and operations of one transaction.
+type writeSet struct {
 	conds []infra.Cond
 	ops   []infra.Op
 }
 
-// guard adds the condition that a key is unchanged.
-func (w *write) guard(c infra.Cond) { w.conds = append(w.conds, c) }
+// require adds the condition that a key is unchanged.
+func (w *writeSet) require(c infra.Cond) { w.conds = append(w.conds, c) }
 
-// change adds a key with the condition that it is unchanged.
-func (w *write) change(cond infra.Cond, op infra.Op) {
+// update adds a write of a key and the condition that the key is unchanged.
+func (w *writeSet) update(cond infra.Cond, op infra.Op) {
 	w.conds = append(w.conds, cond)
 	w.ops = append(w.ops, op)
 }
 
-// commit applies the write and returns the revision it has. The error is a
-// platform conflict where another write came first.
-func (f *Fleet) commit(ctx context.Context, op string, w *write) (infra.Revision, error) {
+// commit applies the transaction and returns its revision. It returns an error
+// of kind conflict if another write came first.
+func (f *Fleet) commit(ctx context.Context, op string, w *writeSet) (infra.Revision, error) {
 	res, err := infra.Commit(ctx, f.store, infra.Txn{If: w.conds, Then: w.ops})
 	if err != nil {
-		return 0, fault(op, err)
+		return 0, wrapError(op, err)
 	}
 	return res.Revision, nil
 }
 
-// isConflict reports whether another write came first.
+// isConflict reports whether err means that another write came first.
 func isConflict(err error) bool { return infra.IsKind(err, infra.KindConflict) }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -8,64 +8,67 @@
 )
 
 const (
-	// busyEvery is how often a pass is done while there is work: a VM then
-	// waits a second at most for its next step, against minutes for a boot.
-	busyEvery = time.Second
-	// restEvery is how often started waves are looked for at rest. Orders
-	// given at this entry VM wake it at once.
-	restEvery = 10 * time.Second
-	// farewell bounds the hand-over when the daemon stops.
-	farewell = 2 * time.Second
+	// busyPassInterval is the time between two passes while there is work. A VM
+	// waits at most a second for its next step, which is short against a reboot
+	// of minutes.
+	busyPassInterval = time.Second
+	// idlePassInterval is the time between two polls for started waves while
+	// there is no work. Orders given at this entry VM wake Run at once.
+	idlePassInterval = 10 * time.Second
+	// handOverTimeout bounds the release of the shards when the daemon stops.
+	handOverTimeout = 2 * time.Second
 )
 
-// Run does passes until ctx ends, then hands its shards over. Errors are
-// logged and tried again.
+// Run does passes until ctx ends, then releases its shards. Failed passes are
+// logged and retried. It always returns nil.
 func (f *Fleet) Run(ctx context.Context) error {
 	defer f.handOver(ctx)
-	kicked := false
+	woken := false
 	for {
-		busy, err := f.tend(ctx, kicked)
+		busy, err := f.passOverShards(ctx, woken)
 		if err != nil && ctx.Err() == nil {
-			f.log.Error(err, "pass failed, will be tried again")
+			f.log.Error(err, "reconciliation pass failed, will be retried")
 		}
-		wait := restEvery
+		wait := idlePassInterval
 		if busy {
-			wait = f.every
+			wait = f.passInterval
 		}
-		kicked = false
+		woken = false
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.kick:
-			kicked = true
+		case <-f.wake:
+			woken = true
 		case <-f.clock.After(wait):
 		}
 	}
 }
 
 func (f *Fleet) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), farewell)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
 	defer cancel()
-	f.step.Lock()
-	defer f.step.Unlock()
+	f.passMu.Lock()
+	defer f.passMu.Unlock()
 	if err := f.releaseShards(ctx); err != nil {
-		f.log.Error(err, "shards lapse with their lease instead")
+		f.log.Error(err, "releasing shards failed, they become free when their lease expires")
 	}
 }
 
-// tend does a pass over the work this entry VM holds shards of, and reports
-// whether there is some to go on with.
-func (f *Fleet) tend(ctx context.Context, kicked bool) (busy bool, err error) {
-	f.step.Lock()
-	defer f.step.Unlock()
+// passOverShards does a pass over the work whose shards this entry VM holds, and
+// reports whether it is to be called again soon. woken is true if Wake was
+// called; the pass then also takes place where this entry VM does not poll while
+// idle.
+func (f *Fleet) passOverShards(ctx context.Context, woken bool) (busy bool, err error) {
+	f.passMu.Lock()
+	defer f.passMu.Unlock()
 	snap := f.view.Load()
 	if snap.Declaration == nil {
 		return false, nil
 	}
-	if !kicked && f.shards.lease == 0 && !f.attends(snap.Entries) {
+	if !woken && f.shards.lease == 0 && !f.pollsWhenIdle(snap.Entries) {
 		return false, nil
 	}
-	if err := bounded(ctx, f.Bootstrap); err != nil {
+	if err := withStepTimeout(ctx, f.Bootstrap); err != nil {
 		return false, err
 	}
 	ws, err := f.loadWaves(ctx)
@@ -73,7 +76,7 @@
 		return f.shards.lease != 0, err
 	}
 	need := f.newPass().shardsNeeded(ws)
-	err = bounded(ctx, func(ctx context.Context) error { return f.claimShards(ctx, need) })
+	err = withStepTimeout(ctx, func(ctx context.Context) error { return f.claimShards(ctx, need) })
 	if err != nil {
 		return true, err
 	}
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -10,14 +10,15 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// The size that the project is designed for.
+// The size of fleet that the project is designed for.
 const (
 	scaleVMs   = 3600
 	scalePools = 347
 	scaleZones = 6
 )
 
-// scaleDeclaration has one service to a pool and pools of ten or eleven VMs.
+// scaleDeclaration returns a declaration with one service per pool and the VMs
+// spread evenly over the pools: ten or eleven per pool at full size.
 func scaleDeclaration(vms, pools int) *model.Declaration {
 	d := declare(scaleZones, pools, 0, 0)
 	for i := range d.Services {
@@ -34,10 +35,10 @@
 	return d
 }
 
-// BenchmarkPlan is the time and the allocations of one plan over the whole
-// fleet, and of a reconciler's pass around it.
+// BenchmarkPlan reports the time and the allocations of one plan over the whole
+// fleet, and of a reconciler's pass while there is no work.
 func BenchmarkPlan(b *testing.B) {
-	w := newWorld(scaleDeclaration(scaleVMs, scalePools), 1)
+	w := newSimulation(scaleDeclaration(scaleVMs, scalePools), 1)
 	w.audit.off = true
 	w.start(b)
 	n := w.nodes[0]
@@ -59,15 +60,15 @@
 	})
 }
 
-// usage is what one wave took of the platform.
+// usage is the duration of one wave and the calls it made.
 type usage struct {
 	took            time.Duration
-	store, machines float64 // calls per VM, without asking for started waves each pass
+	store, machines float64 // calls per VM, without the one per pass that reads the started waves
 	storeRate       float64 // all calls per second
 }
 
 func maintainAll(t testing.TB, vms, pools int) usage {
-	w := newWorld(scaleDeclaration(vms, pools), 1)
+	w := newSimulation(scaleDeclaration(vms, pools), 1)
 	w.audit.off = true
 	w.start(t)
 	n := w.nodes[0]
@@ -76,7 +77,7 @@
 	assert.NilError(t, err)
 	passes := 0
 	for w.waveState(t, "spring") != WaveFinished {
-		w.clock.Advance(busyEvery)
+		w.clock.Advance(busyPassInterval)
 		w.sync()
 		assert.NilError(t, n.Step(ctx))
 		passes++
@@ -85,7 +86,7 @@
 	after := n.store.Calls()
 	calls := after.Reads + after.Writes - store.Reads - store.Writes
 	return usage{
-		took:      time.Duration(passes) * busyEvery,
+		took:      time.Duration(passes) * busyPassInterval,
 		store:     per(calls-passes, vms),
 		machines:  per(w.machines.calls-machines, vms),
 		storeRate: per(calls, passes),
@@ -107,8 +108,8 @@
 	}
 }
 
-// Calls to the platform per VM maintained, polling included, at a size small
-// enough for every run.
+// Bounds the calls to the store and the platform per maintained VM, polling
+// included, in a fleet small enough for every run.
 func TestCallsPerMaintainedVM(t *testing.T) {
 	u := maintainAll(t, 120, 12)
 	t.Logf("%+v", u)
--- a/internal/fleet/shard.go
+++ b/internal/fleet/shard.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// shardCount splits the work by what holds a VM, so that several waves
-	// and orders can be carried by several entry VMs.
+	// shardCount is the number of shards of the work, which is split by what
+	// holds a VM, so that several entry VMs can share several waves and orders.
 	shardCount = 8
-	// shardTTL is how long work lies idle after its entry VM died. It is
-	// short against a reboot, and a third of it is the renewal interval, so
-	// that one lost renewal costs nothing.
-	shardTTL   = 15 * time.Second
-	renewEvery = shardTTL / 3
-	// attendants is how many entry VMs look for work at rest: one to do it
-	// and one that takes over. More would only cost calls.
-	attendants = 2
+	// shardTTL is how long work waits at most after its entry VM has crashed.
+	// It is short against a reboot. The lease is renewed every third of it, so
+	// that one lost renewal does not lose the lease.
+	shardTTL           = 15 * time.Second
+	shardRenewInterval = shardTTL / 3
+	// maxIdlePollers is how many entry VMs poll for work while there is none:
+	// one to do it and one to take over. More would only cost calls.
+	maxIdlePollers = 2
 )
 
-// shards are the leased shards of work this entry VM holds. They save effort
-// and nothing else: two holders at once collide in their CAS and do no harm.
+// shards holds the leased shards of work of this entry VM. They only avoid
+// duplicate effort and are not needed for safety: the compare-and-swaps of two
+// concurrent holders conflict without harm.
 type shards struct {
-	lease   infra.LeaseID
-	renewed time.Time
-	held    map[int]bool
-	refused map[int]time.Time // when another was seen to hold it
+	lease         infra.LeaseID
+	renewed       time.Time
+	held          map[int]bool
+	heldElsewhere map[int]time.Time // when another entry VM was last seen to hold the shard
 }
 
 func newShards() shards {
-	return shards{held: make(map[int]bool), refused: make(map[int]time.Time)}
+	return shards{held: make(map[int]bool), heldElsewhere: make(map[int]time.Time)}
 }
 
-// shardOf returns the shard that works for a holder of VMs.
+// shardOf returns the shard that the VMs of a holder belong to.
 func shardOf(holder string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(holder))
@@ -47,8 +48,8 @@
 
 func shardKey(n int) string { return fmt.Sprintf("%s%d", infra.ShardPrefix, n) }
 
-// claimShards takes what is free of the shards with work and returns whether
-// any is held. Errors only delay the work.
+// claimShards claims the free ones of the shards that have work, and releases
+// all shards if none has. An error only delays the work.
 func (f *Fleet) claimShards(ctx context.Context, need map[int]bool) error {
 	if len(need) == 0 {
 		return f.releaseShards(ctx)
@@ -60,7 +61,7 @@
 		if !need[n] || f.shards.held[n] {
 			continue
 		}
-		if at, ok := f.shards.refused[n]; ok && f.clock.Since(at) < renewEvery {
+		if at, ok := f.shards.heldElsewhere[n]; ok && f.clock.Since(at) < shardRenewInterval {
 			continue
 		}
 		if err := f.claimShard(ctx, n); err != nil {
@@ -82,30 +83,31 @@
 		f.shards = newShards()
 	}
 	if err != nil {
-		return fault("claim shard", err)
+		return wrapError("claim shard", err)
 	}
-	// A claim whose reply was lost is found here as our own.
+	// A value equal to ours is an earlier claim whose reply was lost.
 	if res.Succeeded || string(res.Reads[0].Value) == value {
 		f.shards.held[n] = true
 		return nil
 	}
-	f.shards.refused[n] = f.clock.Now()
+	f.shards.heldElsewhere[n] = f.clock.Now()
 	return nil
 }
 
-// renewShards keeps the lease alive; where it has lapsed all shards are lost.
+// renewShards grants the lease or keeps it alive. If the lease has expired, all
+// shards are lost.
 func (f *Fleet) renewShards(ctx context.Context) error {
 	now := f.clock.Now()
 	if f.shards.lease == 0 {
 		lease, err := f.store.Grant(ctx, shardTTL)
 		if err != nil {
-			return fault("grant lease", err)
+			return wrapError("grant lease", err)
 		}
 		f.shards.lease = lease
 		f.shards.renewed = now
 		return nil
 	}
-	if now.Sub(f.shards.renewed) < renewEvery {
+	if now.Sub(f.shards.renewed) < shardRenewInterval {
 		return nil
 	}
 	err := f.store.KeepAlive(ctx, f.shards.lease)
@@ -114,13 +116,14 @@
 		return nil
 	}
 	if err != nil {
-		return fault("renew lease", err)
+		return wrapError("renew lease", err)
 	}
 	f.shards.renewed = now
 	return nil
 }
 
-// releaseShards hands the work over at once rather than when the lease lapses.
+// releaseShards revokes the lease, so that others can take the work over at once
+// rather than when the lease expires.
 func (f *Fleet) releaseShards(ctx context.Context) error {
 	lease := f.shards.lease
 	f.shards = newShards()
@@ -131,12 +134,13 @@
 	if infra.IsKind(err, infra.KindLeaseNotFound) {
 		return nil
 	}
-	return fault("revoke lease", err)
+	return wrapError("revoke lease", err)
 }
 
-// attends reports whether this entry VM looks for work at rest: it ranks among
-// the first of the live ones by rendezvous hash, or doesn't know them.
-func (f *Fleet) attends(entries []view.EntryRecord) bool {
+// pollsWhenIdle reports whether this entry VM polls for work while it holds no
+// shard: it ranks among the first maxIdlePollers live entry VMs by rendezvous
+// hash, or is not listed among them.
+func (f *Fleet) pollsWhenIdle(entries []view.EntryRecord) bool {
 	before, listed := 0, len(entries) == 0
 	own := rank(f.self)
 	for _, e := range entries {
@@ -146,7 +150,7 @@
 			before++
 		}
 	}
-	return !listed || before < attendants
+	return !listed || before < maxIdlePollers
 }
 
 func rank(id model.EntryID) uint32 {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -12,16 +12,16 @@
 	"github.com/pumicestage/pumicestage/policy/wave"
 )
 
-// WaveStatus is what operators see of a started wave.
+// WaveStatus is the status of a started wave for operators.
 type WaveStatus struct {
 	Record   WaveRecord
 	Revision infra.Revision
 	Progress wave.Progress
-	Forecast time.Duration // until it ends; 0 where it has
-	Hold     string        // what holds it back now; empty if nothing
+	Forecast time.Duration // time until it ends; 0 if it has ended
+	Hold     string        // what limits its progress now; empty if nothing does
 }
 
-// WaveStatus returns where a wave stands; a Refusal where it was never started.
+// WaveStatus returns the status of a wave; a Refusal if it was never started.
 func (f *Fleet) WaveStatus(ctx context.Context, name model.WaveName) (WaveStatus, error) {
 	c, err := f.readWave(ctx, name)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return f.newPass().status(c), nil
 }
 
-// WaveStatuses returns every started wave, sorted by name.
+// WaveStatuses returns the status of every started wave, sorted by name.
 func (f *Fleet) WaveStatuses(ctx context.Context) ([]WaveStatus, error) {
 	ws, err := f.loadWaves(ctx)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return all, nil
 }
 
-func (p *pass) status(c *cell[WaveRecord]) WaveStatus {
+func (p *pass) status(c *versioned[WaveRecord]) WaveStatus {
 	s := WaveStatus{Record: c.value, Revision: c.rev}
 	if p.snap.Declaration == nil {
 		return s
@@ -66,8 +66,8 @@
 	return s
 }
 
-// PlanWave returns what a wave would do now, by the planner that the order
-// uses; pools as in StartWave. It changes nothing.
+// PlanWave returns what a wave would do now, by the planner that running waves
+// use; pools as in StartWave. It changes nothing.
 func (f *Fleet) PlanWave(ctx context.Context, name model.WaveName, pools []model.PoolName) (wave.Plan, error) {
 	p, err := f.orderPass(ctx)
 	if err != nil {
@@ -81,49 +81,50 @@
 	return plan, nil
 }
 
-// StopCheck says whether a VM could be taken out.
+// StopCheck tells whether a VM could be taken out of its pool.
 type StopCheck struct {
 	VM      model.VMID
 	Allowed bool
-	Why     string // why not
+	Why     string // why not; empty if allowed
 }
 
-// CheckStops returns whether an order could take the VMs out one after the
-// other, by the count that the order makes. It changes nothing.
+// CheckStops returns for each VM whether an order could take it out of its pool
+// after the VMs before it, by the same count of the budgets as the order. It
+// changes nothing.
 func (f *Fleet) CheckStops(ctx context.Context, vms []model.VMID) ([]StopCheck, error) {
 	p, err := f.orderPass(ctx)
 	if err != nil {
 		return nil, asRefusal(err)
 	}
-	names := p.concerned(p.poolsOf(vms))
+	names := p.affectedServices(p.poolsOf(vms))
 	r, err := f.read(ctx, vms, names, "")
 	if err != nil {
 		return nil, asRefusal(err)
 	}
-	if why := p.behind(r); why != "" {
+	if why := p.viewBehindLedger(r); why != "" {
 		return nil, refuse(CodeUnavailable, "", 0, "%s", why)
 	}
 	var checks []StopCheck
 	tallies := p.tallies(r, p.weights(nil))
 	for _, id := range vms {
-		c := StopCheck{VM: id, Why: p.refuseStop(r, id, tallies, false)}
+		c := StopCheck{VM: id, Why: p.stopRefusal(r, id, tallies, false)}
 		c.Allowed = c.Why == ""
 		if c.Allowed {
-			p.take(&write{}, r, tallies, stopRequest{}, id)
+			p.addStop(&writeSet{}, r, tallies, stopRequest{}, id)
 		}
 		checks = append(checks, c)
 	}
 	return checks, nil
 }
 
-// VMStatus is what operators see of a VM.
+// VMStatus is the status of a VM for operators.
 type VMStatus struct {
 	view.VMRecord
 	Health model.Health
-	Live   bool // by the platform's list
+	Live   bool // according to the platform's list of VMs
 }
 
-// VMs returns every VM of the view, sorted by ID.
+// VMs returns the status of every VM in the view, sorted by ID.
 func (f *Fleet) VMs() []VMStatus {
 	p := f.newPass()
 	all := make([]VMStatus, 0, len(p.snap.VMs))
@@ -134,21 +135,22 @@
 	return all
 }
 
-// BudgetStatus is what operators see of a service's availability budget.
+// BudgetStatus is the status of a service's availability budget for operators.
 type BudgetStatus struct {
 	Service  model.ServiceName
 	Total    int
 	Up       int
 	Required int
-	Spare    int          // how many more may stop; negative where the budget is broken
-	Reserve  wave.Reserve // the unplanned loss that waves leave room for
-	Holds    bool
+	Spare    int          // how many more VMs may stop; negative if the budget is violated
+	Reserve  wave.Reserve // the unplanned failures that waves keep spare VMs for
+	Holds    bool         // whether the budget is satisfied now
 	Zones    map[model.ZoneName]budget.Domain
 	Stops    []Stop
 	Revision infra.Revision // of the ledger
 }
 
-// Budget returns where a service's budget stands.
+// Budget returns the status of a service's budget; a Refusal if the service is
+// not declared.
 func (f *Fleet) Budget(ctx context.Context, name model.ServiceName) (BudgetStatus, error) {
 	all, err := f.budgets(ctx, []model.ServiceName{name})
 	if err != nil {
@@ -157,7 +159,8 @@
 	return all[0], nil
 }
 
-// Budgets returns where every declared service's budget stands.
+// Budgets returns the status of every declared service's budget; nil if no
+// declaration is in force.
 func (f *Fleet) Budgets(ctx context.Context) ([]BudgetStatus, error) {
 	d := f.view.Load().Declaration
 	if d == nil {
@@ -191,7 +194,7 @@
 	return all, nil
 }
 
-func (p *pass) budgetStatus(name model.ServiceName, l *cell[Ledger]) BudgetStatus {
+func (p *pass) budgetStatus(name model.ServiceName, l *versioned[Ledger]) BudgetStatus {
 	t := p.tally(p.snap.Declaration.Service(name), l.value, p.weights(nil))
 	s := BudgetStatus{
 		Service:  name,
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -14,13 +14,13 @@
 	"github.com/pumicestage/pumicestage/policy/wave"
 )
 
-// Step does one pass over all work, whoever holds its shards: every VM that
-// something holds goes one step on where it can, and every running wave takes
-// out what its plan allows. A failure at one VM does not keep the others back;
-// the error joins all of them.
+// Step does one pass over all work, whichever entry VM holds its shards. It does
+// the next possible step of every VM that a wave or an order holds, and starts
+// the stops that the plan of every running wave allows. A failure at one VM does
+// not affect the others; the error joins all failures.
 func (f *Fleet) Step(ctx context.Context) error {
-	f.step.Lock()
-	defer f.step.Unlock()
+	f.passMu.Lock()
+	defer f.passMu.Unlock()
 	if f.view.Load().Declaration == nil {
 		return nil
 	}
@@ -31,65 +31,66 @@
 	return f.pass(ctx, ws, func(string) bool { return true })
 }
 
-// stepTimeout bounds the platform calls of one step of one VM or wave, so that
-// a slow platform keeps a pass from none of the others.
+// stepTimeout bounds the platform calls of one step of a VM or wave, so that a
+// call that hangs does not keep the pass from the other VMs and waves.
 const stepTimeout = 5 * time.Second
 
-// passRefresh is how old the evidence of a pass may get before it is looked at
-// anew; a slow platform can stretch a pass.
-const passRefresh = 2 * time.Second
+// maxPassAge is the age at which a pass is replaced by one on newer evidence; a
+// slow platform can make a pass take long.
+const maxPassAge = 2 * time.Second
 
-// bounded runs one step under stepTimeout.
-func bounded(ctx context.Context, step func(context.Context) error) error {
+// withStepTimeout runs one step with a deadline of stepTimeout.
+func withStepTimeout(ctx context.Context, step func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	return step(ctx)
 }
 
-// refreshed returns the pass, or a new one where it has become old.
+// refreshed returns the pass, or a new one if it is older than maxPassAge.
 func (p *pass) refreshed() *pass {
-	if p.f.clock.Since(p.now) < passRefresh {
+	if p.f.clock.Since(p.now) < maxPassAge {
 		return p
 	}
 	return p.f.newPass()
 }
 
-// pass does the work of the holders that mine names.
-func (f *Fleet) pass(ctx context.Context, ws waves, mine func(holder string) bool) error {
+// pass does one pass over the VMs and waves of the holders for which owns returns
+// true.
+func (f *Fleet) pass(ctx context.Context, ws waves, owns func(holder string) bool) error {
 	var errs []error
-	err := bounded(ctx, func(ctx context.Context) error { return f.refreshList(ctx, listPeriods*f.every) })
+	err := withStepTimeout(ctx, func(ctx context.Context) error { return f.refreshList(ctx, passesPerListFetch*f.passInterval) })
 	if err != nil {
 		errs = append(errs, err)
 	}
 	p := f.newPass()
 	for _, vm := range p.held() {
-		if !mine(vm.Holder) {
+		if !owns(vm.Holder) {
 			continue
 		}
 		p = p.refreshed()
-		if err := bounded(ctx, func(ctx context.Context) error { return p.stepVM(ctx, ws, vm) }); err != nil {
+		if err := withStepTimeout(ctx, func(ctx context.Context) error { return p.stepVM(ctx, ws, vm) }); err != nil {
 			errs = append(errs, err)
 		}
 	}
 	for _, name := range ws.running() {
-		if !mine(wave.Holder(name)) {
+		if !owns(wave.Holder(name)) {
 			continue
 		}
 		p = p.refreshed()
-		if err := bounded(ctx, func(ctx context.Context) error { return p.stepWave(ctx, ws[name]) }); err != nil {
+		if err := withStepTimeout(ctx, func(ctx context.Context) error { return p.stepWave(ctx, ws[name]) }); err != nil {
 			errs = append(errs, err)
 		}
 	}
 	return trace.NewAggregate(errs...)
 }
 
-// loadWaves reads every started wave.
+// loadWaves reads all started waves from the store.
 func (f *Fleet) loadWaves(ctx context.Context) (waves, error) {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	kvs, _, err := f.store.Range(ctx, infra.WavePrefix)
 	if err != nil {
-		return nil, fault("read waves", err)
+		return nil, wrapError("read waves", err)
 	}
 	ws := make(waves)
 	for _, kv := range kvs {
@@ -102,7 +103,7 @@
 	return ws, nil
 }
 
-// running names the waves that may start stops, sorted.
+// running returns the names of the waves that may start stops, sorted.
 func (ws waves) running() []model.WaveName {
 	var names []model.WaveName
 	for name, w := range ws {
@@ -114,7 +115,7 @@
 	return names
 }
 
-// held returns the VMs that something holds, sorted by ID.
+// held returns the VMs that a wave, an order or a join holds, sorted by ID.
 func (p *pass) held() []view.VMRecord {
 	var vms []view.VMRecord
 	for _, vm := range p.snap.VMs {
@@ -126,8 +127,8 @@
 	return vms
 }
 
-// stepWave carries out what the plan says now.
-func (p *pass) stepWave(ctx context.Context, w *cell[WaveRecord]) error {
+// stepWave makes the plan of a wave and carries it out.
+func (p *pass) stepWave(ctx context.Context, w *versioned[WaveRecord]) error {
 	plan, ok := p.plan(&w.value)
 	if !ok {
 		return p.endWave(ctx, w, WavePaused, "the wave is no longer declared")
@@ -143,7 +144,7 @@
 	return nil
 }
 
-func (p *pass) startStops(ctx context.Context, w *cell[WaveRecord], vms []model.VMID) error {
+func (p *pass) startStops(ctx context.Context, w *versioned[WaveRecord], vms []model.VMID) error {
 	req := stopRequest{
 		vms:    vms,
 		holder: wave.Holder(w.value.Name),
@@ -159,11 +160,11 @@
 	if err != nil || len(g.vms) == 0 {
 		return err
 	}
-	p.f.log.Info("VMs are leaving for maintenance", "wave", w.value.Name, "vms", g.vms)
+	p.f.log.Info("taking VMs out of their pools for maintenance", "wave", w.value.Name, "vms", g.vms)
 	return p.drainAll(ctx, g)
 }
 
-// drainAll drains what was granted just now, rather than in the next pass.
+// drainAll drains the VMs that were just granted, rather than in the next pass.
 func (p *pass) drainAll(ctx context.Context, g grant) error {
 	var errs []error
 	for i := range g.records {
@@ -174,9 +175,9 @@
 	return trace.NewAggregate(errs...)
 }
 
-// endWave writes that the wave stops by itself: finished, or paused for a
-// reason.
-func (p *pass) endWave(ctx context.Context, w *cell[WaveRecord], s WaveState, reason string) error {
+// endWave sets the wave to finished, or to paused for a reason, without an
+// order.
+func (p *pass) endWave(ctx context.Context, w *versioned[WaveRecord], s WaveState, reason string) error {
 	c := *w
 	c.value.State = s
 	c.value.Reason = reason
@@ -185,14 +186,14 @@
 	if s == WaveFinished {
 		c.value.Ended = p.now
 	}
-	p.f.log.Info("wave", "wave", c.value.Name, "state", s, "reason", reason)
-	wr := &write{}
-	wr.change(c.cond(), c.put())
-	_, err := p.settle(ctx, "end wave", wr)
+	p.f.log.Info("ending or pausing wave", "wave", c.value.Name, "state", s, "reason", reason)
+	wr := &writeSet{}
+	wr.update(c.cond(), c.put())
+	_, err := p.commitStep(ctx, "end wave", wr)
 	return err
 }
 
-// plan makes the plan of a wave from the view; false where it is not declared.
+// plan makes the plan of a wave from the view; false if the wave is not declared.
 func (p *pass) plan(w *WaveRecord) (wave.Plan, bool) {
 	declared := p.declaredWave(w.Name)
 	if declared == nil {
@@ -213,8 +214,8 @@
 	return wave.MakePlan(s), true
 }
 
-// planVMs returns the VMs of the wave's pools and of all pools that share a
-// service with them, pool by pool.
+// planVMs returns the VMs of the pools and of all pools that share a service with
+// them, grouped by pool.
 func (p *pass) planVMs(pools []model.PoolName) []wave.VM {
 	wanted := make(map[model.PoolName]bool)
 	for _, pool := range pools {
--- a/internal/fleet/waveorder.go
+++ b/internal/fleet/waveorder.go
@@ -7,9 +7,10 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// StartWave starts a declared wave, on its declared pools where none are named.
+// StartWave starts a declared wave on the given pools, or on its declared pools
+// if none are given.
 func (f *Fleet) StartWave(ctx context.Context, name model.WaveName, pools []model.PoolName, o Order) (Outcome, error) {
-	return f.decide(func() (Outcome, error) { return f.startOnce(ctx, name, pools, o) })
+	return f.retryConflicts(func() (Outcome, error) { return f.startOnce(ctx, name, pools, o) })
 }
 
 func (f *Fleet) startOnce(ctx context.Context, name model.WaveName, pools []model.PoolName, o Order) (Outcome, error) {
@@ -26,7 +27,7 @@
 		return out, err
 	}
 	if s := c.value.State; s == WaveRunning || s == WavePaused {
-		return Outcome{}, refuse(CodeConflict, holderOf(c.value.Run), c.rev, "wave %s is %s already, started by order %s", name, s, c.value.Run)
+		return Outcome{}, refuse(CodeConflict, orderHolder(c.value.Run), c.rev, "wave %s is %s already, started by order %s", name, s, c.value.Run)
 	}
 	c.value = WaveRecord{Name: name, Run: o.Change, State: WaveRunning, Pools: pools, Started: p.now}
 	return f.putWave(ctx, c, o, "start wave")
@@ -51,25 +52,25 @@
 	return pools, nil
 }
 
-// PauseWave stops a wave from starting anything; VMs that it drains go back,
-// VMs that reboot are brought back.
+// PauseWave stops a wave from starting stops. VMs that it drains return to their
+// pools at once; VMs that reboot return after the reboot.
 func (f *Fleet) PauseWave(ctx context.Context, name model.WaveName, o Order) (Outcome, error) {
-	return f.turnWave(ctx, name, o, WavePaused, WaveRunning)
+	return f.setWaveState(ctx, name, o, WavePaused, WaveRunning)
 }
 
-// ResumeWave lets a paused wave go on.
+// ResumeWave resumes a paused wave.
 func (f *Fleet) ResumeWave(ctx context.Context, name model.WaveName, o Order) (Outcome, error) {
-	return f.turnWave(ctx, name, o, WaveRunning, WavePaused)
+	return f.setWaveState(ctx, name, o, WaveRunning, WavePaused)
 }
 
-// CancelWave ends a wave for good; what is out comes back as in PauseWave.
+// CancelWave ends a wave for good. VMs that are out return as in PauseWave.
 func (f *Fleet) CancelWave(ctx context.Context, name model.WaveName, o Order) (Outcome, error) {
-	return f.turnWave(ctx, name, o, WaveCancelled, WaveRunning, WavePaused)
+	return f.setWaveState(ctx, name, o, WaveCancelled, WaveRunning, WavePaused)
 }
 
-// turnWave sets a wave to a state if it is in one of the states from.
-func (f *Fleet) turnWave(ctx context.Context, name model.WaveName, o Order, to WaveState, from ...WaveState) (Outcome, error) {
-	return f.decide(func() (Outcome, error) {
+// setWaveState sets a wave to a state if it is in one of the states from.
+func (f *Fleet) setWaveState(ctx context.Context, name model.WaveName, o Order, to WaveState, from ...WaveState) (Outcome, error) {
+	return f.retryConflicts(func() (Outcome, error) {
 		c, err := f.readWave(ctx, name)
 		if err != nil {
 			return Outcome{}, err
@@ -77,7 +78,7 @@
 		if out, done, err := checkWave(c, o); done || err != nil {
 			return out, err
 		}
-		if err := turnable(c, name, from); err != nil {
+		if err := checkTransition(c, name, from); err != nil {
 			return Outcome{}, err
 		}
 		c.value.State = to
@@ -91,7 +92,7 @@
 	})
 }
 
-func turnable(c *cell[WaveRecord], name model.WaveName, from []WaveState) error {
+func checkTransition(c *versioned[WaveRecord], name model.WaveName, from []WaveState) error {
 	if c.rev == 0 {
 		return refuse(CodeNotFound, "", 0, "wave %s was never started", name)
 	}
@@ -100,21 +101,21 @@
 			return nil
 		}
 	}
-	return refuse(CodeConflict, holderOf(c.value.Change), c.rev, "wave %s is %s by order %s of %s", name, c.value.State, c.value.Change, c.value.Actor)
+	return refuse(CodeConflict, orderHolder(c.value.Change), c.rev, "wave %s is %s by order %s of %s", name, c.value.State, c.value.Change, c.value.Actor)
 }
 
-func checkWave(c *cell[WaveRecord], o Order) (out Outcome, done bool, err error) {
+func checkWave(c *versioned[WaveRecord], o Order) (out Outcome, done bool, err error) {
 	if c.rev != 0 && o.Change != "" && (c.value.Change == o.Change || c.value.Run == o.Change) {
 		return Outcome{Revision: c.rev, Repeated: true, Detail: "already in effect"}, true, nil
 	}
 	if o.IfRevision != 0 && o.IfRevision != c.rev {
-		return Outcome{}, false, refuse(CodeRevision, holderOf(c.value.Change), c.rev,
+		return Outcome{}, false, refuse(CodeRevision, orderHolder(c.value.Change), c.rev,
 			"wave is at revision %d, not %d", c.rev, o.IfRevision)
 	}
 	return Outcome{}, false, nil
 }
 
-func (f *Fleet) readWave(ctx context.Context, name model.WaveName) (*cell[WaveRecord], error) {
+func (f *Fleet) readWave(ctx context.Context, name model.WaveName) (*versioned[WaveRecord], error) {
 	r, err := f.read(ctx, nil, nil, name)
 	if err != nil {
 		return nil, err
@@ -122,12 +123,12 @@
 	return r.wave, nil
 }
 
-func (f *Fleet) putWave(ctx context.Context, c *cell[WaveRecord], o Order, op string) (Outcome, error) {
+func (f *Fleet) putWave(ctx context.Context, c *versioned[WaveRecord], o Order, op string) (Outcome, error) {
 	c.value.Change = o.Change
 	c.value.Actor = o.Actor
 	c.value.Reason = o.Reason
-	w := &write{}
-	w.change(c.cond(), c.put())
+	w := &writeSet{}
+	w.update(c.cond(), c.put())
 	rev, err := f.commit(ctx, op, w)
 	if err != nil {
 		return Outcome{}, err
