--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -219,14 +219,14 @@
 func (d *Daemon) wireFleet(o Options) {
 	d.prober = prober.New(prober.Options{Self: d.self.ID, Zone: d.self.Zone, View: d.view, Peers: d.mesh, Dial: o.Dial})
 	d.fleet = fleet.New(fleet.Options{
-		Store:    d.store,
-		Machines: d.machines,
-		View:     d.view,
-		Acks:     d.registry,
-		Health:   d.prober.Health,
-		Log:      d.log.WithName("fleet"),
-		Self:     d.self.ID,
-		Every:    o.FleetEvery,
+		Store:        d.store,
+		Machines:     d.machines,
+		View:         d.view,
+		Acks:         d.registry,
+		Health:       d.prober.Health,
+		Log:          d.log.WithName("fleet"),
+		Self:         d.self.ID,
+		PassInterval: o.FleetEvery,
 	})
 	d.maintenance = &maintenance{fleet: d.fleet}
 	d.jobs = jobs.New(jobs.Options{
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -43,12 +43,12 @@
 	Acks     Acks
 	// Health returns the health of a VM as this entry VM observes it. It must
 	// cover VMs in probation as well as those in a pool.
-	Health func(model.VMID) model.Health
-	Clock  clockwork.Clock // the system clock if nil
-	Log    logr.Logger
-	Self   model.EntryID
-	NewID  func() string // returns a unique ID; random IDs if nil
-	Every  time.Duration // time between two passes while there is work; busyPassInterval if 0
+	Health       func(model.VMID) model.Health
+	Clock        clockwork.Clock // the system clock if nil
+	Log          logr.Logger
+	Self         model.EntryID
+	NewID        func() string // returns a unique ID; random IDs if nil
+	PassInterval time.Duration // time between two passes while there is work; busyPassInterval if 0
 }
 
 // Fleet is the reconciler of one entry VM. It also carries out the orders of
@@ -84,8 +84,8 @@
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
 	}
-	if o.Every == 0 {
-		o.Every = busyPassInterval
+	if o.PassInterval == 0 {
+		o.PassInterval = busyPassInterval
 	}
 	if o.NewID == nil {
 		o.NewID = randomID
@@ -100,7 +100,7 @@
 		log:           o.Log,
 		self:          o.Self,
 		newID:         o.NewID,
-		passInterval:  o.Every,
+		passInterval:  o.PassInterval,
 		wake:          make(chan struct{}, 1),
 		shards:        newShards(),
 		confirmed:     make(confirmedAttempts),
