--- a/internal/dev/once.go
+++ b/internal/dev/once.go
@@ -219,7 +219,7 @@
 	})
 	r.rollOut = time.Since(began)
 	if err != nil {
-		return fmt.Errorf("%w; state %s, progress %+v, holds: %s", err, r.status.Record.State, r.status.Progress, r.status.Hold)
+		return fmt.Errorf("%w; state %s, progress %+v, holds: %s", err, r.status.Record.State, r.status.Progress, r.status.BlockReason)
 	}
 	return nil
 }
--- a/internal/fleet/order_test.go
+++ b/internal/fleet/order_test.go
@@ -236,7 +236,7 @@
 	})
 	s, err := n.WaveStatus(ctx, "spring")
 	assert.NilError(t, err)
-	assert.Equal(t, s.Hold, "VM v0-00 is held by order a")
+	assert.Equal(t, s.BlockReason, "VM v0-00 is held by order a")
 }
 
 // A long request keeps a VM from becoming empty. Only an order to cut may
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -14,11 +14,11 @@
 
 // WaveStatus is the status of a started wave for operators.
 type WaveStatus struct {
-	Record   WaveRecord
-	Revision infra.Revision
-	Progress wave.Progress
-	Forecast time.Duration // time until it ends; 0 if it has ended
-	Hold     string        // what limits its progress now; empty if nothing does
+	Record      WaveRecord
+	Revision    infra.Revision
+	Progress    wave.Progress
+	Forecast    time.Duration // time until it ends; 0 if it has ended
+	BlockReason string        // what limits its progress now; empty if nothing does
 }
 
 // WaveStatus returns the status of a wave; a Refusal if it was never started.
@@ -56,9 +56,9 @@
 	plan, _ := p.plan(&c.value)
 	s.Progress = plan.Progress
 	s.Forecast = plan.Forecast
-	s.Hold = plan.Reason
+	s.BlockReason = plan.Reason
 	if c.value.State != WaveRunning {
-		s.Hold = c.value.Reason
+		s.BlockReason = c.value.Reason
 	}
 	if c.value.State == WaveFinished || c.value.State == WaveCancelled {
 		s.Forecast = 0
--- a/internal/fleet/wave_test.go
+++ b/internal/fleet/wave_test.go
@@ -95,7 +95,7 @@
 
 	s, err := w.nodes[0].WaveStatus(ctx, "spring")
 	assert.NilError(t, err)
-	assert.Equal(t, s.Hold, s.Record.Reason)
+	assert.Equal(t, s.BlockReason, s.Record.Reason)
 	assert.Assert(t, s.Progress.Failed >= 2)
 	out := s.Progress.Out
 	for range 30 {
@@ -186,7 +186,7 @@
 	s, err := w.nodes[0].WaveStatus(ctx, "spring")
 	assert.NilError(t, err)
 	assert.Equal(t, s.Progress.Remaining, 4)
-	assert.Equal(t, s.Hold, "the platform's list of VMs is 1h0m0s old")
+	assert.Equal(t, s.BlockReason, "the platform's list of VMs is 1h0m0s old")
 
 	w.machines.lag = 5 * time.Second
 
