--- a/internal/fleet/compare_test.go
+++ b/internal/fleet/compare_test.go
@@ -60,7 +60,7 @@
 
 func (tr *trial) close() result {
 	tr.result.rollOut = tr.elapsed
-	tr.result.cut = len(tr.machines.rebootedWithWork)
+	tr.result.rebootedWithWork = len(tr.machines.rebootedWithWork)
 	for i := range tr.decl.VMs {
 		vm := tr.decl.VMs[i]
 		if tr.snapshot().VMs[vm.ID].Pool != vm.Pool {
@@ -141,9 +141,9 @@
 	s.rollOut += r.rollOut
 	s.outTime += r.outTime
 	s.peak += r.peak
-	s.broken += r.broken
-	s.failed += r.failed
-	s.cut += r.cut
+	s.missedByStops += r.missedByStops
+	s.missedByFailures += r.missedByFailures
+	s.rebootedWithWork += r.rebootedWithWork
 	s.moves += r.moves
 }
 
@@ -151,7 +151,7 @@
 	n := time.Duration(s.runs)
 	return fmt.Sprintf("%-14s roll-out %-9s buffer %-10s peak %4.1f  VM-time out %-10s broken %d (by failures alone %d) cut %d moves %d",
 		name, (s.rollOut / n).Round(time.Second), (s.buffer / n).Round(time.Second), float64(s.peak)/float64(s.runs),
-		(s.outTime / n).Round(time.Second), s.broken, s.failed, s.cut, s.moves)
+		(s.outTime / n).Round(time.Second), s.missedByStops, s.missedByFailures, s.rebootedWithWork, s.moves)
 }
 
 // Compares waves with maintaining one VM at a time and with fixed batches of a
@@ -179,7 +179,7 @@
 
 // runComparisons runs one comparison per seed.
 func runComparisons(t testing.TB, u deployment, w failureLevel) []comparison {
-	all := make([]comparison, *contestsFlag)
+	all := make([]comparison, *comparisonsFlag)
 	for i := range all {
 		all[i] = runStrategies(t, u, scenario{seed: int64(i + 1), failures: w})
 	}
@@ -191,9 +191,9 @@
 	for i, c := range runComparisons(t, u, w) {
 		assert.Assert(t, c.ours.finished, "seed %d: wave did not finish", i+1)
 		if w != zoneFailures || u.toleratesZoneLoss {
-			assert.Equal(t, c.ours.broken, 0, "seed %d violated a budget", i+1)
+			assert.Equal(t, c.ours.missedByStops, 0, "seed %d violated a budget", i+1)
 		}
-		assert.Equal(t, c.ours.cut, 0, "seed %d rebooted a VM with work on it", i+1)
+		assert.Equal(t, c.ours.rebootedWithWork, 0, "seed %d rebooted a VM with work on it", i+1)
 		assert.Assert(t, c.ours.moves <= scenario{failures: w}.moveCount(), "seed %d moved %d VMs", i+1, c.ours.moves)
 		ours.add(c.ours)
 		single.add(c.single)
--- a/internal/fleet/failure_test.go
+++ b/internal/fleet/failure_test.go
@@ -18,14 +18,14 @@
 // outage is the duration of an outage in the fault injection tests.
 const outage = 4 * time.Minute
 
-// stepper runs one node's passes in a goroutine of their own, so that a fault can
+// passRunner runs the passes of one node in a goroutine each, so that a fault can
 // stop the node in the middle of a pass.
-type stepper struct {
+type passRunner struct {
 	w          *simulation
 	n          *node
 	calls      int
 	faultCall  int // the number of the call at which the fault is injected; 0 for never
-	inject     func(s *stepper, op string)
+	inject     func(s *passRunner, op string)
 	injectedAt string // the operation at which the fault was injected; empty if it was not
 
 	paused chan struct{}
@@ -34,8 +34,8 @@
 	dead   bool
 }
 
-func newStepper(w *simulation, n *node, point int, strike func(*stepper, string)) *stepper {
-	s := &stepper{w: w, n: n, faultCall: point, inject: strike}
+func newPassRunner(w *simulation, n *node, faultCall int, inject func(*passRunner, string)) *passRunner {
+	s := &passRunner{w: w, n: n, faultCall: faultCall, inject: inject}
 	s.paused = make(chan struct{})
 	s.resume = make(chan struct{})
 	n.beforeCall = func(op string) {
@@ -49,7 +49,7 @@
 }
 
 // pass runs a pass until it is over, and returns true, or until it is paused.
-func (s *stepper) pass() (over bool) {
+func (s *passRunner) pass() (over bool) {
 	s.ended = make(chan struct{})
 	go func() {
 		defer close(s.ended)
@@ -67,24 +67,24 @@
 // at one call.
 var faultCases = []struct {
 	name   string
-	strike func(s *stepper, op string)
+	inject func(s *passRunner, op string)
 }{
-	{"killed", func(s *stepper, _ string) {
+	{"killed", func(s *passRunner, _ string) {
 		s.dead = true
 		runtime.Goexit()
 	}},
-	{"paused until the wave is over", func(s *stepper, _ string) {
+	{"paused until the wave is over", func(s *passRunner, _ string) {
 		s.paused <- struct{}{}
 		<-s.resume
 	}},
-	{"replies lost", func(s *stepper, _ string) {
+	{"replies lost", func(s *passRunner, _ string) {
 		s.n.store.LoseReplies(2)
 		s.w.machines.loseReplies(2)
 	}},
-	{"request lost", func(s *stepper, _ string) { s.n.store.LoseRequests(1) }},
-	{"store unavailable for minutes", func(s *stepper, _ string) { s.w.startStoreOutage(outage) }},
-	{"platform unavailable for minutes", func(s *stepper, _ string) { s.w.machines.startOutage(outage) }},
-	{"isolated with its zone for minutes", func(s *stepper, _ string) {
+	{"request lost", func(s *passRunner, _ string) { s.n.store.LoseRequests(1) }},
+	{"store unavailable for minutes", func(s *passRunner, _ string) { s.w.startStoreOutage(outage) }},
+	{"platform unavailable for minutes", func(s *passRunner, _ string) { s.w.machines.startOutage(outage) }},
+	{"isolated with its zone for minutes", func(s *passRunner, _ string) {
 		s.n.isolated = true
 		s.n.store.SetDown(true)
 		s.w.outageEnd = s.w.clock.Now().Add(outage)
@@ -100,10 +100,10 @@
 func TestWaveSurvivesAFaultAtEveryCall(t *testing.T) {
 	for _, tc := range faultCases {
 		t.Run(tc.name, func(t *testing.T) {
-			for point := 1; ; point++ {
-				if !runWaveWithFault(t, point, tc.strike) {
-					t.Logf("fault injected at %d calls", point-1)
-					assert.Assert(t, point > 20, "the wave took only %d calls", point)
+			for faultCall := 1; ; faultCall++ {
+				if !runWaveWithFault(t, faultCall, tc.inject) {
+					t.Logf("fault injected at %d calls", faultCall-1)
+					assert.Assert(t, faultCall > 20, "the wave took only %d calls", faultCall)
 					return
 				}
 			}
@@ -113,14 +113,14 @@
 
 // runWaveWithFault runs a wave with one fault and reports whether the fault was
 // injected before the wave was over.
-func runWaveWithFault(t *testing.T, point int, strike func(*stepper, string)) bool {
+func runWaveWithFault(t *testing.T, faultCall int, inject func(*passRunner, string)) bool {
 	d := declare(2, 1, 2, 1)
 	w := newSimulation(d, 2)
 	w.start(t)
 	_, err := w.nodes[1].StartWave(ctx, "spring", nil, order("c1"))
 	assert.NilError(t, err)
 	w.sync()
-	s := newStepper(w, w.nodes[0], point, strike)
+	s := newPassRunner(w, w.nodes[0], faultCall, inject)
 	paused := w.runToEnd(t, s)
 	if paused {
 		s.resume <- struct{}{}
@@ -128,7 +128,7 @@
 		w.runToEnd(t, s)
 	}
 	if t.Failed() {
-		t.Fatalf("fault at call %d (%s)", point, s.injectedAt)
+		t.Fatalf("fault at call %d (%s)", faultCall, s.injectedAt)
 	}
 	w.checkFinalState(t, 1)
 	return s.injectedAt != ""
@@ -137,7 +137,7 @@
 // runToEnd lets the node of s do passes, and the other node while that one is
 // dead, paused or isolated, until the wave is over. It reports whether s is paused
 // in the middle of a pass.
-func (w *simulation) runToEnd(t *testing.T, s *stepper) (paused bool) {
+func (w *simulation) runToEnd(t *testing.T, s *passRunner) (paused bool) {
 	const maxPasses = 400
 	for range maxPasses {
 		w.clock.Advance(tick)
--- a/internal/fleet/machines_test.go
+++ b/internal/fleet/machines_test.go
@@ -55,7 +55,7 @@
 	mu               sync.Mutex
 	vms              map[model.VMID]*machine
 	done             map[model.AttemptID]bool
-	outUntil         time.Time  // calls fail before this time
+	unavailableUntil time.Time  // calls fail before this time
 	unlisted         model.VMID // this VM is missing from the list
 	lag              time.Duration
 	reboots          map[model.VMID]int
@@ -88,10 +88,10 @@
 func (m *machines) startOutage(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.outUntil = m.clock.Now().Add(d)
+	m.unavailableUntil = m.clock.Now().Add(d)
 }
 
-func (m *machines) unavailable() bool { return m.clock.Now().Before(m.outUntil) }
+func (m *machines) unavailable() bool { return m.clock.Now().Before(m.unavailableUntil) }
 
 func (m *machines) health(id model.VMID) model.Health {
 	m.mu.Lock()
--- a/internal/fleet/order_test.go
+++ b/internal/fleet/order_test.go
@@ -241,7 +241,7 @@
 
 // A long request keeps a VM from becoming empty. Only an order to cut may
 // interrupt it.
-func TestOnlyAnExplicitOrderCuts(t *testing.T) {
+func TestOnlyACutOrderInterruptsWork(t *testing.T) {
 	w, n := orderWorld(t)
 	w.machines.vms[v0].drainTime = 24 * time.Hour
 	out, err := n.Drain(ctx, v0, order("a"))
@@ -281,7 +281,7 @@
 	assert.DeepEqual(t, n.Undeclared(), []model.VMID(nil))
 }
 
-func TestWhatIfGivesTheOrdersAnswerAndChangesNothing(t *testing.T) {
+func TestPlanAndCheckStopsAgreeWithOrdersAndWriteNothing(t *testing.T) {
 	w, n := orderWorld(t)
 	before := w.store.Revision()
 
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -86,8 +86,10 @@
 	return true, f.pass(ctx, ws, f.ownsWork)
 }
 
+// ownsWork reports whether this entry VM holds the shard of the holder.
 func (f *Fleet) ownsWork(holder string) bool { return f.shards.held[shardOf(holder)] }
 
+// shardsNeeded returns the shards that have work: a held VM or a running wave.
 func (p *pass) shardsNeeded(ws waves) map[int]bool {
 	need := make(map[int]bool)
 	for _, vm := range p.held() {
--- a/internal/fleet/safeguard_test.go
+++ b/internal/fleet/safeguard_test.go
@@ -11,10 +11,10 @@
 )
 
 // pauseBefore runs node 0 until it is about to make a call, and returns its
-// stepper. finishPass resumes the pass.
-func pauseBefore(t *testing.T, w *simulation, call string) *stepper {
+// runner. finishPass resumes the pass.
+func pauseBefore(t *testing.T, w *simulation, call string) *passRunner {
 	t.Helper()
-	s := newStepper(w, w.nodes[0], 0, nil)
+	s := newPassRunner(w, w.nodes[0], 0, nil)
 	waiting := false
 	w.nodes[0].beforeCall = func(op string) {
 		if op == call && !waiting {
@@ -49,7 +49,7 @@
 	t.Fatal("not done:", w.describe())
 }
 
-func (s *stepper) finishPass() {
+func (s *passRunner) finishPass() {
 	s.resume <- struct{}{}
 	<-s.ended
 }
--- a/internal/fleet/scenario_test.go
+++ b/internal/fleet/scenario_test.go
@@ -25,7 +25,7 @@
 	{"lautan-kru", 0.6, model.Weights{RollOutTime: 1, BufferCost: 3, Moves: 1}, true},
 }
 
-var contestsFlag = flag.Int("contests", 1, "how many seeds waves are compared with the baselines on")
+var comparisonsFlag = flag.Int("contests", 1, "how many seeds waves are compared with the baselines on")
 
 // orderedMoves are the moves that an operator orders in each run. They swap two
 // VMs of one zone between their pools. While a pool is one VM short, its budget
@@ -94,14 +94,14 @@
 
 // result holds the figures of one run of a strategy.
 type result struct {
-	rollOut  time.Duration
-	peak     int           // maximum number of VMs out by planned stops at once: the spare VMs required
-	outTime  time.Duration // VM time out by planned stops
-	broken   int           // ticks in which a service missed its budget because of planned stops
-	failed   int           // ticks in which a service missed its budget because of failures alone
-	cut      int
-	moves    int
-	finished bool
+	rollOut          time.Duration
+	peak             int           // maximum number of VMs out by planned stops at once: the spare VMs required
+	outTime          time.Duration // VM time out by planned stops
+	missedByStops    int           // ticks in which a service missed its budget because of planned stops
+	missedByFailures int           // ticks in which a service missed its budget because of failures alone
+	rebootedWithWork int
+	moves            int
+	finished         bool
 }
 
 // bufferCost returns the spare capacity reserved for the wave: the peak of VMs out,
@@ -207,8 +207,8 @@
 	switch {
 	case c.up >= required:
 	case c.up+c.planned >= required:
-		tr.result.broken++
+		tr.result.missedByStops++
 	default:
-		tr.result.failed++
+		tr.result.missedByFailures++
 	}
 }
--- a/internal/fleet/shard.go
+++ b/internal/fleet/shard.go
@@ -153,6 +153,7 @@
 	return !listed || before < maxIdlePollers
 }
 
+// rank returns the rendezvous hash of an entry VM; a lower rank comes first.
 func rank(id model.EntryID) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte("fleet/" + string(id)))
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -143,7 +143,7 @@
 	Required int
 	Spare    int          // how many more VMs may stop; negative if the budget is violated
 	Reserve  wave.Reserve // the unplanned failures that waves keep spare VMs for
-	Holds    bool         // whether the budget is satisfied now
+	Holds    bool         // whether the budget is satisfied
 	Zones    map[model.ZoneName]budget.Domain
 	Stops    []Stop
 	Revision infra.Revision // of the ledger
