--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -197,7 +197,7 @@
 		for _, o := range j.live {
 			for _, s := range o.steps {
 				// What fits on no VM would draw VMs for ever.
-				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(most) && !c.atLimit(s) {
+				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(most) && !c.waitsForLimit(s) {
 					r.addWaiting(s, o.tier, float64(n)*c.waitsFor(s, now).Seconds()*s.spec.Size.Cores())
 				}
 			}
--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -37,9 +37,9 @@
 // another cell would have it already.
 func (c *Core) Claims(now time.Duration) []shareClaim {
 	var out []shareClaim
-	hidden := c.hiddenUse(now)
+	hidden := c.unassignedUsage(now)
 	for name, a := range c.limits.accounts {
-		if a.inFlight || a.unreadable || !a.planned {
+		if a.inFlight || a.ledgerUnreadable || !a.needKnown {
 			continue
 		}
 		claim := workspace.Claim{
@@ -59,7 +59,7 @@
 		out = out[:claimsInTxn] // the others are due again at the next review
 	}
 	for i := range out {
-		c.limits.of(out[i].workspace).inFlight = true
+		c.limits.account(out[i].workspace).inFlight = true
 	}
 	return out
 }
@@ -67,42 +67,42 @@
 // claimDue says whether the account's share is to change, and completes the claim.
 func (c *Core) claimDue(a *account, claim *workspace.Claim, now time.Duration) bool {
 	has := a.ledger.Of(c.cell, len(c.cells))
-	waits, noted := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
+	waits, noted := a.needsLargerShare(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
 	if waits && !noted {
 		return true
 	}
-	givesBack := a.explicit && a.granted < has && claim.InUse < has && a.ledger.Contended(*claim)
-	if givesBack && now >= a.reviewed+giveBackEvery {
-		a.reviewed = now
+	givesBack := a.explicit && a.usable < has && claim.InUse < has && a.ledger.Contended(*claim)
+	if givesBack && now >= a.reviewedAt+giveBackEvery {
+		a.reviewedAt = now
 		return true
 	}
-	if now < a.reviewed+reviewEvery {
+	if now < a.reviewedAt+reviewEvery {
 		return false
 	}
-	a.reviewed = now
-	peak := max(a.need, a.peak, a.lastPeak)
-	a.lastPeak, a.peak = a.peak, a.need
+	a.reviewedAt = now
+	peak := max(a.need, a.peakNeed, a.previousPeakNeed)
+	a.previousPeakNeed, a.peakNeed = a.peakNeed, a.need
 	if a.ledger.Contended(*claim) {
 		return true // what it may need again is of use elsewhere now
 	}
 	claim.Need = peak
-	restores := a.explicit && a.granted < min(has, claim.Need)
-	return waits || noted || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
+	restores := a.explicit && a.usable < min(has, claim.Need)
+	return waits || noted || restores || a.outcomeUnknown || a.ledger.HasSurplus(*claim)
 }
 
 // settle settles the claim with the ledger as it is known; false where the ledger says so already.
 func (c *Core) settle(a *account, claim workspace.Claim) (workspace.Settlement, bool) {
 	before := a.share(len(c.cells))
 	s := a.ledger.Settle(claim)
-	a.lower(s.Usable, len(c.cells))
+	a.lowerShare(s.Usable, len(c.cells))
 	same := s.Allocated == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
-	return s, !same || s.Usable > before || a.inDoubt // what is stored makes the earlier change fail
+	return s, !same || s.Usable > before || a.outcomeUnknown // what is stored makes the earlier change fail
 }
 
 // wantsShares reports whether a workspace's work waits for a share that was not asked for yet.
 func (c *Core) wantsShares() bool {
 	for _, a := range c.limits.accounts {
-		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
+		if a.limited() && a.needsLargerShare(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
 			return true
 		}
 	}
@@ -116,10 +116,10 @@
 	even, due := workspace.EvenShare(len(c.cells)), false
 	for _, a := range c.limits.accounts {
 		waits, above := a.ledger.UnmetNeeds[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
-		if a.inFlight || !a.lookNow && !(waits && now >= a.looked+reviewEvery) && !(above && now >= a.looked+2*reviewEvery) {
+		if a.inFlight || !a.ledgerPollRequested && !(waits && now >= a.ledgerPolledAt+reviewEvery) && !(above && now >= a.ledgerPolledAt+2*reviewEvery) {
 			continue
 		}
-		a.looked, a.lookNow, due = now, false, true
+		a.ledgerPolledAt, a.ledgerPollRequested, due = now, false, true
 	}
 	return due
 }
@@ -127,8 +127,8 @@
 // LookAtLimits notes that another cell waits for some of the workspaces' limits, or gave back.
 func (c *Core) LookAtLimits(names []work.WorkspaceName) {
 	for _, name := range names {
-		a := c.limits.of(name)
-		a.lookNow, a.reviewed = true, 0
+		a := c.limits.account(name)
+		a.ledgerPollRequested, a.reviewedAt = true, 0
 	}
 }
 
@@ -145,44 +145,44 @@
 
 // Claimed takes over that the change was stored.
 func (c *Core) Claimed(s shareClaim, rev infra.Revision) {
-	a := c.limits.of(s.workspace)
-	a.inFlight, a.inDoubt = false, false
+	a := c.limits.account(s.workspace)
+	a.inFlight, a.outcomeUnknown = false, false
 	a.ledger, a.rev = s.Ledger, rev
 	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Usable, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
-	a.granted = s.Usable
+	a.usable = s.Usable
 	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
 
 // ClaimFailed takes over that the change was not stored; doubt says that it may yet be.
 func (c *Core) ClaimFailed(s shareClaim, doubt bool) {
-	a := c.limits.of(s.workspace)
+	a := c.limits.account(s.workspace)
 	a.inFlight = false
-	a.inDoubt = a.inDoubt || doubt
+	a.outcomeUnknown = a.outcomeUnknown || doubt
 }
 
 // LedgerRead takes a ledger over as the store has it. It never raises what the cell may use: a
 // change of its own that was not answered may yet be carried out, and give back what was read;
 // only a change that is stored settles that.
 func (c *Core) LedgerRead(name work.WorkspaceName, value []byte, rev infra.Revision) {
-	a := c.limits.of(name)
+	a := c.limits.account(name)
 	var l workspace.Ledger
-	a.unreadable = false
+	a.ledgerUnreadable = false
 	if rev != 0 {
 		if err := json.Unmarshal(value, &l); err != nil {
 			c.log.Error(err, "ledger of a limit is malformed: the cell goes on with what it had", "workspace", name)
-			a.unreadable = true
+			a.ledgerUnreadable = true
 		}
 	}
 	a.ledger, a.rev = l, rev
 	if has, named := l.Allocated[c.cell]; named {
-		a.lower(has, len(c.cells))
+		a.lowerShare(has, len(c.cells))
 	}
 }
 
 // LedgerSeen takes a ledger over that was read while nothing of this cell's was under way.
 func (c *Core) LedgerSeen(kv infra.KV) {
 	name := workspaceOf(kv.Key)
-	if a := c.limits.of(name); !a.inFlight && kv.ModRevision > a.rev {
+	if a := c.limits.account(name); !a.inFlight && kv.ModRevision > a.rev {
 		c.LedgerRead(name, kv.Value, kv.ModRevision)
 	}
 }
@@ -196,10 +196,10 @@
 func (c *Core) RestoreLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
 	c.LedgerRead(name, kv.Value, kv.ModRevision)
-	a := c.limits.of(name)
-	if a.unreadable {
-		a.lower(0, len(c.cells))
+	a := c.limits.account(name)
+	if a.ledgerUnreadable {
+		a.lowerShare(0, len(c.cells))
 		return
 	}
-	a.granted, a.explicit = a.ledger.Allocated[c.cell]
+	a.usable, a.explicit = a.ledger.Allocated[c.cell]
 }
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -109,7 +109,7 @@
 		return
 	}
 	c.declared = d
-	c.cells = cellsOf(d)
+	c.cells = cellNames(d)
 	for _, j := range c.open {
 		if q, known := d.Queues[j.Queue]; known {
 			q.Service = c.cell
@@ -146,7 +146,7 @@
 func (c *Core) add(j *job) {
 	c.jobs[j.ID] = j
 	if j.Workspace != "" {
-		j.account = c.limits.of(j.Workspace)
+		j.account = c.limits.account(j.Workspace)
 	}
 	if j.final != "" {
 		return
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -150,8 +150,8 @@
 		return nil
 	}
 	out := &LimitExplanation{
-		Workspace: a.name, Limit: a.limit, Used: a.used, May: c.share(a, now).Of(a.limit), ConfigAge: now - c.limits.confirmed,
-		Holds: workspace.Fitting(s.spec.Size, a.left, a.limit, waiting) < waiting,
+		Workspace: a.name, Limit: a.limit, Used: a.used, May: c.share(a, now).Of(a.limit), ConfigAge: now - c.limits.confirmedAt,
+		Holds: workspace.Fitting(s.spec.Size, a.remaining, a.limit, waiting) < waiting,
 		Never: workspace.Fitting(s.spec.Size, a.limit, a.limit, waiting) < 1,
 	}
 	if s.spec.Gang {
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -10,74 +10,78 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// account is what the cell knows of one workspace: what runs here, and how much of the
-// workspace's limit it may use.
+// account holds what the cell knows about one workspace: the resources that its tasks use in
+// this cell, and how much of the workspace's limit the cell may use.
 type account struct {
-	name  work.WorkspaceName
-	used  work.Resources // by tasks on workers, those that are being stopped among them
-	limit work.Resources // in force; all 0: none
-	loose bool           // the limit is above what all VMs can run
-	// planned: a plan has found what runs and is needed. A successor that gave back before that
-	// would give back what its predecessor's work still uses.
-	planned bool
+	name       work.WorkspaceName
+	used       work.Resources // by tasks on workers, including tasks that are being stopped
+	limit      work.Resources // in force; the zero value is no limit
+	nonBinding bool           // the limit exceeds what all VMs can run
+	// needKnown says that a plan has computed need. A new owner that gave parts back earlier would
+	// give back parts that its predecessor's running tasks still use.
+	needKnown bool
 
 	arrivals workspace.TokenBucket
 
 	ledger workspace.Ledger // as last read or written
-	rev    infra.Revision   // of its key; 0: there is none
-	// granted is what is certain to be this cell's, where explicit is set; else it has its even
-	// share.
-	granted    workspace.Parts
-	explicit   bool
-	unreadable bool // the ledger: the cell goes on with what it had
+	rev    infra.Revision   // of the ledger's key; 0 if there is no ledger
+	// usable is the part of the limit that certainly belongs to this cell. It is valid if explicit
+	// is set; otherwise the cell has its even share.
+	usable           workspace.Parts
+	explicit         bool
+	ledgerUnreadable bool // the stored ledger is malformed; the cell keeps its last share
 
-	// As of the last plan.
-	left   work.Resources  // of what the cell may use
-	wanted work.Resources  // by tasks that its share held back
-	filled bool            // no more would find room in the pool
-	need   workspace.Parts // for what runs and what was wanted
+	// The following are as of the last plan.
+	remaining     work.Resources  // what the cell may still start
+	heldBack      work.Resources  // needed by tasks that the cell's share kept from starting
+	poolExhausted bool            // the pool has no free capacity beyond heldBack
+	need          workspace.Parts // for running tasks and those in heldBack
 
-	// peak is the greatest need since the last review, and lastPeak that before.
-	peak, lastPeak workspace.Parts
-	reviewed       time.Duration
-	looked         time.Duration // when the ledger was last read to see what others have
-	lookNow        bool          // another cell said that it waits, or that it gave back
-	inFlight       bool          // a change of the ledger is under way
-	// inDoubt: one was not answered and may be carried out late, until another has been stored.
-	inDoubt bool
+	// peakNeed is the largest need since the last review, previousPeakNeed that of the interval
+	// before.
+	peakNeed, previousPeakNeed workspace.Parts
+	reviewedAt                 time.Duration
+	ledgerPolledAt             time.Duration // when the ledger was last read to see the other cells' parts
+	ledgerPollRequested        bool          // another cell announced that it waits or has given parts back
+	inFlight                   bool          // a ledger transaction is in flight
+	// outcomeUnknown says that a ledger transaction was not answered. It may still be applied until
+	// a later one has been stored.
+	outcomeUnknown bool
 }
 
-// share is what the cell has, of so many.
+// share returns the cell's parts of the limit, which is divided among so many cells.
 func (a *account) share(cells int) workspace.Parts {
 	if a.explicit {
-		return a.granted
+		return a.usable
 	}
 	return workspace.EvenShare(cells)
 }
 
-// lower bounds what the cell has from here on.
-func (a *account) lower(to workspace.Parts, cells int) {
-	a.granted, a.explicit = min(a.share(cells), to), true
+// lowerShare limits the cell's share to at most the given parts.
+func (a *account) lowerShare(to workspace.Parts, cells int) {
+	a.usable, a.explicit = min(a.share(cells), to), true
 }
 
-// short reports whether work waits that a larger share would let start.
-func (a *account) short(cells int) bool {
-	return a.wanted != work.Resources{} && a.need > a.share(cells)
+// needsLargerShare reports whether tasks wait that a larger share would allow to start.
+func (a *account) needsLargerShare(cells int) bool {
+	return a.heldBack != work.Resources{} && a.need > a.share(cells)
 }
 
-func (a *account) limited() bool { return a.limit != work.Resources{} && !a.loose }
+// limited reports whether the workspace has a limit that can bind.
+func (a *account) limited() bool { return a.limit != work.Resources{} && !a.nonBinding }
 
-// limits are the accounts of the cell's workspaces.
+// limits holds the accounts of the cell's workspaces.
 type limits struct {
-	accounts  map[work.WorkspaceName]*account
-	confirmed time.Duration // when the configuration was last known to be the newest
-	// fleet is what all VMs of the platform's list can run.
-	fleet work.Resources
+	accounts    map[work.WorkspaceName]*account
+	confirmedAt time.Duration // when the configuration was last known to be the newest
+	// fleetCapacity is the total capacity of the VMs that the platform lists.
+	fleetCapacity work.Resources
 }
 
 func newLimits() *limits { return &limits{accounts: make(map[work.WorkspaceName]*account)} }
 
-func (l *limits) of(name work.WorkspaceName) *account {
+// account returns the workspace's account, which it creates if there is none.
+func (l *limits) account(name work.WorkspaceName) *account {
 	a := l.accounts[name]
 	if a == nil {
 		a = &account{name: name}
@@ -86,28 +90,30 @@
 	return a
 }
 
-// count notes in its workspace's account that the task came to a worker (1) or left it (-1).
-func (t *task) count(n int64) {
+// addUsage adds the task's size, n times, to its workspace's usage: n is 1 when the task is assigned
+// to a worker and -1 when it leaves it.
+func (t *task) addUsage(n int64) {
 	if a := t.step.job.account; a != nil {
 		a.used = a.used.Plus(t.step.spec.Size.Times(n))
 	}
 }
 
-// looseMargin is by how much a limit must exceed all VMs to be no limit: VMs are added, and the
-// list of them is seconds old.
-const looseMargin = 1.25
+// nonBindingMargin is the factor by which a limit must exceed the capacity of all VMs to be treated as
+// no limit. The margin is needed because VMs are added and the list of VMs is seconds old.
+const nonBindingMargin = 1.25
 
-// loose reports whether the limit binds nowhere, whatever runs.
-func (l *limits) loose(limit work.Resources) bool {
+// nonBinding reports whether the limit can't be reached, whatever runs in all cells.
+func (l *limits) nonBinding(limit work.Resources) bool {
 	above := func(limit, all int64) bool {
-		return limit == 0 || all > 0 && float64(limit) >= looseMargin*float64(all)
+		return limit == 0 || all > 0 && float64(limit) >= nonBindingMargin*float64(all)
 	}
-	return above(limit.MilliCPU, l.fleet.MilliCPU) && above(limit.MemoryMB, l.fleet.MemoryMB) &&
-		(limit.GPU == 0 || float64(limit.GPU) >= looseMargin*float64(l.fleet.GPU) && l.fleet.MilliCPU > 0)
+	return above(limit.MilliCPU, l.fleetCapacity.MilliCPU) && above(limit.MemoryMB, l.fleetCapacity.MemoryMB) &&
+		(limit.GPU == 0 || float64(limit.GPU) >= nonBindingMargin*float64(l.fleetCapacity.GPU) && l.fleetCapacity.MilliCPU > 0)
 }
 
-// cellsOf names the cells among which limits are divided.
-func cellsOf(d Declared) []string {
+// cellNames returns the sorted names of the cells that limits are divided among: all services but
+// those on standby.
+func cellNames(d Declared) []string {
 	var out []string
 	for name, s := range d.Services {
 		if !s.Standby {
@@ -118,44 +124,48 @@
 	return out
 }
 
-// Confirm says when the configuration was last known to be the newest.
-func (c *Core) Confirm(at time.Duration) { c.limits.confirmed = max(c.limits.confirmed, at) }
+// Confirm records when the configuration was last known to be the newest. An earlier time than the one
+// recorded is ignored.
+func (c *Core) Confirm(at time.Duration) { c.limits.confirmedAt = max(c.limits.confirmedAt, at) }
 
-// share is what the cell may use of the workspace's limit. More than a little of it only while
-// the configuration is certain to be in force: an owner that is cut off or was frozen may have
-// missed that the limit was cut, and would begin work far above it.
+// share returns the parts of the workspace's limit that the cell may use. It is capped at the
+// provisional share unless the configuration was confirmed within ConfigWithin: an owner that was
+// partitioned or suspended may have missed that the limit was lowered, and would start work far
+// above it.
 func (c *Core) share(a *account, now time.Duration) workspace.Parts {
 	share := a.share(len(c.cells))
-	if within := c.bounds.ConfigWithin; within > 0 && now > c.limits.confirmed+within {
+	if within := c.bounds.ConfigWithin; within > 0 && now > c.limits.confirmedAt+within {
 		return min(share, workspace.ProvisionalShare(len(c.cells)))
 	}
 	return share
 }
 
-// openAccounts begins a plan: what may still be started for each workspace.
-func (c *Core) openAccounts(now time.Duration) {
-	hidden := c.hiddenUse(now)
+// beginPlanAccounting computes, at the beginning of a plan, what may still be started for each
+// workspace.
+func (c *Core) beginPlanAccounting(now time.Duration) {
+	hidden := c.unassignedUsage(now)
 	for name, a := range c.limits.accounts {
 		a.limit = c.declared.Workspaces[name].Limit
-		a.loose = c.limits.loose(a.limit)
-		a.planned = true
-		a.left = c.share(a, now).Of(a.limit).Minus(a.used).Minus(hidden[name])
-		a.wanted, a.filled = work.Resources{}, false
+		a.nonBinding = c.limits.nonBinding(a.limit)
+		a.needKnown = true
+		a.remaining = c.share(a, now).Of(a.limit).Minus(a.used).Minus(hidden[name])
+		a.heldBack, a.poolExhausted = work.Resources{}, false
 	}
 }
 
-// hiddenUse is what counts towards limits beside the tasks on workers.
-func (c *Core) hiddenUse(now time.Duration) map[work.WorkspaceName]work.Resources {
-	out := c.unseen(now)
-	for name, r := range c.strayUse() {
+// unassignedUsage returns, by workspace, the usage that counts towards limits in addition to the tasks
+// that are assigned to workers.
+func (c *Core) unassignedUsage(now time.Duration) map[work.WorkspaceName]work.Resources {
+	out := c.possibleInheritedUsage(now)
+	for name, r := range c.orphanedUsage() {
 		out[name] = out[name].Plus(r)
 	}
 	return out
 }
 
-// strayUse is what runs that nobody wants hold of each workspace's limit until they have ended.
-// Of one whose job has been forgotten nothing is known; it ends within a stop's time.
-func (c *Core) strayUse() map[work.WorkspaceName]work.Resources {
+// orphanedUsage returns, by workspace, what orphaned runs use. They count until they have ended. A run
+// whose job is no longer known can't be counted; it ends within the time that a stop takes.
+func (c *Core) orphanedUsage() map[work.WorkspaceName]work.Resources {
 	out := make(map[work.WorkspaceName]work.Resources)
 	for _, w := range c.workers {
 		for ref := range w.strays {
@@ -168,9 +178,10 @@
 	return out
 }
 
-// unseen is what an earlier owner may have running for each workspace on workers that were not
-// heard yet: no more than those can run, nor than the tasks that wait of the jobs it knew.
-func (c *Core) unseen(now time.Duration) map[work.WorkspaceName]work.Resources {
+// possibleInheritedUsage returns, by workspace, an upper bound of what an earlier owner may have
+// running on workers that have not answered yet: the capacity of those workers, or the size of the
+// pending tasks of restored jobs if that is less.
+func (c *Core) possibleInheritedUsage(now time.Duration) map[work.WorkspaceName]work.Resources {
 	out := make(map[work.WorkspaceName]work.Resources)
 	if c.settled(now) {
 		return out
@@ -185,40 +196,40 @@
 			}
 		})
 	}
-	if room, known := c.unheardRoom(); known {
+	if capacity, known := c.unheardCapacity(); known {
 		for name, r := range out {
-			out[name] = r.Min(room)
+			out[name] = r.Min(capacity)
 		}
 	}
 	return out
 }
 
-// unheardRoom is what the workers that were not heard can run; false while it is not known
-// which there are.
-func (c *Core) unheardRoom() (room work.Resources, known bool) {
+// unheardCapacity returns the total capacity of the workers that have not answered yet. known is
+// false while the list of workers is not known.
+func (c *Core) unheardCapacity() (capacity work.Resources, known bool) {
 	for id, pool := range c.alive {
 		if w := c.workers[id]; pool == c.cell && w == nil && len(c.over[id]) == 0 {
-			room = room.Plus(c.largestVM)
+			capacity = capacity.Plus(c.largestVM)
 		}
 	}
 	for _, w := range c.workers {
 		if !w.heard {
-			room = room.Plus(w.info.Capacity)
+			capacity = capacity.Plus(w.info.Capacity)
 		}
 	}
-	return room, c.fleetKnown
+	return capacity, c.fleetKnown
 }
 
-// allowed returns how many of so many waiting tasks of the step its workspace's share lets start
-// now.
-func (s *step) allowed(waiting int, pool *taskplan.Planner) int {
+// startableWithinLimit returns how many of the step's waiting tasks the workspace's share allows to
+// start now: for a gang, all or none.
+func (s *step) startableWithinLimit(waiting int, pool *taskplan.Planner) int {
 	a := s.job.account
 	if a == nil || !a.limited() {
 		return waiting
 	}
-	n := workspace.Fitting(s.spec.Size, a.left, a.limit, waiting)
+	n := workspace.Fitting(s.spec.Size, a.remaining, a.limit, waiting)
 	if n < waiting {
-		a.want(s.spec.Size.Times(int64(waiting-n)), pool)
+		a.recordHeldBack(s.spec.Size.Times(int64(waiting-n)), pool)
 	}
 	if s.spec.Gang && n < waiting {
 		return 0
@@ -226,52 +237,53 @@
 	return n
 }
 
-// exhausted reports whether the share of the step's workspace lets none of its tasks start.
-func (s *step) exhausted(pool *taskplan.Planner) bool {
+// shareExhausted reports whether the workspace's share allows none of the step's tasks to start.
+func (s *step) shareExhausted(pool *taskplan.Planner) bool {
 	a := s.job.account
-	if a == nil || !a.limited() || workspace.Fitting(s.spec.Size, a.left, a.limit, 1) == 1 {
+	if a == nil || !a.limited() || workspace.Fitting(s.spec.Size, a.remaining, a.limit, 1) == 1 {
 		return false
 	}
-	a.want(s.spec.Size.Times(int64(s.pending)), pool)
+	a.recordHeldBack(s.spec.Size.Times(int64(s.pending)), pool)
 	return true
 }
 
-// want notes tasks that the share held back. What finds no room in the pool is not wanted of the
-// limit.
-func (a *account) want(size work.Resources, pool *taskplan.Planner) {
-	if a.filled {
+// recordHeldBack adds the size of tasks that the share kept from starting to heldBack. It is bounded by
+// the pool's free capacity: a larger share would not let tasks start that the pool can't hold.
+func (a *account) recordHeldBack(size work.Resources, pool *taskplan.Planner) {
+	if a.poolExhausted {
 		return
 	}
-	before := a.wanted
-	a.wanted = before.Plus(size)
-	if room := pool.FreeCapacity(); !a.wanted.Fits(room) {
-		a.wanted, a.filled = before.Max(a.wanted.Min(room)), true
+	before := a.heldBack
+	a.heldBack = before.Plus(size)
+	if free := pool.FreeCapacity(); !a.heldBack.Fits(free) {
+		a.heldBack, a.poolExhausted = before.Max(a.heldBack.Min(free)), true
 	}
 }
 
-// atLimit reports whether the step waits for its workspace's limit, all of which is in use: more
-// VMs would stand idle beside it.
-func (c *Core) atLimit(s *step) bool {
+// waitsForLimit reports whether the step waits because all of its workspace's limit is in use.
+// Additional VMs would stay idle.
+func (c *Core) waitsForLimit(s *step) bool {
 	a := s.job.account
-	return a != nil && a.limited() && a.short(len(c.cells)) && a.ledger.UnmetNeeds[c.cell] > 0
+	return a != nil && a.limited() && a.needsLargerShare(len(c.cells)) && a.ledger.UnmetNeeds[c.cell] > 0
 }
 
-// spend notes a start of the step in its workspace's account.
-func (s *step) spend() {
+// chargeStart subtracts the start of one of the step's tasks from what its workspace may still start.
+func (s *step) chargeStart() {
 	if a := s.job.account; a != nil {
-		a.left = a.left.Minus(s.spec.Size)
+		a.remaining = a.remaining.Minus(s.spec.Size)
 	}
 }
 
-// closeAccounts ends a plan: what each workspace needs of its limit here.
-func (c *Core) closeAccounts() {
+// endPlanAccounting computes, at the end of a plan, how much of its limit each workspace needs in
+// this cell.
+func (c *Core) endPlanAccounting() {
 	for _, a := range c.limits.accounts {
 		if !a.limited() {
-			a.need, a.wanted = 0, work.Resources{}
+			a.need, a.heldBack = 0, work.Resources{}
 			continue
 		}
-		runs := c.share(a, c.now).Of(a.limit).Minus(a.left)
-		a.need = min(workspace.Whole, workspace.PartsFor(runs.Plus(a.wanted), a.limit))
-		a.peak = max(a.peak, a.need)
+		inUse := c.share(a, c.now).Of(a.limit).Minus(a.remaining)
+		a.need = min(workspace.Whole, workspace.PartsFor(inUse.Plus(a.heldBack), a.limit))
+		a.peakNeed = max(a.peakNeed, a.need)
 	}
 }
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -67,7 +67,7 @@
 	c.LedgerRead(redName, raw, r.rev)
 }
 
-func (r *limitRig) account() *account { return r.core.limits.of(redName) }
+func (r *limitRig) account() *account { return r.core.limits.account(redName) }
 
 // The first job of a workspace in a cell is as wide as it likes, and with it the workspace is
 // over its limit: until then the cell knew nothing of the workspace.
@@ -170,8 +170,8 @@
 	r.look("w1", Listing{Running: []Run{run(o.Starts[0])}, Ended: []RunEnd{ended(1, o.Starts[1], work.Stopped), ended(2, o.Starts[2], work.Stopped)}})
 	assert.Equal(t, len(r.plan().Starts), 2)
 	r.core.workers["w1"].strayed(o.Starts[1].Start.Task, 1)
-	r.core.openAccounts(r.now)
-	assert.Equal(t, r.account().left.MilliCPU, short(1).Size.MilliCPU*36/10-4*short(1).Size.MilliCPU)
+	r.core.beginPlanAccounting(r.now)
+	assert.Equal(t, r.account().remaining.MilliCPU, short(1).Size.MilliCPU*36/10-4*short(1).Size.MilliCPU)
 }
 
 // Another cell waits for all of the limit. What this one has running stays its own until it ends,
@@ -320,5 +320,5 @@
 	next := NewCore(service, token+1, rigBounds, logr.Discard())
 	r.limit(next, 2, 10)
 	next.RestoreLedger(infra.KV{Key: infra.WorkLimitKey(string(redName)), Value: []byte("{"), ModRevision: 5})
-	assert.Equal(t, next.limits.of(redName).share(2), workspace.Parts(0), "a successor does not know what it had")
+	assert.Equal(t, next.limits.account(redName).share(2), workspace.Parts(0), "a successor does not know what it had")
 }
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -175,8 +175,8 @@
 		return 0
 	})
 	c.held = false
-	c.openAccounts(now)
-	defer c.closeAccounts()
+	c.beginPlanAccounting(now)
+	defer c.endPlanAccounting()
 	workers := c.snapshots(now)
 	if len(workers) == 0 {
 		return
@@ -192,7 +192,7 @@
 		}
 		// Steps that find no room, or none within their workspace's limit, are passed over
 		// without a look at their tasks: hundreds of them wait.
-		if !planner.MayFit(v.step.spec) || v.step.exhausted(planner) {
+		if !planner.MayFit(v.step.spec) || v.step.shareExhausted(planner) {
 			continue
 		}
 		c.askTrials(v.step, now)
@@ -200,7 +200,7 @@
 		if s == nil {
 			continue
 		}
-		s.Tasks = s.Tasks[:v.step.allowed(len(s.Tasks), planner)]
+		s.Tasks = s.Tasks[:v.step.startableWithinLimit(len(s.Tasks), planner)]
 		if len(s.Tasks) == 0 {
 			continue
 		}
@@ -209,7 +209,7 @@
 		}
 		for _, p := range planner.Place(s) {
 			c.order(p, now, out)
-			v.step.spend()
+			v.step.chargeStart()
 		}
 	}
 	c.noteOthers(ws, now)
--- a/internal/engine/settled.go
+++ b/internal/engine/settled.go
@@ -38,9 +38,9 @@
 	c.fleetKnown = true
 	c.alive = make(map[work.WorkerID]string, len(vms))
 	c.largestVM = work.Resources{}
-	c.limits.fleet = work.Resources{}
+	c.limits.fleetCapacity = work.Resources{}
 	for _, vm := range vms {
-		c.limits.fleet = c.limits.fleet.Plus(vm.Size)
+		c.limits.fleetCapacity = c.limits.fleetCapacity.Plus(vm.Size)
 		c.largestVM = c.largestVM.Max(vm.Size)
 		if vm.State == work.VMUp && vm.Worker != "" {
 			c.alive[vm.Worker] = vm.Pool
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// sharesEvery is how often it is asked whether anything is to be done.
-	sharesEvery = 50 * time.Millisecond
-	// confirmAhead is how much sooner than it must the configuration is read again where its
-	// watch told nothing: the read takes milliseconds, from a slow store a fifth of a second.
-	confirmAhead = 300 * time.Millisecond
-	// claimTries bounds how often a change is made anew as another cell was first.
-	claimTries = 4
-	// claimTimeout ends a transaction without an answer.
+	// shareCheckInterval is how often runShares checks for due reads and claims without being
+	// notified.
+	shareCheckInterval = 50 * time.Millisecond
+	// confirmLeadTime is how long before its confirmation expires the configuration is read again,
+	// if its watch reported nothing. The read takes milliseconds, and 0.2 s from a slow store.
+	confirmLeadTime = 300 * time.Millisecond
+	// maxClaimAttempts limits how often claims are recomputed in a row, as they are when another
+	// cell has changed a ledger first.
+	maxClaimAttempts = 4
+	// claimTimeout limits the wait for the answer to a transaction.
 	claimTimeout = 700 * time.Millisecond
 )
 
-// runShares keeps what the cell has of workspaces' limits.
+// runShares maintains the cell's shares of the workspaces' limits until ctx ends.
 func (e *Engine) runShares(ctx context.Context) {
-	tick := time.NewTicker(sharesEvery)
+	tick := time.NewTicker(shareCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -33,16 +35,17 @@
 		case <-e.shareKick:
 		case <-tick.C:
 		}
-		e.confirmConfig(ctx)
+		e.confirmConfigIfDue(ctx)
 		e.readLedgers(ctx)
-		e.claim(ctx)
+		e.storeDueClaims(ctx)
 	}
 }
 
-// confirmConfig reads the configuration before what the cell has can't be used for want of it.
-func (e *Engine) confirmConfig(ctx context.Context) {
+// confirmConfigIfDue reads the configuration shortly before its confirmation expires, if the cell uses
+// more than its provisional share of a limit. It could not use that without a confirmation.
+func (e *Engine) confirmConfigIfDue(ctx context.Context) {
 	within := e.Bounds.ConfigWithin
-	if e.Configs == nil || within == 0 || e.Clock.Now() < e.Configs.Confirmed()+within-confirmAhead {
+	if e.Configs == nil || within == 0 || e.Clock.Now() < e.Configs.Confirmed()+within-confirmLeadTime {
 		return
 	}
 	e.mu.Lock()
@@ -52,12 +55,12 @@
 		return
 	}
 	if err := e.Configs.Confirm(ctx); err != nil {
-		e.Log.V(1).Info("configuration not confirmed", "error", err.Error())
+		e.Log.V(1).Info("failed to confirm the configuration", "error", err.Error())
 	}
 }
 
-// readLedgers reads what other cells have and wait for, where that matters to this one: nobody
-// else tells it.
+// readLedgers reads all ledgers if this cell's decisions depend on what other cells have and need. No
+// watch reports those.
 func (e *Engine) readLedgers(ctx context.Context) {
 	e.mu.Lock()
 	due := e.core.lookDue(e.Clock.Now())
@@ -67,7 +70,7 @@
 	}
 	kvs, _, err := e.Store.Range(ctx, infra.WorkLimitPrefix)
 	if err != nil {
-		e.Log.V(1).Info("ledgers of limits not read", "error", err.Error())
+		e.Log.V(1).Info("failed to read the ledgers of workspace limits", "error", err.Error())
 		return
 	}
 	e.mu.Lock()
@@ -77,9 +80,9 @@
 	}
 }
 
-// claim makes the changes that are due.
-func (e *Engine) claim(ctx context.Context) {
-	for range claimTries {
+// storeDueClaims stores the ledger changes that are due and notifies the other cells of them.
+func (e *Engine) storeDueClaims(ctx context.Context) {
+	for range maxClaimAttempts {
 		e.mu.Lock()
 		claims := e.core.Claims(e.Clock.Now())
 		e.mu.Unlock()
@@ -91,18 +94,19 @@
 			return
 		}
 		kick(e.planKick)
-		e.tellCells(claims)
+		e.notifyCells(claims)
 	}
 }
 
-// storeClaims writes the changes in one transaction; false where the store does not take it. It
-// fails as a whole where one ledger has changed; what they are now is then known.
+// storeClaims writes the claims in one transaction. It returns false if the store fails or does not
+// answer. If another cell has changed one of the ledgers, no claim is stored; the ledgers as they
+// are now are taken over from the answer, and storeClaims returns true.
 func (e *Engine) storeClaims(ctx context.Context, claims []shareClaim) bool {
 	call, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	txn, err := e.claimTxn(claims)
 	if err != nil {
-		e.Log.Error(err, "share of a limit can't be stored")
+		e.Log.Error(err, "failed to encode the ledger of a workspace limit")
 		return false
 	}
 	res, err := e.Store.Txn(call, txn)
@@ -120,15 +124,16 @@
 		e.core.ClaimFailed(claims[i], infra.IsKind(err, infra.KindUnknown))
 	}
 	if err != nil {
-		e.Log.Info("share of a limit not stored", "workspaces", len(claims), "error", err.Error())
+		e.Log.Info("failed to store shares of workspace limits", "workspaces", len(claims), "error", err.Error())
 	}
 	return err == nil
 }
 
-// tellCells tells the other cells of workspaces for which this one waits, or in which it gave
-// back what another waits for: they look at the ledgers, which they do on their own only while
-// they have more than their even share.
-func (e *Engine) tellCells(claims []shareClaim) {
+// notifyCells tells the other cells about the workspaces in whose ledgers a cell has an unmet need:
+// this one waits for parts, or has given parts back that another waits for. The other cells then
+// read the ledgers. On their own they poll them only while they wait or have more than their even
+// share.
+func (e *Engine) notifyCells(claims []shareClaim) {
 	if e.TellCells == nil {
 		return
 	}
@@ -143,7 +148,8 @@
 	}
 }
 
-// LookAtLimits is told by another cell that it waits for some of the workspaces' limits, or gave back.
+// LookAtLimits has the cell read the ledgers of the workspaces, since another cell waits for parts of
+// their limits or has given some back. It returns ErrNotReady before the cell's state is restored.
 func (e *Engine) LookAtLimits(names []work.WorkspaceName) error {
 	e.mu.Lock()
 	ready := e.restored
@@ -158,9 +164,9 @@
 	return nil
 }
 
-// claimTxn makes the transaction. A ledger in which no cell is named any more stays: were its key
-// deleted, a change that was not answered, made as there was none, would find it absent again and
-// be carried out late.
+// claimTxn returns the transaction that stores the claims. It never deletes a ledger, not even one that
+// names no cell any more: an unanswered transaction that expected the key to be absent could then
+// still be applied.
 func (e *Engine) claimTxn(claims []shareClaim) (infra.Txn, error) {
 	txn := infra.Txn{If: []infra.Cond{{Key: e.OwnerKey, ModRevision: infra.Revision(e.Term.Token())}}}
 	for i := range claims {
--- a/internal/engine/summary.go
+++ b/internal/engine/summary.go
@@ -44,11 +44,11 @@
 func (c *Core) workspaceUse(now time.Duration) []WorkspaceUse {
 	var out []WorkspaceUse
 	for name, a := range c.limits.accounts {
-		if a.used == (work.Resources{}) && a.wanted == (work.Resources{}) {
+		if a.used == (work.Resources{}) && a.heldBack == (work.Resources{}) {
 			continue
 		}
 		out = append(out, WorkspaceUse{
-			Workspace: name, Used: a.used, May: c.share(a, now).Of(a.limit), Limit: a.limit, Waits: a.wanted != work.Resources{},
+			Workspace: name, Used: a.used, May: c.share(a, now).Of(a.limit), Limit: a.limit, Waits: a.heldBack != work.Resources{},
 		})
 	}
 	slices.SortFunc(out, func(a, b WorkspaceUse) int { return cmp.Compare(a.Workspace, b.Workspace) })
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -187,7 +187,7 @@
 	}
 	w.tasks[t.ref] = t
 	w.load.count(t.step, 1)
-	t.count(1)
+	t.addUsage(1)
 }
 
 func (w *worker) remove(t *task) {
@@ -196,7 +196,7 @@
 	}
 	delete(w.tasks, t.ref)
 	w.load.count(t.step, -1)
-	t.count(-1)
+	t.addUsage(-1)
 }
 
 // snapshot describes the worker as a plan sees it.
