--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -8,19 +8,19 @@
 
 // Metrics counts what an engine does. The zero value of a pointer counts nothing.
 type Metrics struct {
-	Starts *expvar.Map // by outcome
-	Stops  *expvar.Map
-	Polls  *expvar.Map
-	Txns   *expvar.Map
-	VMs    *expvar.Map // orders for VMs, by kind
-	Shares *expvar.Map // changes of what cells hold of limits, by outcome
-	Lost   *expvar.Map // runs that ended without an end listed by their worker, by cause
+	Starts   *expvar.Map // by outcome
+	Stops    *expvar.Map
+	Polls    *expvar.Map
+	Txns     *expvar.Map
+	VMOrders *expvar.Map // orders for VMs, by kind
+	Shares   *expvar.Map // changes of what cells hold of limits, by outcome
+	Lost     *expvar.Map // runs that ended without an end listed by their worker, by cause
 }
 
 // NewMetrics returns counters, not published yet.
 func NewMetrics() *Metrics {
 	m := func() *expvar.Map { return new(expvar.Map).Init() }
-	return &Metrics{Starts: m(), Stops: m(), Polls: m(), Txns: m(), VMs: m(), Shares: m(), Lost: m()}
+	return &Metrics{Starts: m(), Stops: m(), Polls: m(), Txns: m(), VMOrders: m(), Shares: m(), Lost: m()}
 }
 
 var outcomeNames = map[Outcome]string{
@@ -82,6 +82,6 @@
 // VM counts an order for a VM.
 func (m *Metrics) VM(what string) {
 	if m != nil {
-		m.VMs.Add(what, 1)
+		m.VMOrders.Add(what, 1)
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -42,7 +42,7 @@
 		expvar.Publish("stops", m.engine.Stops)
 		expvar.Publish("polls", m.engine.Polls)
 		expvar.Publish("store_txns", m.engine.Txns)
-		expvar.Publish("vm_orders", m.engine.VMs)
+		expvar.Publish("vm_orders", m.engine.VMOrders)
 		expvar.Publish("limit_shares", m.engine.Shares)
 		expvar.Publish("runs_lost", m.engine.Lost)
 	})
