--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -14,13 +14,13 @@
 	Txns     *expvar.Map
 	VMOrders *expvar.Map // orders for VMs, by kind
 	Shares   *expvar.Map // changes of what cells hold of limits, by outcome
-	Lost     *expvar.Map // runs that ended without an end listed by their worker, by cause
+	LostRuns *expvar.Map // runs that ended without an end listed by their worker, by cause
 }
 
 // NewMetrics returns counters, not published yet.
 func NewMetrics() *Metrics {
 	m := func() *expvar.Map { return new(expvar.Map).Init() }
-	return &Metrics{Starts: m(), Stops: m(), Polls: m(), Txns: m(), VMOrders: m(), Shares: m(), Lost: m()}
+	return &Metrics{Starts: m(), Stops: m(), Polls: m(), Txns: m(), VMOrders: m(), Shares: m(), LostRuns: m()}
 }
 
 var outcomeNames = map[Outcome]string{
@@ -75,7 +75,7 @@
 
 func (m *Metrics) lost(cause loss) {
 	if m != nil {
-		m.Lost.Add(string(cause), 1)
+		m.LostRuns.Add(string(cause), 1)
 	}
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -44,7 +44,7 @@
 		expvar.Publish("store_txns", m.engine.Txns)
 		expvar.Publish("vm_orders", m.engine.VMOrders)
 		expvar.Publish("limit_shares", m.engine.Shares)
-		expvar.Publish("runs_lost", m.engine.Lost)
+		expvar.Publish("runs_lost", m.engine.LostRuns)
 	})
 	return m
 }
