--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// VM counts an order for a VM.
-func (m *Metrics) VM(what string) {
+// CountVMOrder counts an order for a CountVMOrder.
+func (m *Metrics) CountVMOrder(what string) {
 	if m != nil {
 		m.VMOrders.Add(what, 1)
 	}
--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -32,7 +32,7 @@
 		call, cancel := context.WithTimeout(ctx, listTimeout)
 		out := f.Machines.Move(call, id, o.pool, f.Term.Token())
 		cancel()
-		f.Metrics.VM("move")
+		f.Metrics.CountVMOrder("move")
 		f.Log.Info("VM move ordered", "vm", id, "from", moveByVM[id].From, "to", o.pool, "outcome", out.String())
 		f.recordOutcome(ctx, id, o, out)
 	})
--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -170,7 +170,7 @@
 		call, cancel := context.WithTimeout(ctx, listTimeout)
 		out := f.Machines.Maintain(call, id, w.Name, f.Term.Token())
 		cancel()
-		f.Metrics.VM("maintain")
+		f.Metrics.CountVMOrder("maintain")
 		f.Log.Info("maintenance ordered", "vm", id, "pool", f.vms[id].Pool, "wave", w.Name, "outcome", out.String(), "left", (w.Seen + w.Duration - o.sent).String())
 		f.recordOutcome(ctx, id, o, out)
 	})
