--- a/internal/engine/committer.go
+++ b/internal/engine/committer.go
@@ -106,7 +106,7 @@
 		call, cancel := context.WithTimeout(ctx, storeTimeout)
 		res, err := w.engine.Store.Txn(call, c.txn(b))
 		cancel()
-		w.engine.Metrics.txn(err)
+		w.engine.Metrics.countTxn(err)
 		if err != nil && ctx.Err() != nil {
 			b.sent = true
 			w.abandon(b)
--- a/internal/engine/explain.go
+++ b/internal/engine/explain.go
@@ -9,7 +9,9 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// Explanation says where a job stands and why, as its cell's owner sees it.
+// Explanation describes the state of a job and the reasons for it, as its cell's owner sees it. Owners
+// send it to other entry VMs in msgpack, which encodes the fields of Explanation and of the types
+// below it under their Go names.
 type Explanation struct {
 	Job     work.JobID `json:"job"`
 	Queue   string     `json:"queue"`
@@ -17,75 +19,78 @@
 	State   work.State `json:"state"`
 
 	Workspace work.WorkspaceName `json:"workspace,omitempty"`
-	// Token is of the owner that explains; Config the configuration it goes by.
+	// Token is the fencing token of the explaining owner's term, Config the version of the
+	// configuration that it uses.
 	Token  int64 `json:"token"`
 	Config int64 `json:"config"`
 
 	Age       time.Duration `json:"age_ns"`       // since its acceptance
-	Objective time.Duration `json:"objective_ns"` // from its acceptance
-	Left      time.Duration `json:"left_ns"`      // longest chain of work still to do, as learned
-	Tier      string        `json:"tier"`         // its place among jobs that wait
-	// Restored: an earlier owner accepted it. Settled: what that one may have
-	// started is known; until then nothing of the job begins.
+	Objective time.Duration `json:"objective_ns"` // time to finish in, from its acceptance
+	Left      time.Duration `json:"left_ns"`      // run time of the longest chain of dependent work still to do, by the owner's estimate
+	Tier      string        `json:"tier"`         // its tier in the order of waiting jobs
+	// Restored says that an earlier owner accepted the job, Settled that no run of an earlier owner
+	// can be unknown to this one. Until then no task of a restored job starts.
 	Restored bool `json:"restored"`
 	Settled  bool `json:"settled"`
 
 	Steps []StepExplanation `json:"steps"`
 }
 
-// StepExplanation is of one step of an occurrence that has begun.
+// StepExplanation describes one step of an occurrence that has begun.
 type StepExplanation struct {
 	Step  string         `json:"step"`
-	Tasks map[string]int `json:"tasks"` // by state
-	// After names the steps that must be done before.
+	Tasks map[string]int `json:"tasks"` // number of tasks by state
+	// After holds the indexes of the steps that must be done first, while any of them is not.
 	After []int `json:"after,omitempty"`
-	// Waits counts the workers by what keeps the step's waiting tasks from them.
+	// Waits counts the workers by the reason why they can't take a waiting task of the step.
 	Waits map[taskplan.Reason]int `json:"waits,omitempty"`
-	// Limit says how the step stands with its workspace's limit, where tasks of it wait.
+	// Limit describes the workspace's limit; nil if no task waits or the workspace has no limit
+	// that can bind.
 	Limit *LimitExplanation `json:"limit,omitempty"`
 	Runs  []RunExplanation  `json:"runs,omitempty"`
-	// Crashed are the tasks under which workers crashed.
+	// Crashed holds the tasks during whose runs workers crashed.
 	Crashed []CrashExplanation `json:"crashed,omitempty"`
 }
 
-// CrashExplanation is one task under which workers crashed.
+// CrashExplanation describes a task during whose runs workers crashed.
 type CrashExplanation struct {
 	Task    string `json:"task"`
 	Crashes int    `json:"crashes"`
-	// Addresses are of the workers that this owner saw crash.
+	// Addresses are those of the workers whose crashes this owner itself observed.
 	Addresses []string `json:"addresses,omitempty"`
-	// Suspect: it is tried apart from other work.
+	// Suspect says that the task is suspected to cause crashes. It then runs on a worker without
+	// other work.
 	Suspect bool `json:"suspect"`
 }
 
-// LimitExplanation is how much of its limit a workspace uses and may use in the cell.
+// LimitExplanation describes how much of its limit a workspace uses and may use in the cell.
 type LimitExplanation struct {
 	Workspace work.WorkspaceName `json:"workspace"`
 	Limit     work.Resources     `json:"limit"` // in all cells together
 	Used      work.Resources     `json:"used_here"`
 	May       work.Resources     `json:"may_use_here"`
-	// Holds says that tasks of the step would start if the cell had more of the limit.
+	// Holds says that the cell's share keeps waiting tasks of the step from starting.
 	Holds bool `json:"holds_tasks_back"`
-	// Others is what other cells have, in ten thousandths of the limit, where it is not an
-	// even share.
+	// Others holds the parts allocated to other cells, in ten-thousandths of the limit. A cell that
+	// is missing has an even share.
 	Others map[string]workspace.Parts `json:"others,omitempty"`
-	// Never: a task, or the gang, is larger than the whole limit.
+	// Never says that a task, or the whole gang, is larger than the limit itself.
 	Never bool `json:"can_never_start"`
-	// ConfigAge is how long ago the limit was known to be the newest; beyond the time within
-	// which configurations are in force little may start.
+	// ConfigAge is the time since the configuration was last known to be the newest. Beyond
+	// Bounds.ConfigWithin the cell may use only its provisional share of the limit.
 	ConfigAge time.Duration `json:"config_age_ns"`
 }
 
-// RunExplanation is one run under way.
+// RunExplanation describes a run that is assigned to a worker.
 type RunExplanation struct {
 	Task     string        `json:"task"`
 	Run      int           `json:"run"`
 	Worker   work.WorkerID `json:"worker"`
 	State    string        `json:"state"`
 	Percent  int           `json:"percent"`
-	For      time.Duration `json:"for_ns"`
-	Failures int           `json:"failures,omitempty"`
-	// Silent: polls of the worker without an answer since the last.
+	For      time.Duration `json:"for_ns"`             // since the start was ordered
+	Failures int           `json:"failures,omitempty"` // failed attempts of the task so far
+	// Silent is the number of polls of the worker that went unanswered since its last answer.
 	Silent int `json:"silent,omitempty"`
 }
 
@@ -93,7 +98,7 @@
 	taskPending: "waiting", taskStarting: "starting", taskDoubtful: "in doubt", taskActive: "running", taskStopping: "stopping", taskDone: "done",
 }
 
-// Explain says where the job stands; false where it is not known here.
+// Explain returns the explanation of the job's state; false if the job is not known.
 func (c *Core) Explain(id work.JobID, now time.Duration) (Explanation, bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -105,9 +110,9 @@
 	}
 	workers := c.snapshots(now)
 	for _, o := range j.live {
-		described := c.orderOf(j, o, now)
-		e.Objective, e.Left = described.Objective, described.CriticalPath
-		e.Tier = joborder.RankOf(described).Tier.String()
+		item := c.orderOf(j, o, now)
+		e.Objective, e.Left = item.Objective, item.CriticalPath
+		e.Tier = joborder.RankOf(item).Tier.String()
 		for _, s := range o.steps {
 			e.Steps = append(e.Steps, c.explainStep(s, workers, now))
 		}
@@ -168,7 +173,8 @@
 	return out
 }
 
-// Explain says where the job stands.
+// Explain returns the explanation of the job's state. It returns ErrNotReady before the cell's state is
+// restored, and ErrUnknownJob if the job is not known.
 func (e *Engine) Explain(id work.JobID) (Explanation, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -57,7 +57,7 @@
 func (c *Core) dropTasks(w *worker, cause loss, now time.Duration) {
 	for _, t := range w.tasks {
 		t.losses++
-		c.metrics.lost(cause)
+		c.metrics.countLostRun(cause)
 		c.log.V(1).Info("run lost", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "cause", cause,
 			"seen running for", w.seenRunning(t).String(), "losses", t.losses)
 		if cause == lossLease {
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -6,18 +6,18 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// Metrics counts what an engine does. The zero value of a pointer counts nothing.
+// Metrics holds the counters of an engine. A nil *Metrics counts nothing.
 type Metrics struct {
-	Starts   *expvar.Map // by outcome
-	Stops    *expvar.Map
-	Polls    *expvar.Map
-	Txns     *expvar.Map
+	Starts   *expvar.Map // start orders, by outcome
+	Stops    *expvar.Map // stop orders, by outcome
+	Polls    *expvar.Map // polls of workers, by outcome
+	Txns     *expvar.Map // store transactions, by kind of error, or "ok"
 	VMOrders *expvar.Map // orders for VMs, by kind
-	Shares   *expvar.Map // changes of what cells hold of limits, by outcome
-	LostRuns *expvar.Map // runs that ended without an end listed by their worker, by cause
+	Shares   *expvar.Map // transactions that change cells' shares of workspace limits, by outcome
+	LostRuns *expvar.Map // runs that ended without their worker listing the end, by cause
 }
 
-// NewMetrics returns counters, not published yet.
+// NewMetrics returns counters that are not published.
 func NewMetrics() *Metrics {
 	m := func() *expvar.Map { return new(expvar.Map).Init() }
 	return &Metrics{Starts: m(), Stops: m(), Polls: m(), Txns: m(), VMOrders: m(), Shares: m(), LostRuns: m()}
@@ -29,28 +29,28 @@
 	OutcomeNotSent: "not_sent",
 }
 
-// String returns the outcome as logs and metrics show it.
+// String returns the name of the outcome in logs and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-func (m *Metrics) start(o Outcome) {
+func (m *Metrics) countStart(o Outcome) {
 	if m != nil {
 		m.Starts.Add(o.String(), 1)
 	}
 }
 
-func (m *Metrics) stop(o Outcome) {
+func (m *Metrics) countStop(o Outcome) {
 	if m != nil {
 		m.Stops.Add(o.String(), 1)
 	}
 }
 
-func (m *Metrics) poll(o Outcome) {
+func (m *Metrics) countPoll(o Outcome) {
 	if m != nil {
 		m.Polls.Add(o.String(), 1)
 	}
 }
 
-func (m *Metrics) txn(err error) {
+func (m *Metrics) countTxn(err error) {
 	if m == nil {
 		return
 	}
@@ -61,7 +61,7 @@
 	m.Txns.Add(infra.KindOf(err).String(), 1)
 }
 
-func (m *Metrics) share(stored bool, err error) {
+func (m *Metrics) countShareChange(stored bool, err error) {
 	switch {
 	case m == nil:
 	case err != nil:
@@ -73,15 +73,15 @@
 	}
 }
 
-func (m *Metrics) lost(cause loss) {
+func (m *Metrics) countLostRun(cause loss) {
 	if m != nil {
 		m.LostRuns.Add(string(cause), 1)
 	}
 }
 
 // CountVMOrder counts an order for a CountVMOrder.
-func (m *Metrics) CountVMOrder(what string) {
+func (m *Metrics) CountVMOrder(kind string) {
 	if m != nil {
-		m.VMOrders.Add(what, 1)
+		m.VMOrders.Add(kind, 1)
 	}
 }
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -49,7 +49,7 @@
 		out, clock = e.Workers.Start(call, &o.Worker, o.Start)
 		cancel()
 	}
-	e.Metrics.start(out)
+	e.Metrics.countStart(out)
 	e.mu.Lock()
 	e.core.StartAnswered(o, out, clock, e.Clock.Now())
 	held := e.core.Held()
@@ -73,7 +73,7 @@
 	call, cancel := e.within(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Stop(call, &o.Worker, o.Task, o.Run, e.Term.Token())
-	e.Metrics.stop(out)
+	e.Metrics.countStop(out)
 	e.mu.Lock()
 	e.core.StopAnswered(o, out, e.Clock.Now())
 	e.mu.Unlock()
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -147,7 +147,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	e.Metrics.poll(out)
+	e.Metrics.countPoll(out)
 	behind := e.behind()
 	e.mu.Lock()
 	switch {
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -110,7 +110,7 @@
 		return false
 	}
 	res, err := e.Store.Txn(call, txn)
-	e.Metrics.share(res.Succeeded, err)
+	e.Metrics.countShareChange(res.Succeeded, err)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range claims {
--- a/internal/engine/summary.go
+++ b/internal/engine/summary.go
@@ -8,40 +8,44 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Summary is how a cell stands, as its owner sees it.
+// Summary describes the state of a cell as its owner sees it. Owners send it to other entry VMs in
+// msgpack, which encodes the fields under their Go names.
 type Summary struct {
 	Cell  string `json:"cell"`
-	Token int64  `json:"token"`
+	Token int64  `json:"token"` // fencing token of the owner's term
 	// Jobs counts the jobs that have not ended, by state.
 	Jobs map[work.State]int `json:"jobs"`
-	// Oldest is how long the oldest of those that have not begun has waited.
+	// Oldest is the age of the oldest job that has not begun; 0 if there is none.
 	Oldest   time.Duration `json:"oldest_ns"`
 	Workers  int           `json:"workers"`
-	Busy     int           `json:"busy"`   // of them, with tasks
-	Silent   int           `json:"silent"` // of them, did not answer the last poll
-	Used     float64       `json:"used_cores"`
-	Backlog  float64       `json:"backlog_core_seconds"`
+	Busy     int           `json:"busy"`                 // workers with tasks
+	Silent   int           `json:"silent"`               // workers that did not answer the last poll
+	Used     float64       `json:"used_cores"`           // cores in use
+	Backlog  float64       `json:"backlog_core_seconds"` // of waiting work, whether it can still be in time or not
 	Arriving float64       `json:"arriving_core_seconds_a_second"`
-	// Short is how many VMs lasting tasks lack.
+	// Short is the number of VMs that long-running tasks lack.
 	Short int `json:"short_of_vms"`
-	// Level is by how much less the owner does as it is behind its work; 1 is nothing less.
+	// Level is the owner's overload level: the factor by which it reduces its own work. 1 is no
+	// reduction.
 	Level float64 `json:"level"`
-	// Unstored counts the jobs with changes that are not on their way to the store.
+	// Unstored counts the jobs with changes that are not being written to the store yet.
 	Unstored int `json:"unstored"`
-	// Workspaces are those with something running or waiting here, by name.
+	// Workspaces are the workspaces with usage in the cell or with tasks that their share of the
+	// limit holds back, by name.
 	Workspaces []WorkspaceUse `json:"workspaces,omitempty"`
 }
 
-// WorkspaceUse is what a workspace uses of its limit in a cell.
+// WorkspaceUse describes how much of its limit a workspace uses and may use in a cell.
 type WorkspaceUse struct {
 	Workspace work.WorkspaceName `json:"workspace"`
 	Used      work.Resources     `json:"used_here"`
 	May       work.Resources     `json:"may_use_here"`
-	Limit     work.Resources     `json:"limit"` // in all cells together; none: without limit
-	Waits     bool               `json:"waits"` // tasks would start if the cell had more of the limit
+	Limit     work.Resources     `json:"limit"` // in all cells together; the zero value is no limit
+	Waits     bool               `json:"waits"` // tasks would start if the cell had a larger share
 }
 
-func (c *Core) workspaceUse(now time.Duration) []WorkspaceUse {
+// workspaceUses returns the Workspaces of a Summary.
+func (c *Core) workspaceUses(now time.Duration) []WorkspaceUse {
 	var out []WorkspaceUse
 	for name, a := range c.limits.accounts {
 		if a.used == (work.Resources{}) && a.heldBack == (work.Resources{}) {
@@ -55,7 +59,7 @@
 	return out
 }
 
-// Summary says how the cell stands.
+// Summary returns the state of the cell. It returns ErrNotReady before that is restored.
 func (e *Engine) Summary() (Summary, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,7 +69,7 @@
 	return e.core.Summary(e.Clock.Now()), nil
 }
 
-// Summary says how the cell stands.
+// Summary returns the state of the cell.
 func (c *Core) Summary(now time.Duration) Summary {
 	r := c.report(now)
 	s := Summary{
@@ -87,6 +91,6 @@
 		}
 	}
 	s.Unstored, _ = c.Dirty()
-	s.Workspaces = c.workspaceUse(now)
+	s.Workspaces = c.workspaceUses(now)
 	return s
 }
