--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -8,19 +8,19 @@
 
 // Metrics holds the counters of an engine. A nil *Metrics counts nothing.
 type Metrics struct {
-	Starts   *expvar.Map // start orders, by outcome
-	Stops    *expvar.Map // stop orders, by outcome
-	Polls    *expvar.Map // polls of workers, by outcome
-	Txns     *expvar.Map // store transactions, by kind of error, or "ok"
-	VMOrders *expvar.Map // orders for VMs, by kind
-	Shares   *expvar.Map // transactions that change cells' shares of workspace limits, by outcome
-	LostRuns *expvar.Map // runs that ended without their worker listing the end, by cause
+	Starts       *expvar.Map // start orders, by outcome
+	Stops        *expvar.Map // stop orders, by outcome
+	Polls        *expvar.Map // polls of workers, by outcome
+	Txns         *expvar.Map // store transactions, by kind of error, or "ok"
+	VMOrders     *expvar.Map // orders for VMs, by kind
+	ShareChanges *expvar.Map // transactions that change cells' shares of workspace limits, by outcome
+	LostRuns     *expvar.Map // runs that ended without their worker listing the end, by cause
 }
 
 // NewMetrics returns counters that are not published.
 func NewMetrics() *Metrics {
 	m := func() *expvar.Map { return new(expvar.Map).Init() }
-	return &Metrics{Starts: m(), Stops: m(), Polls: m(), Txns: m(), VMOrders: m(), Shares: m(), LostRuns: m()}
+	return &Metrics{Starts: m(), Stops: m(), Polls: m(), Txns: m(), VMOrders: m(), ShareChanges: m(), LostRuns: m()}
 }
 
 var outcomeNames = map[Outcome]string{
@@ -65,11 +65,11 @@
 	switch {
 	case m == nil:
 	case err != nil:
-		m.Shares.Add(infra.KindOf(err).String(), 1)
+		m.ShareChanges.Add(infra.KindOf(err).String(), 1)
 	case stored:
-		m.Shares.Add("stored", 1)
+		m.ShareChanges.Add("stored", 1)
 	default:
-		m.Shares.Add("another cell was first", 1)
+		m.ShareChanges.Add("another cell was first", 1)
 	}
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -43,7 +43,7 @@
 		expvar.Publish("polls", m.engine.Polls)
 		expvar.Publish("store_txns", m.engine.Txns)
 		expvar.Publish("vm_orders", m.engine.VMOrders)
-		expvar.Publish("limit_shares", m.engine.Shares)
+		expvar.Publish("limit_shares", m.engine.ShareChanges)
 		expvar.Publish("runs_lost", m.engine.LostRuns)
 	})
 	return m
