--- a/internal/engine/explain_test.go
+++ b/internal/engine/explain_test.go
@@ -10,11 +10,11 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// An operator asks why a job does not go on: part of it runs, part has no room, and
-// its second step waits for the first.
+// An explanation must name every reason why a job does not progress: some tasks run, some don't fit on
+// any worker, and the second step waits for the first.
 func TestAnExplanationNamesWhatRunsAndWhatKeepsTheRest(t *testing.T) {
 	b := newRig(t)
-	b.worker("w1") // room for four tasks
+	b.worker("w1") // holds four tasks
 	second := short(1)
 	second.After = []int{0}
 	b.accept("j1", short(6), second)
@@ -32,11 +32,11 @@
 	assert.Assert(t, !known)
 }
 
-// An operator looks at a cell in trouble: what waits, for how long, and how many of its
-// workers answer.
+// A summary of a cell in trouble must tell which jobs wait, for how long, and how many workers don't
+// answer.
 func TestASummaryTellsWhatWaitsAndWhoAnswers(t *testing.T) {
 	b := newRig(t)
-	b.worker("w1") // room for four tasks
+	b.worker("w1") // holds four tasks
 	b.worker("w2")
 	b.accept("j1", short(8))
 	b.answer(b.plan(), OutcomeOK)
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -13,18 +13,18 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// limitWorld is what a model of take-overs knows beside: the limit of the workspace that all jobs
-// are of, its ledger in the store, and another cell that claims, uses and gives back parts of it.
+// limitWorld extends the model of take-overs by a workspace that all jobs belong to: its limit, the
+// stored ledger, and a second cell that claims, uses and gives back parts of the limit.
 type limitWorld struct {
 	m *model
 
 	limits []limitChange // oldest first
-	value  []byte        // of the ledger
-	rev    infra.Revision
-	next   infra.Revision
+	ledgerValue  []byte        // of the ledger
+	ledgerRev    infra.Revision
+	lastRev   infra.Revision
 
-	otherUse workspace.Parts // of the other cell
-	strict   int             // starts above the limit itself, within the grace for what can't be known
+	otherUse workspace.Parts // parts that the other cell may use
+	aboveLimit   int             // starts above the limit, but within the tolerance of checkStart
 	starts   int
 }
 
@@ -39,33 +39,33 @@
 	configWithin = 3 * time.Second
 )
 
-// mayBeInForce is how long an older limit may still be gone by: until a newer one has to be in
-// force, and from an order until the worker's deadline for it.
-const mayBeInForce = configWithin + startAhead
+// maxLimitAge is how long after a change of the limit a task may still be started under the previous one:
+// until the new limit must be in force, plus the time from an order to the worker's deadline for it.
+const maxLimitAge = configWithin + startAhead
 
-// limitedStep has small tasks, many of which a worker holds.
+// limitedStep returns a step of small tasks, many of which fit on a worker.
 func limitedStep(count int) work.Step {
 	return work.Step{Count: count, Size: work.Resources{MilliCPU: 500, MemoryMB: 100}, Estimate: time.Second}
 }
 
-// taskLimit is a limit of so many of them.
+// taskLimit returns a limit of so many tasks of limitedStep's size.
 func taskLimit(n int64) work.Resources { return limitedStep(1).Size.Times(n) }
 
-// limitedOpen is how many jobs of the workspace are open at a time: more than the limit allows.
-const limitedOpen = 5
+// limitedOpenJobs is the number of jobs that are open at a time: more than the limit lets run.
+const limitedOpenJobs = 5
 
 func newLimitWorld(m *model) *limitWorld {
-	w := &limitWorld{m: m, next: 100}
+	w := &limitWorld{m: m, lastRev: 100}
 	clear(m.jobs)
-	w.declare(20)
-	w.refill()
-	w.other()
+	w.declareLimit(20)
+	w.replaceEndedJobs()
+	w.claimForOtherCell()
 	return w
 }
 
-// refill hands in jobs in place of those that have ended.
-func (w *limitWorld) refill() {
-	for open := len(w.m.jobs) - len(w.m.ended); open < limitedOpen; open++ {
+// replaceEndedJobs submits new jobs until limitedOpenJobs are open.
+func (w *limitWorld) replaceEndedJobs() {
+	for open := len(w.m.jobs) - len(w.m.ended); open < limitedOpenJobs; open++ {
 		id := work.JobID(fmt.Sprintf("l%d", len(w.m.jobs)))
 		second := limitedStep(6)
 		second.After = []int{0}
@@ -78,23 +78,23 @@
 	}
 }
 
-func (w *limitWorld) declare(tasks int64) {
+func (w *limitWorld) declareLimit(tasks int64) {
 	w.limits = append(w.limits, limitChange{at: w.m.now, limit: taskLimit(tasks)})
 }
 
 func (w *limitWorld) limit() work.Resources { return w.limits[len(w.limits)-1].limit }
 
-// most is the highest limit that may be in force.
-func (w *limitWorld) most() work.Resources {
+// maxLimitInForce returns the highest limit, by resource, that a task may be started under now.
+func (w *limitWorld) maxLimitInForce() work.Resources {
 	most := w.limit()
-	for i := len(w.limits) - 2; i >= 0 && w.limits[i+1].at+mayBeInForce > w.m.now; i-- {
+	for i := len(w.limits) - 2; i >= 0 && w.limits[i+1].at+maxLimitAge > w.m.now; i-- {
 		most = most.Max(w.limits[i].limit)
 	}
 	return most
 }
 
-// hear lets the owner know the configuration in force.
-func (w *limitWorld) hear(o *modelOwner) {
+// deliverConfig gives the owner the newest configuration and confirms it.
+func (w *limitWorld) deliverConfig(o *modelOwner) {
 	o.core.Declare(Declared{
 		Version: int64(len(w.limits)) + 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}},
 		Services:   map[string]Service{service: {Name: service}, otherCell: {Name: otherCell}},
@@ -103,9 +103,9 @@
 	o.core.Confirm(w.m.now)
 }
 
-// began holds the promise: what runs in both cells is within the limit, but for a tenth and one
-// task, which are for what can't be known.
-func (w *limitWorld) began() {
+// checkStart fails the test if a start has brought both cells together above the limit, by more than a
+// tenth of the limit and one task. That tolerance covers usage that owners can't know of.
+func (w *limitWorld) checkStart() {
 	var runs work.Resources
 	for _, worker := range w.m.workers {
 		for task := range worker.running {
@@ -114,18 +114,19 @@
 			}
 		}
 	}
-	most := w.most()
-	runs = runs.Plus(w.otherUse.Of(most))
+	limit := w.maxLimitInForce()
+	runs = runs.Plus(w.otherUse.Of(limit))
 	w.starts++
-	if runs.MilliCPU > most.MilliCPU {
-		w.strict++
+	if runs.MilliCPU > limit.MilliCPU {
+		w.aboveLimit++
 	}
-	grace := most.MilliCPU/10 + limitedStep(1).Size.MilliCPU
-	assert.Assert(w.m.t, runs.MilliCPU <= most.MilliCPU+grace, "%d run or may in the other cell, %d is the limit", runs.MilliCPU, most.MilliCPU)
+	tolerance := limit.MilliCPU/10 + limitedStep(1).Size.MilliCPU
+	assert.Assert(w.m.t, runs.MilliCPU <= limit.MilliCPU+tolerance, "%d milli-CPU are in use or usable by the other cell, the limit is %d", runs.MilliCPU, limit.MilliCPU)
 }
 
-// claims plays the owner's changes of the ledger: carried out now or late, answered or not.
-func (w *limitWorld) claims(o *modelOwner) {
+// processClaims simulates the owner's ledger transactions, which are applied now or late and are answered
+// or not, and its reads of the ledger.
+func (w *limitWorld) processClaims(o *modelOwner) {
 	if o.retired {
 		return
 	}
@@ -142,7 +143,7 @@
 		case stored:
 			o.core.Claimed(claim, rev)
 		default:
-			o.core.LedgerRead(claim.workspace, w.value, w.rev)
+			o.core.LedgerRead(claim.workspace, w.ledgerValue, w.ledgerRev)
 			o.core.ClaimFailed(claim, false)
 		}
 	}
@@ -150,30 +151,32 @@
 		o.core.LookAtLimits([]work.WorkspaceName{limitedName})
 	}
 	if o.core.lookDue(w.m.now) {
-		o.core.LedgerSeen(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: w.value, ModRevision: w.rev})
+		o.core.LedgerSeen(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: w.ledgerValue, ModRevision: w.ledgerRev})
 	}
 }
 
+// store applies the claim on the conditions of its transaction: the owner's key and the ledger must be
+// unchanged. It reports whether it did, and the ledger's new revision.
 func (w *limitWorld) store(o *modelOwner, claim shareClaim) (bool, infra.Revision) {
-	if o.core.token != w.m.commit || claim.rev != w.rev {
+	if o.core.token != w.m.commit || claim.rev != w.ledgerRev {
 		return false, 0
 	}
 	w.put(claim.Ledger)
-	return true, w.rev
+	return true, w.ledgerRev
 }
 
 func (w *limitWorld) put(l workspace.Ledger) {
 	raw, err := json.Marshal(l)
 	assert.NilError(w.m.t, err)
-	w.next++
-	w.value, w.rev = raw, w.next
+	w.lastRev++
+	w.ledgerValue, w.ledgerRev = raw, w.lastRev
 }
 
-// other has the other cell claim, or give back what it does not use.
-func (w *limitWorld) other() {
+// claimForOtherCell has the claimForOtherCell cell claim, or give back what it does not use.
+func (w *limitWorld) claimForOtherCell() {
 	var l workspace.Ledger
-	if w.rev != 0 {
-		assert.NilError(w.m.t, json.Unmarshal(w.value, &l))
+	if w.ledgerRev != 0 {
+		assert.NilError(w.m.t, json.Unmarshal(w.ledgerValue, &l))
 	}
 	need := workspace.Parts(0)
 	if !w.m.calm {
@@ -184,27 +187,27 @@
 	w.otherUse = s.Usable
 }
 
-// step is one event: of the limits, or of the world around them.
+// step simulates one random event, of the limits or of the rest of the model.
 func (w *limitWorld) step() {
 	switch w.m.rng.IntN(12) {
 	case 0:
-		w.hear(w.m.current())
+		w.deliverConfig(w.m.current())
 	case 1:
 		if o := w.m.owners[w.m.rng.IntN(len(w.m.owners))]; !w.m.calm && w.m.chance(50) {
-			w.hear(o)
+			w.deliverConfig(o)
 		}
 	case 2, 3, 4:
-		w.claims(w.m.owners[w.m.rng.IntN(len(w.m.owners))])
+		w.processClaims(w.m.owners[w.m.rng.IntN(len(w.m.owners))])
 	case 5:
 		if w.m.chance(20) {
-			w.other()
+			w.claimForOtherCell()
 		}
 		if !w.m.calm {
-			w.refill()
+			w.replaceEndedJobs()
 		}
 	case 6:
 		if !w.m.calm && w.m.chance(5) {
-			w.declare(int64(8 + w.m.rng.IntN(30)))
+			w.declareLimit(int64(8 + w.m.rng.IntN(30)))
 		}
 	case 7:
 		for range 12 {
@@ -215,13 +218,12 @@
 	}
 }
 
-// A workspace has more running than its operator allows. The limit is divided between cells, and
-// its parts are claimed and given back while owners change, transactions are carried out late
-// or not answered, the limit is cut and raised, and an owner that was cut off goes on for its
-// grace. No start brings what runs over the limit, and once it is calm every job is completed:
-// no share is lost for ever.
+// Guards against starts beyond a workspace's limit and against shares that are lost for good. Cells claim
+// and give back parts of the limit while owners change, transactions are applied late or not answered,
+// the limit is lowered and raised, and a partitioned owner goes on for its grace period. No start may
+// exceed the limit, and once the faults stop every job must complete.
 func TestNoStartExceedsALimitThroughTakeOversAndLateClaims(t *testing.T) {
-	strict, starts := 0, 0
+	aboveLimit, starts := 0, 0
 	for i := range *modelSeeds {
 		seed := *modelFirst + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -237,10 +239,10 @@
 			for i := 0; i < 60000 && !m.allEnded(); i++ {
 				m.limited.step()
 			}
-			assert.Assert(t, m.allEnded(), "states: %v, ledger %s", m.ended, m.limited.value)
-			strict += m.limited.strict
+			assert.Assert(t, m.allEnded(), "states: %v, ledger %s", m.ended, m.limited.ledgerValue)
+			aboveLimit += m.limited.aboveLimit
 			starts += m.limited.starts
 		})
 	}
-	t.Logf("%d of %d starts above the limit itself, within what is granted for what can't be known", strict, starts)
+	t.Logf("%d of %d starts above the limit, within the tolerance for usage that owners can't know of", aboveLimit, starts)
 }
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -12,7 +12,7 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// limitRig is a rig whose cell is one of two, with a workspace that has a limit.
+// limitRig is a rig whose cell is one of two, with one workspace that has a limit.
 type limitRig struct {
 	*rig
 	rev infra.Revision // of the ledger in the store
@@ -30,12 +30,12 @@
 	bounds := rigBounds
 	bounds.ConfigWithin = configWithin
 	c := r.successorWithin(token, bounds)
-	r.limit(c, 2, tasks)
+	r.declareLimit(c, 2, tasks)
 	return c
 }
 
-// limit declares a limit of so many tasks of short's size.
-func (r *limitRig) limit(c *Core, version, tasks int64) {
+// declareLimit declares a declareLimit of so many tasks of short's size.
+func (r *limitRig) declareLimit(c *Core, version, tasks int64) {
 	c.Declare(Declared{
 		Version: version, Queues: c.declared.Queues,
 		Services:   map[string]Service{service: {Name: service}, otherCell: {Name: otherCell}},
@@ -48,8 +48,8 @@
 	r.core.Accept(&work.Job{ID: id, Queue: queue, Workspace: redName, Spec: "spec", Steps: steps, Accepted: r.wall}, r.core.declared.Queues[queue], r.now)
 }
 
-// store carries the claims out and returns the ledger of the last.
-func (r *limitRig) store(claims []shareClaim) workspace.Ledger {
+// storeClaims stores the claims and returns the ledger of the last one.
+func (r *limitRig) storeClaims(claims []shareClaim) workspace.Ledger {
 	var last workspace.Ledger
 	for _, claim := range claims {
 		r.rev++
@@ -59,8 +59,8 @@
 	return last
 }
 
-// ledger has the core read the ledger.
-func (r *limitRig) ledger(c *Core, l workspace.Ledger) {
+// readLedger has the core read the readLedger.
+func (r *limitRig) readLedger(c *Core, l workspace.Ledger) {
 	raw, err := json.Marshal(l)
 	assert.NilError(r.t, err)
 	r.rev++
@@ -69,29 +69,29 @@
 
 func (r *limitRig) account() *account { return r.core.limits.account(redName) }
 
-// The first job of a workspace in a cell is as wide as it likes, and with it the workspace is
-// over its limit: until then the cell knew nothing of the workspace.
+// Guards against a workspace that exceeds its limit with its first job in a cell, when the cell has no
+// account of the workspace yet.
 func TestTheFirstJobOfAWorkspaceIsLimited(t *testing.T) {
 	r := newLimitRig(t, 10)
 	for _, id := range []work.WorkerID{"w1", "w2", "w3"} {
 		r.worker(id)
 	}
 	r.acceptRed("j1", short(12))
-	assert.Equal(t, len(r.plan().Starts), 4, "an even share of two cells, less a tenth")
+	assert.Equal(t, len(r.plan().Starts), 4, "the even share of one of two cells: half of nine tenths of the limit")
 	claims := r.core.Claims(r.now)
 	assert.Equal(t, len(claims), 1)
-	r.store(claims)
-	assert.Equal(t, len(r.plan().Starts), 1, "what was left is there at once")
-	assert.Assert(t, r.account().ledger.UnmetNeeds[service] > 0, "the other cell is to lend")
-	r.ledger(r.core, workspace.Ledger{Allocated: map[string]workspace.Parts{service: 5500, otherCell: 0}})
+	r.storeClaims(claims)
+	assert.Equal(t, len(r.plan().Starts), 1, "what no cell has is available at once")
+	assert.Assert(t, r.account().ledger.UnmetNeeds[service] > 0, "the other cell is asked to give parts back")
+	r.readLedger(r.core, workspace.Ledger{Allocated: map[string]workspace.Parts{service: 5500, otherCell: 0}})
 	r.now += reviewEvery
-	r.store(r.core.Claims(r.now))
+	r.storeClaims(r.core.Claims(r.now))
 	assert.Equal(t, len(r.plan().Starts), 5)
 	assert.Equal(t, len(r.plan().Starts), 0)
 	assert.Equal(t, r.account().used, short(10).Size.Times(10))
 }
 
-// A workspace far from its limit costs no call, whatever comes and goes.
+// A workspace far below its limit must not cost store transactions, whatever jobs come and go.
 func TestAWorkspaceFarFromItsLimitMakesNoClaim(t *testing.T) {
 	r := newLimitRig(t, 100)
 	r.worker("w1")
@@ -103,8 +103,8 @@
 	}
 }
 
-// The limit is cut while the workspace uses all of it: nothing is stopped, and nothing begins
-// until enough has ended. As it is raised again, work goes on in the next plan.
+// When the limit is lowered while the workspace uses all of it, no run is stopped, and none starts until
+// enough have ended. When it is raised, tasks start in the next plan.
 func TestACutStopsNothingAndARaiseIsUsedAtOnce(t *testing.T) {
 	r := newLimitRig(t, 8)
 	for _, id := range []work.WorkerID{"w1", "w2", "w3"} {
@@ -114,15 +114,16 @@
 	o := r.plan()
 	assert.Equal(t, len(o.Starts), 3)
 	r.answer(o, OutcomeOK)
-	r.limit(r.core, 3, 2)
+	r.declareLimit(r.core, 3, 2)
 	cut := r.plan()
 	assert.Equal(t, len(cut.Starts)+len(cut.Stops), 0)
-	r.limit(r.core, 4, 20)
+	r.declareLimit(r.core, 4, 20)
 	assert.Equal(t, len(r.plan().Starts), 6)
 }
 
-// A workspace has more running than its limit: an owner that could not reach the store had missed
-// that it was cut. It begins no more than a little by a configuration that may be out of date.
+// Guards against a workspace that exceeds its limit because an owner that can't reach the store has
+// missed that the limit was lowered. With a configuration that may be outdated, the owner may use only
+// its provisional share.
 func TestAnOwnerThatMayHaveMissedACutBeginsLittle(t *testing.T) {
 	r := newLimitRig(t, 40)
 	for _, id := range []work.WorkerID{"w1", "w2", "w3"} {
@@ -130,14 +131,14 @@
 	}
 	r.acceptRed("j1", short(12))
 	r.now += configWithin
-	assert.Equal(t, len(r.plan().Starts), 2, "a twentieth for each of two cells")
-	assert.Assert(t, r.core.usesShares(), "so that the configuration is read")
+	assert.Equal(t, len(r.plan().Starts), 2, "a twentieth of the limit: the provisional share of one of two cells")
+	assert.Assert(t, r.core.usesShares(), "the configuration must be confirmed for more")
 	r.core.Confirm(r.now)
 	assert.Equal(t, len(r.plan().Starts), 10)
 }
 
-// An owner dies with its workspace's limit in use on a worker that its successor can't reach. The
-// successor has room on another, and would bring the workspace to twice its share.
+// Guards against a new owner that starts a second share's worth of tasks: its predecessor has used the
+// share on a worker that the new owner can't reach, and another worker has free capacity.
 func TestASuccessorCountsWhatMayRunUnseen(t *testing.T) {
 	r := newLimitRig(t, 8)
 	r.core.SetFleet(nil)
@@ -150,14 +151,13 @@
 	next.WorkerSeen(info("w1"))
 	r.worker("w2")
 	r.acceptRed("j1", short(4))
-	assert.Equal(t, len(r.plan().Starts), 0, "three may run on w1, and three are the cell's")
+	assert.Equal(t, len(r.plan().Starts), 0, "three may run on w1, and the cell's share is three")
 	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
-	assert.Equal(t, len(r.plan().Starts), 2, "one did")
+	assert.Equal(t, len(r.plan().Starts), 2, "only one runs on w1")
 }
 
-// Two runs of a task are on workers, one of which nobody wants: it runs until its worker has
-// stopped it, and counts.
-func TestWhatIsBeingStoppedCounts(t *testing.T) {
+// Runs of a cancelled job and orphaned runs count towards the limit until their worker has stopped them.
+func TestRunsBeingStoppedCountTowardsTheLimit(t *testing.T) {
 	r := newLimitRig(t, 8)
 	r.worker("w1")
 	r.acceptRed("j1", short(3))
@@ -174,17 +174,17 @@
 	assert.Equal(t, r.account().remaining.MilliCPU, short(1).Size.MilliCPU*36/10-4*short(1).Size.MilliCPU)
 }
 
-// Another cell waits for all of the limit. What this one has running stays its own until it ends,
-// or the other would start beside it.
+// Another cell waits for the whole limit. The parts that running tasks use must not be given back before
+// they end, or the other cell would start tasks in addition to them.
 func TestWhatRunsIsNotGivenBack(t *testing.T) {
 	r := newLimitRig(t, 10)
 	r.worker("w1")
-	r.ledger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
+	r.readLedger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
 	r.acceptRed("j1", short(3))
 	o := r.plan()
 	r.answer(o, OutcomeOK)
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
-	l := r.store(r.core.Claims(r.now))
+	l := r.storeClaims(r.core.Claims(r.now))
 	assert.Assert(t, l.Allocated[service] >= 3000)
 	for i := range o.Starts {
 		r.look("w1", Listing{Ended: []RunEnd{ended(int64(i+1), o.Starts[i], work.Done)}})
@@ -193,55 +193,55 @@
 	r.plan()
 	for range 3 {
 		r.now += reviewEvery
-		l = r.store(r.core.Claims(r.now))
+		l = r.storeClaims(r.core.Claims(r.now))
 	}
 	assert.Equal(t, l.Allocated[service], workspace.Parts(0))
 }
 
-// A successor lends what its predecessor left, as another cell waits for it, and hears in that
-// moment of a run that goes on: what the run holds is kept, though no plan has counted it.
+// A new owner gives parts back that another cell waits for, just after a worker has listed a run of its
+// predecessor. The parts that the run uses must be kept although no plan has counted them yet.
 func TestARunAdoptedSinceTheLastPlanIsNotGivenBack(t *testing.T) {
 	r := newLimitRig(t, 10)
 	r.core.Restore(&JobRecord{Job: &work.Job{ID: "j0", Queue: queue, Workspace: redName, Steps: []work.Step{short(1)}, Accepted: r.wall}}, nil, r.now, r.wall)
 	r.core.SetFleet(nil)
-	r.ledger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
+	r.readLedger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
 	r.plan()
 	r.account().need = 0
 	r.core.WorkerSeen(info("w1"))
 	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
-	l := r.store(r.core.Claims(r.now))
+	l := r.storeClaims(r.core.Claims(r.now))
 	assert.Equal(t, l.Allocated[service], workspace.Parts(1000))
 }
 
-// The change by which a cell gives parts back is not answered. Carried out seconds later, it
-// lets another cell use them: this one may not use them either way, until a change that it is
-// certain of has made the first one void.
+// The transaction by which a cell gives parts back is not answered. It may be applied seconds later and
+// let another cell use the parts. This cell must not use them until a later transaction has been stored,
+// which makes the first one fail.
 func TestWhatIsGivenBackIsNotUsedWhateverTheStoreAnswers(t *testing.T) {
 	r := newLimitRig(t, 10)
 	r.worker("w1")
 	before := workspace.Ledger{
 		Allocated: map[string]workspace.Parts{service: 4000}, UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole},
 	}
-	r.ledger(r.core, before)
+	r.readLedger(r.core, before)
 	r.plan()
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
-	lend := r.core.Claims(r.now)
-	assert.Equal(t, len(lend), 1)
-	assert.Equal(t, lend[0].Usable, workspace.Parts(0))
-	r.core.ClaimFailed(lend[0], true)
+	giveBack := r.core.Claims(r.now)
+	assert.Equal(t, len(giveBack), 1)
+	assert.Equal(t, giveBack[0].Usable, workspace.Parts(0))
+	r.core.ClaimFailed(giveBack[0], true)
 
 	r.acceptRed("j1", short(3))
-	r.ledger(r.core, before) // not carried out yet
+	r.readLedger(r.core, before) // not applied yet
 	assert.Equal(t, len(r.plan().Starts), 0)
-	r.store(r.core.Claims(r.now))
+	r.storeClaims(r.core.Claims(r.now))
 	assert.Equal(t, len(r.plan().Starts), 3)
 }
 
-// The same where there was no ledger, which the first change expects. The change that settles it
-// leaves one though no cell is named any more, and so does every later one: deleted, the key would
-// be absent again, and the first be carried out seconds late.
-func TestALedgerStaysOnceThereWasOne(t *testing.T) {
+// The first transaction expects that there is no ledger, and is not answered. The ledger that a later
+// transaction stores must never be deleted, even once it names no cell: the key would be absent again,
+// and the first transaction could still be applied seconds late.
+func TestALedgerIsNeverDeleted(t *testing.T) {
 	r := newLimitRig(t, 10)
 	r.worker("w1")
 	r.acceptRed("j1", short(8))
@@ -263,7 +263,7 @@
 		r.now += reviewEvery
 		if claims := r.core.Claims(r.now); len(claims) > 0 {
 			last = claims
-			r.store(claims)
+			r.storeClaims(claims)
 		}
 	}
 	assert.Assert(t, last[0].Ledger.Empty())
@@ -274,7 +274,7 @@
 	assert.Assert(t, r.account().rev != 0)
 }
 
-// A gang that is wider than its workspace may ever run must not hold up others of the workspace.
+// A gang that is larger than its workspace's whole limit must not hold up other jobs of the workspace.
 func TestAGangWiderThanTheLimitLetsOthersPass(t *testing.T) {
 	r := newLimitRig(t, 4)
 	for _, id := range []work.WorkerID{"w1", "w2", "w3"} {
@@ -292,7 +292,8 @@
 	assert.Assert(t, e.Steps[0].Limit.Never)
 }
 
-// A limit above what all VMs can run binds nowhere: it costs no call even where one cell runs all.
+// A limit above what all VMs can run can't be reached. It must not cost store transactions even if one
+// cell runs everything.
 func TestALimitAboveTheFleetIsNone(t *testing.T) {
 	r := newLimitRig(t, 10)
 	size := info("w1").Capacity
@@ -309,7 +310,8 @@
 	assert.Equal(t, len(r.core.Claims(r.now)), 0)
 }
 
-// A ledger that another writer overwrote names nobody: the cell goes on with what it had.
+// A malformed ledger, overwritten by another writer, must not change the cell's share. A new owner, which
+// does not know the share, must use none.
 func TestALedgerThatCanNotBeReadChangesNothing(t *testing.T) {
 	r := newLimitRig(t, 10)
 	r.worker("w1")
@@ -318,7 +320,7 @@
 	assert.Equal(t, len(r.plan().Starts), 4)
 	assert.Equal(t, len(r.core.Claims(r.now)), 0)
 	next := NewCore(service, token+1, rigBounds, logr.Discard())
-	r.limit(next, 2, 10)
+	r.declareLimit(next, 2, 10)
 	next.RestoreLedger(infra.KV{Key: infra.WorkLimitKey(string(redName)), Value: []byte("{"), ModRevision: 5})
 	assert.Equal(t, next.limits.account(redName).share(2), workspace.Parts(0), "a successor does not know what it had")
 }
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// CountVMOrder counts an order for a CountVMOrder.
+// CountVMOrder counts an order for a VM under its kind.
 func (m *Metrics) CountVMOrder(kind string) {
 	if m != nil {
 		m.VMOrders.Add(kind, 1)
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -146,8 +146,8 @@
 	o := &modelOwner{core: b.successorWithin(m.token, m.bounds), cut: make(map[work.WorkerID]bool)}
 	o.core.Declare(Declared{Version: 2, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 50}}})
 	if m.limited != nil {
-		m.limited.hear(o)
-		o.core.RestoreLedger(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: m.limited.value, ModRevision: m.limited.rev})
+		m.limited.deliverConfig(o)
+		o.core.RestoreLedger(infra.KV{Key: infra.WorkLimitKey(string(limitedName)), Value: m.limited.ledgerValue, ModRevision: m.limited.ledgerRev})
 	}
 	for _, id := range sorted(m.jobs) {
 		if m.ended[id] == "" {
@@ -285,7 +285,7 @@
 	m.began(w, st.Task, st.Run)
 	w.running[st.Task] = st.Run
 	if m.limited != nil {
-		m.limited.began()
+		m.limited.checkStart()
 	}
 	return OutcomeOK
 }
--- a/internal/engine/weights_test.go
+++ b/internal/engine/weights_test.go
@@ -11,16 +11,17 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// handover is a number of jobs of one task that a workspace hands in at once.
-type handover struct {
+// submission is a number of single-task jobs that a workspace submits at once.
+type submission struct {
 	at   time.Duration
 	name work.WorkspaceName
 	jobs int
 }
 
-// inTime plays the arrivals on a pool of eight tasks of a second each and counts, by workspace,
-// the jobs that end within their objective of 2.2 s.
-func inTime(t *testing.T, workspaces []workspace.Workspace, arrivals []handover) map[work.WorkspaceName]int {
+// countJobsInTime simulates the submissions, in the order of their times, on a pool that runs eight tasks
+// of one second at a time. It returns, by workspace, the number of jobs that end within their objective of
+// 2.2 s.
+func countJobsInTime(t *testing.T, workspaces []workspace.Workspace, arrivals []submission) map[work.WorkspaceName]int {
 	const end, step = 12 * time.Second, 50 * time.Millisecond
 	b := newRig(t)
 	declared := Declared{Version: 2, Queues: b.core.declared.Queues, Services: b.core.declared.Services, Workspaces: make(map[work.WorkspaceName]workspace.Workspace)}
@@ -81,57 +82,58 @@
 	return workspace.Workspace{Name: name, Weight: weight}
 }
 
-// One workspace hands in sixty jobs at once, another four a second: the pool does eight a second.
-// Ordered by age and cost alone, the four wait behind the sixty and are late, all of them; those
-// beyond the first one's weight are late instead.
+// Guards against a workspace that delays all others. One submits sixty jobs at once and another four a
+// second; the pool completes eight a second. Ordered by age and cost alone, the four would all wait behind
+// the sixty and be late. By weight, the first workspace's jobs beyond its weight are late instead.
 func TestAHeavyWorkspaceDoesNotPushOthersOut(t *testing.T) {
-	arrivals := []handover{{0, "heavy", 60}}
+	arrivals := []submission{{0, "heavy", 60}}
 	for s := range 5 {
-		arrivals = append(arrivals, handover{time.Duration(s)*time.Second + 100*time.Millisecond, "light", 4})
+		arrivals = append(arrivals, submission{time.Duration(s)*time.Second + 100*time.Millisecond, "light", 4})
 	}
-	without := inTime(t, []workspace.Workspace{weighted("heavy", 0), weighted("light", 0)}, arrivals)
-	with := inTime(t, []workspace.Workspace{weighted("heavy", 4), weighted("light", 4)}, arrivals)
+	without := countJobsInTime(t, []workspace.Workspace{weighted("heavy", 0), weighted("light", 0)}, arrivals)
+	with := countJobsInTime(t, []workspace.Workspace{weighted("heavy", 4), weighted("light", 4)}, arrivals)
 	assert.Assert(t, with["light"] >= 18, "%d of 20, %d without weights", with["light"], without["light"])
 	assert.Assert(t, with["light"] > without["light"])
 	assert.Assert(t, with["heavy"]+with["light"] >= without["heavy"]+without["light"], "%v, without weights %v", with, without)
 }
 
-// Nobody else has work: what is beyond the weight runs at once, in time.
+// While no other workspace has work, jobs beyond a workspace's weight run at once and in time.
 func TestAnIdleShareIsUsedByOthers(t *testing.T) {
-	got := inTime(t, []workspace.Workspace{weighted("heavy", 1), weighted("light", 100)}, []handover{{0, "heavy", 16}})
+	got := countJobsInTime(t, []workspace.Workspace{weighted("heavy", 1), weighted("light", 100)}, []submission{{0, "heavy", 16}})
 	assert.Equal(t, got["heavy"], 16)
 }
 
-// A workspace comes back after seconds without work, as another one fills the pool beyond its
-// weight: it is served from the next plan on.
+// A workspace that submits jobs again after seconds without work must be served from the next plan on,
+// although another one fills the pool beyond its weight.
 func TestAWorkspaceThatComesBackHasItsShareAtOnce(t *testing.T) {
-	got := inTime(t, []workspace.Workspace{weighted("heavy", 2), weighted("light", 8)}, []handover{
+	got := countJobsInTime(t, []workspace.Workspace{weighted("heavy", 2), weighted("light", 8)}, []submission{
 		{0, "light", 4}, {2 * time.Second, "heavy", 60}, {5 * time.Second, "light", 8},
 	})
 	assert.Equal(t, got["light"], 12)
 }
 
-// Twenty workspaces come at once, each within its weight: what fits is served, whosever it is.
+// Twenty workspaces submit jobs at once, each within its weight. As many jobs end in time as the pool can
+// run, whichever workspaces they belong to.
 func TestTwentyWorkspacesAtOnce(t *testing.T) {
 	var workspaces []workspace.Workspace
-	var arrivals []handover
+	var arrivals []submission
 	for i := range 20 {
 		name := work.WorkspaceName(fmt.Sprintf("w%02d", i))
 		workspaces = append(workspaces, weighted(name, 1+i%5))
-		arrivals = append(arrivals, handover{0, name, 1})
+		arrivals = append(arrivals, submission{0, name, 1})
 	}
 	total := 0
-	for _, n := range inTime(t, workspaces, arrivals) {
+	for _, n := range countJobsInTime(t, workspaces, arrivals) {
 		total += n
 	}
 	assert.Equal(t, total, 16, "two rounds of the pool")
 }
 
-// A limit and a weight together: the heavy one is held to its limit, and what it leaves serves
-// the other in time.
+// With a limit and a weight together, the heavy workspace is kept within its limit, and the capacity that
+// it leaves serves the other one in time.
 func TestLimitsAndSharesTogether(t *testing.T) {
 	heavy := weighted("heavy", 100)
 	heavy.Limit = short(1).Size.Times(3)
-	got := inTime(t, []workspace.Workspace{heavy, weighted("light", 4)}, []handover{{0, "heavy", 40}, {time.Second, "light", 4}, {2 * time.Second, "light", 4}})
+	got := countJobsInTime(t, []workspace.Workspace{heavy, weighted("light", 4)}, []submission{{0, "heavy", 40}, {time.Second, "light", 4}, {2 * time.Second, "light", 4}})
 	assert.Equal(t, got["light"], 8)
 }
