--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -18,14 +18,14 @@
 type limitWorld struct {
 	m *model
 
-	limits []limitChange // oldest first
-	ledgerValue  []byte        // of the ledger
-	ledgerRev    infra.Revision
-	lastRev   infra.Revision
-
-	otherUse workspace.Parts // parts that the other cell may use
-	aboveLimit   int             // starts above the limit, but within the tolerance of checkStart
-	starts   int
+	limits      []limitChange // oldest first
+	ledgerValue []byte        // of the ledger
+	ledgerRev   infra.Revision
+	lastRev     infra.Revision
+
+	otherUse   workspace.Parts // parts that the other cell may use
+	aboveLimit int             // starts above the limit, but within the tolerance of checkStart
+	starts     int
 }
 
 type limitChange struct {
@@ -172,7 +172,8 @@
 	w.ledgerValue, w.ledgerRev = raw, w.lastRev
 }
 
-// claimForOtherCell has the claimForOtherCell cell claim, or give back what it does not use.
+// claimForOtherCell has the other cell claim parts for a random need, or give all back once the world is
+// calm.
 func (w *limitWorld) claimForOtherCell() {
 	var l workspace.Ledger
 	if w.ledgerRev != 0 {
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -34,7 +34,7 @@
 	return c
 }
 
-// declareLimit declares a declareLimit of so many tasks of short's size.
+// declareLimit declares a limit that so many tasks of short's size fit into.
 func (r *limitRig) declareLimit(c *Core, version, tasks int64) {
 	c.Declare(Declared{
 		Version: version, Queues: c.declared.Queues,
@@ -48,8 +48,8 @@
 	r.core.Accept(&work.Job{ID: id, Queue: queue, Workspace: redName, Spec: "spec", Steps: steps, Accepted: r.wall}, r.core.declared.Queues[queue], r.now)
 }
 
-// storeClaims stores the claims and returns the ledger of the last one.
-func (r *limitRig) storeClaims(claims []shareClaim) workspace.Ledger {
+// applyClaims stores the claims and returns the ledger of the last one.
+func (r *limitRig) applyClaims(claims []shareClaim) workspace.Ledger {
 	var last workspace.Ledger
 	for _, claim := range claims {
 		r.rev++
@@ -59,7 +59,7 @@
 	return last
 }
 
-// readLedger has the core read the readLedger.
+// readLedger has the core read l as the stored ledger.
 func (r *limitRig) readLedger(c *Core, l workspace.Ledger) {
 	raw, err := json.Marshal(l)
 	assert.NilError(r.t, err)
@@ -80,12 +80,12 @@
 	assert.Equal(t, len(r.plan().Starts), 4, "the even share of one of two cells: half of nine tenths of the limit")
 	claims := r.core.Claims(r.now)
 	assert.Equal(t, len(claims), 1)
-	r.storeClaims(claims)
+	r.applyClaims(claims)
 	assert.Equal(t, len(r.plan().Starts), 1, "what no cell has is available at once")
 	assert.Assert(t, r.account().ledger.UnmetNeeds[service] > 0, "the other cell is asked to give parts back")
 	r.readLedger(r.core, workspace.Ledger{Allocated: map[string]workspace.Parts{service: 5500, otherCell: 0}})
 	r.now += reviewEvery
-	r.storeClaims(r.core.Claims(r.now))
+	r.applyClaims(r.core.Claims(r.now))
 	assert.Equal(t, len(r.plan().Starts), 5)
 	assert.Equal(t, len(r.plan().Starts), 0)
 	assert.Equal(t, r.account().used, short(10).Size.Times(10))
@@ -184,7 +184,7 @@
 	o := r.plan()
 	r.answer(o, OutcomeOK)
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
-	l := r.storeClaims(r.core.Claims(r.now))
+	l := r.applyClaims(r.core.Claims(r.now))
 	assert.Assert(t, l.Allocated[service] >= 3000)
 	for i := range o.Starts {
 		r.look("w1", Listing{Ended: []RunEnd{ended(int64(i+1), o.Starts[i], work.Done)}})
@@ -193,7 +193,7 @@
 	r.plan()
 	for range 3 {
 		r.now += reviewEvery
-		l = r.storeClaims(r.core.Claims(r.now))
+		l = r.applyClaims(r.core.Claims(r.now))
 	}
 	assert.Equal(t, l.Allocated[service], workspace.Parts(0))
 }
@@ -210,7 +210,7 @@
 	r.core.WorkerSeen(info("w1"))
 	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
-	l := r.storeClaims(r.core.Claims(r.now))
+	l := r.applyClaims(r.core.Claims(r.now))
 	assert.Equal(t, l.Allocated[service], workspace.Parts(1000))
 }
 
@@ -234,7 +234,7 @@
 	r.acceptRed("j1", short(3))
 	r.readLedger(r.core, before) // not applied yet
 	assert.Equal(t, len(r.plan().Starts), 0)
-	r.storeClaims(r.core.Claims(r.now))
+	r.applyClaims(r.core.Claims(r.now))
 	assert.Equal(t, len(r.plan().Starts), 3)
 }
 
@@ -263,7 +263,7 @@
 		r.now += reviewEvery
 		if claims := r.core.Claims(r.now); len(claims) > 0 {
 			last = claims
-			r.storeClaims(claims)
+			r.applyClaims(claims)
 		}
 	}
 	assert.Assert(t, last[0].Ledger.Empty())
