--- a/internal/engine/behind_test.go
+++ b/internal/engine/behind_test.go
@@ -25,21 +25,21 @@
 	vm := &pressed{behind: time.Second}
 	e.Pressure = vm
 	e.Workers = silentWorkers{}
-	e.core.WorkerSeen(info("w1"))
+	e.core.WorkerRegistered(info("w1"))
 	e.core.AllowUntil(time.Hour)
 	s := newSession(e, "w1")
 	w := e.core.workers["w1"]
 	poll := func() {
-		worker, h, due := e.core.HoldFor("w1", e.Clock.Now())
+		worker, h, due := e.core.NextPoll("w1", e.Clock.Now())
 		assert.Assert(t, due)
 		assert.Equal(t, s.poll(t.Context(), &worker, h), false)
 	}
 	poll()
-	assert.Equal(t, w.missed, 0)
-	assert.Equal(t, pauseAfter(e.missed("w1"), time.Second), time.Second, "polls without a pause would keep it behind")
+	assert.Equal(t, w.missedPolls, 0)
+	assert.Equal(t, pauseAfterMissed(e.missedPolls("w1"), time.Second), time.Second, "polls without a pause would keep it behind")
 	vm.behind = 0
 	poll()
-	assert.Equal(t, w.missed, 1, "one that keeps up knows that the worker did not answer")
+	assert.Equal(t, w.missedPolls, 1, "one that keeps up knows that the worker did not answer")
 }
 
 // silentWorkers do not answer. Who asks has given up at once, so that no test waits.
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -24,8 +24,8 @@
 		id := work.WorkerID(fmt.Sprintf("w%d", i))
 		w := info(id)
 		w.Capacity = work.Resources{MilliCPU: 32000, MemoryMB: 65536}
-		c.WorkerSeen(w)
-		c.HoldAnswered(id, Hold{}, Listing{Clock: now}, now, now)
+		c.WorkerRegistered(w)
+		c.PollAnswered(id, Hold{}, Listing{Clock: now}, now, now)
 	}
 	for i := range jobs {
 		second := short(8)
@@ -143,7 +143,7 @@
 			if i%3 != polled {
 				continue
 			}
-			_, h, due := c.HoldFor(id, now)
+			_, h, due := c.NextPoll(id, now)
 			if !due {
 				continue
 			}
@@ -157,7 +157,7 @@
 				l.Ended = append(l.Ended, RunEnd{Seq: seq[id], Task: ref, Run: r.Run, How: work.Done})
 				delete(running[id], ref)
 			}
-			c.HoldAnswered(id, h, l, now, now)
+			c.PollAnswered(id, h, l, now, now)
 		}
 		f := c.TakeFlush(30)
 		c.Flushed(f, nil)
@@ -172,13 +172,13 @@
 	for range 8 {
 		now += time.Millisecond
 		for _, s := range c.Plan(now, epoch).Starts {
-			c.StartLeaves(s, now)
+			c.StartSending(s, now)
 			c.StartAnswered(s, OutcomeOK, now, now)
 		}
 	}
 	now += time.Minute
 	for id := range c.workers {
-		c.workers[id].clockSaid(now, now)
+		c.workers[id].observeClock(now, now)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -194,15 +194,15 @@
 		c.WorkerGone(id, "its VM has another life or none", now)
 		b.StopTimer()
 		fresh.Capacity = work.Resources{MilliCPU: 32000, MemoryMB: 65536}
-		c.WorkerSeen(fresh)
-		c.HoldAnswered(fresh.ID, Hold{}, Listing{Clock: now}, now, now)
+		c.WorkerRegistered(fresh)
+		c.PollAnswered(fresh.ID, Hold{}, Listing{Clock: now}, now, now)
 		now += time.Second
 		for _, s := range c.Plan(now, epoch).Starts {
-			c.StartLeaves(s, now)
+			c.StartSending(s, now)
 			c.StartAnswered(s, OutcomeOK, now, now)
 		}
 		for id := range c.workers {
-			c.workers[id].clockSaid(now+time.Second, now+time.Second)
+			c.workers[id].observeClock(now+time.Second, now+time.Second)
 		}
 		now += time.Second
 		b.StartTimer()
--- a/internal/engine/core_test.go
+++ b/internal/engine/core_test.go
@@ -102,16 +102,16 @@
 	h := b.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
 	assert.Assert(t, h.Deadline > 0)
 	b.worker("w2")
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
-	until := b.now + LeaseAhead + time.Duration(float64(LeaseAhead)*clockError)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
+	until := b.now + LeaseExtension + time.Duration(float64(LeaseExtension)*maxClockDrift)
 	for b.now < until {
 		assert.Equal(t, len(b.plan().Starts), 0, "at %s", until-b.now)
-		if _, h, due := b.core.HoldFor("w1", b.now); due {
+		if _, h, due := b.core.NextPoll("w1", b.now); due {
 			assert.Equal(t, h.Deadline, time.Duration(0), "no extension without an answer")
 		}
 		b.now += 50 * time.Millisecond
 	}
-	b.now += expirySlack
+	b.now += expiryMargin
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
@@ -266,11 +266,11 @@
 	b.running(short(1), "w1")
 	odd := info("w1")
 	odd.Unreadable = true
-	b.core.WorkerSeen(odd)
+	b.core.WorkerRegistered(odd)
 	b.accept("j2", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
-	_, _, polled := b.core.HoldFor("w1", b.now)
+	_, _, polled := b.core.NextPoll("w1", b.now)
 	assert.Assert(t, polled, "its running task keeps its lease")
-	b.core.WorkerSeen(info("w1"))
+	b.core.WorkerRegistered(info("w1"))
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -51,7 +51,7 @@
 }
 
 func (b *rig) worker(id work.WorkerID) {
-	b.core.WorkerSeen(info(id))
+	b.core.WorkerRegistered(info(id))
 	b.look(id, Listing{})
 }
 
@@ -63,9 +63,9 @@
 func (b *rig) look(id work.WorkerID, l Listing) Hold {
 	b.t.Helper()
 	b.now += time.Millisecond
-	_, h, _ := b.core.HoldFor(id, b.now)
+	_, h, _ := b.core.NextPoll(id, b.now)
 	l.Clock = b.now
-	b.core.HoldAnswered(id, h, l, b.now, b.now)
+	b.core.PollAnswered(id, h, l, b.now, b.now)
 	return h
 }
 
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -168,7 +168,7 @@
 func (c *Core) orphanedUsage() map[work.WorkspaceName]work.Resources {
 	out := make(map[work.WorkspaceName]work.Resources)
 	for _, w := range c.workers {
-		for ref := range w.strays {
+		for ref := range w.orphanedRuns {
 			if t := c.find(ref); t != nil && t.where != w {
 				name := t.step.job.Workspace
 				out[name] = out[name].Plus(t.step.spec.Size)
@@ -213,7 +213,7 @@
 		}
 	}
 	for _, w := range c.workers {
-		if !w.heard {
+		if !w.contacted {
 			capacity = capacity.Plus(w.info.Capacity)
 		}
 	}
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -41,7 +41,7 @@
 
 // maxLimitAge is how long after a change of the limit a task may still be started under the previous one:
 // until the new limit must be in force, plus the time from an order to the worker's deadline for it.
-const maxLimitAge = configWithin + startAhead
+const maxLimitAge = configWithin + startValidity
 
 // limitedStep returns a step of small tasks, many of which fit on a worker.
 func limitedStep(count int) work.Step {
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -145,10 +145,10 @@
 	old := &JobRecord{Job: &work.Job{ID: "j0", Queue: queue, Workspace: redName, Steps: []work.Step{short(3)}, Accepted: r.wall}}
 	next := r.limitedCore(token+1, 8)
 	next.Restore(old, nil, r.now, r.wall)
-	next.Inherit(r.now + inheritedFor())
+	next.InheritLeases(r.now + inheritedFor())
 	next.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
 	r.core = next
-	next.WorkerSeen(info("w1"))
+	next.WorkerRegistered(info("w1"))
 	r.worker("w2")
 	r.acceptRed("j1", short(4))
 	assert.Equal(t, len(r.plan().Starts), 0, "three may run on w1, and the cell's share is three")
@@ -169,7 +169,7 @@
 	assert.Equal(t, len(r.plan().Starts), 0)
 	r.look("w1", Listing{Running: []Run{run(o.Starts[0])}, Ended: []RunEnd{ended(1, o.Starts[1], work.Stopped), ended(2, o.Starts[2], work.Stopped)}})
 	assert.Equal(t, len(r.plan().Starts), 2)
-	r.core.workers["w1"].strayed(o.Starts[1].Start.Task, 1)
+	r.core.workers["w1"].markOrphaned(o.Starts[1].Start.Task, 1)
 	r.core.beginPlanAccounting(r.now)
 	assert.Equal(t, r.account().remaining.MilliCPU, short(1).Size.MilliCPU*36/10-4*short(1).Size.MilliCPU)
 }
@@ -207,7 +207,7 @@
 	r.readLedger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
 	r.plan()
 	r.account().need = 0
-	r.core.WorkerSeen(info("w1"))
+	r.core.WorkerRegistered(info("w1"))
 	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
 	r.core.LookAtLimits([]work.WorkspaceName{redName})
 	l := r.applyClaims(r.core.Claims(r.now))
--- a/internal/engine/listing.go
+++ b/internal/engine/listing.go
@@ -9,43 +9,44 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// WorkerSeen takes a worker's registration over. The entry of a life that is
-// over may stay for some seconds, beside that of another life at the same address:
-// which of them is over only the worker itself and the platform's list can say. ask reports
-// that the worker is to be polled to tell.
-func (c *Core) WorkerSeen(info WorkerInfo) (ask bool) {
-	if c.isOver(info.ID, info.Life) {
+// WorkerRegistered records a worker's registration. The registration of an incarnation that
+// has ended may remain for some seconds, beside that of another one at the same address; only
+// the worker itself and the platform's list of VMs can tell which of them has ended. ask
+// reports that the worker is to be polled to find out.
+func (c *Core) WorkerRegistered(info WorkerInfo) (ask bool) {
+	if c.hasEnded(info.ID, info.Life) {
 		return false
 	}
 	w := c.workers[info.ID]
 	switch {
 	case w == nil:
-		c.join(info)
+		c.addWorker(info)
 	case info.Life == 0 || w.info.Life == 0 || info.Life == w.info.Life:
 		if info.Life == 0 {
 			info.Life = w.info.Life
 		}
-		w.info, w.unregistered, w.next = info, false, nil
+		w.info, w.unregistered, w.nextIncarnation = info, false, nil
 	default:
-		ask = w.next == nil
-		w.next = &info
+		ask = w.nextIncarnation == nil
+		w.nextIncarnation = &info
 	}
 	return ask
 }
 
-// Inherit says until when, on our clock, an earlier owner may have extended the
-// leases of workers. It also holds for workers that register later: the entry of
-// one that lives may have lapsed while the store was away.
-func (c *Core) Inherit(until time.Duration) {
+// InheritLeases sets the time, on the owner's clock, until which an earlier owner may have
+// extended the leases of workers. It also applies to workers that register later: the
+// registration of a running worker may have expired while the store was unavailable.
+func (c *Core) InheritLeases(until time.Duration) {
 	c.inherited = until
 	for _, w := range c.workers {
-		w.inherited = until
+		w.inheritedUntil = until
 	}
 }
 
-// ranOut handles the end of a run that did no work to its end.
-func (c *Core) ranOut(t *task, now time.Duration) {
-	c.clearCrashes(t)
+// handleIncompleteRun handles the end of a run that did not complete its task. The task is
+// queued again, unless its job has ended.
+func (c *Core) handleIncompleteRun(t *task, now time.Duration) {
+	c.clearDisprovenCrashes(t)
 	t.trial = 0
 	if t.step.job.final != "" {
 		c.release(t)
@@ -55,75 +56,77 @@
 	c.requeue(t)
 }
 
-// HoldFor returns the next poll of the worker, or false where none is needed.
-func (c *Core) HoldFor(id work.WorkerID, now time.Duration) (WorkerInfo, Hold, bool) {
+// NextPoll returns the next poll of the worker; false if none is needed.
+func (c *Core) NextPoll(id work.WorkerID, now time.Duration) (WorkerInfo, Hold, bool) {
 	w := c.workers[id]
 	if w == nil || w.gone || now > c.startsUntil {
 		return WorkerInfo{}, Hold{}, false
 	}
-	if w.heard && len(w.tasks) == 0 && len(w.strays) == 0 && w.acked >= w.seen && w.missed == 0 && !w.unlisted && w.next == nil {
+	if w.contacted && len(w.tasks) == 0 && len(w.orphanedRuns) == 0 && w.acked >= w.seen && w.missedPolls == 0 && !w.unlisted && w.nextIncarnation == nil {
 		return WorkerInfo{}, Hold{}, false
 	}
 	h := Hold{Token: c.token}
-	if !w.mayReachNext() {
+	if !w.mayReachNextIncarnation() {
 		h.AckedThrough = w.stored
 	}
-	if w.next != nil {
-		h.next = w.next.Life
+	if w.nextIncarnation != nil {
+		h.next = w.nextIncarnation.Life
 	}
-	if !w.heard {
+	if !w.contacted {
 		return w.info, h, true
 	}
 	if len(w.tasks) > 0 {
 		h.Wait = w.wait()
 	}
-	// After a lost answer the next is to tell at once whether the worker lives: until then
-	// nothing starts there.
-	if w.missed > 0 {
-		h.Wait = min(h.Wait, pollSoon)
+	// After a missed poll, the next one is to tell at once whether the worker is alive: until
+	// then nothing starts there.
+	if w.missedPolls > 0 {
+		h.Wait = min(h.Wait, pollWaitMin)
 	}
-	// A worker that did not answer gets no further extension: what it runs
-	// must be certain to end, so that it can start elsewhere.
-	if len(w.tasks) > 0 && w.missed == 0 {
-		h.Deadline = w.clockNow(now) + min(LeaseAhead, c.bounds.MaxHold)
+	// A worker that missed a poll gets no further extension: its runs must be certain to end,
+	// so that their tasks can start elsewhere.
+	if len(w.tasks) > 0 && w.missedPolls == 0 {
+		h.Deadline = w.clockNow(now) + min(LeaseExtension, c.bounds.MaxHold)
 		w.deadline = max(w.deadline, h.Deadline)
 	}
-	// These waits mean that the list is to settle or to pace something.
-	h.Brief = polling.Brief(now-w.listedAt, h.Wait == pollSoon || h.Wait == serveWait || w.missed > 0)
+	// With these waits the full listing is needed, to resolve the state of a run or for
+	// pacing.
+	h.Brief = polling.Brief(now-w.listedAt, h.Wait == pollWaitMin || h.Wait == pollWaitServing || w.missedPolls > 0)
 	return w.info, h, true
 }
 
+// wait returns how long the answer to the next poll may wait for the end of a run.
 func (w *worker) wait() time.Duration {
-	serving, filling, short := false, false, false
-	if len(w.strays) > 0 {
-		return pollSoon
+	serving, bestEffort, short := false, false, false
+	if len(w.orphanedRuns) > 0 {
+		return pollWaitMin
 	}
 	for _, t := range w.tasks {
 		if t.state == taskDoubtful || t.state == taskStopping {
-			return pollSoon
+			return pollWaitMin
 		}
 		serving = serving || t.step.spec.Serving()
-		filling = filling || t.step.spec.BestEffort
+		bestEffort = bestEffort || t.step.spec.BestEffort
 		short = short || !t.step.spec.LongRunning
 	}
 	switch {
-	case w.tries((*task).suspect):
-		return pollSoon
-	case serving && filling:
-		return serveWait
+	case w.runsTrial((*task).suspect):
+		return pollWaitMin
+	case serving && bestEffort:
+		return pollWaitServing
 	case short:
-		return pollWaitShort
+		return pollWaitShortTasks
 	}
 	return pollWait
 }
 
-// HoldUnread notes a poll whose answer did not come while this owner was behind its work:
-// it may lie here unread, and says nothing of the worker. Taken for silent, the worker
-// would not have its lease extended, and its work would end.
-func (c *Core) HoldUnread() { c.unread++ }
+// PollUnread counts a poll that was not answered in time while this owner was overloaded. The
+// answer may have arrived and not been read, so nothing follows about the worker. Taken for
+// silent, the worker would not have its lease extended, and its runs would end.
+func (c *Core) PollUnread() { c.unread++ }
 
-// HoldFailed notes a poll that was not answered.
-func (c *Core) HoldFailed(id work.WorkerID, o Outcome, now time.Duration) {
+// PollFailed records a poll that brought no listing, with its outcome o.
+func (c *Core) PollFailed(id work.WorkerID, o Outcome, now time.Duration) {
 	w := c.workers[id]
 	if w == nil {
 		return
@@ -133,33 +136,33 @@
 		c.deposed = true
 		return
 	case OutcomeOtherLife:
-		c.WorkerGone(id, "another life answers", now)
+		c.WorkerGone(id, "another incarnation answers", now)
 		return
 	}
-	w.missed++
-	c.fellSilent(w, now)
-	if w.missed == 1 && len(w.tasks) > 0 {
+	w.missedPolls++
+	c.markSilent(w, now)
+	if w.missedPolls == 1 && len(w.tasks) > 0 {
 		c.log.Info("worker does not answer", "worker", id, "tasks", len(w.tasks), "outcome", o.String())
 	}
 	c.Expire(now)
 }
 
-// Expire restarts what unreachable workers ran, once it is certain to be over.
+// Expire queues the tasks of unreachable workers again, once their leases are certain to have
+// ended.
 func (c *Core) Expire(now time.Duration) {
 	if !c.certain {
 		return
 	}
 	for _, w := range c.workers {
-		if w.missed > 0 && len(w.tasks)+len(w.strays) > 0 && w.expired(now) {
+		if w.missedPolls > 0 && len(w.tasks)+len(w.orphanedRuns) > 0 && w.expired(now) {
 			c.log.Info("leases of an unreachable worker have run out", "worker", w.info.ID, "tasks", len(w.tasks))
 			c.dropTasks(w, lossLease, now)
 		}
 	}
 }
 
-// HoldAnswered takes a worker's answer over. sent is when the poll was sent and
-// h what it carried.
-func (c *Core) HoldAnswered(id work.WorkerID, h Hold, l Listing, sent, now time.Duration) {
+// PollAnswered records a worker's answer l to the poll h, which was sent at sent.
+func (c *Core) PollAnswered(id work.WorkerID, h Hold, l Listing, sent, now time.Duration) {
 	w := c.workers[id]
 	if w == nil {
 		return
@@ -167,96 +170,97 @@
 	c.now = now
 	if l.Life != 0 && l.Life != w.info.Life {
 		switch {
-		case c.isOver(id, l.Life):
+		case c.hasEnded(id, l.Life):
 			return
 		case w.info.Life == 0:
 			w.info.Life = l.Life
 		default:
-			w = c.startedAgain(w, l.Life, now)
-			h.AckedThrough = 0 // counts the ends of the life before
+			w = c.workerRestarted(w, l.Life, now)
+			h.AckedThrough = 0 // it counts the ends of the previous incarnation
 		}
 	}
-	// The registration was there before this answer was asked for: its life was an earlier one.
-	if w.next != nil && l.Life == w.info.Life && h.next == w.next.Life {
-		c.over[id] = append(c.over[id], w.next.Life)
-		w.next = nil
+	// That registration was known before this poll was sent, so it is of an earlier
+	// incarnation.
+	if w.nextIncarnation != nil && l.Life == w.info.Life && h.next == w.nextIncarnation.Life {
+		c.over[id] = append(c.over[id], w.nextIncarnation.Life)
+		w.nextIncarnation = nil
 	}
-	w.clockSaid(l.Clock, now)
+	w.observeClock(l.Clock, now)
 	w.acked = max(w.acked, h.AckedThrough)
-	if !w.heard {
-		c.log.Info("worker heard", "worker", id, "service", w.info.Service, "running", len(l.Running), "ended", len(l.Ended))
-	} else if w.missed > 0 {
-		c.log.Info("worker answers again", "worker", id, "missed", w.missed)
+	if !w.contacted {
+		c.log.Info("first answer from worker", "worker", id, "service", w.info.Service, "running", len(l.Running), "ended", len(l.Ended))
+	} else if w.missedPolls > 0 {
+		c.log.Info("worker answers again", "worker", id, "missed", w.missedPolls)
 	}
-	if !w.heard {
+	if !w.contacted {
 		w.emptySince = now
 	}
-	w.lapsed = nil
-	w.unsure = (w.unsure || !w.heard) && !c.certain
-	w.heard, w.unlisted = true, false
-	w.missed, w.silentSince = 0, 0
+	w.expiredRuns = nil
+	w.ownershipUncertain = (w.ownershipUncertain || !w.contacted) && !c.certain
+	w.contacted, w.unlisted = true, false
+	w.missedPolls, w.silentSince = 0, 0
 	for i := range l.Ended {
 		if e := &l.Ended[i]; e.Seq > w.seen {
 			w.seen = e.Seq
-			c.ended(w, e, now)
+			c.handleEnd(w, e, now)
 		}
 	}
 	if !l.Brief {
 		w.listedAt = sent
-		c.listed(w, l.Running, sent, now)
+		c.reconcileRunning(w, l.Running, sent, now)
 	}
 }
 
-// listed compares what runs with what should.
-func (c *Core) listed(w *worker, running []Run, sent, now time.Duration) {
+// reconcileRunning compares the runs that a worker listed with those that it should have.
+func (c *Core) reconcileRunning(w *worker, running []Run, sent, now time.Duration) {
 	present := make(map[work.TaskRef]int, len(running))
 	for i := range running {
 		present[running[i].Task] = running[i].Run
-		c.runs(w, &running[i], now)
+		c.observeRun(w, &running[i], now)
 	}
 	for ref, t := range w.tasks {
 		if present[ref] != t.run {
-			c.notListed(t, sent, now)
+			c.handleUnlistedTask(t, sent, now)
 		}
 	}
-	for ref, s := range w.strays {
+	for ref, s := range w.orphanedRuns {
 		if _, runs := present[ref]; !runs && s.stopOK != 0 && s.stopOK < sent {
-			delete(w.strays, ref)
+			delete(w.orphanedRuns, ref)
 		}
 	}
 }
 
-// runs takes one listed run over.
-func (c *Core) runs(w *worker, r *Run, now time.Duration) {
+// observeRun takes over one run that a worker listed.
+func (c *Core) observeRun(w *worker, r *Run, now time.Duration) {
 	t := c.find(r.Task)
 	if t == nil || t.state == taskDone {
-		w.strayed(r.Task, r.Run)
+		w.markOrphaned(r.Task, r.Run)
 		return
 	}
 	if t.where == nil && t.run <= r.Run || t.where != nil && t.where != w && t.run < r.Run {
 		if t.step.job.final != "" {
-			w.strayed(r.Task, r.Run)
+			w.markOrphaned(r.Task, r.Run)
 			return
 		}
-		// An earlier owner's run, or one that was thought lost. Of two, the
-		// higher: it was ordered after the other had been settled.
+		// An earlier owner started the run, or it was thought lost. Of two runs, the one with
+		// the higher number counts: it was started after the other had been settled.
 		if t.where != nil {
-			t.where.strayed(t.ref, t.run)
+			t.where.markOrphaned(t.ref, t.run)
 		}
 		c.clearPresumed(t, r.Run)
 		if t.suspect() {
-			c.askTrial(t) // it goes on, and may crash the worker yet
+			c.requestTrial(t) // the run goes on, and may still crash the worker
 		}
 		c.log.Info("run adopted", "task", r.Task.String(), "run", r.Run, "worker", w.info.ID)
-		delete(w.strays, r.Task)
+		delete(w.orphanedRuns, r.Task)
 		c.attach(t, w, r.Run, taskActive, now)
-		t.stopsOver = now + c.bounds.StopGrace + expirySlack
+		t.stopsOver = now + c.bounds.StopGrace + expiryMargin
 		if t.step.spec.LongRunning && r.Percent >= fullPercent {
 			t.ranBefore = crashes.ClearedAfter
 		}
 	}
 	if t.where != w || t.run != r.Run {
-		w.strayed(r.Task, r.Run)
+		w.markOrphaned(r.Task, r.Run)
 		return
 	}
 	if t.state == taskStarting || t.state == taskDoubtful {
@@ -266,7 +270,7 @@
 	if r.Checkpoint != "" {
 		t.checkpoint, t.savedRun = r.Checkpoint, r.Run
 	}
-	c.clearCrashes(t)
+	c.clearDisprovenCrashes(t)
 	t.listedAt = now
 	if r.Percent != t.percent {
 		t.percent, t.movedAt = r.Percent, now
@@ -274,33 +278,33 @@
 	t.gauge = r.Gauge
 }
 
-// notListed handles a task that should be there by our books and is neither
-// listed as running nor as ended. A poll that left before the worker answered
-// the start proves nothing: answers overtake each other.
-func (c *Core) notListed(t *task, sent, now time.Duration) {
+// handleUnlistedTask handles a task that is recorded on the worker, but is listed neither as
+// running nor as ended. A poll that was sent before the worker answered the start proves
+// nothing: answers may overtake each other.
+func (c *Core) handleUnlistedTask(t *task, sent, now time.Duration) {
 	switch t.state {
 	case taskActive:
 		if t.answered < sent {
-			c.log.Info("run vanished", "task", t.ref.String(), "run", t.run)
-			c.ranOut(t, now)
+			c.log.Info("run missing from its worker's listing", "task", t.ref.String(), "run", t.run)
+			c.handleIncompleteRun(t, now)
 		}
 	case taskDoubtful:
-		// It may yet start: the stop makes the worker reject it.
+		// It may still start: the stop makes the worker reject it.
 		if t.answered < sent {
 			t.step.set(t, taskStopping)
 		}
 	case taskStopping:
-		// Not at the stop's answer: a run goes on for a while after it.
+		// The answer to the stop is not enough: a run goes on for a while after it.
 		if t.stopOK != 0 && t.stopOK < sent {
-			c.ranOut(t, now)
+			c.handleIncompleteRun(t, now)
 		}
 	}
 }
 
-// ended takes one end over. Its effect must be stored before it is acknowledged.
-func (c *Core) ended(w *worker, e *RunEnd, now time.Duration) {
-	if s := w.strays[e.Task]; s != nil && s.run <= e.Run {
-		delete(w.strays, e.Task)
+// handleEnd processes the end of a run. Its effect must be stored before it is acknowledged.
+func (c *Core) handleEnd(w *worker, e *RunEnd, now time.Duration) {
+	if s := w.orphanedRuns[e.Task]; s != nil && s.run <= e.Run {
+		delete(w.orphanedRuns, e.Task)
 	}
 	c.endings++
 	w.unstored = append(w.unstored, endMark{seq: e.Seq, at: c.endings})
@@ -323,19 +327,21 @@
 	default:
 		if current {
 			c.log.V(1).Info("run ended", "task", t.ref.String(), "run", e.Run, "how", e.How, "worker", w.info.ID)
-			c.ranOut(t, now)
+			c.handleIncompleteRun(t, now)
 		}
 	}
 }
 
+// taskDone processes the end of a run that did its work. current reports that it is the run
+// recorded for the task.
 func (c *Core) taskDone(w *worker, t *task, e *RunEnd, current bool, now time.Duration) {
-	w.strikes.success()
+	w.failures.recordSuccess()
 	if t.state == taskDone {
 		return
 	}
 	if t.step.spec.LongRunning {
 		if current {
-			c.ranOut(t, now)
+			c.handleIncompleteRun(t, now)
 		}
 		return
 	}
@@ -344,7 +350,7 @@
 		c.learned.learn(t.step, now-t.answered)
 	}
 	if t.step.spec.Gang {
-		// One member's end stands for all of its run.
+		// The end of one member stands for the same run of all members.
 		for _, member := range t.step.tasks {
 			c.markDone(member, e.Run)
 		}
@@ -355,21 +361,21 @@
 	c.advance(t.step.job)
 }
 
-// markDone ends the task. Where a run other than the one that ended goes on, it
-// becomes a stray, which is stopped.
+// markDone marks the task as done. If a run other than the one that ended goes on, it becomes
+// an orphaned run, which is stopped.
 func (c *Core) markDone(t *task, endedRun int) {
 	if t.state == taskDone {
 		return
 	}
 	if t.where != nil && t.run != endedRun {
-		t.where.strayed(t.ref, t.run)
+		t.where.markOrphaned(t.ref, t.run)
 	}
 	c.release(t)
 	t.step.set(t, taskDone)
 	c.touch(t.step.job)
 }
 
-// advance ends occurrences and the job where all is done.
+// advance removes finished occurrences, and completes the job when none is left.
 func (c *Core) advance(j *job) {
 	if j.final != "" {
 		return
@@ -386,22 +392,24 @@
 	}
 }
 
-// Pauses between starts of a lasting task that fails again and again.
+// Pauses between starts of a long-running task that fails repeatedly.
 const (
-	firstPause = 50 * time.Millisecond
-	mostPause  = 800 * time.Millisecond
+	initialRestartPause = 50 * time.Millisecond
+	maxRestartPause     = 800 * time.Millisecond
 )
 
+// taskFailed processes the end of a run that failed. Each run counts once. current reports
+// that it is the run recorded for the task.
 func (c *Core) taskFailed(w *worker, t *task, e *RunEnd, current bool, now time.Duration) {
 	if slices.Contains(t.failed, e.Run) {
 		return
 	}
 	c.log.Info("run failed", "task", t.ref.String(), "run", e.Run, "worker", w.info.ID, "failures", len(t.failed)+1)
-	w.strikes.failure(t.ref.Job, now)
+	w.failures.recordFailure(t.ref.Job, now)
 	t.failed = append(t.failed, e.Run)
 	t.avoid = append(t.avoid, w.info.ID)
 	if current {
-		c.ranOut(t, now)
+		c.handleIncompleteRun(t, now)
 	}
 	j := t.step.job
 	if j.final != "" || t.state == taskDone {
@@ -409,7 +417,7 @@
 	}
 	c.touch(j)
 	if t.step.spec.LongRunning {
-		t.notBefore = now + min(mostPause, firstPause<<min(len(t.failed), 4))
+		t.notBefore = now + min(maxRestartPause, initialRestartPause<<min(len(t.failed), 4))
 		return
 	}
 	if j.queue.MaxAttempts > 0 && len(t.failed) >= j.queue.MaxAttempts {
--- a/internal/engine/load_test.go
+++ b/internal/engine/load_test.go
@@ -102,7 +102,7 @@
 	for i := range loadWorkers {
 		w := info(work.WorkerID(fmt.Sprintf("w%03d", i)))
 		w.Capacity = work.Resources{MilliCPU: loadRoom * 1000, MemoryMB: 1 << 20}
-		o.core.WorkerSeen(w)
+		o.core.WorkerRegistered(w)
 		o.look(w.ID, Listing{})
 		o.running[w.ID] = make(map[work.TaskRef]fakeRun)
 		o.every(w.ID)
@@ -240,7 +240,7 @@
 
 // every polls the worker for as long as something is there, as a session does.
 func (o *owner) every(id work.WorkerID) {
-	_, h, due := o.core.HoldFor(id, o.now)
+	_, h, due := o.core.NextPoll(id, o.now)
 	if !due {
 		o.world(5*time.Millisecond, func() { o.every(id) })
 		return
@@ -279,12 +279,12 @@
 	pause := o.core.pollPause()
 	switch {
 	case o.now <= p.by:
-		o.core.HoldAnswered(id, p.hold, l, p.sent, o.now)
+		o.core.PollAnswered(id, p.hold, l, p.sent, o.now)
 	case overload.AnswerMayBeUnread(o.behind()):
-		o.core.HoldUnread()
+		o.core.PollUnread()
 	default:
-		o.core.HoldFailed(id, OutcomeUnknown, o.now)
-		pause = pauseAfter(o.core.workers[id].missed, pause)
+		o.core.PollFailed(id, OutcomeUnknown, o.now)
+		pause = pauseAfterMissed(o.core.workers[id].missedPolls, pause)
 	}
 	o.finish()
 	o.kick()
@@ -374,5 +374,5 @@
 	o.runUntil(from + 18*time.Second)
 	assert.Assert(t, o.goodput(slowFrom+time.Second, slowUntil) >= 0.5*loadJobsMost/5, "while slow")
 	assert.Assert(t, o.goodput(slowUntil+time.Second, from+14*time.Second) >= 0.9*rate, "after")
-	assert.Equal(t, o.core.anyMissed(), false)
+	assert.Equal(t, o.core.anyPollMissed(), false)
 }
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func (m *Metrics) countLostRun(cause loss) {
+func (m *Metrics) countLostRun(cause lossCause) {
 	if m != nil {
 		m.LostRuns.Add(string(cause), 1)
 	}
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -114,7 +114,7 @@
 		bounds: rigBounds,
 	}
 	for range modelWorkers {
-		m.newLife()
+		m.addNewWorker()
 	}
 	for i := range modelJobs {
 		id := work.JobID(fmt.Sprintf("j%d", i))
@@ -156,7 +156,7 @@
 	}
 	o.core.Reaffirm(m.now, epoch)
 	if !first {
-		o.core.Inherit(m.now + inheritedFor())
+		o.core.InheritLeases(m.now + inheritedFor())
 	}
 	for _, w := range m.workers {
 		if m.chance(25) && !first {
@@ -175,12 +175,12 @@
 			continue
 		}
 		if !m.again || m.calm || m.chance(70) {
-			o.core.WorkerSeen(infoOf(w.id, w.life))
+			o.core.WorkerRegistered(infoWithIncarnation(w.id, w.life))
 		}
 		vms = append(vms, vm("v-"+string(w.id), w.id))
 	}
 	o.core.SetFleet(vms)
-	o.core.endLives(m.now, m.now)
+	o.core.endUnlistedWorkers(m.now, m.now)
 }
 
 // step is one event of the world.
@@ -235,7 +235,7 @@
 
 // start plays one start: lost before or after its effect, or carried out late.
 func (m *model) start(o *modelOwner, s StartOrder) {
-	if leaves := o.core.StartLeaves(s, m.now); m.again && !leaves {
+	if leaves := o.core.StartSending(s, m.now); m.again && !leaves {
 		o.core.StartAnswered(s, OutcomeNotSent, 0, m.now)
 		return
 	}
@@ -251,8 +251,8 @@
 		if m.chance(50) {
 			sent := m.now
 			o.orders = append(o.orders, func() {
-				if !m.again || m.now < sent+lateOrders {
-					m.beginLate(o, w, s)
+				if !m.again || m.now < sent+maxOrderDelay {
+					m.startLate(o, w, s)
 				}
 			})
 		}
@@ -281,7 +281,7 @@
 	case runs:
 		return OutcomeOK
 	}
-	w.token, w.deadline = st.Token, w.holds(st.Deadline, m.now)
+	w.token, w.deadline = st.Token, w.leaseEnd(st.Deadline, m.now)
 	m.began(w, st.Task, st.Run)
 	w.running[st.Task] = st.Run
 	if m.limited != nil {
@@ -344,22 +344,22 @@
 	if now := m.worker(w.id); now != nil {
 		w = now
 	}
-	_, h, due := o.core.HoldFor(w.id, m.now)
+	_, h, due := o.core.NextPoll(w.id, m.now)
 	if !due {
 		return
 	}
 	switch {
 	case w.dead:
-		o.core.HoldFailed(w.id, OutcomeOtherLife, m.now)
+		o.core.PollFailed(w.id, OutcomeOtherLife, m.now)
 		return
 	case o.cut[w.id]:
-		o.core.HoldFailed(w.id, OutcomeUnknown, m.now)
+		o.core.PollFailed(w.id, OutcomeUnknown, m.now)
 		return
 	case h.Token < w.token:
-		o.core.HoldFailed(w.id, OutcomeFenced, m.now)
+		o.core.PollFailed(w.id, OutcomeFenced, m.now)
 		return
 	}
-	w.token, w.deadline = h.Token, w.holds(h.Deadline, m.now)
+	w.token, w.deadline = h.Token, w.leaseEnd(h.Deadline, m.now)
 	for len(w.ends) > 0 && w.ends[0].Seq <= h.AckedThrough {
 		if w.ends[0].How == work.Done && w.ends[0].Seq > w.lapsed {
 			m.doneAcked[w.ends[0].Task] = true
@@ -374,10 +374,10 @@
 		}
 	}
 	if !m.calm && m.chance(10) {
-		o.core.HoldFailed(w.id, OutcomeUnknown, m.now)
+		o.core.PollFailed(w.id, OutcomeUnknown, m.now)
 		return
 	}
-	o.core.HoldAnswered(w.id, h, l, m.now, m.now)
+	o.core.PollAnswered(w.id, h, l, m.now, m.now)
 }
 
 func (m *model) lapse() {
@@ -448,7 +448,7 @@
 		clear(m.current().cut)
 	case 4:
 		if m.again {
-			m.cancel()
+			m.cancelRandomJob()
 		}
 	}
 }
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -7,25 +7,24 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// stopAgain is after how long a stop without an answer is sent again.
-const stopAgain = 400 * time.Millisecond
+// stopRetryInterval is how long after an unanswered stop the next one is sent.
+const stopRetryInterval = 400 * time.Millisecond
 
-// planStops sends the stops that are due: of tasks that must end, and of runs
-// that nobody wants.
+// planStops adds the stops that are due: of tasks that must end, and of orphaned runs.
 func (c *Core) planStops(now time.Duration, out *Orders) {
 	for _, w := range c.workers {
-		if w.gone || !w.heard {
+		if w.gone || !w.contacted {
 			continue
 		}
 		for _, t := range w.tasks {
-			if t.state != taskStopping || t.stopOK != 0 || t.stopSent != 0 && now < t.stopSent+stopAgain {
+			if t.state != taskStopping || t.stopOK != 0 || t.stopSent != 0 && now < t.stopSent+stopRetryInterval {
 				continue
 			}
 			t.stopSent = now
 			out.Stops = append(out.Stops, StopOrder{Worker: w.info, Task: t.ref, Run: t.run})
 		}
-		for ref, s := range w.strays {
-			if s.stopOK != 0 || s.sent != 0 && now < s.sent+stopAgain {
+		for ref, s := range w.orphanedRuns {
+			if s.stopOK != 0 || s.sent != 0 && now < s.sent+stopRetryInterval {
 				continue
 			}
 			s.sent = now
@@ -34,14 +33,14 @@
 	}
 }
 
-// order books the placement and makes its start.
-func (c *Core) order(p taskplan.Placement, now time.Duration, out *Orders) {
+// issueStart reserves the placement and adds its start order.
+func (c *Core) issueStart(p taskplan.Placement, now time.Duration, out *Orders) {
 	w := c.workers[p.Worker]
 	t := c.find(work.TaskRef{StepRef: p.Step.Ref, Index: p.Index})
 	run := c.nextRun(t, out)
 	c.attach(t, w, run, taskStarting, now)
 	t.sent, t.left, t.answered, t.ranBefore, t.shown = now, 0, 0, 0, false
-	t.deadline = w.clockNow(now) + min(startAhead, c.bounds.MaxHold)
+	t.deadline = w.clockNow(now) + min(startValidity, c.bounds.MaxHold)
 	w.deadline = max(w.deadline, t.deadline)
 	j := t.step.job
 	c.log.V(1).Info("start", "task", t.ref.String(), "run", run, "worker", w.info.ID, "waited", (now - j.accepted).String(),
@@ -52,7 +51,7 @@
 	}})
 }
 
-// nextRun numbers a start; the members of a gang share theirs.
+// nextRun returns the number of the task's next run; the members of a gang share one.
 func (c *Core) nextRun(t *task, out *Orders) int {
 	run := max(t.run, t.step.job.baseRun) + 1
 	if !t.step.spec.Gang {
@@ -67,7 +66,8 @@
 	return run
 }
 
-// gangRun returns the run that members of the gang were given in this plan.
+// gangRun returns the run number that members of the gang were given in this plan; 0 if none
+// was.
 func (c *Core) gangRun(t *task, out *Orders) int {
 	for i := range out.Starts {
 		if out.Starts[i].Start.Task.StepRef == t.ref.StepRef {
@@ -77,10 +77,10 @@
 	return 0
 }
 
-// StartLeaves notes that the start is about to be sent: until then it waits for a
-// connection to its worker. It reports false if the run was given up meanwhile: its worker may
-// have started again, and would begin what begins elsewhere.
-func (c *Core) StartLeaves(o StartOrder, now time.Duration) bool {
+// StartSending records that the start is about to be sent; until then it waits for a
+// connection to its worker. It returns false if the run was given up meanwhile: its worker may
+// have restarted, and would start a task that starts elsewhere.
+func (c *Core) StartSending(o StartOrder, now time.Duration) bool {
 	t := c.find(o.Start.Task)
 	if t == nil || t.run != o.Start.Run || t.where == nil || t.where.info.ID != o.Worker.ID {
 		return false
@@ -89,17 +89,17 @@
 	return true
 }
 
-// StartAnswered takes over what became of a start.
+// StartAnswered records the outcome of a start.
 func (c *Core) StartAnswered(o StartOrder, out Outcome, clock, now time.Duration) {
 	w := c.workers[o.Worker.ID]
-	same := w != nil && w.sameLife(clock, now)
+	same := w != nil && w.sameIncarnation(clock, now)
 	if w != nil {
 		if same {
-			w.clockSaid(clock, now)
+			w.observeClock(clock, now)
 		}
 		switch out {
 		case OutcomeUnknown, OutcomeNotSent:
-			c.fellSilent(w, now)
+			c.markSilent(w, now)
 		case OutcomeOK:
 			w.silentSince = 0
 		}
@@ -112,9 +112,10 @@
 		t.shown = t.shown || out == OutcomeOK && same
 		c.startAnswered(t, w, out, now)
 	}
-	// After the start: it did not begin there, and the life's end says nothing of its task.
+	// Only now: the start did not begin there, and the end of the incarnation says nothing
+	// about its task.
 	if out == OutcomeOtherLife {
-		c.WorkerGone(o.Worker.ID, "another life answers", now)
+		c.WorkerGone(o.Worker.ID, "another incarnation answers", now)
 	}
 }
 
@@ -142,19 +143,19 @@
 	t.step.job.begun = true
 }
 
-// Pauses of a worker after it refused a start.
+// How long a worker takes no tasks after it refused a start.
 const (
-	refusedPause = 500 * time.Millisecond // unhealthy: others first
-	latePause    = 20 * time.Millisecond  // its clock was misjudged; a poll corrects that
+	refusedPause = 500 * time.Millisecond // it is unhealthy: other workers are tried first
+	latePause    = 20 * time.Millisecond  // its clock was misjudged; the next poll corrects that
 )
 
-// notStarted handles a start that certainly did not happen.
+// notStarted handles a start that is certain not to have been carried out.
 func (c *Core) notStarted(t *task, w *worker, out Outcome, now time.Duration) {
-	c.log.Info("start refused", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "outcome", out.String())
+	c.log.Info("start not carried out", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "outcome", out.String())
 	switch out {
 	case OutcomeNoRoom:
 		w.full = true
-		w.closedUntil = now + pollSoon
+		w.closedUntil = now + pollWaitMin
 	case OutcomeRefused, OutcomeNotSent:
 		w.closedUntil = now + refusedPause
 	case OutcomeLate:
@@ -162,22 +163,22 @@
 	case OutcomeNoTicket:
 		delete(t.step.tickets, w.info.ID)
 	}
-	c.ranOut(t, now)
+	c.handleIncompleteRun(t, now)
 }
 
-// StopAnswered takes over what became of a stop.
+// StopAnswered records the outcome of a stop.
 func (c *Core) StopAnswered(o StopOrder, out Outcome, now time.Duration) {
 	switch out {
 	case OutcomeFenced:
 		c.deposed = true
 		return
 	case OutcomeOtherLife:
-		c.WorkerGone(o.Worker.ID, "another life answers", now)
+		c.WorkerGone(o.Worker.ID, "another incarnation answers", now)
 		return
 	}
 	answered := out == OutcomeOK || out == OutcomeOld
 	if w := c.workers[o.Worker.ID]; w != nil && answered {
-		if s := w.strays[o.Task]; s != nil && s.run <= o.Run {
+		if s := w.orphanedRuns[o.Task]; s != nil && s.run <= o.Run {
 			s.stopOK = now
 		}
 	}
--- a/internal/engine/takeover_test.go
+++ b/internal/engine/takeover_test.go
@@ -57,9 +57,9 @@
 	}
 	next.Reaffirm(b.now, b.wall)
 	for _, id := range workers {
-		next.WorkerSeen(info(id))
+		next.WorkerRegistered(info(id))
 	}
-	next.Inherit(b.now + inheritedFor())
+	next.InheritLeases(b.now + inheritedFor())
 	b.core = next
 }
 
@@ -101,7 +101,7 @@
 	b.accept("j1", short(1))
 	b.answer(b.plan(), OutcomeOK)
 	b.takeOver(8)
-	b.core.WorkerSeen(info("w3"))
+	b.core.WorkerRegistered(info("w3"))
 	b.look("w3", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 0, "the VM list was not read")
 	b.core.SetFleet([]work.VM{vm("v1", "w1"), vm("v3", "w3")})
@@ -117,14 +117,14 @@
 	b := newRig(t)
 	b.running(short(8), "near", "far")
 	b.core.SetCertain(false)
-	b.core.HoldFailed("far", OutcomeUnknown, b.now)
+	b.core.PollFailed("far", OutcomeUnknown, b.now)
 	held := len(b.core.workers["far"].tasks)
 	assert.Assert(t, held > 0)
 	b.now += 20 * time.Second
 	assert.Equal(t, len(b.plan().Starts), 0)
 	assert.Equal(t, len(b.core.workers["far"].tasks), held, "it still counts as running there")
 	b.core.SetCertain(true)
-	b.core.HoldFailed("far", OutcomeUnknown, b.now)
+	b.core.PollFailed("far", OutcomeUnknown, b.now)
 	assert.Assert(t, len(b.core.workers["far"].tasks) == 0, "with certainty it is restarted")
 }
 
@@ -135,19 +135,19 @@
 	b := newRig(t)
 	next := info("next")
 	next.Address = info("old").Address
-	b.core.WorkerSeen(info("old"))
-	b.core.WorkerSeen(next)
+	b.core.WorkerRegistered(info("old"))
+	b.core.WorkerRegistered(next)
 	b.look("next", Listing{})
 	b.accept("j1", short(1))
 	b.answer(b.plan(), OutcomeOK)
 	for range 3 {
-		b.core.WorkerSeen(info("old"))
-		b.core.WorkerSeen(next)
+		b.core.WorkerRegistered(info("old"))
+		b.core.WorkerRegistered(next)
 	}
 	assert.Equal(t, len(b.core.workers["next"].tasks), 1)
 
-	b.core.HoldFailed("old", OutcomeOtherLife, b.now)
-	b.core.WorkerSeen(info("old"))
+	b.core.PollFailed("old", OutcomeOtherLife, b.now)
+	b.core.WorkerRegistered(info("old"))
 	assert.Assert(t, b.core.workers["old"] == nil, "an ID that is over does not come back")
 }
 
@@ -185,7 +185,7 @@
 	assert.Equal(t, len(starts), 1)
 	assert.Equal(t, starts[0].Start.Task.Job, work.JobID("j2"))
 
-	b.core.WorkerSeen(info("late"))
+	b.core.WorkerRegistered(info("late"))
 	b.look("late", Listing{})
 	b.accept("j3", short(4))
 	b.accept("j4", short(4))
@@ -205,7 +205,7 @@
 	b.accept("j1", short(1))
 	b.core.AllowUntil(b.now - time.Millisecond)
 	assert.Equal(t, len(b.plan().Starts), 0)
-	_, _, due := b.core.HoldFor("w1", b.now)
+	_, _, due := b.core.NextPoll("w1", b.now)
 	assert.Assert(t, !due, "no extension of leases either")
 }
 
@@ -220,13 +220,13 @@
 	b.look("w1", Listing{Running: []Run{run(o.Starts[0])}})
 	b.look("w2", Listing{})
 	inherited := b.now + 5*time.Second
-	b.core.Inherit(inherited)
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.InheritLeases(inherited)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	for b.now < inherited-10*time.Millisecond {
 		assert.Equal(t, len(b.plan().Starts), 0)
 		b.now += 50 * time.Millisecond
 	}
-	b.now = inherited + expirySlack
+	b.now = inherited + expiryMargin
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
@@ -237,11 +237,11 @@
 	b.running(short(1), "w1")
 	asked := b.now
 	b.look("w1", Listing{})
-	b.core.HoldFailed("w1", OutcomeUnknown, b.now)
+	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	b.core.SetFleet(nil)
-	b.core.endLives(asked, b.now)
+	b.core.endUnlistedWorkers(asked, b.now)
 	assert.Assert(t, b.core.workers["w1"] != nil)
-	b.core.endLives(b.now+time.Millisecond, b.now+time.Millisecond)
+	b.core.endUnlistedWorkers(b.now+time.Millisecond, b.now+time.Millisecond)
 	assert.Assert(t, b.core.workers["w1"] == nil, "a list since then ends it")
 }
 
@@ -260,7 +260,7 @@
 		for _, s := range o.Starts {
 			r := run(s)
 			r.Percent = fullPercent
-			b.core.WorkerSeen(info(s.Worker.ID))
+			b.core.WorkerRegistered(info(s.Worker.ID))
 			b.look(s.Worker.ID, Listing{Running: []Run{r}})
 		}
 	}
--- a/internal/node/logs.go
+++ b/internal/node/logs.go
@@ -11,25 +11,25 @@
 	"golang.org/x/time/rate"
 )
 
-// levelDecisions shows every decision that touches a request or changes what
-// the process believes (verbosity 1).
-const levelDecisions = slog.Level(-1)
+// decisionLevel includes verbosity 1: every decision that affects a request or changes the
+// process's view of the fleet.
+const decisionLevel = slog.Level(-1)
 
 // Bounds of the log.
 const (
-	// kindRate and kindBurst bound the lines of each kind. Some two hundred
-	// starts a second are what an owner gives in a burst at today's sizes; a
-	// fault that repeats a line thousands of times costs no more than that.
-	kindRate  = 250 // a second
-	kindBurst = 500
-	// logBuffer is how much may wait for a reader that does not read. A line
-	// takes some 200 bytes; this holds the busiest second several times over.
-	logBuffer = 256 << 10
+	// messageRate and messageBurst bound the lines with the same message. An owner orders
+	// some 200 starts a second in a burst, with a line each; a fault that repeats a line
+	// thousands of times costs no more than that.
+	messageRate  = 250 // lines a second
+	messageBurst = 500
+	// maxLogBuffer is the number of bytes kept while the sink blocks. A line takes some
+	// 200 bytes, so that this holds several times the lines of the busiest second.
+	maxLogBuffer = 256 << 10
 )
 
-// logWriter writes lines to a sink without ever blocking the writer: a reader
-// that stalls costs lines, not requests. Lost lines are counted, and the count is
-// written when the reader is back.
+// logWriter writes lines to a sink without ever blocking the writer: a sink that stalls
+// loses log lines but delays no request. Lost lines are counted, and their number is
+// written once the sink accepts lines again.
 type logWriter struct {
 	sink io.Writer
 
@@ -52,7 +52,7 @@
 func (l *logWriter) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || len(l.buffer)+len(line) > logBuffer {
+	if l.closed || len(l.buffer)+len(line) > maxLogBuffer {
 		l.lost++
 		return len(line), nil
 	}
@@ -63,7 +63,7 @@
 	return len(line), nil
 }
 
-// drain writes what gathers, in as few system calls as it can.
+// drain writes buffered lines to the sink, all that are there with one call.
 func (l *logWriter) drain() {
 	defer close(l.done)
 	var out []byte
@@ -84,12 +84,12 @@
 			out = fmt.Appendf(out, "{\"level\":\"WARN\",\"msg\":\"log lines lost\",\"lines\":%d}\n", lost)
 		}
 		if _, err := l.sink.Write(out); err != nil {
-			return // nobody reads any more
+			return // the sink is closed
 		}
 	}
 }
 
-// Close writes what is left.
+// Close writes the lines that are left, and returns once they are written.
 func (l *logWriter) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -98,61 +98,61 @@
 	<-l.done
 }
 
-// boundedHandler lets so many lines of each kind (message) through and tells now
-// and then how many were left out.
-type boundedHandler struct {
+// rateLimitedHandler limits the rate of lines with the same message. A line that passes
+// after others were suppressed carries their number.
+type rateLimitedHandler struct {
 	slog.Handler
-	kinds *kinds
+	limits *messageLimits
 }
 
-type kinds struct {
-	mu   sync.Mutex
-	each map[string]*kind
+type messageLimits struct {
+	mu        sync.Mutex
+	byMessage map[string]*messageLimit
 }
 
-type kind struct {
-	limit   *rate.Limiter
-	leftOut int
+type messageLimit struct {
+	limit      *rate.Limiter
+	suppressed int
 }
 
-func newBoundedHandler(h slog.Handler) *boundedHandler {
-	return &boundedHandler{Handler: h, kinds: &kinds{each: make(map[string]*kind)}}
+func newRateLimitedHandler(h slog.Handler) *rateLimitedHandler {
+	return &rateLimitedHandler{Handler: h, limits: &messageLimits{byMessage: make(map[string]*messageLimit)}}
 }
 
 // Handle implements slog.Handler.
-func (b *boundedHandler) Handle(ctx context.Context, r slog.Record) error {
-	pass, leftOut := b.kinds.admit(r.Message, r.Time)
+func (b *rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
+	pass, suppressed := b.limits.admit(r.Message, r.Time)
 	if !pass {
 		return nil
 	}
-	if leftOut > 0 {
-		r.AddAttrs(slog.Int("lines left out before", leftOut))
+	if suppressed > 0 {
+		r.AddAttrs(slog.Int("lines left out before", suppressed))
 	}
 	return b.Handler.Handle(ctx, r)
 }
 
-func (k *kinds) admit(message string, now time.Time) (pass bool, leftOut int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	one := k.each[message]
-	if one == nil {
-		one = &kind{limit: rate.NewLimiter(kindRate, kindBurst)}
-		k.each[message] = one
+func (l *messageLimits) admit(message string, now time.Time) (pass bool, suppressed int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	m := l.byMessage[message]
+	if m == nil {
+		m = &messageLimit{limit: rate.NewLimiter(messageRate, messageBurst)}
+		l.byMessage[message] = m
 	}
-	if !one.limit.AllowN(now, 1) {
-		one.leftOut++
+	if !m.limit.AllowN(now, 1) {
+		m.suppressed++
 		return false, 0
 	}
-	leftOut, one.leftOut = one.leftOut, 0
-	return true, leftOut
+	suppressed, m.suppressed = m.suppressed, 0
+	return true, suppressed
 }
 
 // WithAttrs implements slog.Handler.
-func (b *boundedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &boundedHandler{Handler: b.Handler.WithAttrs(attrs), kinds: b.kinds}
+func (b *rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &rateLimitedHandler{Handler: b.Handler.WithAttrs(attrs), limits: b.limits}
 }
 
 // WithGroup implements slog.Handler.
-func (b *boundedHandler) WithGroup(name string) slog.Handler {
-	return &boundedHandler{Handler: b.Handler.WithGroup(name), kinds: b.kinds}
+func (b *rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return &rateLimitedHandler{Handler: b.Handler.WithGroup(name), limits: b.limits}
 }
