--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -81,8 +81,8 @@
 	// Grace is how long after the lease was last certain orders may go on
 	// while the store can't be reached.
 	Grace time.Duration
-	// LeastTTL is the shortest lease that the store grants.
-	LeastTTL time.Duration
+	// MinTTL is the shortest lease that the store grants.
+	MinTTL time.Duration
 	// Own is run for each term; its context ends with the term.
 	Own func(ctx context.Context, t *Term)
 	// Load is this entry VM's duties.
@@ -124,7 +124,7 @@
 }
 
 // ttl is how long leases of duties last.
-func (o *Options) ttl() time.Duration { return max(TTL, o.LeastTTL) }
+func (o *Options) ttl() time.Duration { return max(TTL, o.MinTTL) }
 
 // sure is how long after its renewal was sent a lease is certain to last.
 func (o *Options) sure() time.Duration {
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -231,7 +231,7 @@
 }
 
 func TestALeaseIsNoShorterThanTheStoreGrants(t *testing.T) {
-	o := Options{LeastTTL: 3 * time.Second}
+	o := Options{MinTTL: 3 * time.Second}
 	assert.Equal(t, o.ttl(), 3*time.Second)
 	assert.Assert(t, o.sure() < 3*time.Second)
 	assert.Equal(t, (&Options{}).ttl(), TTL)
