--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -87,8 +87,8 @@
 	Own func(ctx context.Context, t *Term)
 	// Load is this entry VM's duties.
 	Load *Load
-	// Behind is how long what is ready to run waits on this VM; nil: it does not.
-	Behind func() time.Duration
+	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
+	SchedulingDelay func() time.Duration
 	// HandOver is given a lease that could not be ended, for others to end; nil: it runs out.
 	HandOver func(lease infra.LeaseID)
 }
@@ -341,10 +341,10 @@
 // lease and the answer lies here unread: given up, the owner would be without certainty
 // while nobody else can take the duty.
 func (e *Elector) patience() time.Duration {
-	if e.o.Behind == nil {
+	if e.o.SchedulingDelay == nil {
 		return 0
 	}
-	return overload.ExtraTimeout(e.o.Behind())
+	return overload.ExtraTimeout(e.o.SchedulingDelay())
 }
 
 // renewed takes the outcome of a renewal over. Only a renewal that failed
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -212,7 +212,7 @@
 	clock := &testClock{now: time.Minute}
 	l.Store, l.clock, l.answer = memstore.New(clockwork.NewFakeClock()), clock, make(chan time.Duration, 1)
 	e := newElector(t, l, clock, "e1")
-	e.o.Behind = behind
+	e.o.SchedulingDelay = behind
 	term, err := e.take(context.Background())
 	assert.NilError(t, err)
 	certain := term.certain
