--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -89,8 +89,8 @@
 	Load *Load
 	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
 	SchedulingDelay func() time.Duration
-	// HandOver is given a lease that could not be ended, for others to end; nil: it runs out.
-	HandOver func(lease infra.LeaseID)
+	// RevokeLater is given a lease that could not be ended, for others to end; nil: it runs out.
+	RevokeLater func(lease infra.LeaseID)
 }
 
 // Load counts the duties of one entry VM.
@@ -231,8 +231,8 @@
 	defer cancel()
 	if err := e.o.Store.Revoke(call, lease); err != nil && !infra.IsKind(err, infra.KindLeaseNotFound) {
 		e.o.Log.V(1).Info("lease not ended", "lease", int64(lease), "error", err.Error())
-		if e.o.HandOver != nil {
-			e.o.HandOver(lease)
+		if e.o.RevokeLater != nil {
+			e.o.RevokeLater(lease)
 		}
 	}
 }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -284,7 +284,7 @@
 	store := &revokeFails{memstore.New(clockwork.NewFakeClock()), infra.KindUnavailable}
 	e := newElector(t, store, &testClock{now: time.Minute}, "e1")
 	var left []infra.LeaseID
-	e.o.HandOver = func(lease infra.LeaseID) { left = append(left, lease) }
+	e.o.RevokeLater = func(lease infra.LeaseID) { left = append(left, lease) }
 	term, err := e.take(context.Background())
 	assert.NilError(t, err)
 	e.drop(context.Background(), term.lease)
