--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 	n.delay = newDelayMeter(n.clock)
 	n.metrics = newMetrics(n.delay)
 	n.duties = &duties{node: n, electing: make(map[string]bool), engines: make(map[string]*engine.Engine)}
-	n.duties.load.May = func() bool { return !n.shuttingDown.Load() }
+	n.duties.load.CanTake = func() bool { return !n.shuttingDown.Load() }
 	n.operator = newOperatorState(n.store, n.clock, n.log.WithName("operator"), n.duties.ensureElectors)
 	n.link = &ownerlink.Client{Log: n.log.WithName("link"), SchedulingDelay: n.delay.Behind, Configs: n.operator}
 	n.registry = newRegistry(n.store, n.log.WithName("registry"), n.duties.registryChanged)
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -95,8 +95,8 @@
 
 // Load counts the duties of one entry VM.
 type Load struct {
-	// May reports whether the entry VM may take a duty now.
-	May func() bool
+	// CanTake reports whether the entry VM may take a duty now.
+	CanTake func() bool
 
 	taking sync.Mutex // held while a duty is taken: one at a time
 	mu     sync.Mutex
@@ -140,7 +140,7 @@
 		if !e.o.Directory.waitFree(ctx, e.o.Duty) {
 			continue
 		}
-		if !e.o.Load.May() {
+		if !e.o.Load.CanTake() {
 			sleep.For(ctx, retryPause)
 			continue
 		}
