--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -83,8 +83,8 @@
 	Grace time.Duration
 	// MinTTL is the shortest lease that the store grants.
 	MinTTL time.Duration
-	// Own is run for each term; its context ends with the term.
-	Own func(ctx context.Context, t *Term)
+	// RunTerm is run for each term; its context ends with the term.
+	RunTerm func(ctx context.Context, t *Term)
 	// Load is this entry VM's duties.
 	Load *Load
 	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
@@ -305,7 +305,7 @@
 	t.elector.o.Log.Info("term begins", "duty", t.elector.o.Duty, "token", t.token)
 	var renewer sync.WaitGroup
 	renewer.Go(func() { t.renew(ctx) })
-	t.elector.o.Own(ctx, t)
+	t.elector.o.RunTerm(ctx, t)
 	t.End("its work ended")
 	renewer.Wait()
 	t.elector.drop(parent, t.lease)
