--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -72,7 +72,7 @@
 	n := d.node
 	e := ownership.New(ownership.Options{
 		Duty: duty, Store: n.store, Directory: n.directory, Self: n.self, Weight: n.settings.weight(),
-		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Load: &d.load,
+		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Duties: &d.load,
 		MinTTL: n.settings.MinTTL, RunTerm: own, RevokeLater: n.leases.handOver, SchedulingDelay: n.delay.Behind,
 	})
 	ctx := d.ctx
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -85,8 +85,8 @@
 	MinTTL time.Duration
 	// RunTerm is run for each term; its context ends with the term.
 	RunTerm func(ctx context.Context, t *Term)
-	// Load is this entry VM's duties.
-	Load *Load
+	// Duties is this entry VM's duties.
+	Duties *Load
 	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
 	SchedulingDelay func() time.Duration
 	// RevokeLater is given a lease that could not be ended, for others to end; nil: it runs out.
@@ -140,11 +140,11 @@
 		if !e.o.Directory.waitFree(ctx, e.o.Duty) {
 			continue
 		}
-		if !e.o.Load.CanTake() {
+		if !e.o.Duties.CanTake() {
 			sleep.For(ctx, retryPause)
 			continue
 		}
-		held := e.o.Load.Held()
+		held := e.o.Duties.Held()
 		vacancy, _ := e.o.Directory.vacancy(e.o.Duty)
 		sleep.For(ctx, e.rank(held))
 		t, err := e.tryTake(ctx, held, vacancy)
@@ -154,7 +154,7 @@
 		}
 		if t != nil {
 			t.run(ctx)
-			e.o.Load.add(-1)
+			e.o.Duties.add(-1)
 			e.standBack(ctx, t)
 		}
 	}
@@ -172,15 +172,15 @@
 // taken and became free again meanwhile: those who can carry more have just begun to
 // wait, and a small VM at the end of the line of before would be first.
 func (e *Elector) tryTake(ctx context.Context, held, vacancy int) (*Term, error) {
-	e.o.Load.taking.Lock()
-	defer e.o.Load.taking.Unlock()
+	e.o.Duties.taking.Lock()
+	defer e.o.Duties.taking.Unlock()
 	now, free := e.o.Directory.vacancy(e.o.Duty)
-	if ctx.Err() != nil || !free || now != vacancy || e.o.Load.Held() > held {
+	if ctx.Err() != nil || !free || now != vacancy || e.o.Duties.Held() > held {
 		return nil, nil
 	}
 	t, err := e.take(ctx)
 	if t != nil {
-		e.o.Load.add(1)
+		e.o.Duties.add(1)
 	}
 	return t, err
 }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -41,7 +41,7 @@
 	d.Replace(nil)
 	return New(Options{
 		Duty: "cell/a", Store: store, Directory: d, Self: Record{Entry: entry, Address: entry + ":1"},
-		Weight: 1, Clock: clock, Log: logr.Discard(), Grace: grace, Load: &Load{CanTake: func() bool { return true }},
+		Weight: 1, Clock: clock, Log: logr.Discard(), Grace: grace, Duties: &Load{CanTake: func() bool { return true }},
 	})
 }
 
@@ -123,7 +123,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, term != nil)
 	other := newElector(t, store, clock, "e1")
-	other.o.Duty, other.o.Load = "cell/b", e.o.Load
+	other.o.Duty, other.o.Duties = "cell/b", e.o.Duties
 	term, err = other.tryTake(context.Background(), 0, 0)
 	assert.NilError(t, err)
 	assert.Assert(t, term == nil, "it has one more than when it stood in line")
