--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -33,7 +33,7 @@
 	ctx      context.Context           // electors run until it ends; nil before start is called
 	electing map[string]bool           // duties with an elector
 	engines  map[string]*engine.Engine // by cell
-	load     ownership.Load
+	load     ownership.DutyCounter
 	wg       sync.WaitGroup
 }
 
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -86,15 +86,15 @@
 	// RunTerm is run for each term; its context ends with the term.
 	RunTerm func(ctx context.Context, t *Term)
 	// Duties is this entry VM's duties.
-	Duties *Load
+	Duties *DutyCounter
 	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
 	SchedulingDelay func() time.Duration
 	// RevokeLater is given a lease that could not be ended, for others to end; nil: it runs out.
 	RevokeLater func(lease infra.LeaseID)
 }
 
-// Load counts the duties of one entry VM.
-type Load struct {
+// DutyCounter counts the duties of one entry VM.
+type DutyCounter struct {
 	// CanTake reports whether the entry VM may take a duty now.
 	CanTake func() bool
 
@@ -104,13 +104,13 @@
 }
 
 // Held returns how many duties the entry VM has.
-func (l *Load) Held() int {
+func (l *DutyCounter) Held() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held
 }
 
-func (l *Load) add(n int) {
+func (l *DutyCounter) add(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held += n
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -41,7 +41,7 @@
 	d.Replace(nil)
 	return New(Options{
 		Duty: "cell/a", Store: store, Directory: d, Self: Record{Entry: entry, Address: entry + ":1"},
-		Weight: 1, Clock: clock, Log: logr.Discard(), Grace: grace, Duties: &Load{CanTake: func() bool { return true }},
+		Weight: 1, Clock: clock, Log: logr.Discard(), Grace: grace, Duties: &DutyCounter{CanTake: func() bool { return true }},
 	})
 }
 
