--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -23,8 +23,8 @@
 	Crash func()
 	// Unreachable is an address that refuses connections.
 	Unreachable string
-	// Advised is the specification of tasks that need a ticket.
-	Advised string
+	// AdvisedSpec is the specification of tasks that need a ticket.
+	AdvisedSpec string
 }
 
 // Times of the cases. Specifications are durations: how long a task works.
@@ -125,7 +125,7 @@
 		assert.Equal(t, w.start(t, start(2, 1, 5, long)), engine.OutcomeNoRoom)
 	}},
 	{"a start without its ticket is refused", func(t *testing.T, w *Workers) {
-		assert.Equal(t, w.start(t, start(0, 1, 5, w.Advised)), engine.OutcomeNoTicket)
+		assert.Equal(t, w.start(t, start(0, 1, 5, w.AdvisedSpec)), engine.OutcomeNoTicket)
 	}},
 	{"what runs lapses with its lease", func(t *testing.T, w *Workers) {
 		now := w.list(t, engine.Hold{Token: 5}).Clock
