--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -180,11 +180,11 @@
 // Machines is an implementation of engine.Machines with a VM in the first pool.
 type Machines struct {
 	Client engine.Machines
-	// Away is an implementation whose service refuses connections.
-	Away   engine.Machines
-	VM     string
-	Pools  [2]string
-	Worker work.WorkerID // the VM's present life
+	// Unreachable is an implementation whose service refuses connections.
+	Unreachable engine.Machines
+	VM          string
+	Pools       [2]string
+	Worker      work.WorkerID // the VM's present life
 }
 
 func (m *Machines) vm(t *testing.T) work.VM {
@@ -241,8 +241,8 @@
 	})
 	t.Run("a service without a connection did nothing", func(t *testing.T) {
 		m := fresh(t)
-		assert.Equal(t, m.Away.Move(t.Context(), m.VM, m.Pools[1], token), engine.VMLater)
-		_, err := m.Away.List(t.Context())
+		assert.Equal(t, m.Unreachable.Move(t.Context(), m.VM, m.Pools[1], token), engine.VMLater)
+		_, err := m.Unreachable.List(t.Context())
 		assert.Assert(t, err != nil)
 	})
 }
