--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -249,10 +249,10 @@
 
 // Advisor is an implementation of engine.Advisor.
 type Advisor struct {
-	Client   engine.Advisor
-	Away     engine.Advisor // its service refuses connections
-	Workers  []work.WorkerID
-	Approves func(step work.StepRef, worker work.WorkerID) bool
+	Client      engine.Advisor
+	Unreachable engine.Advisor // its service refuses connections
+	Workers     []work.WorkerID
+	Approves    func(step work.StepRef, worker work.WorkerID) bool
 }
 
 // RunAdvisor holds an implementation to engine.Advisor.
@@ -272,7 +272,7 @@
 		}
 	})
 	t.Run("an advisor that is away gives no advice", func(t *testing.T) {
-		_, _, err := a.Away.Advise(t.Context(), step, a.Workers)
+		_, _, err := a.Unreachable.Advise(t.Context(), step, a.Workers)
 		assert.Assert(t, err != nil)
 	})
 }
