--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -1,5 +1,6 @@
-// Package contract holds adapters to what the engine's ports promise: tables of cases
-// that run against any implementation over a platform of its own.
+// Package contract tests that implementations of the engine's ports behave as the ports require. Its
+// tables of cases run against any implementation, each on a platform that the implementation's test sets
+// up.
 package contract
 
 import (
@@ -13,28 +14,28 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Workers is an implementation of engine.Workers with one worker of two slots.
+// Workers is an implementation of engine.Workers under test, with one worker of two slots.
 type Workers struct {
 	Client engine.Workers
 	Worker engine.WorkerInfo
-	// Silence leaves all further calls without an answer.
+	// Silence makes the worker leave all further calls unanswered.
 	Silence func()
-	// Crash ends the worker's life with all that runs and waits there.
+	// Crash ends the worker's incarnation, with all its runs and pending calls.
 	Crash func()
 	// Unreachable is an address that refuses connections.
 	Unreachable string
-	// AdvisedSpec is the specification of tasks that need a ticket.
+	// AdvisedSpec is a task specification that needs a ticket.
 	AdvisedSpec string
 }
 
-// Times of the cases. Specifications are durations: how long a task works.
+// Times of the cases. The specification of a task is its run time.
 const (
-	quick    = "10ms"
-	long     = "1h"
-	ahead    = time.Hour // a deadline that does not come
-	patience = 10 * time.Second
-	giveUp   = 150 * time.Millisecond // on a worker that is silent
-	lease    = 2 * time.Second        // longer than a start is under way on a busy machine
+	shortRun       = "10ms"
+	longRun        = "1h"
+	farDeadline    = time.Hour // a start deadline that is not reached
+	waitTimeout    = 10 * time.Second
+	silenceTimeout = 150 * time.Millisecond // of a call to a silent worker
+	leaseTime      = 2 * time.Second        // longer than a start takes on a busy machine
 )
 
 func task(index int) work.TaskRef {
@@ -42,14 +43,14 @@
 }
 
 func start(index, run int, token int64, spec string) engine.Start {
-	return engine.Start{Task: task(index), Run: run, Spec: spec, Deadline: ahead, Token: token}
+	return engine.Start{Task: task(index), Run: run, Spec: spec, Deadline: farDeadline, Token: token}
 }
 
 func (w *Workers) start(t *testing.T, s engine.Start) engine.Outcome {
 	t.Helper()
 	out, clock := w.Client.Start(t.Context(), &w.Worker, s)
 	if out == engine.OutcomeOK {
-		assert.Assert(t, clock > 0, "the worker tells its clock")
+		assert.Assert(t, clock > 0, "the answer to a start has the worker's clock")
 	}
 	return out
 }
@@ -61,16 +62,16 @@
 	return l
 }
 
-// ends polls until the worker lists so many ends.
-func (w *Workers) ends(t *testing.T, n int) engine.Listing {
+// awaitEnds polls until the worker lists at least n ended runs.
+func (w *Workers) awaitEnds(t *testing.T, n int) engine.Listing {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		l := w.list(t, engine.Hold{Token: 5, Wait: 100 * time.Millisecond})
 		if len(l.Ended) >= n {
 			return l
 		}
 	}
-	t.Fatalf("fewer than %d ends after %s", n, patience)
+	t.Fatalf("the worker lists fewer than %d ended runs after %s", n, waitTimeout)
 	return engine.Listing{}
 }
 
@@ -79,13 +80,13 @@
 	run  func(t *testing.T, w *Workers)
 }{
 	{"a run is listed until it ends, and its end until it is acknowledged", func(t *testing.T, w *Workers) {
-		assert.Equal(t, w.start(t, start(0, 3, 5, long)), engine.OutcomeOK)
+		assert.Equal(t, w.start(t, start(0, 3, 5, longRun)), engine.OutcomeOK)
 		l := w.list(t, engine.Hold{Token: 5})
 		assert.Equal(t, len(l.Running), 1)
 		assert.Equal(t, l.Running[0].Task, task(0))
 		assert.Equal(t, l.Running[0].Run, 3)
-		assert.Equal(t, w.start(t, start(1, 1, 5, quick)), engine.OutcomeOK)
-		e := w.ends(t, 1).Ended[0]
+		assert.Equal(t, w.start(t, start(1, 1, 5, shortRun)), engine.OutcomeOK)
+		e := w.awaitEnds(t, 1).Ended[0]
 		assert.Equal(t, e.Task, task(1))
 		assert.Equal(t, e.How, work.Done)
 		assert.Equal(t, len(w.list(t, engine.Hold{Token: 5}).Ended), 1, "listed again")
@@ -93,98 +94,98 @@
 	}},
 	{"a start that is repeated is the same run", func(t *testing.T, w *Workers) {
 		for range 2 {
-			assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOK)
+			assert.Equal(t, w.start(t, start(0, 1, 5, longRun)), engine.OutcomeOK)
 		}
 		assert.Equal(t, len(w.list(t, engine.Hold{Token: 5}).Running), 1)
 	}},
-	{"a run that is not higher than one that was stopped is old", func(t *testing.T, w *Workers) {
+	{"a start whose run number is not above a stopped one's is outdated", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 4, 5), engine.OutcomeOK)
-		assert.Equal(t, w.start(t, start(0, 4, 5, long)), engine.OutcomeOld)
-		assert.Equal(t, w.start(t, start(0, 5, 5, long)), engine.OutcomeOK)
+		assert.Equal(t, w.start(t, start(0, 4, 5, longRun)), engine.OutcomeOld)
+		assert.Equal(t, w.start(t, start(0, 5, 5, longRun)), engine.OutcomeOK)
 	}},
 	{"a stopped run is listed as stopped", func(t *testing.T, w *Workers) {
-		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOK)
+		assert.Equal(t, w.start(t, start(0, 1, 5, longRun)), engine.OutcomeOK)
 		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 1, 5), engine.OutcomeOK)
-		assert.Equal(t, w.ends(t, 1).Ended[0].How, work.Stopped)
+		assert.Equal(t, w.awaitEnds(t, 1).Ended[0].How, work.Stopped)
 	}},
 	{"an earlier owner is fenced", func(t *testing.T, w *Workers) {
 		w.list(t, engine.Hold{Token: 5})
-		assert.Equal(t, w.start(t, start(0, 1, 4, long)), engine.OutcomeFenced)
+		assert.Equal(t, w.start(t, start(0, 1, 4, longRun)), engine.OutcomeFenced)
 		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 1, 4), engine.OutcomeFenced)
 		_, out := w.Client.Hold(t.Context(), &w.Worker, engine.Hold{Token: 4})
 		assert.Equal(t, out, engine.OutcomeFenced)
 	}},
 	{"a start after its deadline is late", func(t *testing.T, w *Workers) {
-		s := start(0, 1, 5, long)
+		s := start(0, 1, 5, longRun)
 		s.Deadline = time.Millisecond
 		assert.Equal(t, w.start(t, s), engine.OutcomeLate)
 	}},
-	{"a start without room is refused", func(t *testing.T, w *Workers) {
-		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOK)
-		assert.Equal(t, w.start(t, start(1, 1, 5, long)), engine.OutcomeOK)
-		assert.Equal(t, w.start(t, start(2, 1, 5, long)), engine.OutcomeNoRoom)
+	{"a start without free capacity is refused", func(t *testing.T, w *Workers) {
+		assert.Equal(t, w.start(t, start(0, 1, 5, longRun)), engine.OutcomeOK)
+		assert.Equal(t, w.start(t, start(1, 1, 5, longRun)), engine.OutcomeOK)
+		assert.Equal(t, w.start(t, start(2, 1, 5, longRun)), engine.OutcomeNoRoom)
 	}},
 	{"a start without its ticket is refused", func(t *testing.T, w *Workers) {
 		assert.Equal(t, w.start(t, start(0, 1, 5, w.AdvisedSpec)), engine.OutcomeNoTicket)
 	}},
-	{"what runs lapses with its lease", func(t *testing.T, w *Workers) {
+	{"a run ends when its lease expires", func(t *testing.T, w *Workers) {
 		now := w.list(t, engine.Hold{Token: 5}).Clock
-		s := start(0, 1, 5, long)
-		s.Deadline = now + lease
+		s := start(0, 1, 5, longRun)
+		s.Deadline = now + leaseTime
 		assert.Equal(t, w.start(t, s), engine.OutcomeOK)
-		assert.Equal(t, w.ends(t, 1).Ended[0].How, work.LeaseExpired)
+		assert.Equal(t, w.awaitEnds(t, 1).Ended[0].How, work.LeaseExpired)
 	}},
-	{"a brief poll tells ends alone, and says so", func(t *testing.T, w *Workers) {
-		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOK)
-		assert.Equal(t, w.start(t, start(1, 1, 5, quick)), engine.OutcomeOK)
-		w.ends(t, 1)
+	{"a brief poll lists ended runs only, and is marked as brief", func(t *testing.T, w *Workers) {
+		assert.Equal(t, w.start(t, start(0, 1, 5, longRun)), engine.OutcomeOK)
+		assert.Equal(t, w.start(t, start(1, 1, 5, shortRun)), engine.OutcomeOK)
+		w.awaitEnds(t, 1)
 		l := w.list(t, engine.Hold{Token: 5, Brief: true})
 		assert.Assert(t, l.Brief)
 		assert.Equal(t, len(l.Running), 0)
 		assert.Equal(t, len(l.Ended), 1)
 	}},
-	{"another life answers for itself alone", func(t *testing.T, w *Workers) {
+	{"a call for another incarnation is rejected", func(t *testing.T, w *Workers) {
 		w.Worker.ID = "another"
-		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOtherLife)
+		assert.Equal(t, w.start(t, start(0, 1, 5, longRun)), engine.OutcomeOtherLife)
 		assert.Equal(t, w.Client.Stop(t.Context(), &w.Worker, task(0), 1, 5), engine.OutcomeOtherLife)
 		_, out := w.Client.Hold(t.Context(), &w.Worker, engine.Hold{Token: 5})
 		assert.Equal(t, out, engine.OutcomeOtherLife)
 	}},
 	{"a call without an answer is of unknown outcome", func(t *testing.T, w *Workers) {
 		w.Silence()
-		ctx, cancel := context.WithTimeout(t.Context(), giveUp)
+		ctx, cancel := context.WithTimeout(t.Context(), silenceTimeout)
 		defer cancel()
-		out, _ := w.Client.Start(ctx, &w.Worker, start(0, 1, 5, long))
+		out, _ := w.Client.Start(ctx, &w.Worker, start(0, 1, 5, longRun))
 		assert.Equal(t, out, engine.OutcomeUnknown)
 	}},
-	{"a life that ends answers no call that waits", func(t *testing.T, w *Workers) {
-		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeOK)
-		crashed := time.AfterFunc(giveUp, w.Crash)
+	{"a call that waits is not answered when the incarnation ends", func(t *testing.T, w *Workers) {
+		assert.Equal(t, w.start(t, start(0, 1, 5, longRun)), engine.OutcomeOK)
+		crashed := time.AfterFunc(silenceTimeout, w.Crash)
 		defer crashed.Stop()
-		_, out := w.Client.Hold(t.Context(), &w.Worker, engine.Hold{Token: 5, Wait: 4 * giveUp})
+		_, out := w.Client.Hold(t.Context(), &w.Worker, engine.Hold{Token: 5, Wait: 4 * silenceTimeout})
 		assert.Equal(t, out, engine.OutcomeUnknown)
 	}},
 	{"a call without a connection was not sent", func(t *testing.T, w *Workers) {
 		w.Worker.Address = w.Unreachable
-		assert.Equal(t, w.start(t, start(0, 1, 5, long)), engine.OutcomeNotSent)
+		assert.Equal(t, w.start(t, start(0, 1, 5, longRun)), engine.OutcomeNotSent)
 	}},
 }
 
-// RunWorkers holds an implementation to engine.Workers; fresh makes one for a case.
+// RunWorkers tests an implementation of engine.Workers. It calls fresh for a new one for each case.
 func RunWorkers(t *testing.T, fresh func(t *testing.T) *Workers) {
 	for _, c := range workerCases {
 		t.Run(c.name, func(t *testing.T) { c.run(t, fresh(t)) })
 	}
 }
 
-// Machines is an implementation of engine.Machines with a VM in the first pool.
+// Machines is an implementation of engine.Machines under test, with a VM in the first pool.
 type Machines struct {
 	Client engine.Machines
-	// Unreachable is an implementation whose service refuses connections.
+	// Unreachable is the implementation with a service that refuses connections.
 	Unreachable engine.Machines
 	VM          string
 	Pools       [2]string
-	Worker      work.WorkerID // the VM's present life
+	Worker      work.WorkerID // the VM's current incarnation
 }
 
 func (m *Machines) vm(t *testing.T) work.VM {
@@ -200,22 +201,22 @@
 	return work.VM{}
 }
 
-// back waits for the VM's next life.
-func (m *Machines) back(t *testing.T) work.VM {
+// awaitNextIncarnation waits until the VM is up with another incarnation than Worker.
+func (m *Machines) awaitNextIncarnation(t *testing.T) work.VM {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if vm := m.vm(t); vm.State == work.VMUp && vm.Worker != m.Worker {
 			return vm
 		}
 	}
-	t.Fatalf("VM %s is not back after %s", m.VM, patience)
+	t.Fatalf("VM %s is not up with a new incarnation after %s", m.VM, waitTimeout)
 	return work.VM{}
 }
 
-// RunMachines holds an implementation to engine.Machines.
+// RunMachines tests an implementation of engine.Machines. It calls fresh for a new one for each case.
 func RunMachines(t *testing.T, fresh func(t *testing.T) *Machines) {
 	const token = 5
-	t.Run("a VM is listed with its pool, size and life", func(t *testing.T) {
+	t.Run("a VM is listed with its pool, size and incarnation", func(t *testing.T) {
 		m := fresh(t)
 		vm := m.vm(t)
 		assert.Equal(t, vm.Pool, m.Pools[0])
@@ -223,23 +224,23 @@
 		assert.Equal(t, vm.State, work.VMUp)
 		assert.Assert(t, vm.Size.MilliCPU > 0 && vm.Size.MemoryMB > 0)
 	})
-	t.Run("a moved VM is busy, and back in its new pool with another life", func(t *testing.T) {
+	t.Run("a VM that moves is busy, and then up in its new pool with a new incarnation", func(t *testing.T) {
 		m := fresh(t)
 		assert.Equal(t, m.Client.Move(t.Context(), m.VM, m.Pools[1], token), engine.VMDone)
 		assert.Equal(t, m.Client.Move(t.Context(), m.VM, m.Pools[0], token), engine.VMBusy)
 		assert.Equal(t, m.vm(t).State, work.VMMoving)
-		assert.Equal(t, m.back(t).Pool, m.Pools[1])
+		assert.Equal(t, m.awaitNextIncarnation(t).Pool, m.Pools[1])
 	})
-	t.Run("a maintained VM is back in its pool with another life", func(t *testing.T) {
+	t.Run("a VM is up in its pool with a new incarnation after maintenance", func(t *testing.T) {
 		m := fresh(t)
 		assert.Equal(t, m.Client.Maintain(t.Context(), m.VM, "1", token), engine.VMDone)
 		assert.Equal(t, m.vm(t).State, work.VMMaintenance)
-		assert.Equal(t, m.back(t).Pool, m.Pools[0])
+		assert.Equal(t, m.awaitNextIncarnation(t).Pool, m.Pools[0])
 	})
-	t.Run("an order for no VM is invalid", func(t *testing.T) {
+	t.Run("an order for an unknown VM is invalid", func(t *testing.T) {
 		assert.Equal(t, fresh(t).Client.Move(t.Context(), "nobody", "nowhere", token), engine.VMInvalid)
 	})
-	t.Run("a service without a connection did nothing", func(t *testing.T) {
+	t.Run("an order to an unreachable service has no effect", func(t *testing.T) {
 		m := fresh(t)
 		assert.Equal(t, m.Unreachable.Move(t.Context(), m.VM, m.Pools[1], token), engine.VMLater)
 		_, err := m.Unreachable.List(t.Context())
@@ -247,18 +248,18 @@
 	})
 }
 
-// Advisor is an implementation of engine.Advisor.
+// Advisor is an implementation of engine.Advisor under test.
 type Advisor struct {
 	Client      engine.Advisor
-	Unreachable engine.Advisor // its service refuses connections
+	Unreachable engine.Advisor // the implementation with a service that refuses connections
 	Workers     []work.WorkerID
 	Approves    func(step work.StepRef, worker work.WorkerID) bool
 }
 
-// RunAdvisor holds an implementation to engine.Advisor.
+// RunAdvisor tests an implementation of engine.Advisor.
 func RunAdvisor(t *testing.T, a Advisor) {
 	step := task(0).StepRef
-	t.Run("tickets come for the workers that may run the step alone", func(t *testing.T) {
+	t.Run("tickets are issued only for the workers that may run the step", func(t *testing.T) {
 		tickets, validity, err := a.Client.Advise(t.Context(), step, a.Workers)
 		assert.NilError(t, err)
 		assert.Assert(t, validity > 0)
@@ -271,7 +272,7 @@
 			assert.Equal(t, got[w], a.Approves(step, w), "%s", w)
 		}
 	})
-	t.Run("an advisor that is away gives no advice", func(t *testing.T) {
+	t.Run("an unreachable advisor returns an error", func(t *testing.T) {
 		_, _, err := a.Unreachable.Advise(t.Context(), step, a.Workers)
 		assert.Assert(t, err != nil)
 	})
