--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -12,24 +12,26 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// Directory is who has which duty, as this entry VM last read it.
+// Directory holds the owners of duties as this entry VM last read them from the store. The zero
+// value is empty.
 type Directory struct {
 	Log logr.Logger
 
 	mu     sync.Mutex
-	owners map[string]held
-	// vacated counts how often each duty was seen to become free.
-	vacated map[string]int
-	read    bool          // the whole list was read at least once
-	changed chan struct{} // closed at the next change
+	owners map[string]ownerEntry
+	// vacancies counts how often each duty was seen to become free.
+	vacancies map[string]int
+	listed    bool          // the whole list was read at least once; until then no duty counts as free
+	changed   chan struct{} // closed at the next change
 }
 
-type held struct {
+// ownerEntry is the owner of a duty. Its Record is empty if the stored one is malformed.
+type ownerEntry struct {
 	Record
 	revision infra.Revision
 }
 
-// Owner returns who has the duty; false where nobody does.
+// Owner returns the owner of the duty; false if it has none or its record is malformed.
 func (d *Directory) Owner(duty string) (Record, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,7 +39,7 @@
 	return h.Record, h.Entry != ""
 }
 
-// Entries returns the entry VMs that have a duty.
+// Entries returns the names of the entry VMs that have a duty.
 func (d *Directory) Entries() map[string]bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,25 +50,25 @@
 	return out
 }
 
-// Replace takes the whole list over.
+// Replace replaces the directory's content by the listed keys.
 func (d *Directory) Replace(kvs []infra.KV) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := d.owners
-	d.owners = make(map[string]held)
-	d.read = true
+	d.owners = make(map[string]ownerEntry)
+	d.listed = true
 	for _, kv := range kvs {
 		d.putLocked(kv)
 	}
 	for duty := range before {
 		if _, known := d.owners[duty]; !known {
-			d.vacateLocked(duty)
+			d.countVacancyLocked(duty)
 		}
 	}
 	d.notifyLocked()
 }
 
-// Change takes one change over.
+// Change applies a change of a key. Changes older than what the directory holds are ignored.
 func (d *Directory) Change(ev infra.Event) {
 	if ev.Kind == infra.EventDelete {
 		d.remove(ev.KV.Key, ev.KV.ModRevision)
@@ -85,8 +87,8 @@
 func (d *Directory) putLocked(kv infra.KV) {
 	var r Record
 	if err := json.Unmarshal(kv.Value, &r); err != nil || r.Entry == "" {
-		// The duty is not free: its key stands.
-		d.Log.Error(err, "owner's record is malformed and names none", "key", kv.Key)
+		// The duty is not free, since its key exists.
+		d.Log.Error(err, "the record of a duty's owner is malformed", "key", kv.Key)
 		r = Record{}
 	}
 	duty := strings.TrimPrefix(kv.Key, infra.WorkOwnerPrefix)
@@ -94,13 +96,13 @@
 		return
 	}
 	if d.owners == nil {
-		d.owners = make(map[string]held)
+		d.owners = make(map[string]ownerEntry)
 	}
-	d.owners[duty] = held{Record: r, revision: kv.ModRevision}
-	d.Log.Info("owner", "duty", duty, "owner", r.Entry, "revision", int64(kv.ModRevision))
+	d.owners[duty] = ownerEntry{Record: r, revision: kv.ModRevision}
+	d.Log.Info("duty has an owner", "duty", duty, "owner", r.Entry, "revision", int64(kv.ModRevision))
 }
 
-// remove forgets an owner of at most the revision.
+// remove removes the owner of the duty with the key, unless its revision is later than the given one.
 func (d *Directory) remove(key string, at infra.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,8 +112,8 @@
 		return
 	}
 	delete(d.owners, duty)
-	d.vacateLocked(duty)
-	d.Log.Info("no owner", "duty", duty, "last", old.Entry, "revision", int64(at))
+	d.countVacancyLocked(duty)
+	d.Log.Info("duty has no owner", "duty", duty, "last", old.Entry, "revision", int64(at))
 	d.notifyLocked()
 }
 
@@ -122,31 +124,31 @@
 	}
 }
 
-func (d *Directory) vacateLocked(duty string) {
-	if d.vacated == nil {
-		d.vacated = make(map[string]int)
+func (d *Directory) countVacancyLocked(duty string) {
+	if d.vacancies == nil {
+		d.vacancies = make(map[string]int)
 	}
-	d.vacated[duty]++
+	d.vacancies[duty]++
 }
 
-// vacancy reports whether the duty is free, and how often it had become so: another
-// number is another vacancy.
+// vacancy reports whether the duty is free, and the number of its vacancies so far. A different
+// number means that the duty had an owner in between.
 func (d *Directory) vacancy(duty string) (n int, free bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, known := d.owners[duty]
-	return d.vacated[duty], d.read && !known
+	return d.vacancies[duty], d.listed && !known
 }
 
-// recheck bounds a wait, should a change have been missed.
-const recheck = 1 * time.Second
+// recheckInterval limits a wait for a change, in case one was missed.
+const recheckInterval = 1 * time.Second
 
-// waitFree returns true once the duty is free; false where it should be asked
-// again.
+// waitFree returns true if the duty is free. Otherwise it waits for a change and returns false; the
+// caller then calls it again.
 func (d *Directory) waitFree(ctx context.Context, duty string) bool {
 	d.mu.Lock()
 	_, known := d.owners[duty]
-	if d.read && !known {
+	if d.listed && !known {
 		d.mu.Unlock()
 		return true
 	}
@@ -155,7 +157,7 @@
 	}
 	changed := d.changed
 	d.mu.Unlock()
-	t := time.NewTimer(recheck)
+	t := time.NewTimer(recheckInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/ownership/relief_test.go
+++ b/internal/ownership/handover_test.go
@@ -11,18 +11,18 @@
 	"github.com/pumicestage/pumicestage/internal/infra/memstore"
 )
 
-// The store renews the lease at once, and the answer is read half a second later, as the
-// VM's processor is slow. Given up after 0.15 s, no renewal would ever count: the duty stands
-// at the store, and its owner does not dare to use it.
+// Guards against an owner that never gets its lease confirmed because its VM is overloaded: the store renews the
+// lease at once, but the answer is read 0.6 s later. If the renewal were given up after 0.15 s, none would ever
+// count, while no other VM could acquire the duty.
 func TestARenewalThatIsReadLateCounts(t *testing.T) {
 	const late = 600 * time.Millisecond
-	keepsTheDuty(t, &losing{needs: late}, func() time.Duration { return late / 2 })
+	testDutyIsKept(t, &lossyStore{answerTime: late}, func() time.Duration { return late / 2 })
 }
 
-// An owner that is behind gives its duty up and would be the first to take it again.
+// Guards against an overloaded owner that hands its duty over and is then the first to acquire it again.
 func TestAVMThatGaveADutyUpLeavesItToOthers(t *testing.T) {
 	e := newElector(t, memstore.New(clockwork.NewFakeClock()), &testClock{now: time.Minute}, "e1")
-	term, err := e.take(context.Background())
+	term, err := e.acquire(context.Background())
 	assert.NilError(t, err)
 	term.cancel = func() {}
 	var waited []time.Duration
@@ -30,10 +30,10 @@
 		waited = append(waited, d)
 		return true
 	}
-	e.standBack(context.Background(), term)
+	e.pauseAfterHandOver(context.Background(), term)
 	assert.Equal(t, len(waited), 0)
 	term.Relieve()
 	assert.Assert(t, !term.Certain())
-	e.standBack(context.Background(), term)
-	assert.DeepEqual(t, waited, []time.Duration{standBackFor})
+	e.pauseAfterHandOver(context.Background(), term)
+	assert.DeepEqual(t, waited, []time.Duration{handOverPause})
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,7 +1,7 @@
-// Package ownership decides which entry VM has a duty: the holder of the duty's
-// leased key in the platform's store. The key's revision is the owner's fencing
-// token. The lease only saves effort and time; what keeps two owners apart is the
-// token, which workers and the store check.
+// Package ownership elects the entry VM that owns a duty, a cell or the fleet: the owner is the
+// holder of the duty's leased key in the platform's store. The key's revision is the owner's
+// fencing token. Safety rests on the token alone, which workers and the store check; the lease
+// merely makes conflicts rare and replaces a failed owner soon.
 package ownership
 
 import (
@@ -21,75 +21,81 @@
 
 // Times of the lease.
 const (
-	// TTL is how long the key outlives its holder's last renewal: a killed owner
-	// is missed for as long. Leases of tasks outlast that (see engine.LeaseExtension).
-	// With 1.2 s a hundredth more or less was served, on days of kills and cuts and
-	// on those of a store that is slow and loses answers; the longer one is left for
-	// stores that are slower than any tried.
+	// TTL is how long the key outlives its holder's last renewal, and thus how long a
+	// duty has no owner after that was killed. Leases of tasks last longer (see
+	// engine.LeaseExtension). A TTL of 1.2 s changes the work served by only 1 %, under
+	// kills and partitions and with a store that is slow and loses answers; the longer
+	// one tolerates even slower stores.
 	TTL = 1600 * time.Millisecond
-	// renewEvery lets four tries begin before the lease runs out where none is
-	// answered: 0.5, 0.7, 1.05 and 1.55 s into it.
+	// renewEvery allows four renewals to be sent before the lease expires if none is
+	// answered: 0.5, 0.7, 1.05 and 1.55 s after the lease was last renewed.
 	renewEvery = 500 * time.Millisecond
-	// callTimeout ends one call to the store, which answers in milliseconds.
+	// callTimeout limits one call to the store, which answers in milliseconds.
 	callTimeout = 450 * time.Millisecond
-	// firstTimeout is the same for a renewal that follows one that was answered.
+	// firstTimeout limits a renewal that follows an answered one.
 	firstTimeout = 150 * time.Millisecond
-	// againPause separates renewals that fail.
-	againPause = 50 * time.Millisecond
-	// retryPause separates tries while the store is in trouble.
+	// renewRetryPause is the pause after a failed renewal.
+	renewRetryPause = 50 * time.Millisecond
+	// retryPause is the pause after a failed attempt to acquire a duty, and between
+	// checks whether this VM may take one.
 	retryPause = 150 * time.Millisecond
-	// skewShare of the lease is taken off for the difference of clocks' rates.
-	skewShare = 0.02
-	// unreachableFor is how long one failed renewal lets orders go on: until
-	// the next has failed, too.
-	unreachableFor = renewEvery + callTimeout + 250*time.Millisecond
-	// rankStep spreads the entry VMs' tries for a free key, so that as a rule
-	// the first takes it and the others need not try.
-	rankStep  = 4 * time.Millisecond
-	rankSlots = 16
-	// dutyStep is what each duty that a VM has puts it behind the others.
-	dutyStep = 50 * time.Millisecond
-	// standBackFor is how long a VM that handed a duty over as it could not bear it leaves
-	// it to others: they try within a quarter of a second.
-	standBackFor = 1 * time.Second
-	// leastWeight bounds how far behind a small VM stands.
-	leastWeight = 0.02
+	// clockSkewShare is the part of the lease that is subtracted because this VM's and
+	// the store's clocks may run at different rates.
+	clockSkewShare = 0.02
+	// failedRenewalGrace is how long orders are allowed after a failed renewal: until
+	// the next renewal has failed as well.
+	failedRenewalGrace = renewEvery + callTimeout + 250*time.Millisecond
+	// acquireDelayStep separates the entry VMs' attempts to acquire a free duty, so that
+	// usually the first succeeds and the others make none.
+	acquireDelayStep  = 4 * time.Millisecond
+	acquireDelaySlots = 16
+	// acquireDelayPerDuty is the additional delay for each duty that a VM already has.
+	acquireDelayPerDuty = 50 * time.Millisecond
+	// handOverPause is how long a VM that handed a duty over does not try to acquire it
+	// again. Other VMs try within 0.25 s.
+	handOverPause = 1 * time.Second
+	// minWeight bounds the delay of small VMs: it is the smallest weight that delays are
+	// computed with.
+	minWeight = 0.02
 )
 
-// Record is what the owner's key holds.
+// Record is the value of a duty's key: it names the owner.
 type Record struct {
 	Entry   string `json:"entry"`   // name of the entry VM
-	Address string `json:"address"` // where its peers reach it
+	Address string `json:"address"` // address for its peers
 }
 
-// Clock tells the time since the VM's start, suspended spells included.
+// Clock returns the time since the VM's start, including the time that it was suspended.
 type Clock interface {
 	Now() time.Duration
 }
 
-// Options are what an Elector is made of.
+// Options configures an Elector.
 type Options struct {
 	Duty      string
 	Store     infra.Store
 	Directory *Directory
 	Self      Record
-	// Weight is how much this VM can carry against others; more takes duties
-	// sooner.
+	// Weight is this VM's capacity relative to other entry VMs. VMs with a larger weight
+	// try to acquire duties sooner.
 	Weight float64
 	Clock  Clock
 	Log    logr.Logger
-	// Grace is how long after the lease was last certain orders may go on
-	// while the store can't be reached.
+	// Grace is how long after the lease was last certain orders may be given while the
+	// store can't be reached.
 	Grace time.Duration
 	// MinTTL is the shortest lease that the store grants.
 	MinTTL time.Duration
-	// RunTerm is run for each term; its context ends with the term.
+	// RunTerm is called for each term. Its context ends with the term, and its return ends
+	// the term.
 	RunTerm func(ctx context.Context, t *Term)
-	// Duties is this entry VM's duties.
+	// Duties counts the duties of this entry VM. All its electors share it.
 	Duties *DutyCounter
-	// SchedulingDelay is how long what is ready to run waits on this VM; nil: it does not.
+	// SchedulingDelay returns how long runnable work waits for this VM's processor; nil is
+	// no delay.
 	SchedulingDelay func() time.Duration
-	// RevokeLater is given a lease that could not be ended, for others to end; nil: it runs out.
+	// RevokeLater is called with a lease that could not be revoked, to have other VMs
+	// revoke it. If it is nil, the lease expires.
 	RevokeLater func(lease infra.LeaseID)
 }
 
@@ -98,12 +104,12 @@
 	// CanTake reports whether the entry VM may take a duty now.
 	CanTake func() bool
 
-	taking sync.Mutex // held while a duty is taken: one at a time
-	mu     sync.Mutex
-	held   int
+	acquiring sync.Mutex // held while a duty is acquired, one at a time
+	mu        sync.Mutex
+	held      int
 }
 
-// Held returns how many duties the entry VM has.
+// Held returns the number of duties that the entry VM has.
 func (l *DutyCounter) Held() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,25 +122,26 @@
 	l.held += n
 }
 
-// Elector takes the duty's key when it is free.
+// Elector tries to acquire a duty whenever it is free, and runs a term each time it succeeds.
 type Elector struct {
 	o Options
-	// pause waits, unless ctx ends before; a test lets its own clock go on instead.
+	// pause waits for d or until ctx ends. It reports whether d has passed. Tests replace it to
+	// advance their own clock.
 	pause func(ctx context.Context, d time.Duration) bool
 }
 
-// ttl is how long leases of duties last.
+// ttl returns the duration of a duty's lease: TTL, or the shortest that the store grants.
 func (o *Options) ttl() time.Duration { return max(TTL, o.MinTTL) }
 
-// sure is how long after its renewal was sent a lease is certain to last.
-func (o *Options) sure() time.Duration {
-	return o.ttl() - time.Duration(skewShare*float64(o.ttl()))
+// certainFor returns how long a lease is certain to last after its renewal was sent.
+func (o *Options) certainFor() time.Duration {
+	return o.ttl() - time.Duration(clockSkewShare*float64(o.ttl()))
 }
 
-// New returns an elector.
+// New returns an elector with the options.
 func New(o Options) *Elector { return &Elector{o: o, pause: sleep.For} }
 
-// Run tries for the duty until ctx ends.
+// Run tries to acquire the duty, and runs a term whenever it succeeds, until ctx ends.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !e.o.Directory.waitFree(ctx, e.o.Duty) {
@@ -146,56 +153,59 @@
 		}
 		held := e.o.Duties.Held()
 		vacancy, _ := e.o.Directory.vacancy(e.o.Duty)
-		sleep.For(ctx, e.rank(held))
-		t, err := e.tryTake(ctx, held, vacancy)
+		sleep.For(ctx, e.acquireDelay(held))
+		t, err := e.tryAcquire(ctx, held, vacancy)
 		if err != nil && ctx.Err() == nil {
-			e.o.Log.V(1).Info("duty not taken", "duty", e.o.Duty, "error", err.Error())
+			e.o.Log.V(1).Info("failed to acquire duty", "duty", e.o.Duty, "error", err.Error())
 			sleep.For(ctx, retryPause)
 		}
 		if t != nil {
 			t.run(ctx)
 			e.o.Duties.add(-1)
-			e.standBack(ctx, t)
+			e.pauseAfterHandOver(ctx, t)
 		}
 	}
 }
 
-// standBack lets others take a duty that this VM gave up as it was behind.
-func (e *Elector) standBack(ctx context.Context, t *Term) {
-	if t.relieved() {
-		e.pause(ctx, standBackFor)
+// pauseAfterHandOver waits if the term was handed over, so that another VM acquires the duty.
+func (e *Elector) pauseAfterHandOver(ctx context.Context, t *Term) {
+	if t.wasHandedOver() {
+		e.pause(ctx, handOverPause)
 	}
 }
 
-// tryTake takes the duty if it is still free, and this entry VM has not taken
-// another while it waited in line: it would have stood behind. Nor if the duty was
-// taken and became free again meanwhile: those who can carry more have just begun to
-// wait, and a small VM at the end of the line of before would be first.
-func (e *Elector) tryTake(ctx context.Context, held, vacancy int) (*Term, error) {
-	e.o.Duties.taking.Lock()
-	defer e.o.Duties.taking.Unlock()
+// tryAcquire acquires the duty if it is still free. It returns nil and no error in two cases
+// in which this VM's delay is no longer right. If this VM has acquired another duty while it
+// waited (it has more than held), its delay would now be longer. If the duty was owned and
+// became free again (vacancy has changed), VMs with a larger weight have only begun to wait,
+// and a small VM at the end of its earlier delay would come first.
+func (e *Elector) tryAcquire(ctx context.Context, held, vacancy int) (*Term, error) {
+	e.o.Duties.acquiring.Lock()
+	defer e.o.Duties.acquiring.Unlock()
 	now, free := e.o.Directory.vacancy(e.o.Duty)
 	if ctx.Err() != nil || !free || now != vacancy || e.o.Duties.Held() > held {
 		return nil, nil
 	}
-	t, err := e.take(ctx)
+	t, err := e.acquire(ctx)
 	if t != nil {
 		e.o.Duties.add(1)
 	}
 	return t, err
 }
 
-// rank is this entry VM's place in the line for the free duty. The line differs
-// from duty to duty, so that duties spread; VMs with duties stand behind.
-func (e *Elector) rank(duties int) time.Duration {
+// acquireDelay returns how long this entry VM waits before it tries to acquire the free duty,
+// if it already has so many duties. The order of the VMs differs from duty to duty, which
+// spreads the duties; VMs with a smaller weight or more duties wait longer.
+func (e *Elector) acquireDelay(duties int) time.Duration {
 	h := fnv.New32a()
-	h.Write([]byte(e.o.Duty + "/" + e.o.Self.Entry)) // a hash takes every write
-	place := float64(1+h.Sum32()%rankSlots) / max(leastWeight, e.o.Weight)
-	return time.Duration(place*float64(rankStep)) + time.Duration(duties)*dutyStep
+	h.Write([]byte(e.o.Duty + "/" + e.o.Self.Entry)) // never returns an error
+	place := float64(1+h.Sum32()%acquireDelaySlots) / max(minWeight, e.o.Weight)
+	return time.Duration(place*float64(acquireDelayStep)) + time.Duration(duties)*acquireDelayPerDuty
 }
 
-// take makes the key under a fresh lease.
-func (e *Elector) take(ctx context.Context) (*Term, error) {
+// acquire creates the duty's key under a new lease and returns the term. The error is
+// AlreadyExists if another entry VM has the key.
+func (e *Elector) acquire(ctx context.Context) (*Term, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := e.o.Clock.Now()
@@ -212,83 +222,86 @@
 		Then: []infra.Op{infra.PutLeased(infra.WorkOwnerKey(e.o.Duty), value, lease)},
 	})
 	if err != nil || !res.Succeeded {
-		e.drop(ctx, lease)
+		e.revoke(ctx, lease)
 		if err == nil {
-			err = trace.AlreadyExists("another entry VM was first")
+			err = trace.AlreadyExists("another entry VM has acquired the duty first")
 		}
 		return nil, trace.Wrap(err)
 	}
-	t := &Term{elector: e, token: int64(res.Revision), lease: lease, certain: sent + e.o.sure()}
-	t.allowed = t.certain
+	t := &Term{elector: e, token: int64(res.Revision), lease: lease, certainUntil: sent + e.o.certainFor()}
+	t.allowedUntil = t.certainUntil
 	e.o.Directory.put(infra.KV{Key: infra.WorkOwnerKey(e.o.Duty), Value: value, ModRevision: res.Revision})
 	return t, nil
 }
 
-// drop ends a lease that holds nothing, or holds a key whose transaction was
-// not answered: the key must not stand for an owner that does not know it is.
-func (e *Elector) drop(ctx context.Context, lease infra.LeaseID) {
+// revoke ends a lease of this VM. That is needed also if the transaction that creates the key
+// was not answered: the key could otherwise name an owner that does not know that it is one.
+func (e *Elector) revoke(ctx context.Context, lease infra.LeaseID) {
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	if err := e.o.Store.Revoke(call, lease); err != nil && !infra.IsKind(err, infra.KindLeaseNotFound) {
-		e.o.Log.V(1).Info("lease not ended", "lease", int64(lease), "error", err.Error())
+		e.o.Log.V(1).Info("failed to revoke lease", "lease", int64(lease), "error", err.Error())
 		if e.o.RevokeLater != nil {
 			e.o.RevokeLater(lease)
 		}
 	}
 }
 
-// Term is one spell of ownership.
+// Term is one uninterrupted ownership of a duty.
 type Term struct {
 	elector *Elector
 	token   int64
 	lease   infra.LeaseID
 	cancel  context.CancelFunc
 
-	mu      sync.Mutex
-	certain time.Duration // no other owner before
-	allowed time.Duration // orders may be given until
-	ended   string
-	behind  bool // it was ended by Relieve
+	mu           sync.Mutex
+	certainUntil time.Duration // no other owner can exist before
+	allowedUntil time.Duration // orders may be given before
+	endReason    string        // empty until the term has ended
+	handedOver   bool          // the term was ended by Relieve
 }
 
-// Token is the fencing token of the term's orders.
+// Token returns the fencing token of the term's orders.
 func (t *Term) Token() int64 { return t.token }
 
-// AllowedUntil is until when orders may be given without another look.
+// AllowedUntil returns the time until which orders may be given without another check; 0 once
+// the term has ended.
 func (t *Term) AllowedUntil() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.allowed
+	return t.allowedUntil
 }
 
-// Certain reports whether no other owner can exist now.
+// Certain reports whether the lease is certainly in force, so that no other owner can exist.
 func (t *Term) Certain() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ended == "" && t.elector.o.Clock.Now() < t.certain
+	return t.endReason == "" && t.elector.o.Clock.Now() < t.certainUntil
 }
 
-// Relieve gives the term up to another entry VM, as this one is behind its work or carries less.
+// Relieve ends the term so that another entry VM acquires the duty, since this one is overloaded
+// or has less capacity.
 func (t *Term) Relieve() {
 	t.mu.Lock()
-	t.behind = true
+	t.handedOver = true
 	t.mu.Unlock()
-	t.End("another VM is to have the duty")
+	t.End("handed over to another entry VM")
 }
 
-func (t *Term) relieved() bool {
+// wasHandedOver reports whether the term was ended by Relieve.
+func (t *Term) wasHandedOver() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.behind
+	return t.handedOver
 }
 
-// End gives the term up.
+// End ends the term. Calls after the first have no effect.
 func (t *Term) End(reason string) {
 	t.mu.Lock()
-	first := t.ended == ""
+	first := t.endReason == ""
 	if first {
-		t.ended = reason
-		t.allowed = 0
+		t.endReason = reason
+		t.allowedUntil = 0
 	}
 	t.mu.Unlock()
 	if first {
@@ -297,7 +310,7 @@
 	}
 }
 
-// run renews the lease and runs Own until either ends.
+// run renews the lease and calls RunTerm until either ends, and then revokes the lease.
 func (t *Term) run(parent context.Context) {
 	ctx, cancel := context.WithCancel(parent)
 	t.cancel = cancel
@@ -306,69 +319,70 @@
 	var renewer sync.WaitGroup
 	renewer.Go(func() { t.renew(ctx) })
 	t.elector.o.RunTerm(ctx, t)
-	t.End("its work ended")
+	t.End("the term's work returned")
 	renewer.Wait()
-	t.elector.drop(parent, t.lease)
+	t.elector.revoke(parent, t.lease)
 	t.elector.o.Directory.remove(infra.WorkOwnerKey(t.elector.o.Duty), infra.Revision(t.token))
 }
 
-// renew keeps the lease. A renewal without an answer is repeated at once, and given
-// more time: answers are lost while the store is well, and it answers late while it is
-// slow; renewals repeated do no harm.
+// renew renews the lease until ctx ends. A renewal without an answer is repeated at once with
+// a longer timeout. A healthy store may lose answers, so waiting long for one is of no use,
+// while a slow store needs the longer timeout. Repeated renewals do no harm.
 func (t *Term) renew(ctx context.Context) {
 	timeout := firstTimeout
 	for t.elector.pause(ctx, renewEvery) {
 		for ctx.Err() == nil {
-			call, cancel := context.WithTimeout(ctx, timeout+t.elector.patience())
+			call, cancel := context.WithTimeout(ctx, timeout+t.elector.extraTimeout())
 			sent := t.elector.o.Clock.Now()
 			err := t.elector.o.Store.KeepAlive(call, t.lease)
 			cancel()
 			if ctx.Err() != nil {
 				return
 			}
-			t.renewed(sent, err)
+			t.handleRenewal(sent, err)
 			if err == nil {
 				timeout = firstTimeout
 				break
 			}
 			timeout = min(2*timeout, callTimeout)
-			t.elector.pause(ctx, againPause)
+			t.elector.pause(ctx, renewRetryPause)
 		}
 	}
 }
 
-// patience is what a renewal gets more while this VM is behind. The store has renewed the
-// lease and the answer lies here unread: given up, the owner would be without certainty
-// while nobody else can take the duty.
-func (e *Elector) patience() time.Duration {
+// extraTimeout returns by how much a renewal's timeout is extended for this VM's scheduling
+// delay. The store may have renewed the lease while the answer waits here to be read. If the
+// renewal were given up, this owner would not be certain of its lease, and no other VM could
+// acquire the duty.
+func (e *Elector) extraTimeout() time.Duration {
 	if e.o.SchedulingDelay == nil {
 		return 0
 	}
 	return overload.ExtraTimeout(e.o.SchedulingDelay())
 }
 
-// renewed takes the outcome of a renewal over. Only a renewal that failed
-// lets orders go on past the lease: a VM that was suspended, and has not asked
-// yet, must assume that it has a successor.
-func (t *Term) renewed(sent time.Duration, err error) {
+// handleRenewal applies the outcome of a renewal that was sent at the given time. Orders are
+// allowed beyond the certain lease only after a renewal has failed: a VM that was suspended and
+// has not contacted the store yet must assume that there is a new owner.
+func (t *Term) handleRenewal(sent time.Duration, err error) {
 	if err == nil {
 		t.mu.Lock()
-		if t.ended == "" {
-			t.certain = sent + t.elector.o.sure()
-			t.allowed = t.certain
+		if t.endReason == "" {
+			t.certainUntil = sent + t.elector.o.certainFor()
+			t.allowedUntil = t.certainUntil
 		}
 		t.mu.Unlock()
 		return
 	}
 	if infra.IsKind(err, infra.KindLeaseNotFound) {
-		t.End("the lease has lapsed")
+		t.End("the lease has expired")
 		return
 	}
 	now := t.elector.o.Clock.Now()
-	t.elector.o.Log.Info("lease not renewed", "duty", t.elector.o.Duty, "token", t.token, "error", err.Error())
+	t.elector.o.Log.Info("failed to renew lease", "duty", t.elector.o.Duty, "token", t.token, "error", err.Error())
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ended == "" {
-		t.allowed = max(t.allowed, min(now+unreachableFor, t.certain+t.elector.o.Grace))
+	if t.endReason == "" {
+		t.allowedUntil = max(t.allowedUntil, min(now+failedRenewalGrace, t.certainUntil+t.elector.o.Grace))
 	}
 }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -15,7 +15,7 @@
 	"github.com/pumicestage/pumicestage/internal/infra/memstore"
 )
 
-// testClock is moved by the test alone.
+// testClock is a clock that only the test advances.
 type testClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -50,23 +50,22 @@
 	clock := &testClock{now: time.Minute}
 	first := newElector(t, store, clock, "e1")
 	ctx := context.Background()
-	term, err := first.take(ctx)
+	term, err := first.acquire(ctx)
 	assert.NilError(t, err)
-	_, err = newElector(t, store, clock, "e2").take(ctx)
+	_, err = newElector(t, store, clock, "e2").acquire(ctx)
 	assert.Assert(t, err != nil, "it is taken")
-	first.drop(ctx, term.lease)
-	next, err := newElector(t, store, clock, "e2").take(ctx)
+	first.revoke(ctx, term.lease)
+	next, err := newElector(t, store, clock, "e2").acquire(ctx)
 	assert.NilError(t, err)
 	assert.Assert(t, next.Token() > term.Token())
 }
 
-// An entry VM is suspended for seconds. When it wakes it believes in a lease that
-// has long lapsed, and would give orders beside its successor: only a renewal
-// that was tried and failed lets orders go on.
+// Guards against two owners that give orders. An entry VM that was suspended for seconds believes that it
+// has a lease that has long expired. Orders may go on beyond the lease only after a renewal has failed.
 func TestAThawedOwnerGivesNoOrdersBeforeItHasAskedTheStore(t *testing.T) {
 	clock := &testClock{now: time.Minute}
 	e := newElector(t, memstore.New(clockwork.NewFakeClock()), clock, "e1")
-	term, err := e.take(context.Background())
+	term, err := e.acquire(context.Background())
 	assert.NilError(t, err)
 	term.cancel = func() {}
 	assert.Assert(t, term.Certain())
@@ -74,63 +73,63 @@
 	assert.Assert(t, !term.Certain())
 	assert.Assert(t, term.AllowedUntil() < clock.Now())
 
-	term.renewed(clock.Now(), infra.Errorf("keepalive", infra.KindLeaseNotFound, "lapsed"))
+	term.handleRenewal(clock.Now(), infra.Errorf("keepalive", infra.KindLeaseNotFound, "lapsed"))
 	assert.Equal(t, term.AllowedUntil(), time.Duration(0))
 }
 
-// The store is away: what runs must not lapse for it, and a successor must be
-// able to rely on an end of the old owner's orders.
+// While the store is unavailable the leases of running tasks must be renewed, so orders go on, but only for
+// the grace period: a new owner must be able to rely on an end of its predecessor's orders.
 func TestOrdersGoOnWhileTheStoreIsAwayForTheGraceAlone(t *testing.T) {
 	clock := &testClock{now: time.Minute}
 	e := newElector(t, memstore.New(clockwork.NewFakeClock()), clock, "e1")
-	term, err := e.take(context.Background())
+	term, err := e.acquire(context.Background())
 	assert.NilError(t, err)
 	away := infra.Errorf("keepalive", infra.KindUnavailable, "%w", errors.New("no answer"))
-	last := term.certain
+	last := term.certainUntil
 	for clock.Now() < last+grace-time.Second {
 		clock.advance(500 * time.Millisecond)
-		term.renewed(clock.Now(), away)
+		term.handleRenewal(clock.Now(), away)
 		assert.Assert(t, term.AllowedUntil() > clock.Now())
 	}
 	clock.advance(10 * time.Second)
-	term.renewed(clock.Now(), away)
+	term.handleRenewal(clock.Now(), away)
 	assert.Assert(t, term.AllowedUntil() <= last+grace)
-	term.renewed(clock.Now(), nil)
-	assert.Assert(t, term.Certain(), "the store is back and the lease lived on")
+	term.handleRenewal(clock.Now(), nil)
+	assert.Assert(t, term.Certain(), "the store is available again and has kept the lease")
 }
 
-// Two owners give orders. One gave its term up while a renewal was under way, and
-// the answer to that brought the permission back.
+// Guards against two owners that give orders: one has ended its term while a renewal was in flight, and the
+// answer must not allow orders again.
 func TestARenewalThatWasUnderWayDoesNotBringAnEndedTermBack(t *testing.T) {
 	clock := &testClock{now: time.Minute}
 	e := newElector(t, memstore.New(clockwork.NewFakeClock()), clock, "e1")
-	term, err := e.take(context.Background())
+	term, err := e.acquire(context.Background())
 	assert.NilError(t, err)
 	term.cancel = func() {}
 	term.End("test")
-	term.renewed(clock.Now(), nil)
+	term.handleRenewal(clock.Now(), nil)
 	assert.Equal(t, term.AllowedUntil(), time.Duration(0))
 	assert.Assert(t, !term.Certain())
 }
 
-// All duties went to one VM at the start, as each was taken before the first
-// counted.
+// Guards against one VM that acquires all duties when the service starts: its electors waited at the same
+// time, each with the delay of a VM without duties.
 func TestAVMThatTookADutyMeanwhileStandsBehindForTheNext(t *testing.T) {
 	store := memstore.New(clockwork.NewFakeClock())
 	clock := &testClock{now: time.Minute}
 	e := newElector(t, store, clock, "e1")
-	term, err := e.tryTake(context.Background(), 0, 0)
+	term, err := e.tryAcquire(context.Background(), 0, 0)
 	assert.NilError(t, err)
 	assert.Assert(t, term != nil)
 	other := newElector(t, store, clock, "e1")
 	other.o.Duty, other.o.Duties = "cell/b", e.o.Duties
-	term, err = other.tryTake(context.Background(), 0, 0)
+	term, err = other.tryAcquire(context.Background(), 0, 0)
 	assert.NilError(t, err)
-	assert.Assert(t, term == nil, "it has one more than when it stood in line")
-	assert.Assert(t, other.rank(1) >= other.rank(0)+dutyStep)
+	assert.Assert(t, term == nil, "it has one duty more than when it began to wait")
+	assert.Assert(t, other.acquireDelay(1) >= other.acquireDelay(0)+acquireDelayPerDuty)
 }
 
-// Small VMs took duties that they can't carry: leases ran out under load.
+// Guards against small VMs that acquire duties beyond their capacity, and then lose leases under load.
 func TestSmallVMsStandBehindStrongOnes(t *testing.T) {
 	clock := &testClock{}
 	for _, entry := range []string{"e1", "e2", "e3", "e4", "e5"} {
@@ -138,7 +137,7 @@
 		strong.o.Weight = 0.8
 		small := newElector(t, nil, clock, entry)
 		small.o.Weight = 0.02
-		assert.Assert(t, strong.rank(0) < small.rank(0), "%s: %s, %s", entry, strong.rank(0), small.rank(0))
+		assert.Assert(t, strong.acquireDelay(0) < small.acquireDelay(0), "%s: %s, %s", entry, strong.acquireDelay(0), small.acquireDelay(0))
 	}
 }
 
@@ -157,65 +156,64 @@
 	assert.Equal(t, owner.Entry, "e2")
 }
 
-// losing is a store that does the first renewals of a lease and loses their answers.
-// Time goes on while they are waited for.
-type losing struct {
+// lossyStore is a store that applies renewals of a lease but loses the first answers, or answers slowly. The
+// clock advances while a caller waits for an answer.
+type lossyStore struct {
 	infra.Store
-	clock  *testClock
-	lost   int
-	needs  time.Duration      // before it answers; a call with less time has none
-	tries  int                // without an answer so far
-	answer chan time.Duration // told when the first renewal that is answered was sent
+	clock         *testClock
+	answersToLose int
+	answerTime    time.Duration      // time until a renewal is answered; a call with a shorter timeout gets no answer
+	unanswered    int                // unanswered renewals so far
+	answer        chan time.Duration // receives the time at which the first answered renewal was sent
 }
 
-// mostTries ends a test of a store that is never given the time that it needs.
-const mostTries = 20
+// maxUnanswered ends a test in which no renewal's timeout is long enough for the store.
+const maxUnanswered = 20
 
-func (l *losing) KeepAlive(ctx context.Context, lease infra.LeaseID) error {
+func (l *lossyStore) KeepAlive(ctx context.Context, lease infra.LeaseID) error {
 	if err := l.Store.KeepAlive(ctx, lease); err != nil {
 		return err
 	}
 	end, _ := ctx.Deadline()
-	patience := time.Until(end)
-	if l.lost == 0 && patience > l.needs || l.tries == mostTries {
+	timeout := time.Until(end)
+	if l.answersToLose == 0 && timeout > l.answerTime || l.unanswered == maxUnanswered {
 		select {
 		case l.answer <- l.clock.Now():
 		default:
 		}
-		l.clock.advance(l.needs)
+		l.clock.advance(l.answerTime)
 		return nil
 	}
-	l.tries++
-	l.lost = max(0, l.lost-1)
-	l.clock.advance(patience)
+	l.unanswered++
+	l.answersToLose = max(0, l.answersToLose-1)
+	l.clock.advance(timeout)
 	return infra.Errorf("keepalive", infra.KindUnknown, "no answer")
 }
 
-// A cell is without an owner although nobody failed: a third of the store's answers
-// were lost, two renewals in a row among them, and the lease ran out while the owner
-// waited for the second. Repeated at once, and with little patience at first, two in a
-// row leave the lease certain all the while.
+// Guards against a cell without an owner although no VM has failed: a third of the store's answers are lost,
+// and the lease expires while the owner waits for the second of two lost ones. With short first timeouts and
+// immediate repetition, the lease stays certain throughout.
 func TestLostAnswersOfRenewalsDoNotCostTheDuty(t *testing.T) {
-	keepsTheDuty(t, &losing{lost: 2}, nil)
+	testDutyIsKept(t, &lossyStore{answersToLose: 2}, nil)
 }
 
-// A store that is slow answers after 0.4 s: renewals with little patience alone would
-// never be answered, and every duty would change hands.
+// Guards against owners that lose their duties to a slow store, which answers after 0.4 s: renewals with only
+// the short timeout would never be answered.
 func TestASlowStoreDoesNotCostTheDuty(t *testing.T) {
-	keepsTheDuty(t, &losing{needs: 400 * time.Millisecond}, nil)
+	testDutyIsKept(t, &lossyStore{answerTime: 400 * time.Millisecond}, nil)
 }
 
-// keepsTheDuty has an owner renew at the store until one is answered, which must be while
-// its lease is certain. behind is as in Options.
-func keepsTheDuty(t *testing.T, l *losing, behind func() time.Duration) {
+// testDutyIsKept has an owner renew its lease until a renewal is answered, and checks that this renewal was
+// sent while the lease was certain. delay is Options.SchedulingDelay.
+func testDutyIsKept(t *testing.T, l *lossyStore, delay func() time.Duration) {
 	t.Helper()
 	clock := &testClock{now: time.Minute}
 	l.Store, l.clock, l.answer = memstore.New(clockwork.NewFakeClock()), clock, make(chan time.Duration, 1)
 	e := newElector(t, l, clock, "e1")
-	e.o.SchedulingDelay = behind
-	term, err := e.take(context.Background())
+	e.o.SchedulingDelay = delay
+	term, err := e.acquire(context.Background())
 	assert.NilError(t, err)
-	certain := term.certain
+	certain := term.certainUntil
 	ctx, cancel := context.WithCancel(context.Background())
 	term.cancel = cancel
 	e.pause = func(ctx context.Context, d time.Duration) bool {
@@ -233,13 +231,13 @@
 func TestALeaseIsNoShorterThanTheStoreGrants(t *testing.T) {
 	o := Options{MinTTL: 3 * time.Second}
 	assert.Equal(t, o.ttl(), 3*time.Second)
-	assert.Assert(t, o.sure() < 3*time.Second)
+	assert.Assert(t, o.certainFor() < 3*time.Second)
 	assert.Equal(t, (&Options{}).ttl(), TTL)
 }
 
-// Callers of a large service wait: a VM of a fifth of a core owns it. It stood in line
-// for seconds, as it should; the duty was taken and given up again within them, and its
-// turn of before came first in the new line.
+// Guards against a VM of 0.2 cores that becomes the owner of a large service. It waits for seconds before it
+// tries, as it should, but meanwhile the duty was acquired and given up again. Its delay for the earlier vacancy
+// must not put it before the larger VMs, which have just begun to wait.
 func TestALineIsForOneVacancyOnly(t *testing.T) {
 	ctx := context.Background()
 	store := memstore.New(clockwork.NewFakeClock())
@@ -250,51 +248,52 @@
 	kv := infra.KV{Key: infra.WorkOwnerKey(small.o.Duty), Value: []byte(`{"entry":"large"}`), ModRevision: 5}
 	small.o.Directory.put(kv)
 	small.o.Directory.remove(kv.Key, 6)
-	term, err := small.tryTake(ctx, 0, before)
+	term, err := small.tryAcquire(ctx, 0, before)
 	assert.NilError(t, err)
-	assert.Assert(t, term == nil, "its line was for the vacancy before")
+	assert.Assert(t, term == nil, "it waited for the earlier vacancy")
 
 	again, free := small.o.Directory.vacancy(small.o.Duty)
 	assert.Assert(t, free)
 	small.o.Directory.put(kv)
-	small.o.Directory.Replace(nil) // the store was away: the list shows that the owner went
-	term, err = small.tryTake(ctx, 0, again)
+	small.o.Directory.Replace(nil) // after an outage of the store, the list shows that the owner is gone
+	term, err = small.tryAcquire(ctx, 0, again)
 	assert.NilError(t, err)
 	assert.Assert(t, term == nil)
 
 	last, _ := small.o.Directory.vacancy(small.o.Duty)
-	term, err = small.tryTake(ctx, 0, last)
+	term, err = small.tryAcquire(ctx, 0, last)
 	assert.NilError(t, err)
 	assert.Assert(t, term != nil)
 }
 
-// revokeFails is a store that takes no end of a lease.
-type revokeFails struct {
+// revokeFailingStore is a store in which revoking a lease fails.
+type revokeFailingStore struct {
 	infra.Store
 	kind infra.Kind
 }
 
-func (s *revokeFails) Revoke(context.Context, infra.LeaseID) error {
+func (s *revokeFailingStore) Revoke(context.Context, infra.LeaseID) error {
 	return infra.Errorf("revoke", s.kind, "not ended")
 }
 
-// An entry VM leaves during an outage of the store: it can't end its lease, and as the store
-// is back nobody owns the duty until that has run out. Whoever stays ends it instead.
+// Guards against a duty without an owner after an outage of the store. An entry VM that shuts down during the
+// outage can't revoke its lease, which stays in force until it expires. Another VM must be given it to revoke.
 func TestALeaseThatCantBeEndedIsLeftToOthers(t *testing.T) {
-	store := &revokeFails{memstore.New(clockwork.NewFakeClock()), infra.KindUnavailable}
+	store := &revokeFailingStore{memstore.New(clockwork.NewFakeClock()), infra.KindUnavailable}
 	e := newElector(t, store, &testClock{now: time.Minute}, "e1")
 	var left []infra.LeaseID
 	e.o.RevokeLater = func(lease infra.LeaseID) { left = append(left, lease) }
-	term, err := e.take(context.Background())
+	term, err := e.acquire(context.Background())
 	assert.NilError(t, err)
-	e.drop(context.Background(), term.lease)
+	e.revoke(context.Background(), term.lease)
 	assert.DeepEqual(t, left, []infra.LeaseID{term.lease})
 	store.kind = infra.KindLeaseNotFound
-	e.drop(context.Background(), term.lease)
-	assert.Equal(t, len(left), 1, "it is over already")
+	e.revoke(context.Background(), term.lease)
+	assert.Equal(t, len(left), 1, "the lease has expired already")
 }
 
-// Calls go to nobody: another writer's entry was taken for an owner. It names none.
+// Guards against calls to an address that no owner has: a record that another writer has overwritten must not
+// be taken for an owner.
 func TestAnEntryOfAnotherWriterNamesNoOwner(t *testing.T) {
 	d := &Directory{Log: logr.Discard()}
 	d.Replace([]infra.KV{
