--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,6 +1,7 @@
-// Package members tells entry VMs of each other: each keeps a leased key in the
-// platform's store, and those that need to know follow the keys. It is a view, may
-// be stale, and decides nothing: a member that is gone shows when it is called.
+// Package members lets entry VMs discover each other: each keeps a leased key in the
+// platform's store, and entry VMs that need to know of the others watch the keys. The
+// directory may be stale and nothing relies on it for safety: calls to a member that is
+// gone simply fail.
 package members
 
 import (
@@ -19,48 +20,49 @@
 )
 
 const (
-	// ttl is how long the key outlives its VM. A call shows sooner that a VM is
-	// gone; the key need only go before many dead ones are tried.
+	// ttl is how long the key outlives its VM. Failed calls show sooner that a VM is
+	// gone; the key must only expire before the directory holds many VMs that are gone.
 	ttl = 9 * time.Second
-	// renewEvery leaves two more tries before the lease runs out.
+	// renewEvery allows two more renewals before the lease expires if one fails.
 	renewEvery = ttl / 3
-	// callTimeout ends one call to the store, which answers in milliseconds.
+	// callTimeout limits one call to the store, which answers in milliseconds.
 	callTimeout = 700 * time.Millisecond
-	// retryPause separates tries while the store is in trouble.
+	// retryPause is the pause after the key could not be written.
 	retryPause = 500 * time.Millisecond
 )
 
-// Record is what an entry VM says of itself.
+// Record is what an entry VM publishes about itself.
 type Record struct {
 	Zone    string  `json:"zone"`
-	Address string  `json:"address"` // where its peers reach it
-	Weight  float64 `json:"weight"`  // what it can carry against others
+	Address string  `json:"address"` // address for its peers
+	Weight  float64 `json:"weight"`  // its capacity relative to other entry VMs
 }
 
-// Publisher keeps an entry VM's own key.
+// Publisher publishes an entry VM's own record.
 type Publisher struct {
 	Store infra.Store
 	Name  string
 	Self  Record
 	Log   logr.Logger
-	// Renew separates renewals; 0 for a third of the lease.
+	// Renew is the time between renewals of the lease; 0 means a third of the lease.
 	Renew time.Duration
 }
 
-// Run keeps the key until ctx ends, and then removes it.
+// Run keeps the key in the store until ctx ends, and then removes it.
 func (p *Publisher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		lease, err := p.publish(ctx)
 		if err != nil {
-			p.Log.V(1).Info("own key not written", "error", err.Error())
+			p.Log.V(1).Info("failed to write this entry VM's key", "error", err.Error())
 			sleep.For(ctx, retryPause)
 			continue
 		}
-		p.keep(ctx, lease)
-		p.drop(ctx, lease)
+		p.renewLease(ctx, lease)
+		p.revoke(ctx, lease)
 	}
 }
 
+// publish writes the key under a new lease, which it returns.
 func (p *Publisher) publish(ctx context.Context) (infra.LeaseID, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -74,43 +76,43 @@
 	}
 	_, err = p.Store.Txn(call, infra.Txn{Then: []infra.Op{infra.PutLeased(infra.WorkEntryKey(p.Name), value, lease)}})
 	if err != nil {
-		p.drop(ctx, lease)
+		p.revoke(ctx, lease)
 	}
 	return lease, trace.Wrap(err)
 }
 
-// keep renews the lease until it has ended.
-func (p *Publisher) keep(ctx context.Context, lease infra.LeaseID) {
+// renewLease renews the lease until it has expired or ctx ends.
+func (p *Publisher) renewLease(ctx context.Context, lease infra.LeaseID) {
 	for sleep.For(ctx, cmp.Or(p.Renew, renewEvery)) {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := p.Store.KeepAlive(call, lease)
 		cancel()
 		if infra.IsKind(err, infra.KindLeaseNotFound) {
-			p.Log.Info("own key has lapsed")
+			p.Log.Info("the lease of this entry VM's key has expired")
 			return
 		}
 		if err != nil && ctx.Err() == nil {
-			p.Log.V(1).Info("own key not renewed", "error", err.Error())
+			p.Log.V(1).Info("failed to renew the lease of this entry VM's key", "error", err.Error())
 		}
 	}
 }
 
-// drop ends the lease and with it the key: owners stop to use a VM that leaves.
-func (p *Publisher) drop(ctx context.Context, lease infra.LeaseID) {
+// revoke ends the lease and thereby removes the key, so that owners stop using a VM that shuts down.
+func (p *Publisher) revoke(ctx context.Context, lease infra.LeaseID) {
 	call, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	if err := p.Store.Revoke(call, lease); err != nil {
-		p.Log.V(1).Info("own key not removed; it lapses", "error", err.Error())
+		p.Log.V(1).Info("failed to remove this entry VM's key; it expires with its lease", "error", err.Error())
 	}
 }
 
-// Member is a live entry VM.
+// Member is an entry VM whose key is in the store.
 type Member struct {
 	Record
 	Name string
 }
 
-// Directory is the live entry VMs, as last read.
+// Directory holds the members as last read from the store. The zero value is empty.
 type Directory struct {
 	Log logr.Logger
 
@@ -119,7 +121,8 @@
 	version uint64
 }
 
-// Live returns the members, and a number that changes with them.
+// Live returns the members in no particular order, and a version number that changes whenever they
+// do.
 func (d *Directory) Live() ([]Member, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,7 +133,7 @@
 	return out, d.version
 }
 
-// Replace takes the whole list over.
+// Replace replaces the directory's content by the listed keys.
 func (d *Directory) Replace(kvs []infra.KV) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -141,7 +144,7 @@
 	d.version++
 }
 
-// Change takes one change over.
+// Change applies a change of a key.
 func (d *Directory) Change(ev infra.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,7 +160,7 @@
 	name := strings.TrimPrefix(kv.Key, infra.WorkEntryPrefix)
 	var r Record
 	if err := json.Unmarshal(kv.Value, &r); err != nil || r.Address == "" {
-		d.Log.Error(err, "entry VM's record is malformed and names none", "key", kv.Key)
+		d.Log.Error(err, "an entry VM's record is malformed", "key", kv.Key)
 		delete(d.members, name)
 		return
 	}
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -15,65 +15,65 @@
 
 func self() Record { return Record{Zone: "a", Address: "10.0.0.1:7000", Weight: 0.4} }
 
-// patience ends a wait that no case means to end.
-const patience = 20 * time.Second
+// waitTimeout fails a test whose condition does not become true.
+const waitTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatal("did not come: " + what)
+	t.Fatal("timed out waiting for: " + what)
 }
 
-func listed(t *testing.T, store infra.Store) int {
+func countKeys(t *testing.T, store infra.Store) int {
 	kvs, _, err := store.Range(context.Background(), infra.WorkEntryPrefix)
 	assert.NilError(t, err)
 	return len(kvs)
 }
 
-// An entry VM that leaves takes its key along, so that nobody calls it any more.
+// An entry VM that shuts down must remove its key, so that no other VM calls it any more.
 func TestAVMIsListedUntilItLeaves(t *testing.T) {
 	store := memstore.New(clockwork.NewRealClock())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	p := &Publisher{Store: store, Name: "e1", Self: self(), Log: logr.Discard()}
 	go func() { defer close(done); p.Run(ctx) }()
-	eventually(t, "key", func() bool { return listed(t, store) == 1 })
+	eventually(t, "key", func() bool { return countKeys(t, store) == 1 })
 	cancel()
 	<-done
-	assert.Equal(t, listed(t, store), 0)
+	assert.Equal(t, countKeys(t, store), 0)
 }
 
-// lapsing is a store that has lost the lease: leases run out while it is away.
-type lapsing struct {
+// expiringStore is a store in which every lease has expired when it is renewed, as after an outage.
+type expiringStore struct {
 	infra.Store
 	grants int
 }
 
-func (l *lapsing) Grant(ctx context.Context, ttl time.Duration) (infra.LeaseID, error) {
+func (l *expiringStore) Grant(ctx context.Context, ttl time.Duration) (infra.LeaseID, error) {
 	l.grants++
 	return l.Store.Grant(ctx, ttl)
 }
 
-func (l *lapsing) KeepAlive(context.Context, infra.LeaseID) error {
+func (l *expiringStore) KeepAlive(context.Context, infra.LeaseID) error {
 	return infra.Errorf("keepalive", infra.KindLeaseNotFound, "gone")
 }
 
-// The key lapsed in an outage of the store: the VM would stay unknown for ever.
+// Guards against a VM that stays unknown to the others after its lease has expired in an outage of the store.
 func TestAKeyThatLapsedIsWrittenAgain(t *testing.T) {
-	store := &lapsing{Store: memstore.New(clockwork.NewRealClock())}
+	store := &expiringStore{Store: memstore.New(clockwork.NewRealClock())}
 	p := &Publisher{Store: store, Name: "e1", Self: self(), Log: logr.Discard(), Renew: time.Millisecond}
 	lease, err := p.publish(context.Background())
 	assert.NilError(t, err)
-	p.keep(context.Background(), lease)
-	p.drop(context.Background(), lease)
-	assert.Equal(t, listed(t, store), 0)
+	p.renewLease(context.Background(), lease)
+	p.revoke(context.Background(), lease)
+	assert.Equal(t, countKeys(t, store), 0)
 	_, err = p.publish(context.Background())
 	assert.NilError(t, err)
-	assert.Equal(t, listed(t, store), 1)
+	assert.Equal(t, countKeys(t, store), 1)
 	assert.Equal(t, store.grants, 2)
 }
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// Calls to workers go by way of an entry VM that no address is known of, and time out:
-// another writer's entry was taken for a member. It names none; the others hold.
+// Guards against calls to workers that are forwarded by way of a VM without a known address and time out: a
+// record that another writer has overwritten must not be taken for a member. Other members are not affected.
 func TestEntriesOfAnotherWriterNameNoMember(t *testing.T) {
 	d := &Directory{Log: logr.Discard()}
 	put := func(name, value string) infra.KV {
