--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -174,11 +174,11 @@
 	}
 }
 
-// tryAcquire acquires the duty if it is still free. It returns nil and no error in two cases
-// in which this VM's delay is no longer right. If this VM has acquired another duty while it
-// waited (it has more than held), its delay would now be longer. If the duty was owned and
-// became free again (vacancy has changed), VMs with a larger weight have only begun to wait,
-// and a small VM at the end of its earlier delay would come first.
+// tryAcquire acquires the duty if it is still free, and returns nil and no error if it is not. It
+// also does so in two cases in which the delay that this VM has waited is no longer right. If this
+// VM has acquired another duty meanwhile (it has more than held), its delay would now be longer.
+// If the duty was owned and became free again meanwhile (vacancy has changed), VMs with a larger
+// weight have only begun to wait, and a small VM at the end of its earlier delay would come first.
 func (e *Elector) tryAcquire(ctx context.Context, held, vacancy int) (*Term, error) {
 	e.o.Duties.acquiring.Lock()
 	defer e.o.Duties.acquiring.Unlock()
