--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -201,7 +201,7 @@
 		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				// Tasks that fit on no VM would make the pool request VMs forever.
-				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(largest) && !c.atLimit(s) {
+				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(largest) && !c.waitsForLimit(s) {
 					r.addBacklog(s, o.tier, float64(n)*c.expectedHoldTime(s, now).Seconds()*s.spec.Size.Cores())
 				}
 			}
--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -38,9 +38,9 @@
 // here on: if the change takes effect unnoticed, another cell may use them at once.
 func (c *Core) Claims(now time.Duration) []shareClaim {
 	var out []shareClaim
-	hidden := c.hiddenUse(now)
+	hidden := c.unassignedUsage(now)
 	for name, a := range c.limits.accounts {
-		if a.inFlight || a.unreadable || !a.planned {
+		if a.inFlight || a.ledgerUnreadable || !a.needKnown {
 			continue
 		}
 		claim := workspace.Claim{
@@ -60,7 +60,7 @@
 		out = out[:maxClaimsPerTxn] // the others are due again at the next review
 	}
 	for i := range out {
-		c.limits.of(out[i].workspace).inFlight = true
+		c.limits.account(out[i].workspace).inFlight = true
 	}
 	return out
 }
@@ -70,27 +70,27 @@
 // reviews.
 func (c *Core) claimDue(a *account, claim *workspace.Claim, now time.Duration) bool {
 	has := a.ledger.Of(c.cell, len(c.cells))
-	waits, recorded := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
+	waits, recorded := a.needsLargerShare(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
 	if waits && !recorded {
 		return true
 	}
-	givesBack := a.explicit && a.granted < has && claim.InUse < has && a.ledger.Contended(*claim)
-	if givesBack && now >= a.reviewed+giveBackInterval {
-		a.reviewed = now
+	givesBack := a.explicit && a.usable < has && claim.InUse < has && a.ledger.Contended(*claim)
+	if givesBack && now >= a.reviewedAt+giveBackInterval {
+		a.reviewedAt = now
 		return true
 	}
-	if now < a.reviewed+reviewInterval {
+	if now < a.reviewedAt+reviewInterval {
 		return false
 	}
-	a.reviewed = now
-	peak := max(a.need, a.peak, a.lastPeak)
-	a.lastPeak, a.peak = a.peak, a.need
+	a.reviewedAt = now
+	peak := max(a.need, a.peakNeed, a.previousPeakNeed)
+	a.previousPeakNeed, a.peakNeed = a.peakNeed, a.need
 	if a.ledger.Contended(*claim) {
 		return true // keep no reserve for later needs: another cell needs it now
 	}
 	claim.Need = peak
-	restores := a.explicit && a.granted < min(has, claim.Need)
-	return waits || recorded || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
+	restores := a.explicit && a.usable < min(has, claim.Need)
+	return waits || recorded || restores || a.outcomeUnknown || a.ledger.HasSurplus(*claim)
 }
 
 // settle computes the result of the claim on the last known ledger and lowers what the cell may
@@ -98,17 +98,17 @@
 func (c *Core) settle(a *account, claim workspace.Claim) (workspace.Settlement, bool) {
 	before := a.share(len(c.cells))
 	s := a.ledger.Settle(claim)
-	a.lower(s.Usable, len(c.cells))
+	a.lowerShare(s.Usable, len(c.cells))
 	same := s.Allocated == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
 	// If the outcome of an earlier change is unknown, a write makes that change fail.
-	return s, !same || s.Usable > before || a.inDoubt
+	return s, !same || s.Usable > before || a.outcomeUnknown
 }
 
 // hasUnrecordedNeed reports whether a workspace's work waits for a larger share and the ledger does
 // not record this yet.
 func (c *Core) hasUnrecordedNeed() bool {
 	for _, a := range c.limits.accounts {
-		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
+		if a.limited() && a.needsLargerShare(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
 			return true
 		}
 	}
@@ -122,10 +122,10 @@
 	even, due := workspace.EvenShare(len(c.cells)), false
 	for _, a := range c.limits.accounts {
 		waits, above := a.ledger.UnmetNeeds[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
-		if a.inFlight || !a.lookNow && !(waits && now >= a.looked+reviewInterval) && !(above && now >= a.looked+2*reviewInterval) {
+		if a.inFlight || !a.ledgerPollRequested && !(waits && now >= a.ledgerPolledAt+reviewInterval) && !(above && now >= a.ledgerPolledAt+2*reviewInterval) {
 			continue
 		}
-		a.looked, a.lookNow, due = now, false, true
+		a.ledgerPolledAt, a.ledgerPollRequested, due = now, false, true
 	}
 	return due
 }
@@ -134,8 +134,8 @@
 // another cell waits for parts of these limits or has given some back.
 func (c *Core) MarkLedgersStale(names []work.WorkspaceName) {
 	for _, name := range names {
-		a := c.limits.of(name)
-		a.lookNow, a.reviewed = true, 0
+		a := c.limits.account(name)
+		a.ledgerPollRequested, a.reviewedAt = true, 0
 	}
 }
 
@@ -152,38 +152,38 @@
 
 // ClaimStored tells the core that the change was stored, with the ledger's new revision.
 func (c *Core) ClaimStored(s shareClaim, rev infra.Revision) {
-	a := c.limits.of(s.workspace)
-	a.inFlight, a.inDoubt = false, false
+	a := c.limits.account(s.workspace)
+	a.inFlight, a.outcomeUnknown = false, false
 	a.ledger, a.rev = s.Ledger, rev
 	c.log.Info("limit share changed", "workspace", a.name, "parts", s.Usable, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
-	a.granted = s.Usable
+	a.usable = s.Usable
 	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
 
 // ClaimFailed tells the core that the change was not stored; doubt tells that it may have been or
 // may yet be.
 func (c *Core) ClaimFailed(s shareClaim, doubt bool) {
-	a := c.limits.of(s.workspace)
+	a := c.limits.account(s.workspace)
 	a.inFlight = false
-	a.inDoubt = a.inDoubt || doubt
+	a.outcomeUnknown = a.outcomeUnknown || doubt
 }
 
 // ApplyLedger sets a workspace's ledger as read from the store; rev 0: none is stored. It never
 // raises what the cell may use: a change of this cell that was not answered may still take effect
 // and give back parts that were read here. Only a later change that is stored settles this.
 func (c *Core) ApplyLedger(name work.WorkspaceName, value []byte, rev infra.Revision) {
-	a := c.limits.of(name)
+	a := c.limits.account(name)
 	var l workspace.Ledger
-	a.unreadable = false
+	a.ledgerUnreadable = false
 	if rev != 0 {
 		if err := json.Unmarshal(value, &l); err != nil {
 			c.log.Error(err, "limit ledger is malformed, the cell keeps its share", "workspace", name)
-			a.unreadable = true
+			a.ledgerUnreadable = true
 		}
 	}
 	a.ledger, a.rev = l, rev
 	if has, named := l.Allocated[c.cell]; named {
-		a.lower(has, len(c.cells))
+		a.lowerShare(has, len(c.cells))
 	}
 }
 
@@ -191,7 +191,7 @@
 // change of this cell is in flight.
 func (c *Core) ApplyNewerLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
-	if a := c.limits.of(name); !a.inFlight && kv.ModRevision > a.rev {
+	if a := c.limits.account(name); !a.inFlight && kv.ModRevision > a.rev {
 		c.ApplyLedger(name, kv.Value, kv.ModRevision)
 	}
 }
@@ -206,10 +206,10 @@
 func (c *Core) RestoreLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
 	c.ApplyLedger(name, kv.Value, kv.ModRevision)
-	a := c.limits.of(name)
-	if a.unreadable {
-		a.lower(0, len(c.cells))
+	a := c.limits.account(name)
+	if a.ledgerUnreadable {
+		a.lowerShare(0, len(c.cells))
 		return
 	}
-	a.granted, a.explicit = a.ledger.Allocated[c.cell]
+	a.usable, a.explicit = a.ledger.Allocated[c.cell]
 }
