--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// LookAtLimits has the cell read the ledgers of the workspaces, since another cell waits for parts of
+// RecheckLimits has the cell read the ledgers of the workspaces, since another cell waits for parts of
 // their limits or has given some back. It returns ErrNotReady before the cell's state is restored.
-func (e *Engine) LookAtLimits(names []work.WorkspaceName) error {
+func (e *Engine) RecheckLimits(names []work.WorkspaceName) error {
 	e.mu.Lock()
 	ready := e.restored
 	if ready {
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -44,7 +44,7 @@
 func (o *owner) Waiting(string) (int, error)                     { return o.waiting, o.err }
 func (o *owner) Sync(engine.CellSync) (engine.CellAnswer, error) { return engine.CellAnswer{}, o.err }
 
-func (o *owner) LookAtLimits([]work.WorkspaceName) error { return o.err }
+func (o *owner) RecheckLimits([]work.WorkspaceName) error { return o.err }
 
 func (o *owner) Explain(id work.JobID) (engine.Explanation, error) {
 	return engine.Explanation{Job: id, State: o.state}, o.err
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -214,7 +214,7 @@
 
 func (d *duties) notifyCell(cell string, names []work.WorkspaceName) error {
 	if e := d.engine(cell); e != nil {
-		return e.LookAtLimits(names)
+		return e.RecheckLimits(names)
 	}
 	owner, known := d.cellOwner(cell)
 	if !known || owner.Entry == d.node.self.Entry {
@@ -222,7 +222,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	return d.node.link.LookAtLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
+	return d.node.link.RecheckLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
 }
 
 func (d *duties) cellOwner(cell string) (ownership.Record, bool) {
--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -113,10 +113,10 @@
 	return *resp.Sync, nil
 }
 
-// LookAtLimits asks a cell's owner to check the limits of the workspaces again, since
+// RecheckLimits asks a cell's owner to check the limits of the workspaces again, since
 // another cell waits for a share of them or has returned one.
-func (c *Client) LookAtLimits(ctx context.Context, p Peer, names []work.WorkspaceName) error {
-	resp, err := c.call(ctx, p, &request{Kind: kindLookAtLimits, Workspaces: names})
+func (c *Client) RecheckLimits(ctx context.Context, p Peer, names []work.WorkspaceName) error {
+	resp, err := c.call(ctx, p, &request{Kind: kindRecheckLimits, Workspaces: names})
 	if err != nil {
 		return err
 	}
--- a/internal/ownerlink/link_test.go
+++ b/internal/ownerlink/link_test.go
@@ -39,7 +39,7 @@
 	return engine.CellAnswer{Executed: []bool{true}, Report: engine.CellReport{Used: float64(s.Token)}}, o.err
 }
 
-func (o *fakeOwner) LookAtLimits([]work.WorkspaceName) error { return o.err }
+func (o *fakeOwner) RecheckLimits([]work.WorkspaceName) error { return o.err }
 
 func (o *fakeOwner) Explain(id work.JobID) (engine.Explanation, error) {
 	return engine.Explanation{Job: id, Age: time.Second, Steps: []engine.StepExplanation{{Step: "s", Tasks: map[string]int{"waiting": 2}}}}, o.err
--- a/internal/ownerlink/ownerlink.go
+++ b/internal/ownerlink/ownerlink.go
@@ -43,7 +43,7 @@
 	kindPing
 	kindEndLease
 	kindConfig
-	kindLookAtLimits
+	kindRecheckLimits
 )
 
 // fromCaller reports whether the call carries a caller's request, which must be decided by
--- a/internal/ownerlink/server.go
+++ b/internal/ownerlink/server.go
@@ -22,7 +22,7 @@
 	Sync(s engine.CellSync) (engine.CellAnswer, error)
 	Explain(id work.JobID) (engine.Explanation, error)
 	Summary() (engine.Summary, error)
-	LookAtLimits(names []work.WorkspaceName) error
+	RecheckLimits(names []work.WorkspaceName) error
 }
 
 // serveTimeout bounds a call at the called entry VM: callers have timed out long before.
@@ -157,8 +157,8 @@
 		var a engine.CellAnswer
 		a, err = owner.Sync(*req.Sync)
 		resp.Sync = &a
-	case kindLookAtLimits:
-		err = owner.LookAtLimits(req.Workspaces)
+	case kindRecheckLimits:
+		err = owner.RecheckLimits(req.Workspaces)
 	case kindExplain:
 		var e engine.Explanation
 		e, err = owner.Explain(req.JobID)
