--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -55,9 +55,9 @@
 	Certain() bool
 	// End ends the term for the reason, which is logged.
 	End(reason string)
-	// Relieve ends the term so that another entry VM takes over, because this one is
+	// HandOver ends the term so that another entry VM takes over, because this one is
 	// overloaded.
-	Relieve()
+	HandOver()
 }
 
 // Configs tells how recently the entry VM's configuration was known to be the newest.
@@ -211,7 +211,7 @@
 			return ErrNotReady
 		}
 		if e.handOverDue() {
-			e.Term.Relieve()
+			e.Term.HandOver()
 			return ErrNotReady
 		}
 	}
--- a/internal/engine/inbox_test.go
+++ b/internal/engine/inbox_test.go
@@ -24,7 +24,7 @@
 func (f *fakeTerm) AllowedUntil() time.Duration { return time.Hour }
 func (f *fakeTerm) Certain() bool               { return f.certain }
 func (f *fakeTerm) End(reason string)           { f.ended = reason }
-func (f *fakeTerm) Relieve()                    { f.ended = "relieved" }
+func (f *fakeTerm) HandOver()                   { f.ended = "handed over" }
 
 // fixedClock is a clock that does not move.
 type fixedClock struct{}
--- a/internal/engine/overload_test.go
+++ b/internal/engine/overload_test.go
@@ -97,7 +97,7 @@
 	e.Successor = func() overload.Successor { return overload.EqualSuccessor }
 	normal := e.core.pollPause()
 	assert.ErrorIs(t, e.planLoop(t.Context()), ErrNotReady)
-	assert.Equal(t, term.ended, "relieved")
+	assert.Equal(t, term.ended, "handed over")
 	assert.Assert(t, e.core.OverloadLevel() > 1)
 	assert.Assert(t, e.core.pollPause() > normal)
 	assert.Assert(t, e.core.startsLeft < overload.MaxStarts)
--- a/internal/engine/writer_test.go
+++ b/internal/engine/writer_test.go
@@ -146,4 +146,4 @@
 func (successorTerm) AllowedUntil() time.Duration { return time.Hour }
 func (successorTerm) Certain() bool               { return true }
 func (successorTerm) End(string)                  {}
-func (successorTerm) Relieve()                    {}
+func (successorTerm) HandOver()                   {}
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -44,7 +44,7 @@
 func (r *fixture) AllowedUntil() time.Duration { return r.now + time.Hour }
 func (r *fixture) Certain() bool               { return r.certain }
 func (r *fixture) End(string)                  { r.certain = false }
-func (r *fixture) Relieve()                    { r.certain = false }
+func (r *fixture) HandOver()                   { r.certain = false }
 
 func (r *fixture) List(context.Context) ([]work.VM, error) {
 	r.lists++
--- a/internal/ownership/handover_test.go
+++ b/internal/ownership/handover_test.go
@@ -32,7 +32,7 @@
 	}
 	e.pauseAfterHandOver(context.Background(), term)
 	assert.Equal(t, len(waited), 0)
-	term.Relieve()
+	term.HandOver()
 	assert.Assert(t, !term.Certain())
 	e.pauseAfterHandOver(context.Background(), term)
 	assert.DeepEqual(t, waited, []time.Duration{handOverPause})
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -258,7 +258,7 @@
 	certainUntil time.Duration // no other owner can exist before
 	allowedUntil time.Duration // orders may be given before
 	endReason    string        // empty until the term has ended
-	handedOver   bool          // the term was ended by Relieve
+	handedOver   bool          // the term was ended by HandOver
 }
 
 // Token returns the fencing token of the term's orders.
@@ -279,16 +279,16 @@
 	return t.endReason == "" && t.elector.o.Clock.Now() < t.certainUntil
 }
 
-// Relieve ends the term so that another entry VM acquires the duty, since this one is overloaded
+// HandOver ends the term so that another entry VM acquires the duty, since this one is overloaded
 // or has less capacity.
-func (t *Term) Relieve() {
+func (t *Term) HandOver() {
 	t.mu.Lock()
 	t.handedOver = true
 	t.mu.Unlock()
 	t.End("handed over to another entry VM")
 }
 
-// wasHandedOver reports whether the term was ended by Relieve.
+// wasHandedOver reports whether the term was ended by HandOver.
 func (t *Term) wasHandedOver() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
