--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -91,7 +91,7 @@
 	call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Pace(call, &o.Worker, o.Task, o.Run, o.Percent, e.Term.Token())
-	e.Log.Info("pace order sent", "task", o.Task.String(), "worker", o.Worker.ID, "percent", o.Percent, "outcome", out.String())
+	e.Log.Info("pace", "task", o.Task.String(), "worker", o.Worker.ID, "percent", o.Percent, "outcome", out.String())
 	if out != OutcomeOK {
 		e.mu.Lock()
 		if t := e.core.find(o.Task); t != nil && t.run == o.Run {
--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -99,7 +99,7 @@
 		d.owners = make(map[string]ownerEntry)
 	}
 	d.owners[duty] = ownerEntry{Record: r, revision: kv.ModRevision}
-	d.Log.Info("duty has an owner", "duty", duty, "owner", r.Entry, "revision", int64(kv.ModRevision))
+	d.Log.Info("owner", "duty", duty, "owner", r.Entry, "revision", int64(kv.ModRevision))
 }
 
 // remove removes the owner of the duty with the key, unless its revision is later than the given one.
