--- a/internal/engine/advice.go
+++ b/internal/engine/advice.go
@@ -7,12 +7,12 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Limits of the questions to the advisor.
+// Limits of the requests to the advisor.
 const (
-	// maxAdviceBatch is the greatest number of workers in a question. Each worker takes time of the
+	// maxAdviceBatch is the maximum number of workers in a request. Each worker takes time of the
 	// advisor, and the deployments' objectives assume one call for 30 workers.
 	maxAdviceBatch = 30
-	// adviceRetryInterval is the minimum time between two questions about a step.
+	// adviceRetryInterval is the minimum time between two requests for a step.
 	adviceRetryInterval = 1500 * time.Millisecond
 	// ticketMargin is the least remaining validity of a ticket that is used, so that it is still valid
 	// when the start arrives.
@@ -30,8 +30,8 @@
 	return ok
 }
 
-// askAdvice adds a question to out about workers with enough free capacity, if the step has tickets
-// for fewer workers than it has pending tasks and no question was asked recently.
+// askAdvice adds a request to out for tickets on workers with enough free capacity, if the step has
+// tickets for fewer workers than it has pending tasks and none were requested recently.
 func (s *step) askAdvice(workers []*taskplan.Worker, permitted map[work.WorkerID]bool, now time.Duration, out *Orders) {
 	if s.advicePending || len(permitted) >= s.pending || s.adviceAskedAt != 0 && now < s.adviceAskedAt+adviceRetryInterval {
 		return
@@ -49,9 +49,10 @@
 	out.Advice = append(out.Advice, AdviceOrder{Step: s.ref(), Workers: ask})
 }
 
-// AdviceAnswered records the advisor's answer about a step: tickets that are valid from now for the given
-// time. Without tickets it only records that the question is answered.
-func (c *Core) AdviceAnswered(ref work.StepRef, tickets []Ticket, validity time.Duration, now time.Duration) {
+// AdviceAnswered records that the advisor answered the request for a step, or that the request failed,
+// so that the next one may be sent. It stores the tickets, if any. Their validity counts from the time
+// sent at which the request was sent.
+func (c *Core) AdviceAnswered(ref work.StepRef, tickets []Ticket, validity time.Duration, sent time.Duration) {
 	t := c.find(work.TaskRef{StepRef: ref})
 	if t == nil {
 		return
@@ -62,6 +63,6 @@
 		s.tickets = make(map[work.WorkerID]ticket)
 	}
 	for _, tk := range tickets {
-		s.tickets[tk.Worker] = ticket{text: tk.Ticket, expires: now + validity}
+		s.tickets[tk.Worker] = ticket{text: tk.Ticket, expires: sent + validity}
 	}
 }
--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -168,9 +168,11 @@
 	a.outcomeUnknown = a.outcomeUnknown || doubt
 }
 
-// ApplyLedger sets a workspace's ledger as read from the store; rev 0: none is stored. It never
-// raises what the cell may use: a change of this cell that was not answered may still take effect
-// and give back parts that were read here. Only a later change that is stored settles this.
+// ApplyLedger sets a workspace's ledger to the value read from the store at revision rev; rev 0: none
+// is stored. It may lower the share that the cell may use, but never raises it: an unanswered
+// transaction of this cell may still be applied, and give back parts that the ledger still allocates
+// to the cell. Once a later transaction of this cell is stored, the conditions of the unanswered one
+// fail, and ClaimStored raises the share.
 func (c *Core) ApplyLedger(name work.WorkspaceName, value []byte, rev infra.Revision) {
 	a := c.limits.account(name)
 	var l workspace.Ledger
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -307,11 +307,12 @@
 // steps without an image, per queue (see learnKey).
 type estimateRatios map[string]float64
 
-// learnWeight is the weight of the newest task in the moving average. Run times within one
+// learnWeight is the weight of the newest task in the moving averages of estimateRatios. Run times within one
 // queue differ from their estimates by half and more; with a weight of a tenth the average
 // follows a change within about thirty tasks, and a single outlier hardly moves it.
 const learnWeight = 0.1
 
+// learnKey returns the key of estimateRatios that the step's tasks share: the image or the queue.
 func learnKey(t *step) string {
 	if t.spec.Image != "" {
 		return t.spec.Image
@@ -319,6 +320,7 @@
 	return t.job.Queue
 }
 
+// ratio returns the average for the step's key; 1 if nothing is known.
 func (d estimateRatios) ratio(s *step) float64 {
 	if r, known := d[learnKey(s)]; known {
 		return r
@@ -326,6 +328,8 @@
 	return 1
 }
 
+// learn adds the run time of a completed task to the average. Steps without an estimate and
+// long-running ones are ignored.
 func (d estimateRatios) learn(s *step, took time.Duration) {
 	if s.spec.Estimate <= 0 || s.spec.LongRunning {
 		return
@@ -338,6 +342,7 @@
 	d[key] = ratio
 }
 
+// estimate returns the caller's estimate of the run time of a task, corrected by the ratio.
 func (d estimateRatios) estimate(s *step) time.Duration {
 	return time.Duration(float64(s.spec.Estimate) * d.ratio(s))
 }
