--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -62,9 +62,9 @@
 // Hold is a poll of a worker. It extends the lease of all runs on the worker and asks for a
 // Listing.
 type Hold struct {
-	Token        int64
-	AckedThrough int64
-	Deadline     time.Duration // on the worker's clock; 0: extends nothing
+	Token        int64         // fencing token of the owner's term
+	AckedThrough int64         // Seq of the last RunEnd that is acknowledged, with all before it
+	Deadline     time.Duration // new end of the lease, on the worker's clock; 0: extends nothing
 	Wait         time.Duration // how long the worker may delay its answer until a run ends
 	Brief        bool          // brief poll: the answer need not list the running tasks
 
@@ -75,13 +75,15 @@
 
 // Start is an order to start one run of a task.
 type Start struct {
-	Task       work.TaskRef
-	Run        int
-	Spec       string
-	Deadline   time.Duration // on the worker's clock
-	Token      int64
-	Checkpoint string
-	Ticket     string
+	Task work.TaskRef
+	Run  int    // number of the run; greater than those of the task's earlier runs
+	Spec string // of the job, as its caller submitted it
+	// Deadline is the latest time, on the worker's clock, at which the worker may carry out the
+	// order. The order also extends the worker's lease to that time, as a poll would.
+	Deadline   time.Duration
+	Token      int64  // fencing token of the owner's term
+	Checkpoint string // the task's newest checkpoint; empty if it has none
+	Ticket     string // text of the advisor's Ticket; empty if the queue needs none
 }
 
 // Outcome is the result of an order to a worker.
@@ -164,8 +166,8 @@
 	Service     string
 	Priority    int           // 0 comes first
 	MaxAttempts int           // failed runs of a task after which its job fails; 0: unlimited
-	Stretch     float64       // factor on the critical path in a job's objective ...
-	Slack       time.Duration // ... to which this is added
+	Stretch     float64       // a job's objective is Stretch times the length of its critical path, plus Slack; below 1 counts as 1
+	Slack       time.Duration // see Stretch
 	Advised     bool          // starts need a ticket of the advisor
 	Open        bool          // callers need no key
 }
