--- a/internal/engine/progress.go
+++ b/internal/engine/progress.go
@@ -56,7 +56,7 @@
 // Numbers of transaction entries that a change takes.
 const (
 	progressEntries = 1
-	endEntries      = 2 // the short key is written, the record deleted
+	endEntries      = 2 // the job key is written, the record deleted
 	clearEntries    = 1 // the stored progress of an ended job is deleted
 )
 
--- a/internal/engine/records.go
+++ b/internal/engine/records.go
@@ -8,9 +8,9 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// JobStub is the value of a job's short key. It is written when the job is accepted and
-// stays for as long as callers may ask for the job's state, since the key also prevents a
-// second job with the same ID.
+// JobStub is the value of a job's key under infra.WorkJobPrefix, the job key. It is written when
+// the job is accepted and stays at least for as long as callers may ask for the job's state, since
+// the key also prevents a second job with the same ID. Retention deletes it.
 type JobStub struct {
 	Cell string `json:"cell,omitempty"` // its owner knows the state of a job that has not ended
 	// Workspace owns the job; empty: any caller may query and cancel it.
@@ -26,8 +26,8 @@
 	Queue Queue     `json:"queue"` // as configured when accepted
 }
 
-// CreateOps returns the writes that accept a job: its short key and its record. The
-// transaction must be conditional on the absence of the short key.
+// CreateOps returns the writes that accept a job: its job key and its record. The
+// transaction must be conditional on the absence of the job key.
 func CreateOps(cell string, j *work.Job, q Queue) ([]infra.Op, error) {
 	stub, err := json.Marshal(JobStub{Cell: cell, Workspace: j.Workspace})
 	if err != nil {
@@ -42,7 +42,7 @@
 }
 
 // EndOps returns the writes that end a job: the stub with its final state replaces the
-// short key's value, and the record is deleted.
+// job key's value, and the record is deleted.
 func EndOps(id work.JobID, stub JobStub) ([]infra.Op, error) {
 	raw, err := json.Marshal(stub)
 	if err != nil {
--- a/internal/engine/retention.go
+++ b/internal/engine/retention.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// keepAfterStatus is how long a job's short key stays after its state can no longer be
+	// keepAfterStatus is how long a job's key stays after its state can no longer be
 	// queried. The key prevents a second job with the same ID. Callers repeat a request
 	// for seconds at most; minutes also cover differences between clocks.
 	keepAfterStatus = 10 * time.Minute
-	// retentionInterval separates passes. Each pass lists all short keys, some hundreds
+	// retentionInterval separates passes. Each pass lists all job keys, some hundreds
 	// with each call, and the store's calls are billed.
 	retentionInterval = 5 * time.Minute
 	// deletionEntries is the number of transaction entries for one key: a condition and a
@@ -26,8 +26,8 @@
 	deletionEntries = 2
 )
 
-// Retention deletes the short keys of jobs that ended long ago, without which the store would
-// grow with every job. Only one entry VM at a time runs it.
+// Retention deletes the job keys (see JobStub) of jobs that ended long ago. Without it the store
+// would grow with every job. Only one entry VM at a time runs it.
 type Retention struct {
 	Store infra.Store
 	Clock Clock
@@ -49,9 +49,9 @@
 	}
 }
 
-// Pass deletes the short keys that have expired and returns their number. Keys that change
-// meanwhile are left to the next pass, with those of their transaction. After an error
-// deleted counts what was deleted before.
+// Pass deletes the job keys that have expired and returns their number. If a key has changed since
+// it was read, the transaction that deletes it fails, and all keys of that transaction are left to
+// the next pass. With an error, deleted is the number of keys deleted before it.
 func (r *Retention) Pass(ctx context.Context) (deleted int, err error) {
 	kvs, _, err := r.Store.Range(ctx, infra.WorkJobPrefix)
 	if err != nil {
--- a/internal/engine/retention_test.go
+++ b/internal/engine/retention_test.go
@@ -15,10 +15,10 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Guards against a store that grows with every job. Short keys of jobs that ended long ago must be
+// Guards against a store that grows with every job. Job keys of jobs that ended long ago must be
 // deleted. Keys of jobs that have not ended, whose state may still be queried or whose request may
 // still be repeated must stay.
-func TestShortKeysOfJobsThatEndedLongAgoAreDeleted(t *testing.T) {
+func TestKeysOfJobsThatEndedLongAgoAreDeleted(t *testing.T) {
 	ctx := context.Background()
 	store := memstore.New(clockwork.NewFakeClock())
 	const status = 2 * time.Minute
--- a/internal/engine/writer.go
+++ b/internal/engine/writer.go
@@ -31,7 +31,7 @@
 	maxCreatesBesideEnds = 5
 	// commitEntries is the number of entries for the commit key: a condition and a write.
 	commitEntries = 2
-	// createEntries is the number of entries for a new job: the condition, its short key
+	// createEntries is the number of entries for a new job: the condition, its job key
 	// and its record.
 	createEntries = 3
 	// backgroundCommitDelay is how long a batch waits for more changes if no caller waits
