--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -283,10 +283,10 @@
 // clearExplainedCrashes takes back the crashes recorded against other tasks that the poison
 // task explains.
 func (c *Core) clearExplainedCrashes(poison *task, now time.Duration) {
-	incarnations := poison.crashes.Workers()
+	crashed := poison.crashes.Workers()
 	for _, j := range c.open {
 		j.eachTask(func(t *task) {
-			if left, changed := t.crashes.MarkExplained(incarnations); changed {
+			if left, changed := t.crashes.MarkExplained(crashed); changed {
 				t.crashes = left
 				c.updateSuspected(t, now)
 				c.markDirty(j)
@@ -330,8 +330,8 @@
 }
 
 // avoided returns the workers that the task goes to only if no other is left: it failed there,
-// or an earlier incarnation crashed under it. A VM that repeatedly crashes by itself would
-// make a sound task look like poison.
+// or an earlier incarnation crashed under it. A VM that repeatedly crashes spontaneously would
+// make a sound task look as if it caused the crashes.
 func (t *task) avoided(workers map[work.WorkerID]*worker) []work.WorkerID {
 	out := t.avoid
 	if len(t.crashedAt) == 0 {
--- a/internal/engine/overload.go
+++ b/internal/engine/overload.go
@@ -8,7 +8,8 @@
 	"github.com/pumicestage/pumicestage/policy/polling"
 )
 
-// maxSchedulingDelay returns the longest recent scheduling delay; 0 if it is not measured.
+// maxSchedulingDelay returns the longest scheduling delay of this process in the last second (see
+// DelayMeter); 0 if it is not measured.
 func (e *Engine) maxSchedulingDelay() time.Duration {
 	if e.SchedulingDelay == nil {
 		return 0
@@ -16,7 +17,8 @@
 	return e.SchedulingDelay.MaxDelay()
 }
 
-// minSchedulingDelay returns the shortest recent scheduling delay; 0 if it is not measured.
+// minSchedulingDelay returns the shortest recent scheduling delay of this process (see DelayMeter);
+// 0 if it is not measured.
 func (e *Engine) minSchedulingDelay() time.Duration {
 	if e.SchedulingDelay == nil {
 		return 0
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -27,6 +27,7 @@
 	return &session{engine: e, id: id, kick: make(chan struct{}, 1), orders: make(chan struct{}, maxConcurrentOrders)}
 }
 
+// session returns the session of the worker; nil if there is none.
 func (e *Engine) session(id work.WorkerID) *session {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -99,10 +99,11 @@
 	return ""
 }
 
-// runsTrial reports whether a task for which of is true is on trial on the worker.
-func (w *worker) runsTrial(of func(*task) bool) bool {
+// runsTrial reports whether a task that satisfies the condition is on trial on the worker: it has not
+// been seen running there for its trialDuration yet.
+func (w *worker) runsTrial(condition func(*task) bool) bool {
 	for _, t := range w.tasks {
-		if of(t) && w.observedRunTime(t) < t.trialDuration {
+		if condition(t) && w.observedRunTime(t) < t.trialDuration {
 			return true
 		}
 	}
@@ -114,15 +115,14 @@
 // run long enough to be trusted.
 func (t *task) suspect() bool { return t.suspected }
 
-// onTrial reports whether it is stored, or on its way to the store, that the task may crash a
-// worker, and no run of it has shown otherwise since.
+// onTrial reports whether the core has recorded, stored or still to be stored, that the task's next
+// start may crash a worker, and no run of it has shown otherwise since.
 func (t *task) onTrial() bool {
 	return t.trial != 0 && (t.worker == nil || t.worker.observedRunTime(t) < t.trialDuration)
 }
 
-// requestTrials has it stored, for the suspects of the step that may start now, that their
-// start may crash a worker. The owner may be lost together with that worker: if that owner
-// alone knew of the crash, each successor would start the task once more.
+// requestTrials requests a trial of each suspect of the step that is due to start now, see
+// requestTrial.
 func (c *Core) requestTrials(s *step, now time.Duration) {
 	for _, t := range s.tasks {
 		if t.suspect() && t.trial == 0 && c.isDue(t, now) {
@@ -131,7 +131,10 @@
 	}
 }
 
-// requestTrial has it stored that the next start of the task may crash a worker.
+// requestTrial records that the next start of the task is a trial, which may crash the worker, and
+// marks the record to be stored. The task starts only once that is stored (see mayBeTried): the owner
+// may be lost together with the worker, and if that owner alone knew of the trial, each successor
+// would start the task once more.
 func (c *Core) requestTrial(t *task) {
 	j := t.step.job
 	j.evidence++
