--- a/internal/engine/crash_sim_test.go
+++ b/internal/engine/crash_sim_test.go
@@ -16,8 +16,8 @@
 
 var crashSeeds = flag.Int("crash-seeds", 15, "how many seeds the tests of crashing workers run")
 
-// crashSim simulates a cell whose workers crash, under some tasks or by themselves, and return
-// as another incarnation after a while.
+// crashSim simulates a cell whose workers crash, because of a task or spontaneously, and
+// return as another incarnation after a while.
 type crashSim struct {
 	rig
 	rng            *rand.Rand
@@ -30,7 +30,7 @@
 	detectionDelay time.Duration // from a crash until the list of VMs shows it
 	storeAvailable bool          // the store accepts changes
 
-	// spontaneousRate is the probability per second that a worker crashes by itself.
+	// spontaneousRate is the probability per second that a worker crashes without a task as the cause.
 	spontaneousRate     float64
 	crashAfter          func(work.TaskRef) time.Duration // how long after its start a task crashes its worker; 0: never
 	workTime            func(work.TaskRef) time.Duration // how long a task works; 0: it never ends
@@ -162,7 +162,8 @@
 	}
 }
 
-// advance ends tasks, crashes workers under them or by themselves, and lets VMs return.
+// advance ends the tasks whose work is done, crashes workers because of a faulty task or
+// spontaneously, reports crashed workers to the core, and lets VMs return with a new worker.
 func (w *crashSim) advance() {
 	for _, id := range w.alive() {
 		l := w.simWorkers[id]
@@ -306,8 +307,8 @@
 	}
 }
 
-// maxStartsOfPoison is how often a task that crashes its workers may be started: three crashes
-// prove it, and it must not be started three times more.
+// maxStartsOfPoison is the maximum number of starts of a task that crashes every worker that starts
+// it: three crashes prove the fault, and fewer than three further starts may follow.
 const maxStartsOfPoison = 5
 
 func assertGivenUp(t *testing.T, w *crashSim, job work.JobID) {
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -38,9 +38,10 @@
 	assertGivenUp(t, w, "bad")
 }
 
-// Guards against a task that is started as if nothing had happened, because its owner was lost
-// together with the worker, before or after it knew of the crash.
-func TestCrashesAreCountedAsOwnersAreLostBesideWorkers(t *testing.T) {
+// Guards against a faulty task that is started again and again because the cell's owner is lost
+// together with each worker that the task crashes, before or after the owner learns of the crash, and
+// the next owner does not count that crash.
+func TestCrashesAreCountedWhenOwnersAreLostWithWorkers(t *testing.T) {
 	for seed := range uint64(*crashSeeds) {
 		w := newSeededCrashSim(t, 8, seed)
 		w.setFaulty(simTick, "bad", "worse")
@@ -189,7 +190,7 @@
 }
 
 // runMixedJobs simulates a faulty job among sound ones while owners change and workers crash
-// by themselves, each with probability spontaneousRate per second.
+// spontaneously, each with probability spontaneousRate per second.
 func runMixedJobs(t testing.TB, seed uint64, spontaneousRate float64) *crashSim {
 	w := newSeededCrashSim(t, 12, seed)
 	w.spontaneousRate = spontaneousRate
@@ -227,7 +228,7 @@
 	return n
 }
 
-// One worker in twenty crashes by itself every three seconds. Guards against giving up sound
+// One worker in twenty crashes spontaneously every three seconds. Guards against giving up sound
 // jobs for these crashes, and against a faulty job that goes on for ever.
 func TestSoundJobsSurviveSpontaneousCrashes(t *testing.T) {
 	for seed := range uint64(*crashSeeds) {
@@ -364,8 +365,9 @@
 	return n
 }
 
-// BenchmarkCrashesInABurst reports what faulty jobs cost the sound ones while the pool is
-// full.
+// BenchmarkCrashesInABurst reports how much faulty jobs harm the sound ones of a burst that fills
+// the pool: the number of sound jobs given up, the number of their runs lost with workers, and the sum
+// of the completion times of all completed jobs in seconds, each as the mean over the bursts.
 func BenchmarkCrashesInABurst(b *testing.B) {
 	lost, seed, runs := 0, uint64(0), 0
 	var waited time.Duration
@@ -386,8 +388,10 @@
 	b.ReportMetric(waited.Seconds()/float64(b.N), "sound-jobs-s/burst")
 }
 
-// BenchmarkCrashes reports what a faulty job costs the sound ones while workers also crash by
-// themselves now and then.
+// BenchmarkCrashes reports how much a faulty job harms the sound ones while workers also crash
+// spontaneously: the number of sound jobs given up, the number of workers that the faulty job
+// crashed, each as the mean over the simulations of runMixedJobs, and the largest number of starts of
+// any of the faulty job's tasks.
 func BenchmarkCrashes(b *testing.B) {
 	for _, self := range []float64{0, 0.05 / 3, 0.4 / 3} {
 		b.Run(fmt.Sprintf("self=%.3f", self), func(b *testing.B) {
--- a/internal/engine/model_test.go
+++ b/internal/engine/model_test.go
@@ -134,7 +134,8 @@
 func (m *model) current() *modelOwner { return m.owners[len(m.owners)-1] }
 
 // takeOver begins a new term. Earlier owners may not know of it for up to OwnerGrace, in which they
-// go on without a certain lease and reach some of the workers.
+// go on without a certain lease and reach some of the workers. first tells that the cell had no owner
+// before: no leases are inherited, and the owner reaches all workers.
 func (m *model) takeOver(first bool) {
 	m.token++
 	m.commit = m.token
--- a/internal/engine/weights_test.go
+++ b/internal/engine/weights_test.go
@@ -78,6 +78,8 @@
 	return out
 }
 
+// weighted returns a workspace with the weight: the number of jobs a second beyond which its jobs are
+// ordered after those of others; 0: no bound.
 func weighted(name work.WorkspaceName, weight int) workspace.Workspace {
 	return workspace.Workspace{Name: name, Weight: weight}
 }
@@ -112,8 +114,8 @@
 	assert.Equal(t, got["light"], 12)
 }
 
-// Twenty workspaces submit jobs at once, each within its weight. As many jobs end in time as the pool can
-// run, whichever workspaces they belong to.
+// Twenty workspaces submit one job each at once, none more than its weight, in jobs a second, allows. As
+// many jobs must end in time as the pool can run in two rounds, whichever workspaces they belong to.
 func TestTwentyWorkspacesAtOnce(t *testing.T) {
 	var workspaces []workspace.Workspace
 	var arrivals []submission
--- a/internal/engine/writer_test.go
+++ b/internal/engine/writer_test.go
@@ -27,8 +27,9 @@
 }
 
 // Guards against a refused job that runs, or an accepted one that never starts: the store applied
-// the transaction, but its answer was lost. Sent again, the transaction must recognise its own mark
-// in the commit key.
+// the transaction, but its answer was lost. Sent again, the transaction fails, as the first attempt has
+// changed the commit key. The committer must then see by the token and batch number in the key that
+// the first attempt took effect.
 func TestATransactionWithoutAnswerIsNeitherRefusedNorForgotten(t *testing.T) {
 	e, inner := newEngine(t, &fakeTerm{certain: true})
 	store := faulty.Wrap(inner)
@@ -139,7 +140,8 @@
 	}
 }
 
-// successorTerm is the term of a successor.
+// successorTerm is the Term of the owner that follows newEngine's. Its lease is certain and allows
+// orders for the first hour on the engine's clock.
 type successorTerm struct{}
 
 func (successorTerm) Token() int64                { return token + 1 }
