--- a/policy/blame/blame_test.go
+++ b/policy/blame/blame_test.go
@@ -134,7 +134,7 @@
 	assert.Equal(t, len(b.UpdateQuarantine(start, 10)), 0)
 }
 
-func TestReleasedWhenTheJobsFailElsewhere(t *testing.T) {
+func TestQuarantinedWorkerIsReleasedWhenItsJobsFailElsewhere(t *testing.T) {
 	// A kind that did well everywhere becomes faulty with a new version and fails on one worker
 	// first, which is quarantined. The same jobs then fail on other workers, and it must be
 	// released before its quarantine is over.
--- a/policy/crashes/crashes.go
+++ b/policy/crashes/crashes.go
@@ -122,8 +122,11 @@
 	return r.count(Crash.certain) >= minCertainCrashes && r.odds(prior) >= poisonOdds
 }
 
+// counts reports whether the crash counts as evidence that the task crashes workers.
 func (c Crash) counts() bool { return !c.ExplainedByOther }
 
+// certain reports whether the crash counts and is certain to have happened during the run: a
+// presumed one may have come before the run's start.
 func (c Crash) certain() bool { return c.counts() && !c.Presumed }
 
 func (r Record) count(which func(Crash) bool) int {
--- a/policy/crashes/crashes_test.go
+++ b/policy/crashes/crashes_test.go
@@ -17,7 +17,8 @@
 )
 
 // recordAfter returns the record of a task after the given number of crashes, each of a worker
-// that ran only this task and for the given time.
+// that ran only this task and for the given time. prior is the share of jobs of the task's kind
+// that crash workers, rate the number of spontaneous crashes per worker and second.
 func recordAfter(ran time.Duration, prior, rate float64, crashed int) (r crashes.Record) {
 	for run := range crashed {
 		blamed := crashes.Attribute([]crashes.LostRun{{Job: "j", MinRunTime: ran, MaxRunTime: ran + 10*time.Millisecond, Record: r, Prior: prior}}, rate).Blamed
--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -36,7 +36,8 @@
 
 // Available returns the number of further workers on which suspects may be tried. workers is
 // the size of the pool, idle the number of its workers that run nothing and that no other work
-// waits for, and trying the number on which suspects are tried now. The result may be negative.
+// waits for, and trying the number on which suspects are tried now. The result is
+// negative if more are in use than allowed.
 func (t *Trials) Available(workers, idle, trying int, now time.Duration) int {
 	for address, at := range t.away {
 		if now > at+maxAway {
--- a/policy/taskplan/taskplan.go
+++ b/policy/taskplan/taskplan.go
@@ -57,10 +57,12 @@
 
 // Task is a waiting task.
 type Task struct {
-	Index int
+	Index int             // index of the task in its step
 	Avoid []work.WorkerID // workers on which it failed; used only if no other has capacity
 	// Suspect: the task may crash its worker. It is placed where the fewest tasks would be lost,
-	// and nothing is placed beside it except suspects of its step, with which it is given up.
+	// and nothing is placed beside it except suspects of the same step: if the task turns out to
+	// crash workers, its job is given up, and the other suspects with it. A long-running step is
+	// never given up, so each of its suspects gets a worker of its own.
 	Suspect bool
 }
 
@@ -114,7 +116,8 @@
 	return p
 }
 
-// emptyKind holds the properties by which empty workers differ for a step without a data rack.
+// emptyKind holds the properties by which empty workers differ in the placement of a step without a
+// data rack. Workers of one kind are interchangeable.
 type emptyKind struct {
 	total          work.Resources
 	label          string
@@ -123,8 +126,9 @@
 	labelInDemand  bool
 }
 
-// kindOf returns the worker's kind. It reports false if the worker's state sets it apart from
-// other workers.
+// kindOf returns the properties by which the worker is grouped with interchangeable empty workers.
+// It reports false for a worker that has to be scored by itself: it has tasks, not all of its capacity
+// is free, the number of tasks to place on it is limited, or it has more than two labels.
 func kindOf(w *Worker) (emptyKind, bool) {
 	if w.Tasks > 0 || w.Limit >= 0 || w.Free != w.Total || len(w.Labels) > 2 {
 		return emptyKind{}, false
