--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -48,13 +48,13 @@
 	LostEarly int `json:",omitempty"`
 	// LeastMB is twice the memory that was too little for it, and Grow how
 	// often that happened.
-	LeastMB int64       `json:",omitempty"`
-	Grow    int         `json:",omitempty"`
-	Chain   []Happening `json:",omitempty"` // the newest, oldest first
+	LeastMB int64          `json:",omitempty"`
+	Grow    int            `json:",omitempty"`
+	Chain   []HistoryEntry `json:",omitempty"` // the newest, oldest first
 }
 
-// Happening is one link of what happened to a job.
-type Happening struct {
+// HistoryEntry is one link of what happened to a job.
+type HistoryEntry struct {
 	At   time.Time
 	Text string
 }
@@ -80,7 +80,7 @@
 	if reason != "" {
 		text += ": " + reason
 	}
-	r.Chain = append(r.Chain, Happening{At: at, Text: text})
+	r.Chain = append(r.Chain, HistoryEntry{At: at, Text: text})
 	if len(r.Chain) > maxChain {
 		r.Chain = append(r.Chain[:1:1], r.Chain[len(r.Chain)-maxChain+1:]...)
 	}
@@ -97,7 +97,7 @@
 	out := &group{Change: g.Change, Jobs: make([]Record, len(g.Jobs))}
 	copy(out.Jobs, g.Jobs)
 	for i := range out.Jobs {
-		out.Jobs[i].Chain = append([]Happening(nil), out.Jobs[i].Chain...)
+		out.Jobs[i].Chain = append([]HistoryEntry(nil), out.Jobs[i].Chain...)
 		out.Jobs[i].FailedOn = append([]model.VMID(nil), out.Jobs[i].FailedOn...)
 	}
 	return out
