--- a/internal/jobs/jobsapi/operations.go
+++ b/internal/jobs/jobsapi/operations.go
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	s := status(&record)
-	s.Chain = record.Chain
+	s.Chain = record.History
 	return s, nil
 }
 
--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -153,7 +153,7 @@
 	if r.State != jobs.Waiting && r.State != jobs.Unplaceable {
 		s.VM = r.VM
 	}
-	for _, h := range r.Chain {
+	for _, h := range r.History {
 		s.Chain = append(s.Chain, query.Reason{At: h.At, Text: h.Text})
 	}
 	return s
--- a/internal/jobs/race_test.go
+++ b/internal/jobs/race_test.go
@@ -193,7 +193,7 @@
 	for _, id := range s.ids {
 		r, ok := known[id]
 		assert.Assert(s.t, ok, "job %s is lost", id)
-		assert.Assert(s.t, r.State.Ended() || r.State == Unknown && !r.Repeatable, "job %s is %s: %v", id, r.State, r.Chain)
+		assert.Assert(s.t, r.State.Ended() || r.State == Unknown && !r.Repeatable, "job %s is %s: %v", id, r.State, r.History)
 		if r.State == Succeeded {
 			assert.Assert(s.t, finished[id] > 0, "job %s is called succeeded and never finished", id)
 		}
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -48,9 +48,9 @@
 	LostEarly int `json:",omitempty"`
 	// LeastMB is twice the memory that was too little for it, and Grow how
 	// often that happened.
-	LeastMB int64          `json:",omitempty"`
-	Grow    int            `json:",omitempty"`
-	Chain   []HistoryEntry `json:",omitempty"` // the newest, oldest first
+	LeastMB int64          `json:"LeastMB,omitempty"`
+	Grow    int            `json:"Grow,omitempty"`
+	History []HistoryEntry `json:"Chain,omitempty"` // the newest, oldest first
 }
 
 // HistoryEntry is one link of what happened to a job.
@@ -80,9 +80,9 @@
 	if reason != "" {
 		text += ": " + reason
 	}
-	r.Chain = append(r.Chain, HistoryEntry{At: at, Text: text})
-	if len(r.Chain) > maxChain {
-		r.Chain = append(r.Chain[:1:1], r.Chain[len(r.Chain)-maxChain+1:]...)
+	r.History = append(r.History, HistoryEntry{At: at, Text: text})
+	if len(r.History) > maxChain {
+		r.History = append(r.History[:1:1], r.History[len(r.History)-maxChain+1:]...)
 	}
 }
 
@@ -97,7 +97,7 @@
 	out := &group{Change: g.Change, Jobs: make([]Record, len(g.Jobs))}
 	copy(out.Jobs, g.Jobs)
 	for i := range out.Jobs {
-		out.Jobs[i].Chain = append([]HistoryEntry(nil), out.Jobs[i].Chain...)
+		out.Jobs[i].History = append([]HistoryEntry(nil), out.Jobs[i].History...)
 		out.Jobs[i].FailedOn = append([]model.VMID(nil), out.Jobs[i].FailedOn...)
 	}
 	return out
