--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -201,7 +201,7 @@
 // slows the growth of its memory and still lets it come to an end.
 const throttleTo = 4
 
-func (p *pass) sizeOf(r *Record) model.Resources { return p.learned.Sizes.Size(&r.Job, r.LeastMB) }
+func (p *pass) sizeOf(r *Record) model.Resources { return p.learned.Sizes.Size(&r.Job, r.MinMemoryMB) }
 
 // tidyLearned forgets attempts that the platform has forgotten and workers
 // that are no more.
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -148,7 +148,7 @@
 		p.learned.Sizes.ReportExceeded(r.Kind, r.ID, r.Size)
 		return func(r *Record) {
 			r.Grow++
-			r.LeastMB = 2 * r.Size.MemoryMB
+			r.MinMemoryMB = 2 * r.Size.MemoryMB
 			r.giveUp(p.now, "it used more memory than it was given")
 		}
 	case p.learned.hopeless(append(slices.Clone(r.FailedOn), r.VM)):
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -46,11 +46,11 @@
 	FailedOn []model.VMID   `json:",omitempty"` // distinct workers it failed on
 	// LostEarly is how often its worker was lost soon after it began there.
 	LostEarly int `json:",omitempty"`
-	// LeastMB is twice the memory that was too little for it, and Grow how
+	// MinMemoryMB is twice the memory that was too little for it, and Grow how
 	// often that happened.
-	LeastMB int64          `json:"LeastMB,omitempty"`
-	Grow    int            `json:"Grow,omitempty"`
-	History []HistoryEntry `json:"Chain,omitempty"` // the newest, oldest first
+	MinMemoryMB int64          `json:"LeastMB,omitempty"`
+	Grow        int            `json:"Grow,omitempty"`
+	History     []HistoryEntry `json:"Chain,omitempty"` // the newest, oldest first
 }
 
 // HistoryEntry is one link of what happened to a job.
