--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -144,10 +144,10 @@
 		return func(r *Record) { r.giveUp(p.now, why) }
 	case !r.Repeatable:
 		return func(r *Record) { r.enter(Failed, p.now, why+"; not repeatable, so it is not tried again") }
-	case why == infra.ReasonMemoryGuard && r.Grow < maxGrow:
+	case why == infra.ReasonMemoryGuard && r.MemoryDoublings < maxGrow:
 		p.learned.Sizes.ReportExceeded(r.Kind, r.ID, r.Size)
 		return func(r *Record) {
-			r.Grow++
+			r.MemoryDoublings++
 			r.MinMemoryMB = 2 * r.Size.MemoryMB
 			r.giveUp(p.now, "it used more memory than it was given")
 		}
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -48,9 +48,9 @@
 	LostEarly int `json:",omitempty"`
 	// MinMemoryMB is twice the memory that was too little for it, and Grow how
 	// often that happened.
-	MinMemoryMB int64          `json:"LeastMB,omitempty"`
-	Grow        int            `json:"Grow,omitempty"`
-	History     []HistoryEntry `json:"Chain,omitempty"` // the newest, oldest first
+	MinMemoryMB     int64          `json:"LeastMB,omitempty"`
+	MemoryDoublings int            `json:"Grow,omitempty"`
+	History         []HistoryEntry `json:"Chain,omitempty"` // the newest, oldest first
 }
 
 // HistoryEntry is one link of what happened to a job.
