--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -230,12 +230,12 @@
 	})
 	d.maintenance = &maintenance{fleet: d.fleet}
 	d.jobs = jobs.New(jobs.Options{
-		Store:    d.store,
-		Machines: d.machines,
-		View:     d.view,
-		Self:     d.self.ID,
-		Soon:     d.soon,
-		Log:      d.log.WithName("jobs"),
+		Store:           d.store,
+		Machines:        d.machines,
+		View:            d.view,
+		Self:            d.self.ID,
+		MaintenanceSoon: d.soon,
+		Log:             d.log.WithName("jobs"),
 	})
 }
 
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -31,11 +31,11 @@
 	Machines infra.Machines
 	View     *view.Holder
 	Self     model.EntryID
-	// Soon reports whether the VM is about to be maintained; nil for never.
-	Soon  func(model.VMID) bool
-	Clock clockwork.Clock // the real one if nil
-	Log   logr.Logger
-	NewID func() string // makes unique IDs; random if nil
+	// MaintenanceSoon reports whether the VM is about to be maintained; nil for never.
+	MaintenanceSoon func(model.VMID) bool
+	Clock           clockwork.Clock // the real one if nil
+	Log             logr.Logger
+	NewID           func() string // makes unique IDs; random if nil
 }
 
 // Jobs is the executor of one entry VM, and the commands and questions on
@@ -92,15 +92,15 @@
 	if o.NewID == nil {
 		o.NewID = randomID
 	}
-	if o.Soon == nil {
-		o.Soon = func(model.VMID) bool { return false }
+	if o.MaintenanceSoon == nil {
+		o.MaintenanceSoon = func(model.VMID) bool { return false }
 	}
 	return &Jobs{
 		store:    o.Store,
 		machines: o.Machines,
 		view:     o.View,
 		self:     o.Self,
-		soon:     o.Soon,
+		soon:     o.MaintenanceSoon,
 		clock:    o.Clock,
 		log:      o.Log,
 		newID:    o.NewID,
