--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -125,8 +125,8 @@
 	return model.ChangeID(string(j.self) + "-" + j.newID())
 }
 
-// NewChange returns a change ID for a request that bears none.
-func (j *Jobs) NewChange() model.ChangeID { return model.ChangeID("c-" + j.newID()) }
+// NewChangeID returns a change ID for a request that bears none.
+func (j *Jobs) NewChangeID() model.ChangeID { return model.ChangeID("c-" + j.newID()) }
 
 // Wake lets Run pass at once.
 func (j *Jobs) Wake() {
--- a/internal/jobs/jobsapi/operations.go
+++ b/internal/jobs/jobsapi/operations.go
@@ -182,7 +182,7 @@
 	q := r.URL.Query()
 	change := model.ChangeID(q.Get("change"))
 	if change == "" {
-		change = h.Jobs.NewChange()
+		change = h.Jobs.NewChangeID()
 	}
 	all, err := h.Jobs.Cancel(ctx, change, q.Get("reason"), ids)
 	reply := CancelReply{Change: change}
