--- a/internal/jobs/cancel.go
+++ b/internal/jobs/cancel.go
@@ -75,9 +75,9 @@
 
 // The verdicts.
 const (
-	VerdictRan      Verdict = "ran"       // it did its work
-	VerdictNotRun   Verdict = "not-run"   // it did not, and may be started
-	VerdictFinished Verdict = "cancelled" // whatever it did, it is over
+	VerdictRan       Verdict = "ran"       // it did its work
+	VerdictNotRun    Verdict = "not-run"   // it did not, and may be started
+	VerdictCancelled Verdict = "cancelled" // whatever it did, it is over
 )
 
 // Decide carries out an operator's verdict on a job in state Unknown.
@@ -96,7 +96,7 @@
 			r.enter(Succeeded, j.clock.Now(), "decided by "+who)
 		case VerdictNotRun:
 			r.enter(Waiting, j.clock.Now(), "decided by "+who+" that it has not run")
-		case VerdictFinished:
+		case VerdictCancelled:
 			r.enter(Cancelled, j.clock.Now(), "decided by "+who)
 		default:
 			refusal = &Refusal{Code: CodeInvalid, Field: "outcome", Detail: "want ran, not-run or cancelled"}
--- a/internal/jobs/failure_test.go
+++ b/internal/jobs/failure_test.go
@@ -100,7 +100,7 @@
 		paused.machines.before = nil
 		w.clock.Advance(startGrace)
 		assert.NilError(t, other.Step(w.ctx()))
-		assert.NilError(t, other.Decide(w.ctx(), id, VerdictFinished, "ana"))
+		assert.NilError(t, other.Decide(w.ctx(), id, VerdictCancelled, "ana"))
 	}
 	assert.NilError(t, paused.Step(w.ctx()))
 	w.run(2 * time.Second)
