--- a/internal/jobs/jobsapi/jobsapi_test.go
+++ b/internal/jobs/jobsapi/jobsapi_test.go
@@ -83,7 +83,7 @@
 	var one Status
 	assert.Equal(t, p.call(t, "GET", Prefix+"/c-1.0", "", &one), 200)
 	assert.Equal(t, one.State, jobs.Running)
-	assert.Equal(t, len(one.Chain), 3)
+	assert.Equal(t, len(one.History), 3)
 	var cancelled CancelReply
 	assert.Equal(t, p.call(t, "DELETE", Prefix+"?team=panel&reason=done", "", &cancelled), 200)
 	assert.Equal(t, cancelled.Cancelled, 1)
--- a/internal/jobs/jobsapi/operations.go
+++ b/internal/jobs/jobsapi/operations.go
@@ -49,15 +49,15 @@
 
 // Status is where a job stands.
 type Status struct {
-	ID     model.JobID         `json:"id"`
-	Team   model.TeamName      `json:"team"`
-	Kind   string              `json:"kind"`
-	Class  string              `json:"class"`
-	State  jobs.State          `json:"state"`
-	VM     model.VMID          `json:"vm,omitempty"`
-	Since  time.Time           `json:"since"`
-	Reason string              `json:"reason,omitempty"`
-	Chain  []jobs.HistoryEntry `json:"chain,omitempty"` // of one job alone
+	ID      model.JobID         `json:"id"`
+	Team    model.TeamName      `json:"team"`
+	Kind    string              `json:"kind"`
+	Class   string              `json:"class"`
+	State   jobs.State          `json:"state"`
+	VM      model.VMID          `json:"vm,omitempty"`
+	Since   time.Time           `json:"since"`
+	Reason  string              `json:"reason,omitempty"`
+	History []jobs.HistoryEntry `json:"chain,omitempty"` // of one job alone
 }
 
 // ListReply is the answer to a list.
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	s := status(&record)
-	s.Chain = record.History
+	s.History = record.History
 	return s, nil
 }
 
