--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -57,7 +57,7 @@
 		Mesh:   d.mesh,
 		Acks:   d.registry,
 		Health: d.prober.Health,
-		Jobs:   jobsport.Orders{Executor: d.jobs},
+		Jobs:   jobsport.CommandAdapter{Executor: d.jobs},
 		Asked:  jobsport.Questions{Executor: d.jobs},
 		Access: gate,
 		Log:    d.log.WithName("operator"),
--- a/internal/jobs/jobsapi/operations.go
+++ b/internal/jobs/jobsapi/operations.go
@@ -171,7 +171,7 @@
 	if len(where) == 0 {
 		return nil, invalid("query", "name what to cancel, such as team=panel")
 	}
-	ids, err := jobsport.Orders{Executor: h.Jobs}.Select(ctx, where)
+	ids, err := jobsport.CommandAdapter{Executor: h.Jobs}.Select(ctx, where)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -13,16 +13,16 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Orders is a command.Jobs.
-type Orders struct {
+// CommandAdapter is a command.Jobs.
+type CommandAdapter struct {
 	Executor *jobs.Jobs
 }
 
-var _ command.BulkJobs = Orders{}
+var _ command.BulkJobs = CommandAdapter{}
 
 // Cancel implements command.Jobs. A job's revision is that of its group, which
 // changes with its neighbours, so if-revision can't be met and is refused.
-func (o Orders) Cancel(ctx context.Context, job model.JobID, t command.Terms) (command.Effect, error) {
+func (o CommandAdapter) Cancel(ctx context.Context, job model.JobID, t command.Terms) (command.Effect, error) {
 	effects, err := o.CancelAll(ctx, []model.JobID{job}, t)
 	if err != nil {
 		return command.Effect{}, err
@@ -34,7 +34,7 @@
 }
 
 // CancelAll implements command.BulkJobs.
-func (o Orders) CancelAll(ctx context.Context, ids []model.JobID, t command.Terms) ([]command.Effect, error) {
+func (o CommandAdapter) CancelAll(ctx context.Context, ids []model.JobID, t command.Terms) ([]command.Effect, error) {
 	if t.IfRevision != 0 {
 		return nil, &command.Refusal{Code: command.CodeRevision, Detail: "jobs have no revision of their own"}
 	}
@@ -62,7 +62,7 @@
 
 // Select implements command.Jobs. Ended jobs are left out: there is nothing to
 // cancel about them.
-func (o Orders) Select(ctx context.Context, where []lang.Condition) ([]model.JobID, error) {
+func (o CommandAdapter) Select(ctx context.Context, where []lang.Condition) ([]model.JobID, error) {
 	records, err := o.Executor.List(ctx)
 	if err != nil {
 		return nil, Error("", err)
--- a/internal/jobs/jobsport/jobsport_test.go
+++ b/internal/jobs/jobsport/jobsport_test.go
@@ -32,7 +32,7 @@
 	holder := view.NewHolder()
 	holder.Publish(&view.Snapshot{Revision: 1, Declaration: &model.Declaration{Generation: 1}, VMs: map[model.VMID]view.VMRecord{}})
 	j := jobs.New(jobs.Options{Store: store, Machines: platform.Machines, View: holder, Self: "e1", Clock: clock, Log: logr.Discard()})
-	return j, command.New(command.Options{Jobs: Orders{j}, Trail: trail{}, Clock: clock}), store
+	return j, command.New(command.Options{Jobs: CommandAdapter{j}, Trail: trail{}, Clock: clock}), store
 }
 
 func do(t *testing.T, x *command.Executor, text string, change model.ChangeID) (command.Result, error) {
--- a/internal/jobs/jobsport/submit.go
+++ b/internal/jobs/jobsport/submit.go
@@ -11,7 +11,7 @@
 // Submit implements command.Jobs. The operator's name for the job serves as
 // the change ID of its submission: a repeat finds the job that is there, and
 // another job under that name is refused.
-func (o Orders) Submit(ctx context.Context, job model.Job, t command.Terms) (command.Effect, error) {
+func (o CommandAdapter) Submit(ctx context.Context, job model.Job, t command.Terms) (command.Effect, error) {
 	ids, err := o.Executor.Submit(ctx, model.ChangeID(job.ID), []model.Job{job})
 	if err != nil {
 		return command.Effect{}, Error(t.Change, err)
