--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -58,7 +58,7 @@
 		Acks:   d.registry,
 		Health: d.prober.Health,
 		Jobs:   jobsport.CommandAdapter{Executor: d.jobs},
-		Asked:  jobsport.Questions{Executor: d.jobs},
+		Asked:  jobsport.QueryAdapter{Executor: d.jobs},
 		Access: gate,
 		Log:    d.log.WithName("operator"),
 	})
--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -128,15 +128,15 @@
 	return ""
 }
 
-// Questions is a query.Jobs.
-type Questions struct {
+// QueryAdapter is a query.Jobs.
+type QueryAdapter struct {
 	Executor *jobs.Jobs
 }
 
-var _ query.Jobs = Questions{}
+var _ query.Jobs = QueryAdapter{}
 
 // Jobs implements query.Jobs.
-func (q Questions) Jobs(ctx context.Context) ([]query.JobStatus, error) {
+func (q QueryAdapter) Jobs(ctx context.Context) ([]query.JobStatus, error) {
 	records, err := q.Executor.List(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/jobs/jobsport/jobsport_test.go
+++ b/internal/jobs/jobsport/jobsport_test.go
@@ -67,7 +67,7 @@
 	assert.ErrorContains(t, err, "cancelled already")
 	_, err = do(t, x, "cancel jobs where team = panel", "x-3")
 	assert.ErrorContains(t, err, "0 jobs fulfil this")
-	left, err := Questions{j}.Jobs(context.Background())
+	left, err := QueryAdapter{j}.Jobs(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, left[0].State, "waiting")
 	assert.Equal(t, len(left[1].Chain), 2)
