--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -40,7 +40,7 @@
 	}
 	out, err := o.Executor.Cancel(ctx, t.Change, t.Reason, ids)
 	if err != nil {
-		return nil, Error(t.Change, err)
+		return nil, CommandError(t.Change, err)
 	}
 	effects := make([]command.Effect, len(out))
 	for i, c := range out {
@@ -65,7 +65,7 @@
 func (o CommandAdapter) Select(ctx context.Context, where []lang.Condition) ([]model.JobID, error) {
 	records, err := o.Executor.List(ctx)
 	if err != nil {
-		return nil, Error("", err)
+		return nil, CommandError("", err)
 	}
 	var ids []model.JobID
 	for i := range records {
@@ -159,8 +159,8 @@
 	return s
 }
 
-// Error turns an error of package jobs into one of package command.
-func Error(change model.ChangeID, err error) error {
+// CommandError turns an error of package jobs into one of package command.
+func CommandError(change model.ChangeID, err error) error {
 	var refusal *jobs.Refusal
 	if errors.As(err, &refusal) {
 		return &command.Refusal{Code: command.Code(refusal.Code), Revision: refusal.Revision, Detail: refusal.Detail}
--- a/internal/jobs/jobsport/submit.go
+++ b/internal/jobs/jobsport/submit.go
@@ -14,11 +14,11 @@
 func (o CommandAdapter) Submit(ctx context.Context, job model.Job, t command.Terms) (command.Effect, error) {
 	ids, err := o.Executor.Submit(ctx, model.ChangeID(job.ID), []model.Job{job})
 	if err != nil {
-		return command.Effect{}, Error(t.Change, err)
+		return command.Effect{}, CommandError(t.Change, err)
 	}
 	stored, err := o.Executor.Get(ctx, ids[0])
 	if err != nil {
-		return command.Effect{}, Error(t.Change, err)
+		return command.Effect{}, CommandError(t.Change, err)
 	}
 	if !sameJob(stored.Job, job) {
 		return command.Effect{}, &command.Refusal{Code: command.CodeConflict, Winner: "job " + string(ids[0]), Detail: "another job was submitted under that name"}
