--- a/internal/jobs/failure_test.go
+++ b/internal/jobs/failure_test.go
@@ -164,7 +164,7 @@
 	assert.NilError(t, err)
 	tend := func(d time.Duration) {
 		w.clock.Advance(d)
-		_, err := other.tend(w.ctx())
+		_, err := other.passIfHolder(w.ctx())
 		assert.NilError(t, err)
 	}
 	tend(time.Second)
@@ -173,7 +173,7 @@
 	assert.NilError(t, err)
 	tend(100 * time.Millisecond)
 	assert.Equal(t, w.state(ids[0]), Waiting, "the holder has its chance")
-	tend(passEvery)
+	tend(passInterval)
 	assert.Equal(t, w.state(ids[0]), Running)
 }
 
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -41,29 +41,29 @@
 // Jobs is the executor of one entry VM, and the commands and questions on
 // jobs. It is safe for concurrent use.
 type Jobs struct {
-	store    infra.Store
-	machines infra.Machines
-	view     *view.Holder
-	self     model.EntryID
-	soon     func(model.VMID) bool
-	clock    clockwork.Clock
-	log      logr.Logger
-	newID    func() string
-	owner    string // this run of the entry VM
-	parallel int    // calls to the machines at once
-	kick     chan struct{}
-	mirror   *mirror
-	counts   counts
-	submits  submits
-	rescue   rescue
+	store           infra.Store
+	machines        infra.Machines
+	view            *view.Holder
+	self            model.EntryID
+	maintenanceSoon func(model.VMID) bool
+	clock           clockwork.Clock
+	log             logr.Logger
+	newID           func() string
+	owner           string // this run of the entry VM
+	parallel        int    // calls to the machines at once
+	wakeup          chan struct{}
+	mirror          *mirror
+	counts          counts
+	batcher         submits
+	rescue          rescue
 
-	step sync.Mutex // one pass at a time
+	passMu sync.Mutex // one pass at a time
 	// What follows is used by passes alone.
-	lease    lease
-	unfollow context.CancelFunc            // ends the watch
-	sent     map[model.AttemptID]bool      // starts that were sent, and whether their outcome is open
-	renewed  map[model.AttemptID]time.Time // when a task's lease was last renewed
-	learned  *learned
+	lease     lease
+	stopWatch context.CancelFunc            // ends the watch
+	sent      map[model.AttemptID]bool      // starts that were sent, and whether their outcome is open
+	renewed   map[model.AttemptID]time.Time // when a task's lease was last renewed
+	learned   *learned
 }
 
 // counts are what a Jobs did, for metrics and benchmarks.
@@ -96,22 +96,22 @@
 		o.MaintenanceSoon = func(model.VMID) bool { return false }
 	}
 	return &Jobs{
-		store:    o.Store,
-		machines: o.Machines,
-		view:     o.View,
-		self:     o.Self,
-		soon:     o.MaintenanceSoon,
-		clock:    o.Clock,
-		log:      o.Log,
-		newID:    o.NewID,
-		owner:    string(o.Self) + "/" + o.NewID(),
-		parallel: parallelStarts,
-		kick:     make(chan struct{}, 1),
-		mirror:   newMirror(o.Store),
-		sent:     make(map[model.AttemptID]bool),
-		renewed:  make(map[model.AttemptID]time.Time),
-		learned:  newLearned(),
-		unfollow: func() {},
+		store:           o.Store,
+		machines:        o.Machines,
+		view:            o.View,
+		self:            o.Self,
+		maintenanceSoon: o.MaintenanceSoon,
+		clock:           o.Clock,
+		log:             o.Log,
+		newID:           o.NewID,
+		owner:           string(o.Self) + "/" + o.NewID(),
+		parallel:        parallelStarts,
+		wakeup:          make(chan struct{}, 1),
+		mirror:          newMirror(o.Store),
+		sent:            make(map[model.AttemptID]bool),
+		renewed:         make(map[model.AttemptID]time.Time),
+		learned:         newLearned(),
+		stopWatch:       func() {},
 	}
 }
 
@@ -131,7 +131,7 @@
 // Wake lets Run pass at once.
 func (j *Jobs) Wake() {
 	select {
-	case j.kick <- struct{}{}:
+	case j.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -139,8 +139,8 @@
 // Step does one pass, whether or not this entry VM holds the lease: two passes
 // at once on two entry VMs collide in their compare-and-swap and do no harm.
 func (j *Jobs) Step(ctx context.Context) error {
-	j.step.Lock()
-	defer j.step.Unlock()
+	j.passMu.Lock()
+	defer j.passMu.Unlock()
 	_, err := j.pass(ctx)
 	return err
 }
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -87,7 +87,7 @@
 	}
 	workers := make([]placement.Worker, 0, len(snap.VMs))
 	for id, vm := range snap.VMs {
-		w := placement.Worker{ID: id, Zone: vm.Zone, Rack: vm.Rack, Pool: vm.Pool, Capacity: vm.Capacity, Used: used[id], MaintenanceSoon: p.soon(id)}
+		w := placement.Worker{ID: id, Zone: vm.Zone, Rack: vm.Rack, Pool: vm.Pool, Capacity: vm.Capacity, Used: used[id], MaintenanceSoon: p.maintenanceSoon(id)}
 		w.ClosedReason, w.Probe = p.closed(&vm.VM)
 		workers = append(workers, w)
 	}
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// passEvery is how often the holder looks at tasks, which bounds how late
+	// passInterval is how often the holder looks at tasks, which bounds how late
 	// an end or a lapse is seen. New jobs wake it at once.
-	passEvery = time.Second
-	// passGap is the least time between two passes, so that a stream of single
+	passInterval = time.Second
+	// minPassInterval is the least time between two passes, so that a stream of single
 	// submits is placed in groups.
-	passGap = 20 * time.Millisecond
-	// farewell bounds the hand-over when the daemon stops.
-	farewell = 2 * time.Second
+	minPassInterval = 20 * time.Millisecond
+	// handOverTimeout bounds the hand-over when the daemon stops.
+	handOverTimeout = 2 * time.Second
 )
 
 // Run does passes while this entry VM holds the lease, until ctx ends. Errors
@@ -21,25 +21,25 @@
 func (j *Jobs) Run(ctx context.Context) error {
 	defer j.handOver(ctx)
 	for ctx.Err() == nil {
-		again, err := j.tend(ctx)
+		again, err := j.passIfHolder(ctx)
 		if err != nil && ctx.Err() == nil {
 			j.log.Error(err, "pass over jobs failed, will be tried again")
 		}
-		j.rest(ctx, again)
+		j.waitForWork(ctx, again)
 	}
 	return nil
 }
 
-// rest waits until there is reason for another pass.
-func (j *Jobs) rest(ctx context.Context, again bool) {
-	j.sleep(ctx, passGap)
+// waitForWork waits until there is reason for another pass.
+func (j *Jobs) waitForWork(ctx context.Context, again bool) {
+	j.sleep(ctx, minPassInterval)
 	if again {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-j.kick:
-	case <-j.clock.After(passEvery):
+	case <-j.wakeup:
+	case <-j.clock.After(passInterval):
 	}
 }
 
@@ -51,22 +51,22 @@
 }
 
 func (j *Jobs) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), farewell)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
 	defer cancel()
-	j.step.Lock()
-	defer j.step.Unlock()
-	j.unfollow()
+	j.passMu.Lock()
+	defer j.passMu.Unlock()
+	j.stopWatch()
 	j.release(ctx)
 }
 
-// tend does a pass where this entry VM holds the lease, and reports whether
+// passIfHolder does a pass where this entry VM holds the lease, and reports whether
 // another should follow at once.
-func (j *Jobs) tend(ctx context.Context) (again bool, err error) {
-	j.step.Lock()
-	defer j.step.Unlock()
+func (j *Jobs) passIfHolder(ctx context.Context) (again bool, err error) {
+	j.passMu.Lock()
+	defer j.passMu.Unlock()
 	held, err := j.claim(ctx)
 	if !held {
-		j.unfollow()
+		j.stopWatch()
 	}
 	if err != nil {
 		return false, err
@@ -78,16 +78,16 @@
 	if err != nil {
 		return again, err
 	}
-	return again, j.follow(ctx)
+	return again, j.watchJobs(ctx)
 }
 
-// follow watches the jobs while this entry VM holds the lease. A waiting watch
+// watchJobs watches the jobs while this entry VM holds the lease. A waiting watch
 // is a call against the service's limits, so the others keep none.
-func (j *Jobs) follow(ctx context.Context) error {
+func (j *Jobs) watchJobs(ctx context.Context) error {
 	if j.mirror.isWatching() {
 		return nil
 	}
-	j.unfollow()
-	ctx, j.unfollow = context.WithCancel(ctx)
+	j.stopWatch()
+	ctx, j.stopWatch = context.WithCancel(ctx)
 	return j.mirror.follow(ctx, j.Wake)
 }
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -45,7 +45,7 @@
 		}
 		parts = append(parts, part)
 	}
-	if err := j.submits.add(ctx, j, parts); err != nil {
+	if err := j.batcher.add(ctx, j, parts); err != nil {
 		return nil, err
 	}
 	j.rescue.add(ids, all, j.clock.Now())
