--- a/internal/jobs/failure_test.go
+++ b/internal/jobs/failure_test.go
@@ -155,7 +155,7 @@
 	// it; a normal one waits for the next holder.
 	w := newWorld(t, 2, 2)
 	dead, other := w.nodes[0], w.nodes[1]
-	held, err := dead.claim(w.ctx())
+	held, err := dead.ensureLease(w.ctx())
 	assert.NilError(t, err)
 	assert.Assert(t, held)
 	urgent := small()
@@ -183,7 +183,7 @@
 	w := newWorld(t, 2, 3)
 	holders := func() (held []int) {
 		for i, n := range w.nodes {
-			ok, err := n.claim(w.ctx())
+			ok, err := n.ensureLease(w.ctx())
 			assert.NilError(t, err)
 			if ok {
 				held = append(held, i)
@@ -192,13 +192,13 @@
 		return held
 	}
 	assert.DeepEqual(t, holders(), []int{0})
-	w.clock.Advance(leaseAsk)
+	w.clock.Advance(leaseCheckInterval)
 	assert.DeepEqual(t, holders(), []int{0})
-	w.nodes[0].release(w.ctx())
-	w.nodes[0].lease.asked = w.clock.Now()
+	w.nodes[0].releaseLease(w.ctx())
+	w.nodes[0].lease.checked = w.clock.Now()
 	assert.DeepEqual(t, holders(), []int(nil)) // all asked a moment ago
-	w.clock.Advance(leaseAsk)
-	w.nodes[0].lease.asked = w.clock.Now()
+	w.clock.Advance(leaseCheckInterval)
+	w.nodes[0].lease.checked = w.clock.Now()
 	assert.DeepEqual(t, holders(), []int{1})
 	w.clock.Advance(leaseTTL + time.Second)
 	assert.DeepEqual(t, holders(), []int{0})
--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -11,10 +11,10 @@
 	// leaseTTL is how long jobs lie idle after the entry VM that places them
 	// died. Urgent work has 2.2 s to start, but a lease as short as that would
 	// lapse at each pause of a small VM.
-	leaseTTL   = 6 * time.Second
-	leaseRenew = leaseTTL / 3
-	// leaseAsk is how often an entry VM that does not hold the lease asks.
-	leaseAsk = 2 * time.Second
+	leaseTTL           = 6 * time.Second
+	leaseRenewInterval = leaseTTL / 3
+	// leaseCheckInterval is how often an entry VM that does not hold the lease asks.
+	leaseCheckInterval = 2 * time.Second
 )
 
 // lease is this entry VM's claim on the work of placing.
@@ -22,28 +22,28 @@
 	id      infra.LeaseID
 	held    bool
 	renewed time.Time
-	asked   time.Time
+	checked time.Time
 }
 
-// claim reports whether this entry VM is to do the passes.
-func (j *Jobs) claim(ctx context.Context) (bool, error) {
+// ensureLease reports whether this entry VM is to do the passes.
+func (j *Jobs) ensureLease(ctx context.Context) (bool, error) {
 	now := j.clock.Now()
 	if j.lease.held {
-		return j.keep(ctx, now)
+		return j.renewLease(ctx, now)
 	}
-	if !j.lease.asked.IsZero() && now.Sub(j.lease.asked) < leaseAsk {
+	if !j.lease.checked.IsZero() && now.Sub(j.lease.checked) < leaseCheckInterval {
 		return false, nil
 	}
-	j.lease.asked = now
+	j.lease.checked = now
 	kv, _, err := j.store.Get(ctx, leaseKey)
 	if err != nil || kv.ModRevision != 0 {
 		return false, fault("read lease", "", err)
 	}
-	return j.take(ctx, now)
+	return j.acquireLease(ctx, now)
 }
 
-// take makes a lease and puts it under the key, if nobody was faster.
-func (j *Jobs) take(ctx context.Context, now time.Time) (bool, error) {
+// acquireLease makes a lease and puts it under the key, if nobody was faster.
+func (j *Jobs) acquireLease(ctx context.Context, now time.Time) (bool, error) {
 	var id infra.LeaseID
 	err := j.patient(ctx, func() (err error) {
 		id, err = j.store.Grant(ctx, leaseTTL)
@@ -66,8 +66,8 @@
 	return true, nil
 }
 
-func (j *Jobs) keep(ctx context.Context, now time.Time) (bool, error) {
-	if now.Sub(j.lease.renewed) < leaseRenew {
+func (j *Jobs) renewLease(ctx context.Context, now time.Time) (bool, error) {
+	if now.Sub(j.lease.renewed) < leaseRenewInterval {
 		return true, nil
 	}
 	err := j.store.KeepAlive(ctx, j.lease.id)
@@ -84,8 +84,8 @@
 	return true, nil
 }
 
-// release hands the work over at once rather than when the lease lapses.
-func (j *Jobs) release(ctx context.Context) {
+// releaseLease hands the work over at once rather than when the lease lapses.
+func (j *Jobs) releaseLease(ctx context.Context) {
 	if !j.lease.held {
 		return
 	}
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -56,7 +56,7 @@
 	j.passMu.Lock()
 	defer j.passMu.Unlock()
 	j.stopWatch()
-	j.release(ctx)
+	j.releaseLease(ctx)
 }
 
 // passIfHolder does a pass where this entry VM holds the lease, and reports whether
@@ -64,7 +64,7 @@
 func (j *Jobs) passIfHolder(ctx context.Context) (again bool, err error) {
 	j.passMu.Lock()
 	defer j.passMu.Unlock()
-	held, err := j.claim(ctx)
+	held, err := j.ensureLease(ctx)
 	if !held {
 		j.stopWatch()
 	}
