--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -45,7 +45,7 @@
 // acquireLease makes a lease and puts it under the key, if nobody was faster.
 func (j *Jobs) acquireLease(ctx context.Context, now time.Time) (bool, error) {
 	var id infra.LeaseID
-	err := j.patient(ctx, func() (err error) {
+	err := j.retryRateLimited(ctx, func() (err error) {
 		id, err = j.store.Grant(ctx, leaseTTL)
 		return err
 	})
--- a/internal/jobs/start.go
+++ b/internal/jobs/start.go
@@ -115,7 +115,7 @@
 			break
 		}
 		p.counts.starts.Add(1)
-		err := p.patient(ctx, func() error { return p.machines.StartTask(ctx, task) })
+		err := p.retryRateLimited(ctx, func() error { return p.machines.StartTask(ctx, task) })
 		switch {
 		case err == nil:
 			return begun(r.ID, r.Attempt, p.clock.Now())
--- a/internal/jobs/write.go
+++ b/internal/jobs/write.go
@@ -24,15 +24,15 @@
 	// requests over 1.5 MB by default, and base64 adds a third.
 	maxTxnGroups = 48
 	maxTxnBytes  = 700 << 10
-	// writeTries bounds how often a write that lost against another is made
+	// maxWriteTries bounds how often a write that lost against another is made
 	// anew; what is left is done by the next pass.
-	writeTries = 4
-	// limitedTries and limitedWait are how a write waits for the service's
+	maxWriteTries = 4
+	// maxRateLimitTries and limitedWait are how a write waits for the service's
 	// rate limit: three quarters of a second in all, within what urgent work
 	// may take to start.
-	limitedTries = 12
-	limitedWait  = 10 * time.Millisecond
-	limitedMost  = 80 * time.Millisecond
+	maxRateLimitTries = 12
+	minRateLimitWait  = 10 * time.Millisecond
+	maxRateLimitWait  = 80 * time.Millisecond
 )
 
 // write makes the changes, as many groups in one transaction as fit, and
@@ -55,7 +55,7 @@
 	done := make(map[model.JobID]Record)
 	var errs []error
 	for len(keys) > 0 {
-		n, err := j.writeSome(ctx, keys, byKey, done)
+		n, err := j.writeBatch(ctx, keys, byKey, done)
 		if err != nil {
 			errs = append(errs, err)
 		}
@@ -73,17 +73,17 @@
 	touched []model.JobID
 }
 
-// writeSome writes the first groups that fit into a transaction and returns
+// writeBatch writes the first groups that fit into a transaction and returns
 // how many keys it has dealt with.
-func (j *Jobs) writeSome(ctx context.Context, keys []string, byKey map[string][]transition, done map[model.JobID]Record) (int, error) {
-	for range writeTries {
+func (j *Jobs) writeBatch(ctx context.Context, keys []string, byKey map[string][]transition, done map[model.JobID]Record) (int, error) {
+	for range maxWriteTries {
 		drafts, n, err := j.drafts(keys, byKey)
 		if err != nil || len(drafts) == 0 {
 			return n, err
 		}
 		res, err := j.commit(ctx, txnOf(drafts))
 		if infra.IsKind(err, infra.KindConflict) {
-			j.learnConflict(drafts, res)
+			j.adoptConflicting(drafts, res)
 			continue
 		}
 		if err != nil {
@@ -157,8 +157,8 @@
 	return txn
 }
 
-// learnConflict takes the groups as they are now from a refused transaction.
-func (j *Jobs) learnConflict(drafts []draft, res infra.TxnResult) {
+// adoptConflicting takes the groups as they are now from a refused transaction.
+func (j *Jobs) adoptConflicting(drafts []draft, res infra.TxnResult) {
 	for i, d := range drafts {
 		if i >= len(res.Reads) {
 			return
@@ -174,7 +174,7 @@
 
 // commit is infra.Commit, patient with the service's rate limit.
 func (j *Jobs) commit(ctx context.Context, txn infra.Txn) (res infra.TxnResult, err error) {
-	err = j.patient(ctx, func() error {
+	err = j.retryRateLimited(ctx, func() error {
 		j.counts.writes.Add(1)
 		res, err = infra.Commit(ctx, j.store, txn)
 		return err
@@ -182,13 +182,13 @@
 	return res, err
 }
 
-// patient repeats a call that is refused unread because of a rate. Where
+// retryRateLimited repeats a call that is refused unread because of a rate. Where
 // others use the rate up, one try in a few is let in.
-func (j *Jobs) patient(ctx context.Context, call func() error) error {
-	wait := limitedWait
+func (j *Jobs) retryRateLimited(ctx context.Context, call func() error) error {
+	wait := minRateLimitWait
 	for try := 1; ; try++ {
 		err := call()
-		if !infra.IsKind(err, infra.KindRateLimited) || try == limitedTries {
+		if !infra.IsKind(err, infra.KindRateLimited) || try == maxRateLimitTries {
 			return err
 		}
 		j.counts.limited.Add(1)
@@ -197,6 +197,6 @@
 			return err
 		case <-j.clock.After(wait):
 		}
-		wait = min(2*wait, limitedMost)
+		wait = min(2*wait, maxRateLimitWait)
 	}
 }
