--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -54,7 +54,7 @@
 	wakeup          chan struct{}
 	mirror          *mirror
 	counts          counts
-	batcher         submits
+	batcher         submitBatcher
 	rescue          rescue
 
 	passMu sync.Mutex // one pass at a time
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxName  = 128  // bytes of a job's team, kind, pool or zone
-	maxBatch = 5000 // jobs in one submit
+	maxNameBytes  = 128  // bytes of a job's team, kind, pool or zone
+	maxSubmitJobs = 5000 // jobs in one submit
 )
 
 // Submit stores the jobs and returns their IDs, in order. The change ID makes
@@ -25,7 +25,7 @@
 	if change == "" {
 		change = j.changeID()
 	}
-	if err := j.check(change, all); err != nil {
+	if err := j.validate(change, all); err != nil {
 		return nil, err
 	}
 	ids := make([]model.JobID, len(all))
@@ -53,12 +53,12 @@
 	return ids, nil
 }
 
-func (j *Jobs) check(change model.ChangeID, all []model.Job) error {
-	if !plain(string(change)) {
+func (j *Jobs) validate(change model.ChangeID, all []model.Job) error {
+	if !validChangeID(string(change)) {
 		return &Refusal{Code: CodeInvalid, Field: "change", Detail: "want 1 to 64 of a-z, A-Z, 0-9, '-' and '_'"}
 	}
-	if len(all) == 0 || len(all) > maxBatch {
-		return &Refusal{Code: CodeInvalid, Field: "jobs", Detail: fmt.Sprintf("%d jobs, 1 to %d may be submitted at once", len(all), maxBatch)}
+	if len(all) == 0 || len(all) > maxSubmitJobs {
+		return &Refusal{Code: CodeInvalid, Field: "jobs", Detail: fmt.Sprintf("%d jobs, 1 to %d may be submitted at once", len(all), maxSubmitJobs)}
 	}
 	teams := make(map[model.TeamName]bool)
 	if d := j.view.Load().Declaration; d != nil {
@@ -67,20 +67,20 @@
 		}
 	}
 	for i := range all {
-		if field, detail := fieldFault(&all[i], teams); field != "" {
+		if field, detail := invalidField(&all[i], teams); field != "" {
 			return &Refusal{Code: CodeInvalid, Field: fmt.Sprintf("jobs[%d].%s", i, field), Detail: detail}
 		}
 	}
 	return nil
 }
 
-func fieldFault(job *model.Job, teams map[model.TeamName]bool) (field, detail string) {
+func invalidField(job *model.Job, teams map[model.TeamName]bool) (field, detail string) {
 	names := []struct{ field, value string }{
 		{"team", string(job.Team)}, {"kind", job.Kind}, {"pool", string(job.Pool)}, {"zone", string(job.Zone)},
 	}
 	for _, n := range names {
-		if len(n.value) > maxName {
-			return n.field, fmt.Sprintf("longer than %d bytes", maxName)
+		if len(n.value) > maxNameBytes {
+			return n.field, fmt.Sprintf("longer than %d bytes", maxNameBytes)
 		}
 	}
 	switch d := job.Declared; {
@@ -98,7 +98,7 @@
 	return "", ""
 }
 
-func plain(s string) bool {
+func validChangeID(s string) bool {
 	if s == "" || len(s) > 64 {
 		return false
 	}
@@ -111,9 +111,9 @@
 	return true
 }
 
-// submits gathers the groups that callers submit at the same time into shared
+// submitBatcher gathers the groups that callers submit at the same time into shared
 // transactions: whoever comes while one is under way goes with the next.
-type submits struct {
+type submitBatcher struct {
 	mu      sync.Mutex
 	waiting []*submission
 	busy    bool
@@ -135,13 +135,13 @@
 }
 
 // add writes the parts with whatever else waits, and returns the first error.
-func (s *submits) add(ctx context.Context, j *Jobs, parts []*submission) error {
+func (s *submitBatcher) add(ctx context.Context, j *Jobs, parts []*submission) error {
 	s.mu.Lock()
 	s.waiting = append(s.waiting, parts...)
-	lead := !s.busy
+	startFlush := !s.busy
 	s.busy = true
 	s.mu.Unlock()
-	if lead {
+	if startFlush {
 		go s.flush(context.WithoutCancel(ctx), j)
 	}
 	for _, part := range parts {
@@ -158,7 +158,7 @@
 }
 
 // flush writes until nobody waits.
-func (s *submits) flush(ctx context.Context, j *Jobs) {
+func (s *submitBatcher) flush(ctx context.Context, j *Jobs) {
 	for {
 		batch := s.take()
 		if len(batch) == 0 {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (s *submits) take() []*submission {
+func (s *submitBatcher) take() []*submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, bytes := 0, 0
@@ -207,7 +207,7 @@
 			j.create(ctx, []*submission{s})
 		}
 	case infra.IsKind(err, infra.KindConflict):
-		batch[0].done <- j.repeated(batch[0], res)
+		batch[0].done <- j.resolveRepeat(batch[0], res)
 	default:
 		for _, s := range batch {
 			s.done <- fault("submit", s.group.Change, err)
@@ -215,8 +215,8 @@
 	}
 }
 
-// repeated accepts a group that is there already if it is of the same jobs.
-func (j *Jobs) repeated(s *submission, res infra.TxnResult) error {
+// resolveRepeat accepts a group that is there already if it is of the same jobs.
+func (j *Jobs) resolveRepeat(s *submission, res infra.TxnResult) error {
 	if len(res.Reads) == 0 {
 		return fault("submit", s.group.Change, infra.Errorf("submit", infra.KindUnknown, "not read back"))
 	}
