--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -306,7 +306,7 @@
 			switch {
 			case all[i].State == Waiting:
 				waiting++
-			case all[i].State.holds():
+			case all[i].State.holdsCapacity():
 				cpu += all[i].Size.MilliCPU
 			}
 			if !all[i].State.Ended() {
--- a/internal/jobs/cancel.go
+++ b/internal/jobs/cancel.go
@@ -55,7 +55,7 @@
 	case r.State.Ended():
 		out.Refused = &Refusal{Code: CodeState, Detail: fmt.Sprintf("job %s is %s already", r.ID, r.State)}
 		return false
-	case r.State.holds():
+	case r.State.holdsCapacity():
 		r.CancelBy, out.Stopping = by, true
 		r.Reason = "being cancelled: " + why
 	default:
@@ -123,13 +123,13 @@
 			keys[key] = true
 		}
 	}
-	if len(keys) > fewGroups {
+	if len(keys) > maxSingleReads {
 		return j.mirror.refresh(ctx)
 	}
 	for key := range keys {
 		kv, _, err := j.store.Get(ctx, key)
 		if err != nil {
-			return fault("read job", "", err)
+			return wrapError("read job", "", err)
 		}
 		if kv.ModRevision == 0 {
 			continue
@@ -143,6 +143,6 @@
 	return nil
 }
 
-// fewGroups is up to how many groups are read one by one; more are cheaper
+// maxSingleReads is up to how many groups are read one by one; more are cheaper
 // read all at once.
-const fewGroups = 4
+const maxSingleReads = 4
--- a/internal/jobs/displace.go
+++ b/internal/jobs/displace.go
@@ -14,7 +14,7 @@
 	p.sideBySide(len(all), func(i int) {
 		r, ok := p.mirror.find(all[i].Task)
 		if ok && r.State == Running && r.Repeatable {
-			errs[i] = fault("stop task", "", p.machines.StopTask(ctx, r.Attempt, all[i].Checkpoint))
+			errs[i] = wrapError("stop task", "", p.machines.StopTask(ctx, r.Attempt, all[i].Checkpoint))
 		}
 	})
 	p.again = p.again || len(all) > 0
--- a/internal/jobs/errors.go
+++ b/internal/jobs/errors.go
@@ -51,7 +51,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-func fault(op string, change model.ChangeID, err error) error {
+func wrapError(op string, change model.ChangeID, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/jobs/forget.go
+++ b/internal/jobs/forget.go
@@ -40,7 +40,7 @@
 			p.mirror.drop(c.Key)
 		}
 	}
-	return fault("forget jobs", "", err)
+	return wrapError("forget jobs", "", err)
 }
 
 func (g *group) overBy(t time.Time) bool {
--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -63,7 +63,7 @@
 	}
 	kv, _, err := j.store.Get(ctx, learnedKey)
 	if err != nil {
-		return fault("read what was learned", "", err)
+		return wrapError("read what was learned", "", err)
 	}
 	l.loaded, l.saved, l.rev = true, j.clock.Now(), kv.ModRevision
 	if kv.ModRevision == 0 {
@@ -84,7 +84,7 @@
 	}
 	value, err := json.Marshal(l)
 	if err != nil || len(value) > infra.MaxValueBytes {
-		return fault("encode what was learned", "", infra.Errorf("encode", infra.KindTooLarge, "%d bytes: %v", len(value), err))
+		return wrapError("encode what was learned", "", infra.Errorf("encode", infra.KindTooLarge, "%d bytes: %v", len(value), err))
 	}
 	l.saved = p.now
 	res, err := p.store.Txn(ctx, infra.Txn{
@@ -93,7 +93,7 @@
 		Else: []infra.Op{infra.Read(learnedKey)},
 	})
 	if err != nil {
-		return fault("save what was learned", "", err)
+		return wrapError("save what was learned", "", err)
 	}
 	l.rev = res.Revision
 	if !res.Succeeded { // another holder's; ours is written over it next time
@@ -161,7 +161,7 @@
 	p.learned.read = p.now
 	reports, err := p.machines.Usage(ctx)
 	if err != nil {
-		return fault("read usage", "", err)
+		return wrapError("read usage", "", err)
 	}
 	inUse := make(map[model.VMID]model.Resources)
 	for _, u := range reports {
@@ -188,11 +188,11 @@
 	short := inUse.MemoryMB > p.view.Load().VMs[u.VM].Capacity.MemoryMB
 	switch sizing.OverrunAction(&r.Job, r.Size, u.Used, short) {
 	case sizing.Throttle:
-		return fault("throttle task", "", p.machines.ThrottleTask(ctx, u.Attempt, max(r.Size.MilliCPU/throttleTo, 1)))
+		return wrapError("throttle task", "", p.machines.ThrottleTask(ctx, u.Attempt, max(r.Size.MilliCPU/throttleTo, 1)))
 	case sizing.Checkpoint:
-		return fault("stop task", "", p.machines.StopTask(ctx, u.Attempt, true))
+		return wrapError("stop task", "", p.machines.StopTask(ctx, u.Attempt, true))
 	case sizing.Stop:
-		return fault("stop task", "", p.machines.StopTask(ctx, u.Attempt, false))
+		return wrapError("stop task", "", p.machines.StopTask(ctx, u.Attempt, false))
 	}
 	return nil
 }
--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -37,7 +37,7 @@
 	j.lease.checked = now
 	kv, _, err := j.store.Get(ctx, leaseKey)
 	if err != nil || kv.ModRevision != 0 {
-		return false, fault("read lease", "", err)
+		return false, wrapError("read lease", "", err)
 	}
 	return j.acquireLease(ctx, now)
 }
@@ -50,17 +50,17 @@
 		return err
 	})
 	if err != nil {
-		return false, fault("grant lease", "", err)
+		return false, wrapError("grant lease", "", err)
 	}
 	_, err = j.commit(ctx, infra.Txn{
 		If:   []infra.Cond{{Key: leaseKey}},
 		Then: []infra.Op{infra.PutLeased(leaseKey, []byte(j.owner), id)},
 	})
 	if infra.IsKind(err, infra.KindConflict) {
-		return false, fault("revoke lease", "", j.store.Revoke(ctx, id))
+		return false, wrapError("revoke lease", "", j.store.Revoke(ctx, id))
 	}
 	if err != nil {
-		return false, fault("claim lease", "", err)
+		return false, wrapError("claim lease", "", err)
 	}
 	j.lease = lease{id: id, held: true, renewed: now}
 	return true, nil
--- a/internal/jobs/mirror.go
+++ b/internal/jobs/mirror.go
@@ -10,8 +10,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// stored is a group with the revision of its key, for CAS.
-type stored struct {
+// storedGroup is a group with the revision of its key, for CAS.
+type storedGroup struct {
 	*group
 	rev infra.Revision
 }
@@ -23,7 +23,7 @@
 	store infra.Store
 
 	mu     sync.Mutex
-	groups map[string]stored
+	groups map[string]storedGroup
 	rev    infra.Revision // up to which groups are known
 	// watching is set while a watch keeps groups up to date, so that refresh
 	// need not read them all.
@@ -31,7 +31,7 @@
 }
 
 func newMirror(s infra.Store) *mirror {
-	return &mirror{store: s, groups: make(map[string]stored)}
+	return &mirror{store: s, groups: make(map[string]storedGroup)}
 }
 
 // refresh brings the mirror up to date: from the watch where one runs, else by
@@ -42,14 +42,14 @@
 	}
 	kvs, rev, err := m.store.Range(ctx, groupPrefix)
 	if err != nil {
-		return fault("read jobs", "", err)
+		return wrapError("read jobs", "", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if rev < m.rev {
 		return nil // an answer overtaken by a later write of ours
 	}
-	next := make(map[string]stored, len(kvs))
+	next := make(map[string]storedGroup, len(kvs))
 	for _, kv := range kvs {
 		if old, ok := m.groups[kv.Key]; ok && old.rev >= kv.ModRevision {
 			next[kv.Key] = old
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// follow starts a watch from what refresh has read, so that passes need not
+// startWatch starts a watch from what refresh has read, so that passes need not
 // read twenty thousand jobs each, and calls news after each change. It ends
 // with ctx.
-func (m *mirror) follow(ctx context.Context, news func()) error {
+func (m *mirror) startWatch(ctx context.Context, onChange func()) error {
 	if m.isWatching() {
 		return nil
 	}
@@ -82,20 +82,20 @@
 	m.mu.Unlock()
 	batches, err := m.store.Watch(ctx, groupPrefix, from)
 	if err != nil {
-		return fault("watch jobs", "", err)
+		return wrapError("watch jobs", "", err)
 	}
 	m.setWatching(true)
-	go m.takeAll(batches, news)
+	go m.applyBatches(batches, onChange)
 	return nil
 }
 
-func (m *mirror) takeAll(batches <-chan infra.WatchBatch, news func()) {
+func (m *mirror) applyBatches(batches <-chan infra.WatchBatch, onChange func()) {
 	defer m.setWatching(false)
 	for batch := range batches {
-		if !m.take(batch) {
+		if !m.apply(batch) {
 			return
 		}
-		news()
+		onChange()
 	}
 }
 
@@ -111,9 +111,9 @@
 	m.watching = on
 }
 
-// take applies one batch; a watch that failed or can't be read is dropped, and
+// apply applies one batch; a watch that failed or can't be read is dropped, and
 // the next refresh reads everything.
-func (m *mirror) take(batch infra.WatchBatch) bool {
+func (m *mirror) apply(batch infra.WatchBatch) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if batch.Err != nil {
@@ -140,7 +140,7 @@
 }
 
 // put notes a group as it was read or written by this entry VM.
-func (m *mirror) put(key string, g stored) {
+func (m *mirror) put(key string, g storedGroup) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.groups[key].rev < g.rev {
@@ -154,7 +154,7 @@
 	delete(m.groups, key)
 }
 
-func (m *mirror) get(key string) (stored, bool) {
+func (m *mirror) get(key string) (storedGroup, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	g, ok := m.groups[key]
@@ -162,10 +162,10 @@
 }
 
 // all returns every group by key. The groups are read-only.
-func (m *mirror) all() map[string]stored {
+func (m *mirror) all() map[string]storedGroup {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[string]stored, len(m.groups))
+	out := make(map[string]storedGroup, len(m.groups))
 	for k, g := range m.groups {
 		out[k] = g
 	}
@@ -185,10 +185,10 @@
 	return &g.Jobs[at], true
 }
 
-func decode(kv infra.KV) (stored, error) {
+func decode(kv infra.KV) (storedGroup, error) {
 	g := &group{}
 	if err := json.Unmarshal(kv.Value, g); err != nil {
-		return stored{}, fault("read "+strings.TrimPrefix(kv.Key, infra.Root), "", infra.Errorf("decode", infra.KindInvalid, "%w", err))
+		return storedGroup{}, wrapError("read "+strings.TrimPrefix(kv.Key, infra.Root), "", infra.Errorf("decode", infra.KindInvalid, "%w", err))
 	}
-	return stored{group: g, rev: kv.ModRevision}, nil
+	return storedGroup{group: g, rev: kv.ModRevision}, nil
 }
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -187,7 +187,7 @@
 		if !r.Repeatable && r.Attempt != t.Attempt {
 			p.log.Info("two attempts of a job that is not repeatable", "job", t.Job, "attempt", t.Attempt)
 		}
-		errs = append(errs, fault("stop task", "", p.machines.StopTask(ctx, t.Attempt, false)))
+		errs = append(errs, wrapError("stop task", "", p.machines.StopTask(ctx, t.Attempt, false)))
 	}
 	return errors.Join(errs...)
 }
@@ -202,7 +202,7 @@
 		if !ok || r.State != Running || vm.State != model.VMLeaving || !r.Checkpoints || !quota.Preemptible(&r.Job) {
 			continue
 		}
-		errs = append(errs, fault("stop task", "", p.machines.StopTask(ctx, r.Attempt, true)))
+		errs = append(errs, wrapError("stop task", "", p.machines.StopTask(ctx, r.Attempt, true)))
 	}
 	return errors.Join(errs...)
 }
@@ -245,5 +245,5 @@
 			p.renewed[attempt], errs[i] = p.now, nil
 		}
 	}
-	return fault("renew tasks", "", errors.Join(errs...))
+	return wrapError("renew tasks", "", errors.Join(errs...))
 }
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -50,14 +50,14 @@
 	p.collect()
 	tasks, err := j.machines.Tasks(ctx)
 	if err != nil {
-		return nil, fault("list tasks", "", err)
+		return nil, wrapError("list tasks", "", err)
 	}
 	for _, t := range tasks {
 		p.tasks[t.Attempt] = t
 	}
 	list, err := j.machines.List(ctx)
 	if err != nil {
-		return nil, fault("list machines", "", err)
+		return nil, wrapError("list machines", "", err)
 	}
 	for _, m := range list.Machines {
 		p.live[m.VM] = m
@@ -81,7 +81,7 @@
 	snap := p.view.Load()
 	used := make(map[model.VMID]model.Resources)
 	for _, r := range p.records {
-		if r.State.holds() {
+		if r.State.holdsCapacity() {
 			used[r.VM] = used[r.VM].Add(r.Size)
 		}
 	}
@@ -127,7 +127,7 @@
 		switch {
 		case r.State == Waiting || r.State == Unplaceable:
 			s.Waiting = append(s.Waiting, placement.Request{Job: &r.Job, Size: p.sizeOf(r), LastVM: r.VM, Avoid: r.FailedOn})
-		case r.State.holds():
+		case r.State.holdsCapacity():
 			leaving := r.CancelBy != "" || r.State == Starting
 			s.Running = append(s.Running, placement.Task{Job: &r.Job, VM: r.VM, Size: r.Size, Since: r.Since, Stopping: leaving})
 		}
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -27,8 +27,8 @@
 // Ended reports whether the job is over.
 func (s State) Ended() bool { return s == Succeeded || s == Failed || s == Cancelled }
 
-// holds reports whether the job holds capacity of a worker.
-func (s State) holds() bool { return s == Starting || s == Running }
+// holdsCapacity reports whether the job holdsCapacity capacity of a worker.
+func (s State) holdsCapacity() bool { return s == Starting || s == Running }
 
 // Record is one job as the store holds it.
 type Record struct {
@@ -60,29 +60,29 @@
 }
 
 const (
-	// maxChain and maxFailedOn bound a record, so that a group of them stays
+	// maxHistory and maxFailedOn bound a record, so that a group of them stays
 	// far below the store's limit of a value whatever happens to its jobs.
-	maxChain    = 12
-	maxFailedOn = 8
-	maxText     = 300
+	maxHistory     = 12
+	maxFailedOn    = 8
+	maxReasonBytes = 300
 )
 
 // enter moves the record to a state.
 func (r *Record) enter(s State, at time.Time, reason string) {
-	if len(reason) > maxText {
-		reason = reason[:maxText]
+	if len(reason) > maxReasonBytes {
+		reason = reason[:maxReasonBytes]
 	}
 	r.State, r.Since, r.Reason = s, at, reason
 	text := string(s)
-	if s.holds() {
+	if s.holdsCapacity() {
 		text += " on " + string(r.VM)
 	}
 	if reason != "" {
 		text += ": " + reason
 	}
 	r.History = append(r.History, HistoryEntry{At: at, Text: text})
-	if len(r.History) > maxChain {
-		r.History = append(r.History[:1:1], r.History[len(r.History)-maxChain+1:]...)
+	if len(r.History) > maxHistory {
+		r.History = append(r.History[:1:1], r.History[len(r.History)-maxHistory+1:]...)
 	}
 }
 
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -89,5 +89,5 @@
 	}
 	j.stopWatch()
 	ctx, j.stopWatch = context.WithCancel(ctx)
-	return j.mirror.follow(ctx, j.Wake)
+	return j.mirror.startWatch(ctx, j.Wake)
 }
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -129,7 +129,7 @@
 func newSubmission(key string, g *group) (*submission, error) {
 	value, err := json.Marshal(g)
 	if err != nil {
-		return nil, fault("encode jobs", g.Change, infra.Errorf("encode", infra.KindInvalid, "%w", err))
+		return nil, wrapError("encode jobs", g.Change, infra.Errorf("encode", infra.KindInvalid, "%w", err))
 	}
 	return &submission{key, g, value, make(chan error, 1)}, nil
 }
@@ -151,7 +151,7 @@
 				return err
 			}
 		case <-ctx.Done():
-			return fault("submit", part.group.Change, infra.Errorf("submit", infra.KindUnknown, "%w", ctx.Err()))
+			return wrapError("submit", part.group.Change, infra.Errorf("submit", infra.KindUnknown, "%w", ctx.Err()))
 		}
 	}
 	return nil
@@ -199,7 +199,7 @@
 	switch {
 	case err == nil:
 		for _, s := range batch {
-			j.mirror.put(s.key, stored{group: s.group, rev: res.Revision})
+			j.mirror.put(s.key, storedGroup{group: s.group, rev: res.Revision})
 			s.done <- nil
 		}
 	case infra.IsKind(err, infra.KindConflict) && len(batch) > 1:
@@ -210,7 +210,7 @@
 		batch[0].done <- j.resolveRepeat(batch[0], res)
 	default:
 		for _, s := range batch {
-			s.done <- fault("submit", s.group.Change, err)
+			s.done <- wrapError("submit", s.group.Change, err)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 // resolveRepeat accepts a group that is there already if it is of the same jobs.
 func (j *Jobs) resolveRepeat(s *submission, res infra.TxnResult) error {
 	if len(res.Reads) == 0 {
-		return fault("submit", s.group.Change, infra.Errorf("submit", infra.KindUnknown, "not read back"))
+		return wrapError("submit", s.group.Change, infra.Errorf("submit", infra.KindUnknown, "not read back"))
 	}
 	there, err := decode(res.Reads[0])
 	if err != nil {
--- a/internal/jobs/write.go
+++ b/internal/jobs/write.go
@@ -67,7 +67,7 @@
 // draft is a group about to be written.
 type draft struct {
 	key     string
-	from    stored
+	from    storedGroup
 	next    *group
 	value   []byte
 	touched []model.JobID
@@ -87,10 +87,10 @@
 			continue
 		}
 		if err != nil {
-			return n, fault("write jobs", "", err)
+			return n, wrapError("write jobs", "", err)
 		}
 		for _, d := range drafts {
-			j.mirror.put(d.key, stored{group: d.next, rev: res.Revision})
+			j.mirror.put(d.key, storedGroup{group: d.next, rev: res.Revision})
 			for _, id := range d.touched {
 				_, at, _ := keyOf(id)
 				done[id] = d.next.Jobs[at]
@@ -98,7 +98,7 @@
 		}
 		return n, nil
 	}
-	return min(maxTxnGroups, len(keys)), fault("write jobs", "", infra.Errorf("write", infra.KindConflict, "others write the same jobs"))
+	return min(maxTxnGroups, len(keys)), wrapError("write jobs", "", infra.Errorf("write", infra.KindConflict, "others write the same jobs"))
 }
 
 func (j *Jobs) drafts(keys []string, byKey map[string][]transition) ([]draft, int, error) {
@@ -142,7 +142,7 @@
 	d.next.Change = j.changeID()
 	value, err := json.Marshal(d.next)
 	if err != nil {
-		return d, fault("encode jobs", "", infra.Errorf("encode", infra.KindInvalid, "%w", err))
+		return d, wrapError("encode jobs", "", infra.Errorf("encode", infra.KindInvalid, "%w", err))
 	}
 	d.value = value
 	return d, nil
