--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -15,11 +15,11 @@
 // pass is one look at everything. What it knows is fixed at its beginning.
 type pass struct {
 	*Jobs
-	now     time.Time
-	tasks   map[model.AttemptID]infra.Task
-	live    map[model.VMID]infra.Machine
-	records []*Record // of all jobs, by ID
-	again   bool      // another pass should follow at once
+	now       time.Time
+	tasks     map[model.AttemptID]infra.Task
+	listedVMs map[model.VMID]infra.Machine
+	records   []*Record // of all jobs, by ID
+	again     bool      // another pass should follow at once
 }
 
 func (j *Jobs) pass(ctx context.Context) (again bool, err error) {
@@ -40,14 +40,14 @@
 		return false, err
 	}
 	errs := []error{p.observe(ctx), p.stopOrphans(ctx), p.learn(ctx)}
-	p.collect()
+	p.collectRecords()
 	errs = append(errs, p.leave(ctx), p.schedule(ctx), p.renew(ctx), p.forget(ctx))
 	return p.again, errors.Join(errs...)
 }
 
 func (j *Jobs) newPass(ctx context.Context) (*pass, error) {
-	p := &pass{Jobs: j, now: j.clock.Now(), tasks: make(map[model.AttemptID]infra.Task), live: make(map[model.VMID]infra.Machine)}
-	p.collect()
+	p := &pass{Jobs: j, now: j.clock.Now(), tasks: make(map[model.AttemptID]infra.Task), listedVMs: make(map[model.VMID]infra.Machine)}
+	p.collectRecords()
 	tasks, err := j.machines.Tasks(ctx)
 	if err != nil {
 		return nil, wrapError("list tasks", "", err)
@@ -60,13 +60,13 @@
 		return nil, wrapError("list machines", "", err)
 	}
 	for _, m := range list.Machines {
-		p.live[m.VM] = m
+		p.listedVMs[m.VM] = m
 	}
 	return p, nil
 }
 
-// collect takes the records as the mirror has them now.
-func (p *pass) collect() {
+// collectRecords takes the records as the mirror has them now.
+func (p *pass) collectRecords() {
 	p.records = p.records[:0]
 	for _, g := range p.mirror.all() {
 		for i := range g.Jobs {
@@ -88,17 +88,17 @@
 	workers := make([]placement.Worker, 0, len(snap.VMs))
 	for id, vm := range snap.VMs {
 		w := placement.Worker{ID: id, Zone: vm.Zone, Rack: vm.Rack, Pool: vm.Pool, Capacity: vm.Capacity, Used: used[id], MaintenanceSoon: p.maintenanceSoon(id)}
-		w.ClosedReason, w.Probe = p.closed(&vm.VM)
+		w.ClosedReason, w.Probe = p.closedReason(&vm.VM)
 		workers = append(workers, w)
 	}
 	return workers
 }
 
-// closed says why a VM takes no new task. The platform's list lags, so a VM it
+// closedReason says why a VM takes no new task. The platform's list lags, so a VM it
 // calls dead may be back and one it calls live may be gone; the first costs a
 // little capacity, the second a refused start.
-func (p *pass) closed(vm *model.VM) (why string, probe bool) {
-	m, listed := p.live[vm.ID]
+func (p *pass) closedReason(vm *model.VM) (reason string, probe bool) {
+	m, listed := p.listedVMs[vm.ID]
 	switch {
 	case vm.State != model.VMInPool:
 		return "it is " + string(vm.State), false
@@ -117,7 +117,7 @@
 		return err
 	}
 	started := p.start(ctx, plan.Placements)
-	return errors.Join(started, p.note(ctx, plan.Refused))
+	return errors.Join(started, p.recordRefusals(ctx, plan.Refused))
 }
 
 func (p *pass) snapshot() placement.Snapshot {
@@ -135,10 +135,10 @@
 	return s
 }
 
-// note writes why jobs wait, where that has changed in kind. A sentence that
+// recordRefusals writes why jobs wait, where that has changed in kind. A sentence that
 // names another nearest worker is not worth a write: with 20,000 jobs waiting
 // it would be hundreds of writes in every pass.
-func (p *pass) note(ctx context.Context, refused []placement.Refusal) error {
+func (p *pass) recordRefusals(ctx context.Context, refused []placement.Refusal) error {
 	var changes []transition
 	for _, f := range refused {
 		want := Waiting
@@ -146,7 +146,7 @@
 			want = Unplaceable
 		}
 		reason := string(f.Constraint) + ": " + f.Detail
-		if r, ok := p.mirror.find(f.Job); !ok || r.State == want && sameKind(r.Reason, reason) {
+		if r, ok := p.mirror.find(f.Job); !ok || r.State == want && sameConstraint(r.Reason, reason) {
 			continue
 		}
 		changes = append(changes, transition{f.Job, func(r *Record) bool {
@@ -161,9 +161,9 @@
 	return err
 }
 
-// sameKind compares the constraints in front of two reasons.
-func sameKind(a, b string) bool {
-	kind := func(s string) string {
+// sameConstraint compares the constraints in front of two reasons.
+func sameConstraint(a, b string) bool {
+	constraint := func(s string) string {
 		for i := range s {
 			if s[i] == ':' {
 				return s[:i]
@@ -171,5 +171,5 @@
 		}
 		return s
 	}
-	return kind(a) == kind(b)
+	return constraint(a) == constraint(b)
 }
