--- a/internal/jobs/failure_test.go
+++ b/internal/jobs/failure_test.go
@@ -269,7 +269,7 @@
 	}
 	w.run(3 * time.Second)
 	assert.Equal(t, w.state(id), Failed)
-	assert.Equal(t, w.platform.Machines.Tally().Starts[id], mostLostEarly)
+	assert.Equal(t, w.platform.Machines.Tally().Starts[id], maxEarlyLosses)
 }
 
 func TestLeasesLapse(t *testing.T) {
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -22,28 +22,28 @@
 	var changes []transition
 	for _, r := range p.records {
 		task, listed := p.tasks[r.Attempt]
-		if r.State.Ended() || r.Attempt == "" || p.settled(r, task) {
+		if r.State.Ended() || r.Attempt == "" || p.attemptSettled(r, task) {
 			continue
 		}
-		if apply := p.next(r, task, listed); apply != nil {
-			changes = append(changes, bound(r, apply))
+		if apply := p.nextTransition(r, task, listed); apply != nil {
+			changes = append(changes, ifUnchanged(r, apply))
 		}
 	}
 	_, err := p.write(ctx, changes)
 	return err
 }
 
-// settled reports whether a job that waits has nothing to learn from its last
+// attemptSettled reports whether a job that waits has nothing to learn from its last
 // attempt. One that was given up and runs or succeeded after all, because its
 // start arrived late, is taken up again instead of being started once more.
-func (p *pass) settled(r *Record, task infra.Task) bool {
-	late := task.State == infra.TaskRunning || task.State == infra.TaskSucceeded
-	return (r.State == Waiting || r.State == Unplaceable) && !late
+func (p *pass) attemptSettled(r *Record, task infra.Task) bool {
+	startedLate := task.State == infra.TaskRunning || task.State == infra.TaskSucceeded
+	return (r.State == Waiting || r.State == Unplaceable) && !startedLate
 }
 
-// bound lets a transition take effect only on the attempt and state it was
+// ifUnchanged lets a transition take effect only on the attempt and state it was
 // made for.
-func bound(seen *Record, apply func(r *Record)) transition {
+func ifUnchanged(seen *Record, apply func(r *Record)) transition {
 	attempt, state := seen.Attempt, seen.State
 	return transition{seen.ID, func(r *Record) bool {
 		if r.Attempt != attempt || r.State != state {
@@ -54,10 +54,10 @@
 	}}
 }
 
-// next returns the transition that the job's task calls for, or nil.
-func (p *pass) next(r *Record, task infra.Task, listed bool) func(r *Record) {
+// nextTransition returns the transition that the job's task calls for, or nil.
+func (p *pass) nextTransition(r *Record, task infra.Task, listed bool) func(r *Record) {
 	if !listed {
-		return p.missing(r)
+		return p.onTaskMissing(r)
 	}
 	switch task.State {
 	case infra.TaskRunning:
@@ -68,34 +68,34 @@
 	case infra.TaskSucceeded:
 		return func(r *Record) { r.enter(Succeeded, p.now, "") }
 	case infra.TaskFailed:
-		return p.failed(r, task.Reason)
+		return p.onTaskFailed(r, task.Reason)
 	case infra.TaskCheckpointed, infra.TaskStopped:
-		return p.stopped(r, task)
+		return p.onTaskStopped(r, task)
 	}
-	return p.lost(r, task.Reason)
+	return p.onAttemptLost(r, task.Reason)
 }
 
-// missing deals with a job whose task the platform does not know.
-func (p *pass) missing(r *Record) func(r *Record) {
+// onTaskMissing deals with a job whose task the platform does not know.
+func (p *pass) onTaskMissing(r *Record) func(r *Record) {
 	if r.State == Unknown {
 		return nil
 	}
 	if r.State == Running {
-		return p.lost(r, "the platform knows no such task any more")
+		return p.onAttemptLost(r, "the platform knows no such task any more")
 	}
-	_, mine := p.sent[r.Attempt]
+	_, sentHere := p.sent[r.Attempt]
 	switch {
-	case r.Owner == p.owner && !mine:
+	case r.Owner == p.owner && !sentHere:
 		// The reply to the intent was lost, so no start was ever sent.
 		return func(r *Record) { r.giveUp(p.now, "not started: the intent was not certain") }
 	case p.now.Sub(r.Since) < startGrace:
 		return nil
 	}
-	return p.lost(r, "its start was not answered")
+	return p.onAttemptLost(r, "its start was not answered")
 }
 
-// lost deals with an attempt of which it is not known whether it did its work.
-func (p *pass) lost(r *Record, why string) func(r *Record) {
+// onAttemptLost deals with an attempt of which it is not known whether it did its work.
+func (p *pass) onAttemptLost(r *Record, why string) func(r *Record) {
 	if r.State == Unknown {
 		return nil
 	}
@@ -104,12 +104,12 @@
 			r.enter(Unknown, p.now, "it may have run: "+why+"; not repeatable, so an operator decides")
 		}
 	}
-	early := r.State == Running && p.now.Sub(r.Since) < earlyLoss
+	early := r.State == Running && p.now.Sub(r.Since) < earlyLossWindow
 	return func(r *Record) {
 		if early {
 			r.LostEarly++
 		}
-		if r.LostEarly >= mostLostEarly {
+		if r.LostEarly >= maxEarlyLosses {
 			r.enter(Failed, p.now, fmt.Sprintf("its worker was lost soon after it began, %d times: %s", r.LostEarly, why))
 			return
 		}
@@ -120,31 +120,31 @@
 // A job may crash whatever starts it. Started again without end it takes a pool down worker
 // by worker.
 const (
-	earlyLoss     = time.Minute
-	mostLostEarly = 5
+	earlyLossWindow = time.Minute
+	maxEarlyLosses  = 5
 )
 
-// stopped deals with an attempt that was ended by order. Work that is not
+// onTaskStopped deals with an attempt that was ended by order. Work that is not
 // repeatable has begun, so it is not begun again.
-func (p *pass) stopped(r *Record, task infra.Task) func(r *Record) {
+func (p *pass) onTaskStopped(r *Record, task infra.Task) func(r *Record) {
 	if r.Repeatable || r.CancelBy != "" {
 		return func(r *Record) { r.giveUp(p.now, task.Reason) }
 	}
 	return func(r *Record) { r.enter(Failed, p.now, "it was stopped and is not repeatable") }
 }
 
-// maxGrow bounds how often a job gets twice the memory: 16 times what was
+// maxMemoryDoublings bounds how often a job gets twice the memory: 16 times what was
 // thought is not an estimate that was off, it is a leak.
-const maxGrow = 4
+const maxMemoryDoublings = 4
 
-// failed deals with an attempt that ended with a failure.
-func (p *pass) failed(r *Record, why string) func(r *Record) {
+// onTaskFailed deals with an attempt that ended with a failure.
+func (p *pass) onTaskFailed(r *Record, why string) func(r *Record) {
 	switch {
 	case r.CancelBy != "":
 		return func(r *Record) { r.giveUp(p.now, why) }
 	case !r.Repeatable:
 		return func(r *Record) { r.enter(Failed, p.now, why+"; not repeatable, so it is not tried again") }
-	case why == infra.ReasonMemoryGuard && r.MemoryDoublings < maxGrow:
+	case why == infra.ReasonMemoryGuard && r.MemoryDoublings < maxMemoryDoublings:
 		p.learned.Sizes.ReportExceeded(r.Kind, r.ID, r.Size)
 		return func(r *Record) {
 			r.MemoryDoublings++
@@ -192,9 +192,9 @@
 	return errors.Join(errs...)
 }
 
-// leave moves work off VMs that are leaving: it is stopped at a checkpoint
+// evacuateLeaving moves work off VMs that are leaving: it is stopped at a checkpoint
 // where it can be, and waited for where it can't.
-func (p *pass) leave(ctx context.Context) error {
+func (p *pass) evacuateLeaving(ctx context.Context) error {
 	var errs []error
 	snap := p.view.Load()
 	for _, r := range p.records {
@@ -207,8 +207,8 @@
 	return errors.Join(errs...)
 }
 
-// renew extends the leases of running tasks.
-func (p *pass) renew(ctx context.Context) error {
+// renewTasks extends the leases of running tasks.
+func (p *pass) renewTasks(ctx context.Context) error {
 	for attempt := range p.renewed {
 		if _, ok := p.tasks[attempt]; !ok {
 			delete(p.renewed, attempt)
@@ -222,15 +222,15 @@
 	return p.renewAll(ctx, p.dueForRenewal())
 }
 
-// renewMost bounds the renewals of one pass; at one pass a second it is enough
+// maxRenewals bounds the renewals of one pass; at one pass a second it is enough
 // for 60,000 tasks.
-const renewMost = 1000
+const maxRenewals = 1000
 
 func (p *pass) dueForRenewal() []model.AttemptID {
 	var due []model.AttemptID
 	for _, r := range p.records {
 		_, listed := p.tasks[r.Attempt]
-		if listed && r.State == Running && p.now.Sub(p.renewed[r.Attempt]) >= renewTasks && len(due) < renewMost {
+		if listed && r.State == Running && p.now.Sub(p.renewed[r.Attempt]) >= taskRenewInterval && len(due) < maxRenewals {
 			due = append(due, r.Attempt)
 		}
 	}
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -41,7 +41,7 @@
 	}
 	errs := []error{p.observe(ctx), p.stopOrphans(ctx), p.learn(ctx)}
 	p.collectRecords()
-	errs = append(errs, p.leave(ctx), p.schedule(ctx), p.renew(ctx), p.forget(ctx))
+	errs = append(errs, p.evacuateLeaving(ctx), p.schedule(ctx), p.renewTasks(ctx), p.forget(ctx))
 	return p.again, errors.Join(errs...)
 }
 
--- a/internal/jobs/start.go
+++ b/internal/jobs/start.go
@@ -18,8 +18,8 @@
 	// taskTTL is the lease of a task. It outlives the change of the entry VM
 	// that renews it (leaseTTL) and a short outage of the platform several
 	// times over, because a lapse leaves work that is not repeatable unknown.
-	taskTTL    = 5 * time.Minute
-	renewTasks = taskTTL / 5
+	taskTTL           = 5 * time.Minute
+	taskRenewInterval = taskTTL / 5
 	// startBatch is how many intents are written before their starts are sent:
 	// an entry VM that dies in between leaves that many unknown at most.
 	startBatch = 256
