--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -313,7 +313,7 @@
 				left++
 			}
 		}
-		if waiting > 0 && passes > 20000/placeMost {
+		if waiting > 0 && passes > 20000/maxPlacements {
 			used += float64(cpu) / float64(workerSize.MilliCPU*int64(len(w.snap.VMs)))
 			samples++
 		}
--- a/internal/jobs/displace.go
+++ b/internal/jobs/displace.go
@@ -11,7 +11,7 @@
 // the platform says that the tasks have ended, and the room is planned anew.
 func (p *pass) displace(ctx context.Context, all []placement.Preemption) error {
 	errs := make([]error, len(all))
-	p.sideBySide(len(all), func(i int) {
+	p.inParallel(len(all), func(i int) {
 		r, ok := p.mirror.find(all[i].Task)
 		if ok && r.State == Running && r.Repeatable {
 			errs[i] = wrapError("stop task", "", p.machines.StopTask(ctx, r.Attempt, all[i].Checkpoint))
--- a/internal/jobs/failure_test.go
+++ b/internal/jobs/failure_test.go
@@ -16,7 +16,7 @@
 	// The operator sees one run. The platform starts the task and the reply is
 	// lost, also of the repeats; the entry VM then finds the task in the list.
 	// Repeats bear the same attempt ID, so the platform starts nothing twice.
-	for _, lost := range []int{1, startTries} {
+	for _, lost := range []int{1, maxStartTries} {
 		w := newWorld(t, 4, 2)
 		w.nodes[0].machines.loseReplies = lost
 		id := w.submit(once())[0]
@@ -33,7 +33,7 @@
 	// job that is not repeatable therefore isn't started again by itself. A
 	// repeatable one is.
 	w := newWorld(t, 4, 2)
-	w.nodes[0].machines.loseRequests = 2 * startTries
+	w.nodes[0].machines.loseRequests = 2 * maxStartTries
 	ids := w.submit(once(), small())
 	w.run(startGrace + 5*time.Second)
 	assert.Equal(t, w.state(ids[0]), Unknown)
@@ -295,7 +295,7 @@
 		arrive func(w *world)
 	}{
 		{"started", func(*world) {}},
-		{"reply lost", func(w *world) { w.nodes[0].machines.loseReplies = startTries }},
+		{"reply lost", func(w *world) { w.nodes[0].machines.loseReplies = maxStartTries }},
 		{"refused", func(w *world) { w.platform.Machines.Fail("v0000") }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/jobs/machines_test.go
+++ b/internal/jobs/machines_test.go
@@ -60,7 +60,7 @@
 	res, err := s.Store.Txn(ctx, txn)
 	if !s.slept {
 		s.slept = true
-		s.world.clock.Advance(sendWithin + time.Second)
+		s.world.clock.Advance(maxIntentAge + time.Second)
 	}
 	return res, err
 }
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -87,7 +87,7 @@
 	switch {
 	case r.Owner == p.owner && !sentHere:
 		// The reply to the intent was lost, so no start was ever sent.
-		return func(r *Record) { r.giveUp(p.now, "not started: the intent was not certain") }
+		return func(r *Record) { r.abandonAttempt(p.now, "not started: the intent was not certain") }
 	case p.now.Sub(r.Since) < startGrace:
 		return nil
 	}
@@ -113,7 +113,7 @@
 			r.enter(Failed, p.now, fmt.Sprintf("its worker was lost soon after it began, %d times: %s", r.LostEarly, why))
 			return
 		}
-		r.giveUp(p.now, why)
+		r.abandonAttempt(p.now, why)
 	}
 }
 
@@ -128,7 +128,7 @@
 // repeatable has begun, so it is not begun again.
 func (p *pass) onTaskStopped(r *Record, task infra.Task) func(r *Record) {
 	if r.Repeatable || r.CancelBy != "" {
-		return func(r *Record) { r.giveUp(p.now, task.Reason) }
+		return func(r *Record) { r.abandonAttempt(p.now, task.Reason) }
 	}
 	return func(r *Record) { r.enter(Failed, p.now, "it was stopped and is not repeatable") }
 }
@@ -141,7 +141,7 @@
 func (p *pass) onTaskFailed(r *Record, why string) func(r *Record) {
 	switch {
 	case r.CancelBy != "":
-		return func(r *Record) { r.giveUp(p.now, why) }
+		return func(r *Record) { r.abandonAttempt(p.now, why) }
 	case !r.Repeatable:
 		return func(r *Record) { r.enter(Failed, p.now, why+"; not repeatable, so it is not tried again") }
 	case why == infra.ReasonMemoryGuard && r.MemoryDoublings < maxMemoryDoublings:
@@ -149,7 +149,7 @@
 		return func(r *Record) {
 			r.MemoryDoublings++
 			r.MinMemoryMB = 2 * r.Size.MemoryMB
-			r.giveUp(p.now, "it used more memory than it was given")
+			r.abandonAttempt(p.now, "it used more memory than it was given")
 		}
 	case p.learned.hopeless(append(slices.Clone(r.FailedOn), r.VM)):
 		return func(r *Record) {
@@ -159,7 +159,7 @@
 	}
 	return func(r *Record) {
 		r.addFailedOn(r.VM)
-		r.giveUp(p.now, why)
+		r.abandonAttempt(p.now, why)
 	}
 }
 
@@ -239,7 +239,7 @@
 
 func (p *pass) renewAll(ctx context.Context, due []model.AttemptID) error {
 	errs := make([]error, len(due))
-	p.sideBySide(len(due), func(i int) { errs[i] = p.machines.RenewTask(ctx, due[i]) })
+	p.inParallel(len(due), func(i int) { errs[i] = p.machines.RenewTask(ctx, due[i]) })
 	for i, attempt := range due {
 		if errs[i] == nil || infra.IsKind(errs[i], infra.KindLeaseNotFound) {
 			p.renewed[attempt], errs[i] = p.now, nil
--- a/internal/jobs/race_test.go
+++ b/internal/jobs/race_test.go
@@ -44,7 +44,7 @@
 	s.depth++
 	defer func() { s.depth-- }()
 	if s.chance(10) {
-		s.clock.Advance([]time.Duration{time.Second, sendWithin + time.Second, startGrace, taskTTL + time.Second}[s.rng.IntN(4)])
+		s.clock.Advance([]time.Duration{time.Second, maxIntentAge + time.Second, startGrace, taskTTL + time.Second}[s.rng.IntN(4)])
 	}
 	if s.chance(20) {
 		s.stepOne(s.nodes[s.rng.IntN(len(s.nodes))])
@@ -65,10 +65,10 @@
 func (s *schedule) faultMachines(n *node) {
 	n.machines.mu.Lock()
 	if s.chance(8) {
-		n.machines.loseReplies = 1 + s.rng.IntN(startTries)
+		n.machines.loseReplies = 1 + s.rng.IntN(maxStartTries)
 	}
 	if s.chance(4) {
-		n.machines.loseRequests = 1 + s.rng.IntN(startTries)
+		n.machines.loseRequests = 1 + s.rng.IntN(maxStartTries)
 	}
 	n.machines.mu.Unlock()
 	vm := model.VMID(fmt.Sprintf("v%04d", s.rng.IntN(len(s.snap.VMs))))
--- a/internal/jobs/start.go
+++ b/internal/jobs/start.go
@@ -25,28 +25,28 @@
 	startBatch = 256
 	// parallelStarts bounds the calls to the platform at once.
 	parallelStarts = 32
-	// sendWithin is how old an intent may be when its start is sent. An entry VM
+	// maxIntentAge is how old an intent may be when its start is sent. An entry VM
 	// that was paused for longer gives it up unsent, because others may have
 	// acted on it by then; startGrace leaves as much again for the call.
-	sendWithin = startGrace / 2
-	// placeMost bounds the placements of one pass, so that urgent work that
+	maxIntentAge = startGrace / 2
+	// maxPlacements bounds the placements of one pass, so that urgent work that
 	// arrives during a burst waits for a part of the burst only.
-	placeMost = 1024
-	// startTries bounds how often a start whose reply was lost is sent again
+	maxPlacements = 1024
+	// maxStartTries bounds how often a start whose reply was lost is sent again
 	// under its attempt ID.
-	startTries = 3
+	maxStartTries = 3
 )
 
 // start writes the intents of the placements and sends those that took effect.
 func (p *pass) start(ctx context.Context, placements []placement.Placement) error {
-	if len(placements) > placeMost {
-		placements, p.again = placements[:placeMost], true
+	if len(placements) > maxPlacements {
+		placements, p.again = placements[:maxPlacements], true
 	}
 	var errs []error
 	for len(placements) > 0 {
 		n := min(startBatch, len(placements))
 		intents, err := p.write(ctx, p.intents(placements[:n]))
-		errs = append(errs, err, p.send(ctx, intents))
+		errs = append(errs, err, p.sendStarts(ctx, intents))
 		placements = placements[n:]
 	}
 	return errors.Join(errs...)
@@ -68,25 +68,25 @@
 	return changes
 }
 
-// send asks the platform to start what the intents say. Only the writer of an
+// sendStarts asks the platform to start what the intents say. Only the writer of an
 // intent ever does: another that took over could be paused before the call and
 // make it after the attempt was given up, which would be a second run.
-func (p *pass) send(ctx context.Context, intents map[model.JobID]Record) error {
+func (p *pass) sendStarts(ctx context.Context, intents map[model.JobID]Record) error {
 	ids := slices.Sorted(maps.Keys(intents))
 	outcomes := make([]transition, len(ids))
 	for _, id := range ids {
 		p.sent[intents[id].Attempt] = true
 	}
-	p.sideBySide(len(ids), func(i int) {
+	p.inParallel(len(ids), func(i int) {
 		r := intents[ids[i]]
-		outcomes[i] = p.sendOne(ctx, &r)
+		outcomes[i] = p.sendStart(ctx, &r)
 	})
 	_, err := p.write(ctx, outcomes)
 	return err
 }
 
-// sideBySide makes n calls to the platform, some at once.
-func (j *Jobs) sideBySide(n int, call func(i int)) {
+// inParallel makes n calls to the platform, some at once.
+func (j *Jobs) inParallel(n int, call func(i int)) {
 	if j.parallel == 1 {
 		for i := range n {
 			call(i)
@@ -104,37 +104,37 @@
 	_ = calls.Wait() // the calls return no errors
 }
 
-// sendOne sends one start and returns what follows from the answer; nothing
+// sendStart sends one start and returns what follows from the answer; nothing
 // does where none came. A refusal counts as certain only if no copy was
 // lost on the way before it: a lost one may still arrive.
-func (p *pass) sendOne(ctx context.Context, r *Record) transition {
+func (p *pass) sendStart(ctx context.Context, r *Record) transition {
 	task := infra.Task{Attempt: r.Attempt, Job: r.ID, VM: r.VM, Size: r.Size, TTL: taskTTL}
 	lost := false
-	for range startTries {
-		if p.clock.Since(r.Since) > sendWithin {
+	for range maxStartTries {
+		if p.clock.Since(r.Since) > maxIntentAge {
 			break
 		}
 		p.counts.starts.Add(1)
 		err := p.retryRateLimited(ctx, func() error { return p.machines.StartTask(ctx, task) })
 		switch {
 		case err == nil:
-			return begun(r.ID, r.Attempt, p.clock.Now())
+			return startedTransition(r.ID, r.Attempt, p.clock.Now())
 		case !infra.IsKind(err, infra.KindUnknown) && !lost:
-			return refused(r.ID, r.Attempt, p.clock.Now(), err)
+			return notStartedTransition(r.ID, r.Attempt, p.clock.Now(), err)
 		}
 		lost = true
 	}
 	if !lost {
-		return refused(r.ID, r.Attempt, p.clock.Now(), errLate)
+		return notStartedTransition(r.ID, r.Attempt, p.clock.Now(), errIntentExpired)
 	}
 	p.log.Info("start without an answer", "job", r.ID, "vm", r.VM)
 	return transition{}
 }
 
-// errLate says that an intent was too old to be sent.
-var errLate = errors.New("this entry VM was held up for too long")
+// errIntentExpired says that an intent was too old to be sent.
+var errIntentExpired = errors.New("this entry VM was held up for too long")
 
-func begun(id model.JobID, attempt model.AttemptID, at time.Time) transition {
+func startedTransition(id model.JobID, attempt model.AttemptID, at time.Time) transition {
 	return transition{id, func(r *Record) bool {
 		if r.Attempt != attempt || r.State != Starting {
 			return false
@@ -144,18 +144,18 @@
 	}}
 }
 
-func refused(id model.JobID, attempt model.AttemptID, at time.Time, err error) transition {
+func notStartedTransition(id model.JobID, attempt model.AttemptID, at time.Time, err error) transition {
 	return transition{id, func(r *Record) bool {
 		if r.Attempt != attempt || r.State != Starting {
 			return false
 		}
-		r.giveUp(at, "not started: "+err.Error())
+		r.abandonAttempt(at, "not started: "+err.Error())
 		return true
 	}}
 }
 
-// giveUp ends an attempt that certainly doesn't run any more.
-func (r *Record) giveUp(at time.Time, why string) {
+// abandonAttempt ends an attempt that certainly doesn't run any more.
+func (r *Record) abandonAttempt(at time.Time, why string) {
 	if r.CancelBy != "" {
 		r.enter(Cancelled, at, "by "+string(r.CancelBy))
 		return
