--- a/internal/jobs/decisions_test.go
+++ b/internal/jobs/decisions_test.go
@@ -59,7 +59,7 @@
 		refill()
 		w.run(15 * time.Second)
 	}
-	closed, _ := w.nodes[0].learned.closed("v0003", w.clock.Now())
+	closed, _ := w.nodes[0].learned.workerStatus("v0003", w.clock.Now())
 	assert.Assert(t, closed != "", "quarantined")
 	failures := func() (n int) {
 		tasks, _ := w.platform.Machines.Tasks(w.ctx())
@@ -78,7 +78,7 @@
 		refill()
 		w.run(15 * time.Second)
 	}
-	closed, probe := w.nodes[0].learned.closed("v0003", w.clock.Now())
+	closed, probe := w.nodes[0].learned.workerStatus("v0003", w.clock.Now())
 	assert.Assert(t, closed == "" && !probe, "probed and back: %q", closed)
 	for _, id := range ids {
 		assert.Assert(t, w.state(id) != Failed)
@@ -96,12 +96,12 @@
 		}
 		w.run(15 * time.Second)
 	}
-	w.run(saveEvery + time.Second)
-	closed, _ := w.nodes[0].learned.closed("v0000", w.clock.Now())
+	w.run(saveInterval + time.Second)
+	closed, _ := w.nodes[0].learned.workerStatus("v0000", w.clock.Now())
 	assert.Assert(t, closed != "")
 	next := w.addNode("e9")
 	assert.NilError(t, next.Step(w.ctx()))
-	again, _ := next.learned.closed("v0000", w.clock.Now())
+	again, _ := next.learned.workerStatus("v0000", w.clock.Now())
 	assert.Equal(t, again, closed)
 }
 
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -63,7 +63,7 @@
 	stopWatch context.CancelFunc            // ends the watch
 	sent      map[model.AttemptID]bool      // starts that were sent, and whether their outcome is open
 	renewed   map[model.AttemptID]time.Time // when a task's lease was last renewed
-	learned   *learned
+	learned   *learnedState
 }
 
 // counts are what a Jobs did, for metrics and benchmarks.
--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// survives is how long a task must have run to clear its worker of failing
+	// survivalTime is how long a task must have run to clear its worker of failing
 	// everything it starts.
-	survives = 10 * time.Second
-	// saveEvery bounds what an entry VM that takes over has to learn anew, at
+	survivalTime = 10 * time.Second
+	// saveInterval bounds what an entry VM that takes over has to learn anew, at
 	// two writes a minute.
-	saveEvery = 30 * time.Second
-	// usageEvery is how often usage is read: reports lag by more than that, and
+	saveInterval = 30 * time.Second
+	// usageInterval is how often usage is read: reports lag by more than that, and
 	// one list has every task of the fleet.
-	usageEvery = 5 * time.Second
-	// maxQuarantine is the share of workers that may be in quarantine: twice
+	usageInterval = 5 * time.Second
+	// maxQuarantineShare is the share of workers that may be in quarantine: twice
 	// the two in a hundred that are known to fail everything, and a fleet that
 	// lost more than that has another cause than its workers. One always may be.
-	maxQuarantine = 0.05
+	maxQuarantineShare = 0.05
 )
 
-// learned is what was learned of kinds of jobs and of workers, kept in one key
+// learnedState is what was learnedState of kinds of jobs and of workers, kept in one key
 // of the store for whoever takes the work over.
-type learned struct {
+type learnedState struct {
 	Sizes *sizing.UsageHistory
 	Blame *blame.Book
 
-	loaded   bool
-	dirty    bool
-	saved    time.Time
-	rev      infra.Revision
-	judged   map[model.AttemptID]blame.Outcome // what was recorded of an attempt
-	reported map[model.AttemptID]time.Time     // the newest usage report taken in
-	read     time.Time                         // when usage was last read
+	loaded     bool
+	dirty      bool
+	saved      time.Time
+	rev        infra.Revision
+	recorded   map[model.AttemptID]blame.Outcome // what was recorded of an attempt
+	lastReport map[model.AttemptID]time.Time     // the newest usage report taken in
+	usageRead  time.Time                         // when usage was last read
 }
 
-func newLearned() *learned {
-	return &learned{
+func newLearned() *learnedState {
+	return &learnedState{
 		Sizes: sizing.NewUsageHistory(), Blame: blame.NewBook(),
-		judged: make(map[model.AttemptID]blame.Outcome), reported: make(map[model.AttemptID]time.Time),
+		recorded: make(map[model.AttemptID]blame.Outcome), lastReport: make(map[model.AttemptID]time.Time),
 	}
 }
 
-func (l *learned) closed(vm model.VMID, now time.Time) (string, bool) {
+func (l *learnedState) workerStatus(vm model.VMID, now time.Time) (string, bool) {
 	return l.Blame.WorkerStatus(vm, now)
 }
 
-func (l *learned) hopeless(failedOn []model.VMID) bool { return l.Blame.JobToBlame(failedOn) }
+func (l *learnedState) jobToBlame(failedOn []model.VMID) bool { return l.Blame.JobToBlame(failedOn) }
 
 // loadLearned reads once what an earlier holder learned.
 func (j *Jobs) loadLearned(ctx context.Context) error {
@@ -79,7 +79,7 @@
 // saveLearned writes it now and then. A lost write costs learning, nothing else.
 func (p *pass) saveLearned(ctx context.Context) error {
 	l := p.learned
-	if !l.dirty || p.now.Sub(l.saved) < saveEvery {
+	if !l.dirty || p.now.Sub(l.saved) < saveInterval {
 		return nil
 	}
 	value, err := json.Marshal(l)
@@ -104,34 +104,34 @@
 	return nil
 }
 
-// learn takes in how tasks went and what they use.
-func (p *pass) learn(ctx context.Context) error {
-	p.learnOutcomes()
-	most := max(1, int(maxQuarantine*float64(len(p.view.Load().VMs))))
-	for _, vm := range p.learned.Blame.UpdateQuarantine(p.now, most) {
+// updateLearned takes in how tasks went and what they use.
+func (p *pass) updateLearned(ctx context.Context) error {
+	p.recordOutcomes()
+	maxQuarantined := max(1, int(maxQuarantineShare*float64(len(p.view.Load().VMs))))
+	for _, vm := range p.learned.Blame.UpdateQuarantine(p.now, maxQuarantined) {
 		p.log.Info("worker quarantined, it fails what runs elsewhere", "vm", vm)
 		p.learned.saved = time.Time{} // rare, and costly to learn anew
 	}
-	if err := p.learnUsage(ctx); err != nil {
+	if err := p.recordUsage(ctx); err != nil {
 		return err
 	}
-	p.tidyLearned()
+	p.pruneLearned()
 	return p.saveLearned(ctx)
 }
 
-func (p *pass) learnOutcomes() {
+func (p *pass) recordOutcomes() {
 	l := p.learned
 	for _, r := range p.records {
 		t, ok := p.tasks[r.Attempt]
 		if !ok || r.Attempt == "" {
 			continue
 		}
-		before, seen := l.judged[r.Attempt]
+		before, seen := l.recorded[r.Attempt]
 		outcome, ok := outcomeOf(r, t, p.now, seen && before == blame.Survived)
 		if !ok || seen && (before != blame.Survived || outcome == blame.Survived) {
 			continue
 		}
-		l.judged[r.Attempt] = outcome
+		l.recorded[r.Attempt] = outcome
 		l.Blame.Record(blame.Event{VM: t.VM, Kind: r.Kind, Outcome: outcome, At: p.now})
 		l.dirty = true
 	}
@@ -143,7 +143,7 @@
 	switch {
 	case t.State == infra.TaskSucceeded:
 		return blame.Succeeded, true
-	case t.State == infra.TaskRunning && r.State == Running && now.Sub(r.Since) >= survives:
+	case t.State == infra.TaskRunning && r.State == Running && now.Sub(r.Since) >= survivalTime:
 		return blame.Survived, true
 	case t.State != infra.TaskFailed || t.Reason == infra.ReasonMemoryGuard:
 		return 0, false
@@ -153,12 +153,12 @@
 	return blame.FailedEarly, true
 }
 
-// learnUsage takes in the newest reports and acts on tasks over their memory.
-func (p *pass) learnUsage(ctx context.Context) error {
-	if p.now.Sub(p.learned.read) < usageEvery {
+// recordUsage takes in the newest reports and acts on tasks over their memory.
+func (p *pass) recordUsage(ctx context.Context) error {
+	if p.now.Sub(p.learned.usageRead) < usageInterval {
 		return nil
 	}
-	p.learned.read = p.now
+	p.learned.usageRead = p.now
 	reports, err := p.machines.Usage(ctx)
 	if err != nil {
 		return wrapError("read usage", "", err)
@@ -170,25 +170,25 @@
 	for _, u := range reports {
 		t, ok := p.tasks[u.Attempt]
 		r, known := p.mirror.find(t.Job)
-		if !ok || !known || !u.At.After(p.learned.reported[u.Attempt]) {
+		if !ok || !known || !u.At.After(p.learned.lastReport[u.Attempt]) {
 			continue
 		}
-		p.learned.reported[u.Attempt] = u.At
+		p.learned.lastReport[u.Attempt] = u.At
 		p.learned.Sizes.Report(r.Kind, r.ID, u.Used, r.Size)
 		p.learned.dirty = true
-		if err := p.restrain(ctx, r, u, inUse[u.VM]); err != nil {
+		if err := p.enforceMemory(ctx, r, u, inUse[u.VM]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restrain acts on a task over its memory by its class.
-func (p *pass) restrain(ctx context.Context, r *Record, u infra.Usage, inUse model.Resources) error {
-	short := inUse.MemoryMB > p.view.Load().VMs[u.VM].Capacity.MemoryMB
-	switch sizing.OverrunAction(&r.Job, r.Size, u.Used, short) {
+// enforceMemory acts on a task over its memory by its class.
+func (p *pass) enforceMemory(ctx context.Context, r *Record, u infra.Usage, inUse model.Resources) error {
+	memoryShort := inUse.MemoryMB > p.view.Load().VMs[u.VM].Capacity.MemoryMB
+	switch sizing.OverrunAction(&r.Job, r.Size, u.Used, memoryShort) {
 	case sizing.Throttle:
-		return wrapError("throttle task", "", p.machines.ThrottleTask(ctx, u.Attempt, max(r.Size.MilliCPU/throttleTo, 1)))
+		return wrapError("throttle task", "", p.machines.ThrottleTask(ctx, u.Attempt, max(r.Size.MilliCPU/throttleDivisor, 1)))
 	case sizing.Checkpoint:
 		return wrapError("stop task", "", p.machines.StopTask(ctx, u.Attempt, true))
 	case sizing.Stop:
@@ -197,24 +197,24 @@
 	return nil
 }
 
-// throttleTo is the part of its processors a throttled task keeps: a quarter
+// throttleDivisor is the part of its processors a throttled task keeps: a quarter
 // slows the growth of its memory and still lets it come to an end.
-const throttleTo = 4
+const throttleDivisor = 4
 
 func (p *pass) sizeOf(r *Record) model.Resources { return p.learned.Sizes.Size(&r.Job, r.MinMemoryMB) }
 
-// tidyLearned forgets attempts that the platform has forgotten and workers
+// pruneLearned forgets attempts that the platform has forgotten and workers
 // that are no more.
-func (p *pass) tidyLearned() {
-	for a := range p.learned.judged {
+func (p *pass) pruneLearned() {
+	for a := range p.learned.recorded {
 		if _, ok := p.tasks[a]; !ok {
-			delete(p.learned.judged, a)
-			delete(p.learned.reported, a)
+			delete(p.learned.recorded, a)
+			delete(p.learned.lastReport, a)
 		}
 	}
-	for a := range p.learned.reported {
+	for a := range p.learned.lastReport {
 		if _, ok := p.tasks[a]; !ok {
-			delete(p.learned.reported, a)
+			delete(p.learned.lastReport, a)
 		}
 	}
 	snap := p.view.Load()
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -151,7 +151,7 @@
 			r.MinMemoryMB = 2 * r.Size.MemoryMB
 			r.abandonAttempt(p.now, "it used more memory than it was given")
 		}
-	case p.learned.hopeless(append(slices.Clone(r.FailedOn), r.VM)):
+	case p.learned.jobToBlame(append(slices.Clone(r.FailedOn), r.VM)):
 		return func(r *Record) {
 			r.addFailedOn(r.VM)
 			r.enter(Failed, p.now, "failed on several workers that other jobs run on: "+why)
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return false, err
 	}
-	errs := []error{p.observe(ctx), p.stopOrphans(ctx), p.learn(ctx)}
+	errs := []error{p.observe(ctx), p.stopOrphans(ctx), p.updateLearned(ctx)}
 	p.collectRecords()
 	errs = append(errs, p.evacuateLeaving(ctx), p.schedule(ctx), p.renewTasks(ctx), p.forget(ctx))
 	return p.again, errors.Join(errs...)
@@ -107,7 +107,7 @@
 	case m.Leaving:
 		return "the platform takes it away", false
 	}
-	return p.learned.closed(vm.ID, p.now)
+	return p.learned.workerStatus(vm.ID, p.now)
 }
 
 // schedule plans and starts.
