--- a/internal/jobs/forget.go
+++ b/internal/jobs/forget.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// keepEnded is how long an ended job can be asked about. It is many times
+	// endedRetention is how long an ended job can be asked about. It is many times
 	// what the service may hold a call back, so a late copy of the write that
 	// created a group can't bring it back to life.
-	keepEnded = time.Hour
-	// forgetMost bounds the groups dropped by one pass.
-	forgetMost = 16
+	endedRetention = time.Hour
+	// maxExpiredGroups bounds the groups dropped by one pass.
+	maxExpiredGroups = 16
 )
 
-// forget deletes groups whose jobs have all ended long ago.
-func (p *pass) forget(ctx context.Context) error {
+// deleteExpired deletes groups whose jobs have all ended long ago.
+func (p *pass) deleteExpired(ctx context.Context) error {
 	txn := infra.Txn{}
 	for key, g := range p.mirror.all() {
-		if len(txn.If) == forgetMost {
+		if len(txn.If) == maxExpiredGroups {
 			break
 		}
-		if g.overBy(p.now.Add(-keepEnded)) {
+		if g.endedBy(p.now.Add(-endedRetention)) {
 			txn.If = append(txn.If, infra.Cond{Key: key, ModRevision: g.rev})
 			txn.Then = append(txn.Then, infra.Delete(key))
 		}
@@ -43,7 +43,7 @@
 	return wrapError("forget jobs", "", err)
 }
 
-func (g *group) overBy(t time.Time) bool {
+func (g *group) endedBy(t time.Time) bool {
 	for i := range g.Jobs {
 		if !g.Jobs[i].State.Ended() || g.Jobs[i].Since.After(t) {
 			return false
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, w.state(id), Succeeded)
 	assert.Equal(t, w.platform.Machines.Tally().Starts[id], 1)
 	w.run(2 * time.Second)
-	w.clock.Advance(keepEnded)
+	w.clock.Advance(endedRetention)
 	w.step()
 	kvs, _, err := w.engine.Range(w.ctx(), groupPrefix)
 	assert.NilError(t, err)
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -41,7 +41,7 @@
 	}
 	errs := []error{p.observe(ctx), p.stopOrphans(ctx), p.updateLearned(ctx)}
 	p.collectRecords()
-	errs = append(errs, p.evacuateLeaving(ctx), p.schedule(ctx), p.renewTasks(ctx), p.forget(ctx))
+	errs = append(errs, p.evacuateLeaving(ctx), p.schedule(ctx), p.renewTasks(ctx), p.deleteExpired(ctx))
 	return p.again, errors.Join(errs...)
 }
 
@@ -113,7 +113,7 @@
 // schedule plans and starts.
 func (p *pass) schedule(ctx context.Context) error {
 	plan := placement.MakePlan(p.snapshot())
-	if err := p.displace(ctx, plan.Preemptions); err != nil {
+	if err := p.preempt(ctx, plan.Preemptions); err != nil {
 		return err
 	}
 	started := p.start(ctx, plan.Placements)
