--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -55,7 +55,7 @@
 	mirror          *mirror
 	counts          counts
 	batcher         submitBatcher
-	rescue          rescue
+	urgent          urgentJobs
 
 	passMu sync.Mutex // one pass at a time
 	// What follows is used by passes alone.
--- a/internal/jobs/rescue.go
+++ b/internal/jobs/rescue.go
@@ -8,42 +8,42 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// rescueAfter is how long urgent work waits for the holder of the lease. An
+// urgentTakeoverDelay is how long urgent work waits for the holder of the lease. An
 // entry VM that dies takes the lease with it for leaseTTL, but urgent work has
 // 2.2 s to start: whoever accepted it then does one pass itself. Two placers
 // at once collide in their compare-and-swap and do no harm.
-const rescueAfter = 700 * time.Millisecond
+const urgentTakeoverDelay = 700 * time.Millisecond
 
-// accepted is an urgent job that was submitted here.
-type accepted struct {
+// acceptedJob is an urgent job that was submitted here.
+type acceptedJob struct {
 	job model.JobID
 	at  time.Time
 }
 
-// rescue remembers the urgent jobs submitted here until they are looked after
+// urgentJobs remembers the urgent jobs submitted here until they are looked after
 // once. What then still waits does so for room, not for a holder.
-type rescue struct {
+type urgentJobs struct {
 	mu   sync.Mutex
-	jobs []accepted
+	jobs []acceptedJob
 }
 
-func (s *rescue) add(ids []model.JobID, all []model.Job, now time.Time) {
+func (s *urgentJobs) add(ids []model.JobID, all []model.Job, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, job := range all {
 		if job.Class == model.ClassUrgent {
-			s.jobs = append(s.jobs, accepted{ids[i], now})
+			s.jobs = append(s.jobs, acceptedJob{ids[i], now})
 		}
 	}
 }
 
 // due takes the jobs out that have waited for long enough.
-func (s *rescue) due(now time.Time) []model.JobID {
+func (s *urgentJobs) due(now time.Time) []model.JobID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []model.JobID
 	n := 0
-	for n < len(s.jobs) && now.Sub(s.jobs[n].at) >= rescueAfter {
+	for n < len(s.jobs) && now.Sub(s.jobs[n].at) >= urgentTakeoverDelay {
 		ids = append(ids, s.jobs[n].job)
 		n++
 	}
@@ -51,10 +51,10 @@
 	return ids
 }
 
-// rescueUrgent does a pass without the lease where urgent jobs accepted here
+// placeOverdueUrgent does a pass without the lease where urgent jobs accepted here
 // were not taken up.
-func (j *Jobs) rescueUrgent(ctx context.Context) error {
-	ids := j.rescue.due(j.clock.Now())
+func (j *Jobs) placeOverdueUrgent(ctx context.Context) error {
+	ids := j.urgent.due(j.clock.Now())
 	if len(ids) == 0 {
 		return nil
 	}
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -72,7 +72,7 @@
 		return false, err
 	}
 	if !held {
-		return false, j.rescueUrgent(ctx)
+		return false, j.placeOverdueUrgent(ctx)
 	}
 	again, err = j.pass(ctx)
 	if err != nil {
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -48,7 +48,7 @@
 	if err := j.batcher.add(ctx, j, parts); err != nil {
 		return nil, err
 	}
-	j.rescue.add(ids, all, j.clock.Now())
+	j.urgent.add(ids, all, j.clock.Now())
 	j.Wake()
 	return ids, nil
 }
