--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -14,12 +14,12 @@
 
 // load keeps jobs waiting on a world and counts what becomes of them.
 type load struct {
-	*world
+	*testCluster
 	rng       *rand.Rand
 	job       drawJob
 	submitted int
 	// each is called after each step; a baseline takes its knowledge away in it.
-	each func(n *node)
+	each func(n *testEntry)
 }
 
 // tally is what a load came to.
@@ -47,7 +47,7 @@
 			l.refill(waiting, behaviours)
 		}
 		l.clock.Advance(time.Second)
-		for _, n := range l.nodes {
+		for _, n := range l.entries {
 			if err := n.Step(l.ctx()); err != nil {
 				l.t.Fatal(err)
 			}
@@ -93,7 +93,7 @@
 }
 
 func (l *load) refill(waiting int, behaviours map[model.JobID]standin.Behaviour) {
-	all, _ := l.nodes[0].List(l.ctx())
+	all, _ := l.entries[0].List(l.ctx())
 	for _, r := range all {
 		if r.State == Waiting {
 			waiting--
@@ -116,7 +116,7 @@
 }
 
 func (l *load) count(out *benchTally) {
-	all, _ := l.nodes[0].List(l.ctx())
+	all, _ := l.entries[0].List(l.ctx())
 	for _, r := range all {
 		out.states[r.State]++
 	}
@@ -144,14 +144,14 @@
 		declared := model.Resources{MilliCPU: int64(float64(real.MilliCPU) * factor), MemoryMB: int64(float64(real.MemoryMB) * factor)}
 		spread := 0.85 + 0.3*rng.Float64()
 		real.MilliCPU, real.MemoryMB = int64(float64(real.MilliCPU)*spread), int64(float64(real.MemoryMB)*spread)
-		j := small()
+		j := smallJob()
 		j.Kind, j.Declared = fmt.Sprintf("k%d", kind), declared
 		return j, standin.Behaviour{Size: real, RunTime: time.Duration(60+rng.IntN(60)) * time.Second}
 	}
 	for _, name := range []string{"learned", "trust-declaration"} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				l := &load{world: newWorld(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, each: func(*node) {}}
+				l := &load{testCluster: newTestCluster(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, each: func(*testEntry) {}}
 				if name != "learned" {
 					l.job = alone(job) // nothing is learned of a kind of one job
 				}
@@ -182,21 +182,21 @@
 // lost are starts that fail on them and jobs that end as failed.
 func BenchmarkBadWorkers(b *testing.B) {
 	job := func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
-		j := small()
+		j := smallJob()
 		j.Kind = fmt.Sprintf("k%d", rng.IntN(20))
 		j.Repeatable = rng.IntN(10) != 0
 		return j, standin.Behaviour{Size: j.Declared, RunTime: time.Duration(30+rng.IntN(60)) * time.Second}
 	}
 	for _, c := range []struct {
 		name string
-		each func(*node)
+		each func(*testEntry)
 	}{
-		{"blame", func(*node) {}},
-		{"no-blame", func(n *node) { n.learned.Blame = blame.NewBook() }},
+		{"blame", func(*testEntry) {}},
+		{"no-blame", func(n *testEntry) { n.learned.Blame = blame.NewBook() }},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				l := &load{world: newWorld(b, 200, 1), rng: rand.New(rand.NewPCG(2, 2)), job: job, each: c.each}
+				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(2, 2)), job: job, each: c.each}
 				for i := range 4 {
 					l.platform.Machines.SetWorkerFails(model.VMID(fmt.Sprintf("v%04d", 50*i+7)), true)
 				}
@@ -213,8 +213,8 @@
 
 func wronglyBanned(l *load) int {
 	n := 0
-	for vm := range l.nodes[0].learned.Blame.Workers {
-		closed, probe := l.nodes[0].learned.Blame.WorkerStatus(vm, l.clock.Now())
+	for vm := range l.entries[0].learned.Blame.Workers {
+		closed, probe := l.entries[0].learned.Blame.WorkerStatus(vm, l.clock.Now())
 		var i int
 		_, _ = fmt.Sscanf(string(vm), "v%d", &i)
 		if (closed != "" || probe) && i%50 != 7 {
@@ -231,16 +231,16 @@
 		b.Run("after-"+after.String(), func(b *testing.B) {
 			for b.Loop() {
 				banned := 0
-				l := &load{world: newWorld(b, 200, 1), rng: rand.New(rand.NewPCG(3, 3))}
+				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(3, 3))}
 				l.job = func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
-					j := small()
+					j := smallJob()
 					if n >= 500 && n < 1500 {
 						j.Kind = "poisoned"
 						return j, standin.Behaviour{Size: j.Declared, RunTime: after, Fails: true}
 					}
 					return j, standin.Behaviour{Size: j.Declared, RunTime: time.Duration(30+rng.IntN(60)) * time.Second}
 				}
-				l.each = func(*node) { banned = max(banned, wronglyBanned(l)) }
+				l.each = func(*testEntry) { banned = max(banned, wronglyBanned(l)) }
 				got := l.play(6*time.Minute, 1500)
 				b.ReportMetric(float64(banned), "wrongly-quarantined")
 				b.ReportMetric(float64(got.states[Failed]), "jobs-stopped")
@@ -254,12 +254,12 @@
 // fit at once, loses a reply in each second, and runs until all are over.
 func BenchmarkScale(b *testing.B) {
 	for b.Loop() {
-		w := newWorld(b, 3600, 1)
-		n := w.nodes[0]
-		job := small()
+		w := newTestCluster(b, 3600, 1)
+		n := w.entries[0]
+		job := smallJob()
 		job.Declared.MilliCPU = 2000
 		for part := range 4 {
-			all := many(5000, job)
+			all := copiesOf(5000, job)
 			for i := range all {
 				all[i].Repeatable = i%2 == 0
 				all[i].Team = model.TeamName(fmt.Sprint("t", i%82))
@@ -275,7 +275,7 @@
 		begun, submits := time.Now(), n.Counts().Writes
 		used, passes := w.drain(n)
 		counts := n.Counts()
-		l := &load{world: w, submitted: 20000}
+		l := &load{testCluster: w, submitted: 20000}
 		var got benchTally
 		got.states = make(map[State]int)
 		l.count(&got)
@@ -290,7 +290,7 @@
 
 // drain passes until no job is left, and returns the mean share of processors
 // set aside while jobs waited.
-func (w *world) drain(n *node) (used float64, passes int) {
+func (w *testCluster) drain(n *testEntry) (used float64, passes int) {
 	samples := 0
 	for passes = 1; passes < 200; passes++ {
 		w.clock.Advance(time.Second)
--- a/internal/jobs/decisions_test.go
+++ b/internal/jobs/decisions_test.go
@@ -12,7 +12,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-func (w *world) states(ids []model.JobID) map[State]int {
+func (w *testCluster) states(ids []model.JobID) map[State]int {
 	out := make(map[State]int)
 	for _, id := range ids {
 		out[w.state(id)]++
@@ -23,8 +23,8 @@
 func TestJobThatFailsEverywhereIsStopped(t *testing.T) {
 	// A bad job fails on each worker it is given. After three distinct ones it
 	// is stopped and says so; the workers go on to take other work.
-	w := newWorld(t, 8, 1)
-	bad := small()
+	w := newTestCluster(t, 8, 1)
+	bad := smallJob()
 	bad.Kind = "poisoned"
 	id := w.submit(bad)[0]
 	w.behave(id, standin.Behaviour{RunTime: time.Second, Fails: true})
@@ -33,7 +33,7 @@
 	assert.Equal(t, r.State, Failed)
 	assert.Equal(t, len(r.FailedOn), 3)
 	assert.Equal(t, w.platform.Machines.Tally().Starts[id], 3)
-	ok := w.submit(many(64, small())...)
+	ok := w.submit(copiesOf(64, smallJob())...)
 	w.run(2 * time.Second)
 	assert.DeepEqual(t, w.states(ok), map[State]int{Running: 64})
 }
@@ -42,14 +42,14 @@
 	// A worker fails whatever it starts at once, and so always has room. Jobs
 	// of several kinds that run elsewhere show it; it gets no more, and one
 	// job at a time tries it again until it is mended.
-	w := newWorld(t, 24, 1)
+	w := newTestCluster(t, 24, 1)
 	w.platform.Machines.SetWorkerFails("v0003", true)
 	var ids []model.JobID
 	refill := func() {
 		for kind := range 4 {
-			job := small()
+			job := smallJob()
 			job.Kind, job.Class = fmt.Sprint("k", kind), model.ClassDeferrable
-			ids = append(ids, w.submit(many(10, job)...)...)
+			ids = append(ids, w.submit(copiesOf(10, job)...)...)
 		}
 		for _, id := range ids[len(ids)-40:] {
 			w.behave(id, standin.Behaviour{RunTime: 25 * time.Second})
@@ -59,7 +59,7 @@
 		refill()
 		w.run(15 * time.Second)
 	}
-	closed, _ := w.nodes[0].learned.workerStatus("v0003", w.clock.Now())
+	closed, _ := w.entries[0].learned.workerStatus("v0003", w.clock.Now())
 	assert.Assert(t, closed != "", "quarantined")
 	failures := func() (n int) {
 		tasks, _ := w.platform.Machines.Tasks(w.ctx())
@@ -78,7 +78,7 @@
 		refill()
 		w.run(15 * time.Second)
 	}
-	closed, probe := w.nodes[0].learned.workerStatus("v0003", w.clock.Now())
+	closed, probe := w.entries[0].learned.workerStatus("v0003", w.clock.Now())
 	assert.Assert(t, closed == "" && !probe, "probed and back: %q", closed)
 	for _, id := range ids {
 		assert.Assert(t, w.state(id) != Failed)
@@ -86,20 +86,20 @@
 }
 
 func TestQuarantineOutlivesTheHolder(t *testing.T) {
-	w := newWorld(t, 40, 1)
+	w := newTestCluster(t, 40, 1)
 	w.platform.Machines.SetWorkerFails("v0000", true)
 	for range 6 {
 		for kind := range 3 {
-			job := small()
+			job := smallJob()
 			job.Kind = fmt.Sprint("k", kind)
-			w.submit(many(10, job)...)
+			w.submit(copiesOf(10, job)...)
 		}
 		w.run(15 * time.Second)
 	}
 	w.run(saveInterval + time.Second)
-	closed, _ := w.nodes[0].learned.workerStatus("v0000", w.clock.Now())
+	closed, _ := w.entries[0].learned.workerStatus("v0000", w.clock.Now())
 	assert.Assert(t, closed != "")
-	next := w.addNode("e9")
+	next := w.addEntry("e9")
 	assert.NilError(t, next.Step(w.ctx()))
 	again, _ := next.learned.workerStatus("v0000", w.clock.Now())
 	assert.Equal(t, again, closed)
@@ -109,16 +109,16 @@
 	// A kind was declared with a quarter of the memory it needs. Its first jobs
 	// are ended by their worker's guard and get twice as much each time; those
 	// that come later get enough at once.
-	w := newWorld(t, 8, 1)
+	w := newTestCluster(t, 8, 1)
 	w.platform.Machines.SetUsageEvery(5 * time.Second)
-	job := small()
+	job := smallJob()
 	submit := func() []model.JobID {
-		ids := w.submit(many(6, job)...)
+		ids := w.submit(copiesOf(6, job)...)
 		for _, id := range ids {
 			w.behave(id, standin.Behaviour{Size: model.Resources{MilliCPU: 900, MemoryMB: 3800}, RunTime: 20 * time.Second})
 		}
 		w.run(3 * time.Second)
-		assert.Equal(t, len(w.nodes[0].learned.Blame.Workers), 0, "no worker is under suspicion")
+		assert.Equal(t, len(w.entries[0].learned.Blame.Workers), 0, "no worker is under suspicion")
 		w.run(40 * time.Second)
 		assert.DeepEqual(t, w.states(ids), map[State]int{Succeeded: 6})
 		return ids
@@ -136,13 +136,13 @@
 	// The fleet is full of deferrable work and of one job that is not
 	// repeatable. An urgent job starts within two passes; what gave way keeps
 	// its progress and runs again when there is room.
-	w := newWorld(t, 1, 1)
-	flood, firm := small(), once()
-	flood.Class, flood.Checkpoints, firm.Class = model.ClassDeferrable, true, model.ClassDeferrable
-	ids := w.submit(append(many(7, flood), firm)...)
+	w := newTestCluster(t, 1, 1)
+	preemptible, protected := smallJob(), nonRepeatableJob()
+	preemptible.Class, preemptible.Checkpoints, protected.Class = model.ClassDeferrable, true, model.ClassDeferrable
+	ids := w.submit(append(copiesOf(7, preemptible), protected)...)
 	w.run(5 * time.Second)
 	assert.DeepEqual(t, w.states(ids), map[State]int{Running: 8})
-	urgent := small()
+	urgent := smallJob()
 	urgent.Class, urgent.Kind, urgent.Declared.MilliCPU = model.ClassUrgent, "quote", 2000
 	id := w.submit(urgent)[0]
 	w.behave(id, standin.Behaviour{RunTime: 10 * time.Second})
@@ -159,18 +159,18 @@
 	// Team panel has borrowed the whole fleet while team cleaning was idle.
 	// When cleaning comes back it gets its guarantee within a few passes, and
 	// panel keeps its own.
-	w := newWorld(t, 2, 1)
+	w := newTestCluster(t, 2, 1)
 	share := model.Resources{MilliCPU: 8000, MemoryMB: 16384}
 	w.snap.Declaration = &model.Declaration{Generation: 2, Teams: []model.Team{{Name: "panel", Guaranteed: share}, {Name: "cleaning", Guaranteed: share}}}
 	w.publish()
-	borrower := small()
+	borrower := smallJob()
 	borrower.Checkpoints = true
-	borrowed := w.submit(many(16, borrower)...)
+	borrowed := w.submit(copiesOf(16, borrower)...)
 	w.run(2 * time.Second)
 	assert.DeepEqual(t, w.states(borrowed), map[State]int{Running: 16})
-	owner := small()
+	owner := smallJob()
 	owner.Team = "cleaning"
-	owned := w.submit(many(12, owner)...)
+	owned := w.submit(copiesOf(12, owner)...)
 	w.run(10 * time.Second)
 	assert.DeepEqual(t, w.states(owned), map[State]int{Running: 8, Waiting: 4})
 	assert.DeepEqual(t, w.states(borrowed), map[State]int{Running: 8, Waiting: 8})
--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -17,32 +17,32 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// node is one entry VM with ways of its own to the store and the machines.
-type node struct {
+// testEntry is one entry VM with ways of its own to the store and the machines.
+type testEntry struct {
 	*Jobs
 	store    *faulty.Store
-	machines *machines
+	machines *faultyMachines
 }
 
-// world is a platform, its workers and entry VMs on a fake clock.
-type world struct {
+// testCluster is a platform, its workers and entry VMs on a fake clock.
+type testCluster struct {
 	t        testing.TB
 	clock    *clockwork.FakeClock
-	engine   *memstore.Store
+	store    *memstore.Store
 	platform *standin.Server
 	view     *view.Holder
 	snap     view.Snapshot
-	nodes    []*node
+	entries  []*testEntry
 	ids      int
 }
 
 var workerSize = model.Resources{MilliCPU: 8000, MemoryMB: 16384}
 
-// newWorld has workers of 8 processors and 16 GB, four to a rack, a rack to a
+// newTestCluster has workers of 8 processors and 16 GB, four to a rack, a rack to a
 // zone of four in turn.
-func newWorld(t testing.TB, workers, nodes int) *world {
+func newTestCluster(t testing.TB, workers, nodes int) *testCluster {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC))
-	w := &world{t: t, clock: clock, engine: memstore.New(clock), platform: standin.New(clock), view: view.NewHolder()}
+	w := &testCluster{t: t, clock: clock, store: memstore.New(clock), platform: standin.New(clock), view: view.NewHolder()}
 	t.Cleanup(w.platform.Close)
 	w.snap = view.Snapshot{Revision: 1, Declaration: &model.Declaration{Generation: 1}, VMs: make(map[model.VMID]view.VMRecord)}
 	for i := range workers {
@@ -55,25 +55,25 @@
 	}
 	w.publish()
 	for i := range nodes {
-		w.addNode(model.EntryID(fmt.Sprintf("e%d", i)))
+		w.addEntry(model.EntryID(fmt.Sprintf("e%d", i)))
 	}
 	return w
 }
 
-func (w *world) addNode(id model.EntryID) *node {
-	n := &node{store: faulty.Wrap(w.engine), machines: &machines{Machines: w.platform.Machines}}
+func (w *testCluster) addEntry(id model.EntryID) *testEntry {
+	n := &testEntry{store: faulty.Wrap(w.store), machines: &faultyMachines{Machines: w.platform.Machines}}
 	n.Jobs = New(Options{Store: n.store, Machines: n.machines, View: w.view, Self: id, Clock: w.clock, Log: logr.Discard(), NewID: w.newID})
-	w.nodes = append(w.nodes, n)
+	w.entries = append(w.entries, n)
 	return n
 }
 
-func (w *world) newID() string {
+func (w *testCluster) newID() string {
 	w.ids++
 	return fmt.Sprintf("%06d", w.ids)
 }
 
 // publish shows the world's snapshot to all nodes.
-func (w *world) publish() {
+func (w *testCluster) publish() {
 	w.snap.Revision++
 	next := w.snap
 	next.VMs = make(map[model.VMID]view.VMRecord, len(w.snap.VMs))
@@ -83,32 +83,32 @@
 	w.view.Publish(&next)
 }
 
-func (w *world) setVM(id model.VMID, state model.VMState) {
+func (w *testCluster) setVM(id model.VMID, state model.VMState) {
 	vm := w.snap.VMs[id]
 	vm.State = state
 	w.snap.VMs[id] = vm
 	w.publish()
 }
 
-func (w *world) ctx() context.Context { return context.Background() }
+func (w *testCluster) ctx() context.Context { return context.Background() }
 
 // submit stores jobs at the first node.
-func (w *world) submit(all ...model.Job) []model.JobID {
+func (w *testCluster) submit(all ...model.Job) []model.JobID {
 	w.t.Helper()
-	ids, err := w.nodes[0].Submit(w.ctx(), "", all)
+	ids, err := w.entries[0].Submit(w.ctx(), "", all)
 	assert.NilError(w.t, err)
 	return ids
 }
 
 // step lets each node do a pass; errors are part of the failures played.
-func (w *world) step() {
-	for _, n := range w.nodes {
+func (w *testCluster) step() {
+	for _, n := range w.entries {
 		_ = n.Step(w.ctx())
 	}
 }
 
 // run steps for a time, a second each.
-func (w *world) run(d time.Duration) {
+func (w *testCluster) run(d time.Duration) {
 	for range int(d / time.Second) {
 		w.clock.Advance(time.Second)
 		w.step()
@@ -116,37 +116,39 @@
 }
 
 // get reads a job from the store, past all mirrors.
-func (w *world) get(id model.JobID) Record {
+func (w *testCluster) get(id model.JobID) Record {
 	w.t.Helper()
 	key, at, ok := keyOf(id)
 	assert.Assert(w.t, ok)
-	kv, _, err := w.engine.Get(w.ctx(), key)
+	kv, _, err := w.store.Get(w.ctx(), key)
 	assert.NilError(w.t, err)
 	g, err := decode(kv)
 	assert.NilError(w.t, err)
 	return g.Jobs[at]
 }
 
-func (w *world) state(id model.JobID) State { return w.get(id).State }
+func (w *testCluster) state(id model.JobID) State { return w.get(id).State }
 
-func (w *world) behave(id model.JobID, b standin.Behaviour) { w.platform.Machines.SetBehaviour(id, b) }
+func (w *testCluster) behave(id model.JobID, b standin.Behaviour) {
+	w.platform.Machines.SetBehaviour(id, b)
+}
 
-// small is a repeatable job of a processor and a gigabyte.
-func small() model.Job {
+// smallJob is a repeatable job of a processor and a gigabyte.
+func smallJob() model.Job {
 	return model.Job{
 		Team: "panel", Kind: "crosstab", Class: model.ClassNormal, Repeatable: true,
 		Declared: model.Resources{MilliCPU: 1000, MemoryMB: 1024},
 	}
 }
 
-// once is the same, but not repeatable.
-func once() model.Job {
-	j := small()
+// nonRepeatableJob is the same, but not repeatable.
+func nonRepeatableJob() model.Job {
+	j := smallJob()
 	j.Kind, j.Repeatable = "incentives", false
 	return j
 }
 
-func many(n int, job model.Job) []model.Job {
+func copiesOf(n int, job model.Job) []model.Job {
 	all := make([]model.Job, n)
 	for i := range all {
 		all[i] = job
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestJobRunsToItsEnd(t *testing.T) {
-	w := newWorld(t, 4, 2)
-	id := w.submit(small())[0]
+	w := newTestCluster(t, 4, 2)
+	id := w.submit(smallJob())[0]
 	w.behave(id, standin.Behaviour{RunTime: 30 * time.Second})
 	assert.Equal(t, w.state(id), Waiting)
 	w.run(time.Second)
@@ -23,13 +23,13 @@
 	w.run(2 * time.Second)
 	w.clock.Advance(endedRetention)
 	w.step()
-	kvs, _, err := w.engine.Range(w.ctx(), groupPrefix)
+	kvs, _, err := w.store.Range(w.ctx(), groupPrefix)
 	assert.NilError(t, err)
 	assert.Equal(t, len(kvs), 0, "ended jobs are forgotten")
 }
 
 func TestImpossibleJobIsToldAtOnce(t *testing.T) {
-	w := newWorld(t, 4, 1)
+	w := newTestCluster(t, 4, 1)
 	for _, tc := range []struct {
 		name   string
 		change func(*model.Job)
@@ -41,7 +41,7 @@
 		{"accelerators", func(j *model.Job) { j.Declared.Accelerators = 1 }, "accelerators: needs 1 accelerators, the nearest worker v0000 has 0 accelerators"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			job := small()
+			job := smallJob()
 			tc.change(&job)
 			id := w.submit(job)[0]
 			w.step()
@@ -52,16 +52,16 @@
 }
 
 func TestBurstCostsFewWrites(t *testing.T) {
-	w := newWorld(t, 200, 1)
-	before := w.nodes[0].Counts().Writes
-	ids := w.submit(many(1000, small())...)
+	w := newTestCluster(t, 200, 1)
+	before := w.entries[0].Counts().Writes
+	ids := w.submit(copiesOf(1000, smallJob())...)
 	w.step()
-	all, err := w.nodes[0].List(w.ctx())
+	all, err := w.entries[0].List(w.ctx())
 	assert.NilError(t, err)
 	for _, r := range all {
 		assert.Equal(t, r.State, Running)
 	}
 	assert.Equal(t, len(all), len(ids))
-	writes := w.nodes[0].Counts().Writes - before
+	writes := w.entries[0].Counts().Writes - before
 	assert.Assert(t, writes <= 32, "%d writes for 1000 placements", writes)
 }
--- a/internal/jobs/machines_test.go
+++ b/internal/jobs/machines_test.go
@@ -9,8 +9,8 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// machines is one entry VM's way to the platform's machines, with faults.
-type machines struct {
+// faultyMachines is one entry VM's way to the platform's faultyMachines, with faults.
+type faultyMachines struct {
 	*standin.Machines
 	// before is called before each start; a test pauses the entry VM in it, or
 	// lets others act first.
@@ -22,7 +22,7 @@
 	mu sync.Mutex // guards the counts while starts go out side by side
 }
 
-func (m *machines) draw(n *int) bool {
+func (m *faultyMachines) consume(n *int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if *n == 0 {
@@ -33,15 +33,15 @@
 }
 
 // StartTask implements infra.Machines.
-func (m *machines) StartTask(ctx context.Context, t infra.Task) error {
+func (m *faultyMachines) StartTask(ctx context.Context, t infra.Task) error {
 	if m.before != nil {
 		m.before(t)
 	}
-	if m.draw(&m.loseRequests) {
+	if m.consume(&m.loseRequests) {
 		return infra.Errorf("start task", infra.KindUnknown, "connection lost")
 	}
 	err := m.Machines.StartTask(ctx, t)
-	if err == nil && m.draw(&m.loseReplies) {
+	if err == nil && m.consume(&m.loseReplies) {
 		return infra.Errorf("start task", infra.KindUnknown, "reply lost")
 	}
 	return err
@@ -51,8 +51,8 @@
 // may be late.
 type slowStore struct {
 	infra.Store
-	world *world
-	slept bool
+	cluster *testCluster
+	slept   bool
 }
 
 // Txn implements infra.Store.
@@ -60,7 +60,7 @@
 	res, err := s.Store.Txn(ctx, txn)
 	if !s.slept {
 		s.slept = true
-		s.world.clock.Advance(maxIntentAge + time.Second)
+		s.cluster.clock.Advance(maxIntentAge + time.Second)
 	}
 	return res, err
 }
--- a/internal/jobs/race_test.go
+++ b/internal/jobs/race_test.go
@@ -17,9 +17,9 @@
 // write and each start another entry VM may do a whole pass in between, time
 // may pass, a worker die, or a cancel arrive; replies and requests get lost.
 type schedule struct {
-	*world
+	*testCluster
 	rng    *rand.Rand
-	inside map[*node]bool
+	inside map[*testEntry]bool
 	ids    []model.JobID
 	once   map[model.JobID]bool // those that are not repeatable
 	depth  int
@@ -31,13 +31,13 @@
 
 func (s *schedule) chance(percent int) bool { return !s.calm && s.rng.IntN(100) < percent }
 
-func (s *schedule) hook(n *node) {
+func (s *schedule) hook(n *testEntry) {
 	n.store.Before(func(string, infra.Txn) { s.between(n) })
 	n.machines.before = func(infra.Task) { s.between(n) }
 }
 
 // between is what happens while n waits for the platform.
-func (s *schedule) between(n *node) {
+func (s *schedule) between(n *testEntry) {
 	if s.calm || s.depth > deepest {
 		return
 	}
@@ -47,11 +47,11 @@
 		s.clock.Advance([]time.Duration{time.Second, maxIntentAge + time.Second, startGrace, taskTTL + time.Second}[s.rng.IntN(4)])
 	}
 	if s.chance(20) {
-		s.stepOne(s.nodes[s.rng.IntN(len(s.nodes))])
+		s.stepOne(s.entries[s.rng.IntN(len(s.entries))])
 	}
 	if s.chance(8) && len(s.ids) > 0 {
 		id := s.ids[s.rng.IntN(len(s.ids))]
-		_, _ = s.nodes[s.rng.IntN(len(s.nodes))].Cancel(s.ctx(), model.ChangeID(fmt.Sprint("cancel-", id)), "", []model.JobID{id})
+		_, _ = s.entries[s.rng.IntN(len(s.entries))].Cancel(s.ctx(), model.ChangeID(fmt.Sprint("cancel-", id)), "", []model.JobID{id})
 	}
 	if s.chance(6) {
 		n.store.LoseReplies(1)
@@ -62,7 +62,7 @@
 	s.faultMachines(n)
 }
 
-func (s *schedule) faultMachines(n *node) {
+func (s *schedule) faultMachines(n *testEntry) {
 	n.machines.mu.Lock()
 	if s.chance(8) {
 		n.machines.loseReplies = 1 + s.rng.IntN(maxStartTries)
@@ -80,7 +80,7 @@
 }
 
 // stepOne does a pass at an entry VM that is not in the middle of one.
-func (s *schedule) stepOne(n *node) {
+func (s *schedule) stepOne(n *testEntry) {
 	if s.inside[n] {
 		return
 	}
@@ -121,8 +121,8 @@
 	// is lost and none runs without a record.
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			s := &schedule{world: newWorld(t, 6, 3), rng: rand.New(rand.NewPCG(seed, 7)), inside: make(map[*node]bool), once: make(map[model.JobID]bool)}
-			for _, n := range s.nodes {
+			s := &schedule{testCluster: newTestCluster(t, 6, 3), rng: rand.New(rand.NewPCG(seed, 7)), inside: make(map[*testEntry]bool), once: make(map[model.JobID]bool)}
+			for _, n := range s.entries {
 				n.parallel = 1
 				s.hook(n)
 			}
@@ -131,7 +131,7 @@
 					s.submitMix()
 				}
 				s.clock.Advance(time.Second)
-				for _, n := range s.nodes {
+				for _, n := range s.entries {
 					s.stepOne(n)
 				}
 			}
@@ -143,7 +143,7 @@
 
 func (s *schedule) submitMix() {
 	for range 4 {
-		all := []model.Job{once(), small(), once()}
+		all := []model.Job{nonRepeatableJob(), smallJob(), nonRepeatableJob()}
 		all[0].Class = model.ClassUrgent
 		all[1].Class, all[1].Checkpoints = model.ClassDeferrable, true
 		change := model.ChangeID(fmt.Sprint("c", len(s.ids)))
@@ -153,7 +153,7 @@
 			s.ids = append(s.ids, id)
 			s.once[id] = !all[i].Repeatable
 		}
-		n := s.nodes[s.rng.IntN(len(s.nodes))]
+		n := s.entries[s.rng.IntN(len(s.entries))]
 		if s.chance(30) {
 			n.store.LoseReplies(1)
 		}
@@ -166,7 +166,7 @@
 
 func (s *schedule) calmDown() {
 	s.calm = true
-	for _, n := range s.nodes {
+	for _, n := range s.entries {
 		n.store.LoseReplies(0)
 		n.store.LoseRequests(0)
 		n.machines.loseReplies, n.machines.loseRequests = 0, 0
@@ -183,7 +183,7 @@
 // settled holds once the faults are over.
 func (s *schedule) settled() {
 	s.check()
-	all, err := s.nodes[0].List(s.ctx())
+	all, err := s.entries[0].List(s.ctx())
 	assert.NilError(s.t, err)
 	known := make(map[model.JobID]Record)
 	for _, r := range all {
--- a/internal/jobs/urgent_bench_test.go
+++ b/internal/jobs/urgent_bench_test.go
@@ -130,15 +130,15 @@
 	rng := rand.New(rand.NewPCG(9, 9))
 	var waits sync.WaitGroup
 	for i := range n {
-		job := small()
+		job := smallJob()
 		job.Class, job.Kind = model.ClassUrgent, "quote"
 		change := model.ChangeID(fmt.Sprintf("u%04d", i))
 		id := jobID(change, 0)
 		d.server.Machines.SetBehaviour(id, standin.Behaviour{RunTime: 2 * time.Second})
 		if i%20 == 0 {
-			flood := small()
+			flood := smallJob()
 			flood.Class = model.ClassDeferrable
-			waits.Go(func() { _, _ = d.nodes[i%len(d.nodes)].Submit(ctx, "", many(50, flood)) })
+			waits.Go(func() { _, _ = d.nodes[i%len(d.nodes)].Submit(ctx, "", copiesOf(50, flood)) })
 		}
 		at := time.Now()
 		node := d.nodes[rng.IntN(len(d.nodes))]
