--- a/internal/jobs/race_test.go
+++ b/internal/jobs/race_test.go
@@ -13,32 +13,32 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// schedule plays one run of entry VMs that place at the same time. At each
+// raceSimulation plays one run of entry VMs that place at the same time. At each
 // write and each start another entry VM may do a whole pass in between, time
 // may pass, a worker die, or a cancel arrive; replies and requests get lost.
-type schedule struct {
+type raceSimulation struct {
 	*testCluster
-	rng    *rand.Rand
-	inside map[*testEntry]bool
-	ids    []model.JobID
-	once   map[model.JobID]bool // those that are not repeatable
-	depth  int
-	calm   bool // no more faults
+	rng           *rand.Rand
+	inPass        map[*testEntry]bool
+	ids           []model.JobID
+	nonRepeatable map[model.JobID]bool // those that are not repeatable
+	depth         int
+	faultsOff     bool // no more faults
 }
 
-// deepest is how many entry VMs may be held up inside each other.
-const deepest = 2
+// maxNesting is how many entry VMs may be held up inside each other.
+const maxNesting = 2
 
-func (s *schedule) chance(percent int) bool { return !s.calm && s.rng.IntN(100) < percent }
+func (s *raceSimulation) chance(percent int) bool { return !s.faultsOff && s.rng.IntN(100) < percent }
 
-func (s *schedule) hook(n *testEntry) {
-	n.store.Before(func(string, infra.Txn) { s.between(n) })
-	n.machines.before = func(infra.Task) { s.between(n) }
+func (s *raceSimulation) installHooks(n *testEntry) {
+	n.store.Before(func(string, infra.Txn) { s.interleave(n) })
+	n.machines.before = func(infra.Task) { s.interleave(n) }
 }
 
-// between is what happens while n waits for the platform.
-func (s *schedule) between(n *testEntry) {
-	if s.calm || s.depth > deepest {
+// interleave is what happens while n waits for the platform.
+func (s *raceSimulation) interleave(n *testEntry) {
+	if s.faultsOff || s.depth > maxNesting {
 		return
 	}
 	s.depth++
@@ -59,10 +59,10 @@
 	if s.chance(4) {
 		n.store.LoseRequests(1)
 	}
-	s.faultMachines(n)
+	s.injectMachineFaults(n)
 }
 
-func (s *schedule) faultMachines(n *testEntry) {
+func (s *raceSimulation) injectMachineFaults(n *testEntry) {
 	n.machines.mu.Lock()
 	if s.chance(8) {
 		n.machines.loseReplies = 1 + s.rng.IntN(maxStartTries)
@@ -80,18 +80,18 @@
 }
 
 // stepOne does a pass at an entry VM that is not in the middle of one.
-func (s *schedule) stepOne(n *testEntry) {
-	if s.inside[n] {
+func (s *raceSimulation) stepOne(n *testEntry) {
+	if s.inPass[n] {
 		return
 	}
-	s.inside[n] = true
-	defer delete(s.inside, n)
+	s.inPass[n] = true
+	defer delete(s.inPass, n)
 	_ = n.Step(s.ctx()) // lost replies and conflicts are part of the play
-	s.check()
+	s.checkInvariants()
 }
 
-// check holds at every moment.
-func (s *schedule) check() {
+// checkInvariants holds at every moment.
+func (s *raceSimulation) checkInvariants() {
 	s.t.Helper()
 	tasks, err := s.platform.Machines.Tasks(s.ctx())
 	assert.NilError(s.t, err)
@@ -105,7 +105,7 @@
 		assert.Assert(s.t, u.Fits(s.snap.VMs[vm].Capacity), "VM %s runs more than it has", vm)
 	}
 	starts := s.platform.Machines.Tally().Starts
-	for id, once := range s.once {
+	for id, once := range s.nonRepeatable {
 		if !once {
 			continue
 		}
@@ -121,10 +121,10 @@
 	// is lost and none runs without a record.
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			s := &schedule{testCluster: newTestCluster(t, 6, 3), rng: rand.New(rand.NewPCG(seed, 7)), inside: make(map[*testEntry]bool), once: make(map[model.JobID]bool)}
+			s := &raceSimulation{testCluster: newTestCluster(t, 6, 3), rng: rand.New(rand.NewPCG(seed, 7)), inPass: make(map[*testEntry]bool), nonRepeatable: make(map[model.JobID]bool)}
 			for _, n := range s.entries {
 				n.parallel = 1
-				s.hook(n)
+				s.installHooks(n)
 			}
 			for round := range 12 {
 				if round%3 == 0 {
@@ -135,13 +135,13 @@
 					s.stepOne(n)
 				}
 			}
-			s.calmDown()
-			s.settled()
+			s.endFaults()
+			s.checkFinalState()
 		})
 	}
 }
 
-func (s *schedule) submitMix() {
+func (s *raceSimulation) submitMix() {
 	for range 4 {
 		all := []model.Job{nonRepeatableJob(), smallJob(), nonRepeatableJob()}
 		all[0].Class = model.ClassUrgent
@@ -151,21 +151,21 @@
 			id := jobID(change, i)
 			s.behave(id, standin.Behaviour{RunTime: time.Duration(1+s.rng.IntN(40)) * time.Second, Fails: s.rng.IntN(8) == 0})
 			s.ids = append(s.ids, id)
-			s.once[id] = !all[i].Repeatable
+			s.nonRepeatable[id] = !all[i].Repeatable
 		}
 		n := s.entries[s.rng.IntN(len(s.entries))]
 		if s.chance(30) {
 			n.store.LoseReplies(1)
 		}
-		s.depth = deepest + 1 // nothing in between: the write is not this goroutine's
+		s.depth = maxNesting + 1 // nothing in between: the write is not this goroutine's
 		_, err := n.Submit(s.ctx(), change, all)
 		s.depth = 0
 		assert.NilError(s.t, err)
 	}
 }
 
-func (s *schedule) calmDown() {
-	s.calm = true
+func (s *raceSimulation) endFaults() {
+	s.faultsOff = true
 	for _, n := range s.entries {
 		n.store.LoseReplies(0)
 		n.store.LoseRequests(0)
@@ -180,9 +180,9 @@
 	}
 }
 
-// settled holds once the faults are over.
-func (s *schedule) settled() {
-	s.check()
+// checkFinalState holds once the faults are over.
+func (s *raceSimulation) checkFinalState() {
+	s.checkInvariants()
 	all, err := s.entries[0].List(s.ctx())
 	assert.NilError(s.t, err)
 	known := make(map[model.JobID]Record)
