--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -16,26 +16,26 @@
 type load struct {
 	*testCluster
 	rng       *rand.Rand
-	job       drawJob
+	job       jobGenerator
 	submitted int
-	// each is called after each step; a baseline takes its knowledge away in it.
-	each func(n *testEntry)
+	// afterStep is called after afterStep step; a baseline takes its knowledge away in it.
+	afterStep func(n *testEntry)
 }
 
 // tally is what a load came to.
 type benchTally struct {
-	real     float64 // share of the workers' processors that tasks really used
-	memory   float64 // share of their memory
-	excess   float64 // processors wanted beyond what the workers have, as a share of those
-	failures map[string]int
-	states   map[State]int
-	starts   int
-	twice    int // jobs that may not be repeated and were started more than once
-	lost     int // jobs that are in no state at all
+	usedCPU      float64 // share of the workers' processors that tasks really used
+	usedMemory   float64 // share of their memory
+	excessCPU    float64 // processors wanted beyond what the workers have, as a share of those
+	failures     map[string]int
+	states       map[State]int
+	starts       int
+	startedTwice int // jobs that may not be repeated and were started more than once
+	missingJobs  int // jobs that are in no state at all
 }
 
-// play runs for a time and keeps so many jobs waiting.
-func (l *load) play(d time.Duration, waiting int) benchTally {
+// simulate runs for a time and keeps so many jobs waiting.
+func (l *load) simulate(d time.Duration, waiting int) benchTally {
 	var out benchTally
 	out.failures = make(map[string]int)
 	out.states = make(map[State]int)
@@ -51,7 +51,7 @@
 			if err := n.Step(l.ctx()); err != nil {
 				l.t.Fatal(err)
 			}
-			l.each(n)
+			l.afterStep(n)
 		}
 		tasks, _ := l.platform.Machines.Tasks(l.ctx())
 		byVM := make(map[model.VMID]model.Resources)
@@ -66,15 +66,15 @@
 		}
 		if second > int(d/time.Second)/2 {
 			used, excess := inUse(byVM)
-			out.excess += float64(excess) / float64(workerSize.MilliCPU*int64(len(l.snap.VMs)))
-			out.real += float64(used.MilliCPU) / float64(workerSize.MilliCPU*int64(len(l.snap.VMs)))
-			out.memory += float64(used.MemoryMB) / float64(workerSize.MemoryMB*int64(len(l.snap.VMs)))
+			out.excessCPU += float64(excess) / float64(workerSize.MilliCPU*int64(len(l.snap.VMs)))
+			out.usedCPU += float64(used.MilliCPU) / float64(workerSize.MilliCPU*int64(len(l.snap.VMs)))
+			out.usedMemory += float64(used.MemoryMB) / float64(workerSize.MemoryMB*int64(len(l.snap.VMs)))
 			samples++
 		}
 	}
-	out.real /= float64(samples)
-	out.memory /= float64(samples)
-	out.excess /= float64(samples)
+	out.usedCPU /= float64(samples)
+	out.usedMemory /= float64(samples)
+	out.excessCPU /= float64(samples)
 	l.count(&out)
 	return out
 }
@@ -120,12 +120,12 @@
 	for _, r := range all {
 		out.states[r.State]++
 	}
-	out.lost = l.submitted - len(all)
+	out.missingJobs = l.submitted - len(all)
 	tally := l.platform.Machines.Tally()
 	for _, r := range all {
 		out.starts += tally.Starts[r.ID]
 		if !r.Repeatable && tally.Starts[r.ID] > 1 {
-			out.twice++
+			out.startedTwice++
 		}
 	}
 }
@@ -151,15 +151,15 @@
 	for _, name := range []string{"learned", "trust-declaration"} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				l := &load{testCluster: newTestCluster(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, each: func(*testEntry) {}}
+				l := &load{testCluster: newTestCluster(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, afterStep: func(*testEntry) {}}
 				if name != "learned" {
-					l.job = alone(job) // nothing is learned of a kind of one job
+					l.job = withOwnKind(job) // nothing is learned of a kind of one job
 				}
 				l.platform.Machines.SetUsageEvery(10 * time.Second)
-				got := l.play(20*time.Minute, 150)
-				b.ReportMetric(100*got.real, "cpu%")
-				b.ReportMetric(100*got.memory, "mem%")
-				b.ReportMetric(100*got.excess, "cpu-excess%")
+				got := l.simulate(20*time.Minute, 150)
+				b.ReportMetric(100*got.usedCPU, "cpu%")
+				b.ReportMetric(100*got.usedMemory, "mem%")
+				b.ReportMetric(100*got.excessCPU, "cpu-excess%")
 				b.ReportMetric(float64(got.failures[infra.ReasonMemoryGuard]), "memory-stops")
 				b.ReportMetric(float64(got.states[Succeeded]), "succeeded")
 			}
@@ -167,10 +167,10 @@
 	}
 }
 
-type drawJob func(rng *rand.Rand, n int) (model.Job, standin.Behaviour)
+type jobGenerator func(rng *rand.Rand, n int) (model.Job, standin.Behaviour)
 
-// alone gives each job a kind of its own.
-func alone(job drawJob) drawJob {
+// withOwnKind gives each job a kind of its own.
+func withOwnKind(job jobGenerator) jobGenerator {
 	return func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
 		j, behaviour := job(rng, n)
 		j.Kind = fmt.Sprint(j.Kind, "-", n)
@@ -196,22 +196,22 @@
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(2, 2)), job: job, each: c.each}
+				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(2, 2)), job: job, afterStep: c.each}
 				for i := range 4 {
 					l.platform.Machines.SetWorkerFails(model.VMID(fmt.Sprintf("v%04d", 50*i+7)), true)
 				}
-				got := l.play(5*time.Minute, 200)
+				got := l.simulate(5*time.Minute, 200)
 				b.ReportMetric(float64(got.failures["the worker failed it"]), "failed-starts")
 				b.ReportMetric(float64(got.states[Failed]), "jobs-failed")
 				b.ReportMetric(float64(got.states[Succeeded]), "succeeded")
-				b.ReportMetric(float64(wronglyBanned(l)), "wrongly-quarantined")
-				b.ReportMetric(float64(got.twice), "started-twice")
+				b.ReportMetric(float64(wronglyQuarantined(l)), "wrongly-quarantined")
+				b.ReportMetric(float64(got.startedTwice), "started-twice")
 			}
 		})
 	}
 }
 
-func wronglyBanned(l *load) int {
+func wronglyQuarantined(l *load) int {
 	n := 0
 	for vm := range l.entries[0].learned.Blame.Workers {
 		closed, probe := l.entries[0].learned.Blame.WorkerStatus(vm, l.clock.Now())
@@ -230,7 +230,7 @@
 	for _, after := range []time.Duration{time.Second, 25 * time.Second} {
 		b.Run("after-"+after.String(), func(b *testing.B) {
 			for b.Loop() {
-				banned := 0
+				maxWrong := 0
 				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(3, 3))}
 				l.job = func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
 					j := smallJob()
@@ -240,9 +240,9 @@
 					}
 					return j, standin.Behaviour{Size: j.Declared, RunTime: time.Duration(30+rng.IntN(60)) * time.Second}
 				}
-				l.each = func(*testEntry) { banned = max(banned, wronglyBanned(l)) }
-				got := l.play(6*time.Minute, 1500)
-				b.ReportMetric(float64(banned), "wrongly-quarantined")
+				l.afterStep = func(*testEntry) { maxWrong = max(maxWrong, wronglyQuarantined(l)) }
+				got := l.simulate(6*time.Minute, 1500)
+				b.ReportMetric(float64(maxWrong), "wrongly-quarantined")
 				b.ReportMetric(float64(got.states[Failed]), "jobs-stopped")
 				b.ReportMetric(float64(got.failures["the job failed"])/1000, "starts/poisoned-job")
 			}
@@ -283,8 +283,8 @@
 		b.ReportMetric(float64(counts.Writes-submits)/20000, "writes/placement")
 		b.ReportMetric(float64(submits), "submit-writes")
 		b.ReportMetric(100*used, "cpu%-while-waiting")
-		b.ReportMetric(float64(got.lost+20000-got.states[Succeeded]), "lost")
-		b.ReportMetric(float64(got.twice), "started-twice")
+		b.ReportMetric(float64(got.missingJobs+20000-got.states[Succeeded]), "lost")
+		b.ReportMetric(float64(got.startedTwice), "started-twice")
 	}
 }
 
