--- a/internal/jobs/urgent_bench_test.go
+++ b/internal/jobs/urgent_bench_test.go
@@ -20,22 +20,22 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// today is a deployment of today's size on the stand-in over loopback HTTP,
+// deployment is a deployment of deployment's size on the stand-in over loopback HTTP,
 // in real time: 50 workers, 8 entry VMs, and the service's limits of writes
 // and reads.
-type today struct {
-	server  *standin.Server // the machines, which are no part of the service and its limits
-	service *standin.Server
-	address string // of the service
-	nodes   []*Jobs
-	starts  *startTimes
+type deployment struct {
+	server       *standin.Server // the machines, which are no part of the service and its limits
+	service      *standin.Server
+	address      string // of the service
+	nodes        []*Jobs
+	startLatency *startLatencies
 }
 
-// startTimes are the times from submit to start, in microseconds.
-type startTimes struct {
-	mu     sync.Mutex
-	spans  *hdrhistogram.Histogram
-	failed int // submits
+// startLatencies are the times from submit to start, in microseconds.
+type startLatencies struct {
+	mu            sync.Mutex
+	histogram     *hdrhistogram.Histogram
+	failedSubmits int // submits
 }
 
 const (
@@ -43,9 +43,9 @@
 	readsPerSecond  = 2000
 )
 
-func newToday(b *testing.B, ctx context.Context) *today {
+func newDeployment(b *testing.B, ctx context.Context) *deployment {
 	clock := clockwork.NewRealClock()
-	d := &today{server: standin.New(clock), starts: &startTimes{spans: hdrhistogram.New(1, 60_000_000, 3)}}
+	d := &deployment{server: standin.New(clock), startLatency: &startLatencies{histogram: hdrhistogram.New(1, 60_000_000, 3)}}
 	b.Cleanup(d.server.Close)
 	d.service = standin.New(clock)
 	b.Cleanup(d.service.Close)
@@ -78,10 +78,10 @@
 	return d
 }
 
-// crowd writes as often as the service lets all clients together write, and
+// loadStore writes as often as the service lets all clients together write, and
 // each of its writes that is refused comes again, as other work of the system
 // would at its busiest.
-func (d *today) crowd(ctx context.Context) {
+func (d *deployment) loadStore(ctx context.Context) {
 	const clients = 30
 	for range clients {
 		store := gateway.New(gateway.Options{Endpoints: []string{d.address}, Timeout: time.Second})
@@ -105,15 +105,15 @@
 // Submit until the platform had its task.
 func BenchmarkUrgentStart(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		crowd bool
+		name      string
+		storeLoad bool
 	}{{"store-idle", false}, {"store-at-its-limit", true}} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
 				ctx, cancel := context.WithCancel(context.Background())
-				d := newToday(b, ctx)
-				if c.crowd {
-					d.crowd(ctx)
+				d := newDeployment(b, ctx)
+				if c.storeLoad {
+					d.loadStore(ctx)
 				}
 				time.Sleep(3 * time.Second) // the service's burst is used up, and one holds the lease
 				d.drive(ctx, 200)
@@ -126,9 +126,9 @@
 
 // drive submits urgent jobs one after the other. A twentieth comes with a burst
 // of 50 deferrable ones.
-func (d *today) drive(ctx context.Context, n int) {
+func (d *deployment) drive(ctx context.Context, n int) {
 	rng := rand.New(rand.NewPCG(9, 9))
-	var waits sync.WaitGroup
+	var pending sync.WaitGroup
 	for i := range n {
 		job := smallJob()
 		job.Class, job.Kind = model.ClassUrgent, "quote"
@@ -136,40 +136,40 @@
 		id := jobID(change, 0)
 		d.server.Machines.SetBehaviour(id, standin.Behaviour{RunTime: 2 * time.Second})
 		if i%20 == 0 {
-			flood := smallJob()
-			flood.Class = model.ClassDeferrable
-			waits.Go(func() { _, _ = d.nodes[i%len(d.nodes)].Submit(ctx, "", copiesOf(50, flood)) })
+			deferrable := smallJob()
+			deferrable.Class = model.ClassDeferrable
+			pending.Go(func() { _, _ = d.nodes[i%len(d.nodes)].Submit(ctx, "", copiesOf(50, deferrable)) })
 		}
 		at := time.Now()
 		node := d.nodes[rng.IntN(len(d.nodes))]
-		waits.Go(func() {
+		pending.Go(func() {
 			if _, err := node.Submit(ctx, change, []model.Job{job}); err != nil {
-				d.starts.mu.Lock()
-				d.starts.failed++
-				d.starts.mu.Unlock()
+				d.startLatency.mu.Lock()
+				d.startLatency.failedSubmits++
+				d.startLatency.mu.Unlock()
 				return
 			}
 			d.await(id, at)
 		})
 		time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
 	}
-	waits.Wait()
+	pending.Wait()
 }
 
 // await asks the stand-in itself, not over HTTP, until the job has started.
-func (d *today) await(id model.JobID, since time.Time) {
+func (d *deployment) await(id model.JobID, since time.Time) {
 	for time.Since(since) < 30*time.Second {
 		if d.server.Machines.Tally().Starts[id] > 0 {
 			break
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	d.starts.mu.Lock()
-	defer d.starts.mu.Unlock()
-	_ = d.starts.spans.RecordValue(time.Since(since).Microseconds())
+	d.startLatency.mu.Lock()
+	defer d.startLatency.mu.Unlock()
+	_ = d.startLatency.histogram.RecordValue(time.Since(since).Microseconds())
 }
 
-func (d *today) report(b *testing.B) {
+func (d *deployment) report(b *testing.B) {
 	twice, starts := 0, d.server.Machines.Tally().Starts
 	for _, n := range starts {
 		if n > 1 {
@@ -181,10 +181,10 @@
 		writes += n.Counts().Writes
 		limited += n.Counts().Limited
 	}
-	b.ReportMetric(float64(d.starts.spans.ValueAtQuantile(50))/1000, "p50-ms")
-	b.ReportMetric(float64(d.starts.spans.ValueAtQuantile(99))/1000, "p99-ms")
-	b.ReportMetric(float64(d.starts.spans.Max())/1000, "max-ms")
-	b.ReportMetric(float64(d.starts.failed), "submits-failed")
+	b.ReportMetric(float64(d.startLatency.histogram.ValueAtQuantile(50))/1000, "p50-ms")
+	b.ReportMetric(float64(d.startLatency.histogram.ValueAtQuantile(99))/1000, "p99-ms")
+	b.ReportMetric(float64(d.startLatency.histogram.Max())/1000, "max-ms")
+	b.ReportMetric(float64(d.startLatency.failedSubmits), "submits-failed")
 	b.ReportMetric(float64(twice), "started-twice")
 	b.ReportMetric(float64(writes)/float64(len(starts)), "writes/job")
 	b.ReportMetric(float64(limited), "refused-by-rate")
