--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -82,7 +82,7 @@
 		}
 		var denied *access.Error
 		if errors.As(err, &denied) && method != http.MethodGet {
-			h.Trail.Note(audit.Entry{Who: who.Name, From: remote(req), What: method + " " + req.URL.Path, Result: audit.Refused, Detail: denied.Error()})
+			h.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(req), What: method + " " + req.URL.Path, Result: audit.Refused, Detail: denied.Error()})
 		}
 		p := problemOf(err)
 		h.Log.V(1).Info("request on jobs failed", "who", who.Name, "status", p.Status, "error", err.Error())
@@ -96,10 +96,10 @@
 	_ = json.NewEncoder(w).Encode(body) // the client may be gone
 }
 
-// note enters an order in the audit trail, in the background: a submit must
+// recordAudit enters an order in the audit trail, in the background: a submit must
 // not wait for a second write while urgent work has 2.2 s to start.
-func (h *handler) note(r *http.Request, who access.Identity, change model.ChangeID, what, detail string, err error) {
-	e := audit.Entry{Who: who.Name, From: remote(r), Change: change, What: what, Detail: detail, Result: audit.Done}
+func (h *handler) recordAudit(r *http.Request, who access.Identity, change model.ChangeID, what, detail string, err error) {
+	e := audit.Entry{Who: who.Name, From: remoteHost(r), Change: change, What: what, Detail: detail, Result: audit.Done}
 	var refusal *jobs.Refusal
 	switch {
 	case errors.As(err, &refusal):
@@ -110,7 +110,7 @@
 	h.Trail.Note(e)
 }
 
-func remote(r *http.Request) string {
+func remoteHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
--- a/internal/jobs/jobsapi/jobsapi_test.go
+++ b/internal/jobs/jobsapi/jobsapi_test.go
@@ -21,24 +21,24 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// gate admits as far as the role goes.
-type gate struct{ role access.Role }
+// roleGate admits as far as the role goes.
+type roleGate struct{ role access.Role }
 
-func (g *gate) Admit(_ *http.Request, need access.Role) (access.Identity, error) {
+func (g *roleGate) Admit(_ *http.Request, need access.Role) (access.Identity, error) {
 	if g.role < need {
 		return access.Identity{Name: "ana"}, &access.Error{Known: true, Detail: "the role does not suffice"}
 	}
 	return access.Identity{Name: "ana", Role: g.role}, nil
 }
 
-type port struct {
+type testAPI struct {
 	http.Handler
 	jobs  *jobs.Jobs
-	gate  *gate
+	gate  *roleGate
 	trail *audit.Trail
 }
 
-func newPort(t *testing.T) *port {
+func newTestAPI(t *testing.T) *testAPI {
 	clock := clockwork.NewFakeClock()
 	store := memstore.New(clock)
 	platform := standin.New(clock)
@@ -49,13 +49,13 @@
 	holder.Publish(&view.Snapshot{Revision: 1, Declaration: &model.Declaration{Generation: 1},
 		VMs: map[model.VMID]view.VMRecord{"v1": {VM: model.VM{ID: "v1", Capacity: capacity, State: model.VMInPool, Pool: "batch", Zone: "gt-a"}}}})
 	j := jobs.New(jobs.Options{Store: store, Machines: platform.Machines, View: holder, Self: "e1", Clock: clock, Log: logr.Discard()})
-	g := &gate{role: access.RoleOperate}
+	g := &roleGate{role: access.RoleOperate}
 	trail := audit.New(audit.Options{Store: store, Self: "e1", Clock: clock, Pace: -1, Log: logr.Discard()})
-	return &port{New(Options{Jobs: j, Access: g, Trail: trail, Log: logr.Discard()}), j, g, trail}
+	return &testAPI{New(Options{Jobs: j, Access: g, Trail: trail, Log: logr.Discard()}), j, g, trail}
 }
 
 // call returns the status and decodes the answer into reply.
-func (p *port) call(t *testing.T, method, path, body string, reply any) int {
+func (p *testAPI) call(t *testing.T, method, path, body string, reply any) int {
 	t.Helper()
 	w := httptest.NewRecorder()
 	p.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
@@ -65,14 +65,14 @@
 	return w.Code
 }
 
-const two = `{"change":"c-1","jobs":[{"team":"panel","kind":"dedup","class":"deferrable","milliCPU":1000,"memoryMB":512,"runTime":"90s","repeatable":true},
+const twoJobs = `{"change":"c-1","jobs":[{"team":"panel","kind":"dedup","class":"deferrable","milliCPU":1000,"memoryMB":512,"runTime":"90s","repeatable":true},
 	{"team":"field","kind":"incentives","milliCPU":9000,"memoryMB":512,"repeatable":false}]}`
 
 func TestSubmitListCancel(t *testing.T) {
-	p := newPort(t)
+	p := newTestAPI(t)
 	var submitted SubmitReply
 	for range 2 { // a repeat adds nothing
-		assert.Equal(t, p.call(t, "POST", Prefix, two, &submitted), 200)
+		assert.Equal(t, p.call(t, "POST", Prefix, twoJobs, &submitted), 200)
 		assert.DeepEqual(t, submitted.Jobs, []model.JobID{"c-1.0", "c-1.1"})
 	}
 	assert.NilError(t, p.jobs.Step(context.Background()))
@@ -111,11 +111,11 @@
 		{"no such job", "GET", Prefix + "/c.9", "", access.RoleView, 404, "no job c.9"},
 		{"no such job to cancel", "DELETE", Prefix + "/nonsense", "", access.RoleOperate, 409, "no job nonsense"},
 		{"nothing to decide", "PUT", Prefix + "/c.9/outcome", `{"outcome":"ran"}`, access.RoleOperate, 404, "no job c.9"},
-		{"a viewer may not submit", "POST", Prefix, two, access.RoleView, 403, "role"},
+		{"a viewer may not submit", "POST", Prefix, twoJobs, access.RoleView, 403, "role"},
 		{"nor cancel", "DELETE", Prefix + "?team=panel", "", access.RoleView, 403, "role"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newPort(t)
+			p := newTestAPI(t)
 			p.gate.role = tc.role
 			var problem struct{ Detail string }
 			assert.Equal(t, p.call(t, tc.method, tc.path, tc.body, &problem), tc.status, problem.Detail)
@@ -127,9 +127,9 @@
 // An operator without the role submits jobs. The refusal has to be in the audit
 // trail: whoever tries doors is to be seen, also where none opened.
 func TestDeniedSubmitIsInTheTrail(t *testing.T) {
-	p := newPort(t)
+	p := newTestAPI(t)
 	p.gate.role = access.RoleView
-	assert.Equal(t, p.call(t, http.MethodPost, Prefix, two, nil), http.StatusForbidden)
+	assert.Equal(t, p.call(t, http.MethodPost, Prefix, twoJobs, nil), http.StatusForbidden)
 	assert.Equal(t, p.call(t, http.MethodGet, Prefix, "", nil), http.StatusOK)
 	assert.NilError(t, p.trail.Flush(t.Context()))
 
--- a/internal/jobs/jobsapi/operations.go
+++ b/internal/jobs/jobsapi/operations.go
@@ -93,7 +93,7 @@
 		all[i] = job
 	}
 	ids, err := h.Jobs.Submit(ctx, req.Change, all)
-	h.note(r, who, req.Change, "submit "+count(len(all))+" jobs", firstOf(ids), err)
+	h.recordAudit(r, who, req.Change, "submit "+count(len(all))+" jobs", firstOf(ids), err)
 	return SubmitReply{Jobs: ids}, err
 }
 
@@ -197,7 +197,7 @@
 			reply.Cancelled++
 		}
 	}
-	h.note(r, who, change, "cancel "+count(len(ids))+" jobs", q.Get("reason"), err)
+	h.recordAudit(r, who, change, "cancel "+count(len(ids))+" jobs", q.Get("reason"), err)
 	return reply, err
 }
 
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	err := h.Jobs.Decide(ctx, idOf(r), req.Outcome, who.Name)
-	h.note(r, who, "", "decide job "+string(idOf(r)), string(req.Outcome), err)
+	h.recordAudit(r, who, "", "decide job "+string(idOf(r)), string(req.Outcome), err)
 	if err != nil {
 		return nil, err
 	}
