--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -100,17 +100,17 @@
 		}
 	}
 	var jobs []model.Job
-	var how []standin.Behaviour
+	var newBehaviours []standin.Behaviour
 	for range max(waiting, 0) {
 		job, b := l.job(l.rng, l.submitted+len(jobs))
-		jobs, how = append(jobs, job), append(how, b)
+		jobs, newBehaviours = append(jobs, job), append(newBehaviours, b)
 	}
 	if len(jobs) == 0 {
 		return
 	}
 	for i, id := range l.submit(jobs...) {
-		l.behave(id, how[i])
-		behaviours[id] = how[i]
+		l.behave(id, newBehaviours[i])
+		behaviours[id] = newBehaviours[i]
 	}
 	l.submitted += len(jobs)
 }
--- a/internal/jobs/failure_test.go
+++ b/internal/jobs/failure_test.go
@@ -110,7 +110,7 @@
 	assert.Equal(t, tasks[0].State, infra.TaskStopped)
 }
 
-func TestLateStartIsTakenUp(t *testing.T) {
+func TestLateStartIsAdopted(t *testing.T) {
 	// As above, but the operator decides that the job has not run. The late
 	// start arrives before the next pass: the job runs under it and is not
 	// started once more.
@@ -129,7 +129,7 @@
 	assert.Equal(t, w.platform.Machines.Tally().Starts[id], 1)
 }
 
-func TestOldFindingsDoNotTouchANewAttempt(t *testing.T) {
+func TestStaleObservationDoesNotChangeNewAttempt(t *testing.T) {
 	// A worker dies. One entry VM finds its task lost and is held up before it
 	// writes that; another has by then started the job elsewhere. The first
 	// must not give up the new attempt for what it saw of the old one.
@@ -224,7 +224,7 @@
 	assert.Equal(t, w.platform.Machines.Tally().Starts[id], 1)
 }
 
-func TestHolderPausedBeforeSendingGivesUp(t *testing.T) {
+func TestHolderPausedBeforeSendingDoesNotStart(t *testing.T) {
 	// The caller sees a late start and one run. The store holds the intent's
 	// reply back for longer than others wait before they act on it, so the
 	// entry VM must not send the start any more.
@@ -242,7 +242,7 @@
 	assert.Equal(t, w.platform.Machines.Tally().Starts[id], 1)
 }
 
-func TestWorkerGone(t *testing.T) {
+func TestLostWorker(t *testing.T) {
 	// A worker dies with a job that may run again and one that may not. The
 	// first runs again elsewhere; of the second nobody knows how far it came.
 	w := newTestCluster(t, 2, 2)
@@ -258,7 +258,7 @@
 }
 
 // A job that crashes each worker that starts it is started on the next, without end.
-func TestAJobWhoseWorkersAreLostAgainAndAgainFails(t *testing.T) {
+func TestJobThatCrashesItsWorkersFails(t *testing.T) {
 	w := newTestCluster(t, 10, 1)
 	id := w.submit(smallJob())[0]
 	for range 9 {
@@ -272,7 +272,7 @@
 	assert.Equal(t, w.platform.Machines.Tally().Starts[id], maxEarlyLosses)
 }
 
-func TestLeasesLapse(t *testing.T) {
+func TestExpiredTaskLeases(t *testing.T) {
 	// All entry VMs are cut off for longer than a task's lease. The platform
 	// ends the tasks as lost: what may run again does, the other is unknown.
 	w := newTestCluster(t, 2, 2)
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, len(kvs), 0, "ended jobs are forgotten")
 }
 
-func TestImpossibleJobIsToldAtOnce(t *testing.T) {
+func TestUnplaceableJobIsReportedAtOnce(t *testing.T) {
 	w := newTestCluster(t, 4, 1)
 	for _, tc := range []struct {
 		name   string
--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -125,7 +125,7 @@
 	p := api.Problem{Status: http.StatusServiceUnavailable, Code: api.CodeUnavailable, Detail: err.Error()}
 	var denied *access.Error
 	var refusal *jobs.Refusal
-	var failed *jobs.Error
+	var platformErr *jobs.Error
 	switch {
 	case errors.As(err, &denied):
 		p.Status, p.Code = http.StatusUnauthorized, api.CodeUnauthorized
@@ -134,7 +134,7 @@
 		}
 	case errors.As(err, &refusal):
 		p.Status, p.Code = statusOf(refusal.Code)
-	case errors.As(err, &failed) && failed.Uncertain:
+	case errors.As(err, &platformErr) && platformErr.Uncertain:
 		p.Code = api.CodeUnknown
 	}
 	p.Title = http.StatusText(p.Status)
--- a/internal/jobs/jobsapi/operations.go
+++ b/internal/jobs/jobsapi/operations.go
@@ -93,11 +93,11 @@
 		all[i] = job
 	}
 	ids, err := h.Jobs.Submit(ctx, req.Change, all)
-	h.recordAudit(r, who, req.Change, "submit "+count(len(all))+" jobs", firstOf(ids), err)
+	h.recordAudit(r, who, req.Change, "submit "+count(len(all))+" jobs", firstJobDetail(ids), err)
 	return SubmitReply{Jobs: ids}, err
 }
 
-func firstOf(ids []model.JobID) string {
+func firstJobDetail(ids []model.JobID) string {
 	if len(ids) == 0 {
 		return ""
 	}
@@ -234,15 +234,15 @@
 		if name == "change" || name == "reason" {
 			continue
 		}
-		if !slices.Contains(filters, name) || len(values) != 1 {
-			return nil, invalid("query."+name, fmt.Sprintf("want one value each of %v", filters))
+		if !slices.Contains(filterColumns, name) || len(values) != 1 {
+			return nil, invalid("query."+name, fmt.Sprintf("want one value each of %v", filterColumns))
 		}
 		where = append(where, lang.Condition{Field: name, Comparison: lang.Equal, Value: values[0]})
 	}
 	return where, nil
 }
 
-var filters = []string{"job", "team", "kind", "class", "state", "vm", "pool", "zone"}
+var filterColumns = []string{"job", "team", "kind", "class", "state", "vm", "pool", "zone"}
 
 func idOf(r *http.Request) model.JobID { return model.JobID(mux.Vars(r)["id"]) }
 
--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -79,15 +79,15 @@
 // Matches reports whether the job fulfils all conditions.
 func Matches(r *jobs.Record, where []lang.Condition) bool {
 	for _, c := range where {
-		if !holds(column(r, c.Field), c) {
+		if !compare(column(r, c.Field), c) {
 			return false
 		}
 	}
 	return true
 }
 
-// holds compares as text: what "show jobs" has are names and words.
-func holds(cell string, c lang.Condition) bool {
+// compare compares as text: what "show jobs" has are names and words.
+func compare(cell string, c lang.Condition) bool {
 	switch c.Comparison {
 	case lang.Equal:
 		return cell == c.Value
--- a/internal/jobs/jobsport/jobsport_test.go
+++ b/internal/jobs/jobsport/jobsport_test.go
@@ -18,11 +18,11 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// trail keeps nothing.
-type trail struct{}
+// discardTrail keeps nothing.
+type discardTrail struct{}
 
-func (trail) Record(context.Context, command.Event) error { return nil }
-func (trail) Note(command.Event)                          {}
+func (discardTrail) Record(context.Context, command.Event) error { return nil }
+func (discardTrail) Note(command.Event)                          {}
 
 func newExecutor(t *testing.T) (*jobs.Jobs, *command.Executor, *faulty.Store) {
 	clock := clockwork.NewFakeClock()
@@ -32,17 +32,17 @@
 	holder := view.NewHolder()
 	holder.Publish(&view.Snapshot{Revision: 1, Declaration: &model.Declaration{Generation: 1}, VMs: map[model.VMID]view.VMRecord{}})
 	j := jobs.New(jobs.Options{Store: store, Machines: platform.Machines, View: holder, Self: "e1", Clock: clock, Log: logr.Discard()})
-	return j, command.New(command.Options{Jobs: CommandAdapter{j}, Trail: trail{}, Clock: clock}), store
+	return j, command.New(command.Options{Jobs: CommandAdapter{j}, Trail: discardTrail{}, Clock: clock}), store
 }
 
-func do(t *testing.T, x *command.Executor, text string, change model.ChangeID) (command.Result, error) {
+func execute(t *testing.T, x *command.Executor, text string, change model.ChangeID) (command.Result, error) {
 	t.Helper()
 	order, err := lang.ParseOrder(text)
 	assert.NilError(t, err)
 	return x.Do(context.Background(), command.Request{Change: change, Text: text, Order: order})
 }
 
-func TestOrdersOnJobs(t *testing.T) {
+func TestCancelJobsByCommand(t *testing.T) {
 	j, x, store := newExecutor(t)
 	job := model.Job{Team: "panel", Kind: "dedup", Repeatable: true, Declared: model.Resources{MilliCPU: 1}}
 	other := job
@@ -55,7 +55,7 @@
 	assert.NilError(t, err)
 
 	before := store.Calls()
-	res, err := do(t, x, "cancel jobs where team = panel", "x-1")
+	res, err := execute(t, x, "cancel jobs where team = panel", "x-1")
 	assert.NilError(t, err)
 	assert.Equal(t, len(res.Effects), 1000)
 	assert.Equal(t, res.Refused(), 0)
@@ -63,9 +63,9 @@
 	after := store.Calls()
 	assert.Assert(t, after.Writes+after.Reads-before.Writes-before.Reads <= 6, "%+v after %+v", after, before)
 
-	_, err = do(t, x, "cancel job c.1", "x-2")
+	_, err = execute(t, x, "cancel job c.1", "x-2")
 	assert.ErrorContains(t, err, "cancelled already")
-	_, err = do(t, x, "cancel jobs where team = panel", "x-3")
+	_, err = execute(t, x, "cancel jobs where team = panel", "x-3")
 	assert.ErrorContains(t, err, "0 jobs fulfil this")
 	left, err := QueryAdapter{j}.Jobs(context.Background())
 	assert.NilError(t, err)
@@ -73,7 +73,7 @@
 	assert.Equal(t, len(left[1].Chain), 2)
 }
 
-func TestWhere(t *testing.T) {
+func TestMatches(t *testing.T) {
 	r := &jobs.Record{Job: model.Job{ID: "c.1", Team: "panel", Class: model.ClassUrgent}, State: jobs.Waiting}
 	for _, tc := range []struct {
 		name string
