--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,11 +1,14 @@
-// Package jobs places submitted jobs on the workers and sees them through.
+// Package jobs places submitted jobs on workers and tracks them until they
+// end.
 //
-// Every entry VM may run a Jobs. It is level-driven: a pass compares what the
-// store says of each job with what the platform says of its task, and does the
-// next step. Each transition is a compare-and-swap on the key of the job's
-// group, and each start is written as an intent with an attempt ID before the
-// platform is asked, so any number of them may work at once, pause or die. A
-// lease picks one that does the work, only to save effort.
+// Every entry VM may run a Jobs. It is level-triggered: each reconciliation
+// pass compares the stored state of every job with the state of its task on
+// the platform and makes the next transition. A transition is a compare-and-swap
+// on the key of the job's group, and every start is stored as an intent with an
+// attempt ID before the platform is asked to start the task. Correctness
+// therefore doesn't depend on how many entry VMs do passes concurrently, or on
+// whether one of them pauses or crashes. A lease elects one entry VM, the lease
+// holder, to do the passes; it only avoids duplicate work.
 package jobs
 
 import (
@@ -24,22 +27,22 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Options are what a Jobs works with. Store, Machines, View and Self are
-// required.
+// Options configures a Jobs. Store, Machines, View and Self are required.
 type Options struct {
 	Store    infra.Store
 	Machines infra.Machines
 	View     *view.Holder
 	Self     model.EntryID
-	// MaintenanceSoon reports whether the VM is about to be maintained; nil for never.
+	// MaintenanceSoon reports whether maintenance of the VM is due soon. Nil
+	// means that it never is.
 	MaintenanceSoon func(model.VMID) bool
 	Clock           clockwork.Clock // the real one if nil
 	Log             logr.Logger
-	NewID           func() string // makes unique IDs; random if nil
+	NewID           func() string // returns a unique ID; random IDs if nil
 }
 
-// Jobs is the executor of one entry VM, and the commands and questions on
-// jobs. It is safe for concurrent use.
+// Jobs runs the job executor of one entry VM and answers commands and queries
+// on jobs. It is safe for concurrent use.
 type Jobs struct {
 	store           infra.Store
 	machines        infra.Machines
@@ -49,42 +52,42 @@
 	clock           clockwork.Clock
 	log             logr.Logger
 	newID           func() string
-	owner           string // this run of the entry VM
-	parallel        int    // calls to the machines at once
+	owner           string // Self and a random ID: distinguishes this process from earlier ones of the same entry VM
+	parallel        int    // maximum number of concurrent calls to Machines
 	wakeup          chan struct{}
 	mirror          *mirror
 	counts          counts
 	batcher         submitBatcher
 	urgent          urgentJobs
 
-	passMu sync.Mutex // one pass at a time
-	// What follows is used by passes alone.
+	passMu sync.Mutex // held during a pass
+	// The fields below are guarded by passMu.
 	lease     lease
-	stopWatch context.CancelFunc            // ends the watch
-	sent      map[model.AttemptID]bool      // starts that were sent, and whether their outcome is open
-	renewed   map[model.AttemptID]time.Time // when a task's lease was last renewed
+	stopWatch context.CancelFunc            // cancels the watch on jobs
+	sent      map[model.AttemptID]bool      // attempts whose start this process has sent or is about to send
+	renewed   map[model.AttemptID]time.Time // time of the last renewal of each task's lease
 	learned   *learnedState
 }
 
-// counts are what a Jobs did, for metrics and benchmarks.
+// counts holds the counters of a Jobs for metrics and benchmarks.
 type counts struct {
 	writes, limited, starts, passes atomic.Int64
 }
 
-// Counts is what this entry VM did with jobs since it began.
+// Counts are the counters of a Jobs since this entry VM started.
 type Counts struct {
 	Writes  int64 // transactions sent
-	Limited int64 // of them refused because of the service's rate
-	Starts  int64 // tasks that the platform was asked to start
-	Passes  int64
+	Limited int64 // calls refused by a rate limit and repeated
+	Starts  int64 // start requests sent to the platform, repeats included
+	Passes  int64 // reconciliation passes begun
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counters.
 func (j *Jobs) Counts() Counts {
 	return Counts{j.counts.writes.Load(), j.counts.limited.Load(), j.counts.starts.Load(), j.counts.passes.Load()}
 }
 
-// New returns a Jobs. It does nothing until Step or Run is called.
+// New returns a Jobs. It does no passes until Step or Run is called.
 func New(o Options) *Jobs {
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
@@ -117,7 +120,7 @@
 
 func randomID() string {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails, by its contract
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error
 	return hex.EncodeToString(b[:])
 }
 
@@ -125,10 +128,10 @@
 	return model.ChangeID(string(j.self) + "-" + j.newID())
 }
 
-// NewChangeID returns a change ID for a request that bears none.
+// NewChangeID returns a change ID for a request that came without one.
 func (j *Jobs) NewChangeID() model.ChangeID { return model.ChangeID("c-" + j.newID()) }
 
-// Wake lets Run pass at once.
+// Wake makes Run start a pass without waiting for the next interval.
 func (j *Jobs) Wake() {
 	select {
 	case j.wakeup <- struct{}{}:
@@ -136,8 +139,9 @@
 	}
 }
 
-// Step does one pass, whether or not this entry VM holds the lease: two passes
-// at once on two entry VMs collide in their compare-and-swap and do no harm.
+// Step does one pass, whether or not this entry VM holds the lease. Concurrent
+// passes on two entry VMs are safe: of two conflicting compare-and-swaps only
+// one succeeds.
 func (j *Jobs) Step(ctx context.Context) error {
 	j.passMu.Lock()
 	defer j.passMu.Unlock()
