--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// passInterval is how often the holder looks at tasks, which bounds how late
-	// an end or a lapse is seen. New jobs wake it at once.
+	// passInterval is how often the lease holder polls the platform's tasks. It
+	// bounds how late the end of a task or the expiry of its lease is noticed.
+	// New jobs trigger a pass without waiting for it.
 	passInterval = time.Second
-	// minPassInterval is the least time between two passes, so that a stream of single
-	// submits is placed in groups.
+	// minPassInterval is the pause between two passes. It makes a stream of
+	// single submits be placed in batches.
 	minPassInterval = 20 * time.Millisecond
-	// handOverTimeout bounds the hand-over when the daemon stops.
+	// handOverTimeout bounds the release of the lease when the daemon stops.
 	handOverTimeout = 2 * time.Second
 )
 
-// Run does passes while this entry VM holds the lease, until ctx ends. Errors
-// are logged and tried again.
+// Run does passes while this entry VM holds the lease, until ctx is cancelled.
+// Errors of a pass are logged and the pass is retried. It returns nil.
 func (j *Jobs) Run(ctx context.Context) error {
 	defer j.handOver(ctx)
 	for ctx.Err() == nil {
 		again, err := j.passIfHolder(ctx)
 		if err != nil && ctx.Err() == nil {
-			j.log.Error(err, "pass over jobs failed, will be tried again")
+			j.log.Error(err, "reconciliation pass over jobs failed, retrying")
 		}
 		j.waitForWork(ctx, again)
 	}
 	return nil
 }
 
-// waitForWork waits until there is reason for another pass.
+// waitForWork returns after minPassInterval if another pass should follow
+// immediately, otherwise on Wake or after passInterval more.
 func (j *Jobs) waitForWork(ctx context.Context, again bool) {
 	j.sleep(ctx, minPassInterval)
 	if again {
@@ -59,8 +61,9 @@
 	j.releaseLease(ctx)
 }
 
-// passIfHolder does a pass where this entry VM holds the lease, and reports whether
-// another should follow at once.
+// passIfHolder does a pass if this entry VM holds the lease or can acquire it,
+// and reports whether another pass should follow immediately. Without the lease
+// it only places urgent jobs that are overdue.
 func (j *Jobs) passIfHolder(ctx context.Context) (again bool, err error) {
 	j.passMu.Lock()
 	defer j.passMu.Unlock()
@@ -81,8 +84,9 @@
 	return again, j.watchJobs(ctx)
 }
 
-// watchJobs watches the jobs while this entry VM holds the lease. A waiting watch
-// is a call against the service's limits, so the others keep none.
+// watchJobs keeps the mirror up to date by a watch while this entry VM holds the
+// lease. An open watch counts against the store's limits, so entry VMs
+// without the lease have none.
 func (j *Jobs) watchJobs(ctx context.Context) error {
 	if j.mirror.isWatching() {
 		return nil
