--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -12,14 +12,16 @@
 	"github.com/pumicestage/pumicestage/policy/placement"
 )
 
-// pass is one look at everything. What it knows is fixed at its beginning.
+// pass is one reconciliation pass. The time, the tasks and the platform's VMs
+// are read once when it begins; the records are read again after the first
+// transitions.
 type pass struct {
 	*Jobs
 	now       time.Time
 	tasks     map[model.AttemptID]infra.Task
 	listedVMs map[model.VMID]infra.Machine
-	records   []*Record // of all jobs, by ID
-	again     bool      // another pass should follow at once
+	records   []*Record // all jobs, sorted by ID
+	again     bool      // another pass should follow immediately
 }
 
 func (j *Jobs) pass(ctx context.Context) (again bool, err error) {
@@ -27,8 +29,9 @@
 	if j.view.Load().Declaration == nil {
 		return false, nil
 	}
-	// The store first, then the platform: a task that a record calls running
-	// was started before, so a list without it proves that it is gone.
+	// The store is read before the platform: a task whose record says Running
+	// was started before the list was made, so if the list lacks it, the task
+	// no longer exists.
 	if err := j.mirror.refresh(ctx); err != nil {
 		return false, err
 	}
@@ -65,7 +68,7 @@
 	return p, nil
 }
 
-// collectRecords takes the records as the mirror has them now.
+// collectRecords reloads p.records from the mirror.
 func (p *pass) collectRecords() {
 	p.records = p.records[:0]
 	for _, g := range p.mirror.all() {
@@ -76,7 +79,7 @@
 	slices.SortFunc(p.records, func(a, b *Record) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// workers returns the VMs of the view as placement sees them.
+// workers converts the VMs of the view to workers for placement.
 func (p *pass) workers() []placement.Worker {
 	snap := p.view.Load()
 	used := make(map[model.VMID]model.Resources)
@@ -94,9 +97,10 @@
 	return workers
 }
 
-// closedReason says why a VM takes no new task. The platform's list lags, so a VM it
-// calls dead may be back and one it calls live may be gone; the first costs a
-// little capacity, the second a refused start.
+// closedReason returns why a VM takes no new tasks, or "" if it does. With probe
+// it takes one job at a time as a test. The platform's list lags: a VM listed
+// as down may be up again, which leaves a little capacity unused, and one listed
+// as live may be gone, which costs a refused start.
 func (p *pass) closedReason(vm *model.VM) (reason string, probe bool) {
 	m, listed := p.listedVMs[vm.ID]
 	switch {
@@ -110,7 +114,8 @@
 	return p.learned.workerStatus(vm.ID, p.now)
 }
 
-// schedule plans and starts.
+// schedule computes a placement plan, preempts and starts tasks by it, and
+// records why the remaining jobs wait.
 func (p *pass) schedule(ctx context.Context) error {
 	plan := placement.MakePlan(p.snapshot())
 	if err := p.preempt(ctx, plan.Preemptions); err != nil {
@@ -135,9 +140,9 @@
 	return s
 }
 
-// recordRefusals writes why jobs wait, where that has changed in kind. A sentence that
-// names another nearest worker is not worth a write: with 20,000 jobs waiting
-// it would be hundreds of writes in every pass.
+// recordRefusals stores why jobs wait, if the violated constraint has changed. A
+// reason that only names another nearest worker is not written: with 20,000
+// waiting jobs that would be hundreds of writes in every pass.
 func (p *pass) recordRefusals(ctx context.Context, refused []placement.Refusal) error {
 	var changes []transition
 	for _, f := range refused {
@@ -161,7 +166,8 @@
 	return err
 }
 
-// sameConstraint compares the constraints in front of two reasons.
+// sameConstraint reports whether two reasons begin with the same constraint, the
+// text before the first colon.
 func sameConstraint(a, b string) bool {
 	constraint := func(s string) string {
 		for i := range s {
