--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -12,12 +12,12 @@
 	"github.com/pumicestage/pumicestage/policy/quota"
 )
 
-// startGrace is how long an intent may stand without its task showing up
-// before others act on it: many times what a start takes, so that the writer
-// is dead or paused.
+// startGrace is how long an intent may exist without its task being listed
+// before other entry VMs act on it. It is many times the duration of a start, so
+// by then the writer of the intent has crashed or is paused.
 const startGrace = 30 * time.Second
 
-// observe compares each job with its task.
+// observe compares each job with its task and writes the transitions that follow.
 func (p *pass) observe(ctx context.Context) error {
 	var changes []transition
 	for _, r := range p.records {
@@ -33,16 +33,16 @@
 	return err
 }
 
-// attemptSettled reports whether a job that waits has nothing to learn from its last
-// attempt. One that was given up and runs or succeeded after all, because its
-// start arrived late, is taken up again instead of being started once more.
+// attemptSettled reports whether the last attempt of a waiting job needs no more
+// attention. An abandoned attempt whose start arrived late, so that its task
+// runs or has succeeded, is adopted again instead of starting the job once more.
 func (p *pass) attemptSettled(r *Record, task infra.Task) bool {
 	startedLate := task.State == infra.TaskRunning || task.State == infra.TaskSucceeded
 	return (r.State == Waiting || r.State == Unplaceable) && !startedLate
 }
 
-// ifUnchanged lets a transition take effect only on the attempt and state it was
-// made for.
+// ifUnchanged returns a transition that applies only while the record still has
+// the attempt and state that were observed.
 func ifUnchanged(seen *Record, apply func(r *Record)) transition {
 	attempt, state := seen.Attempt, seen.State
 	return transition{seen.ID, func(r *Record) bool {
@@ -54,7 +54,8 @@
 	}}
 }
 
-// nextTransition returns the transition that the job's task calls for, or nil.
+// nextTransition returns the transition that follows from the state of the job's
+// task, or nil if there is none.
 func (p *pass) nextTransition(r *Record, task infra.Task, listed bool) func(r *Record) {
 	if !listed {
 		return p.onTaskMissing(r)
@@ -75,7 +76,8 @@
 	return p.onAttemptLost(r, task.Reason)
 }
 
-// onTaskMissing deals with a job whose task the platform does not know.
+// onTaskMissing returns the transition of a job whose task the platform does not
+// list, or nil.
 func (p *pass) onTaskMissing(r *Record) func(r *Record) {
 	if r.State == Unknown {
 		return nil
@@ -86,7 +88,8 @@
 	_, sentHere := p.sent[r.Attempt]
 	switch {
 	case r.Owner == p.owner && !sentHere:
-		// The reply to the intent was lost, so no start was ever sent.
+		// This process wrote the intent but got no reply to the write, so it
+		// never sent the start.
 		return func(r *Record) { r.abandonAttempt(p.now, "not started: the intent was not certain") }
 	case p.now.Sub(r.Since) < startGrace:
 		return nil
@@ -94,7 +97,8 @@
 	return p.onAttemptLost(r, "its start was not answered")
 }
 
-// onAttemptLost deals with an attempt of which it is not known whether it did its work.
+// onAttemptLost returns the transition of a job whose attempt ended without a
+// known outcome: it may or may not have done its work.
 func (p *pass) onAttemptLost(r *Record, why string) func(r *Record) {
 	if r.State == Unknown {
 		return nil
@@ -117,15 +121,17 @@
 	}
 }
 
-// A job may crash whatever starts it. Started again without end it takes a pool down worker
-// by worker.
+// A job that crashes every worker it starts on would, if restarted without
+// limit, take down a pool worker by worker. It fails once its worker was lost
+// within earlyLossWindow of the start maxEarlyLosses times.
 const (
 	earlyLossWindow = time.Minute
 	maxEarlyLosses  = 5
 )
 
-// onTaskStopped deals with an attempt that was ended by order. Work that is not
-// repeatable has begun, so it is not begun again.
+// onTaskStopped returns the transition of a job whose task was stopped on request.
+// A job that is not repeatable has begun its work, so it fails instead of being
+// started again.
 func (p *pass) onTaskStopped(r *Record, task infra.Task) func(r *Record) {
 	if r.Repeatable || r.CancelBy != "" {
 		return func(r *Record) { r.abandonAttempt(p.now, task.Reason) }
@@ -133,11 +139,11 @@
 	return func(r *Record) { r.enter(Failed, p.now, "it was stopped and is not repeatable") }
 }
 
-// maxMemoryDoublings bounds how often a job gets twice the memory: 16 times what was
-// thought is not an estimate that was off, it is a leak.
+// maxMemoryDoublings bounds how often a job's memory is doubled. A job that
+// exceeds 16 times its estimate has a memory leak rather than a wrong estimate.
 const maxMemoryDoublings = 4
 
-// onTaskFailed deals with an attempt that ended with a failure.
+// onTaskFailed returns the transition of a job whose task failed.
 func (p *pass) onTaskFailed(r *Record, why string) func(r *Record) {
 	switch {
 	case r.CancelBy != "":
@@ -172,8 +178,8 @@
 	}
 }
 
-// stopOrphans stops tasks of attempts that were given up but started after
-// all, and tasks of jobs that are to be cancelled.
+// stopOrphans stops orphaned tasks, whose attempt was abandoned but started
+// nevertheless, and tasks of jobs that are being cancelled or have ended.
 func (p *pass) stopOrphans(ctx context.Context) error {
 	var errs []error
 	for _, t := range p.tasks {
@@ -185,15 +191,15 @@
 			continue
 		}
 		if !r.Repeatable && r.Attempt != t.Attempt {
-			p.log.Info("two attempts of a job that is not repeatable", "job", t.Job, "attempt", t.Attempt)
+			p.log.Info("job that is not repeatable has a running task of another attempt, stopping it", "job", t.Job, "attempt", t.Attempt)
 		}
 		errs = append(errs, wrapError("stop task", "", p.machines.StopTask(ctx, t.Attempt, false)))
 	}
 	return errors.Join(errs...)
 }
 
-// evacuateLeaving moves work off VMs that are leaving: it is stopped at a checkpoint
-// where it can be, and waited for where it can't.
+// evacuateLeaving stops preemptible tasks that can checkpoint on VMs that are
+// leaving; their jobs are placed elsewhere. All other tasks are left to finish.
 func (p *pass) evacuateLeaving(ctx context.Context) error {
 	var errs []error
 	snap := p.view.Load()
@@ -207,7 +213,8 @@
 	return errors.Join(errs...)
 }
 
-// renewTasks extends the leases of running tasks.
+// renewTasks renews the leases of running tasks and drops the bookkeeping of
+// tasks that have ended.
 func (p *pass) renewTasks(ctx context.Context) error {
 	for attempt := range p.renewed {
 		if _, ok := p.tasks[attempt]; !ok {
@@ -222,8 +229,8 @@
 	return p.renewAll(ctx, p.dueForRenewal())
 }
 
-// maxRenewals bounds the renewals of one pass; at one pass a second it is enough
-// for 60,000 tasks.
+// maxRenewals bounds the lease renewals of one pass. At one pass per second it
+// suffices for 60,000 tasks.
 const maxRenewals = 1000
 
 func (p *pass) dueForRenewal() []model.AttemptID {
