--- a/internal/jobs/start.go
+++ b/internal/jobs/start.go
@@ -15,29 +15,33 @@
 )
 
 const (
-	// taskTTL is the lease of a task. It outlives the change of the entry VM
-	// that renews it (leaseTTL) and a short outage of the platform several
-	// times over, because a lapse leaves work that is not repeatable unknown.
+	// taskTTL is the lease duration of a task. It is several times longer than a
+	// change of the lease holder (leaseTTL) or a short outage of the platform,
+	// because the outcome of a job that is not repeatable is unknown after its
+	// task's lease has expired.
 	taskTTL           = 5 * time.Minute
 	taskRenewInterval = taskTTL / 5
-	// startBatch is how many intents are written before their starts are sent:
-	// an entry VM that dies in between leaves that many unknown at most.
+	// startBatch is how many intents are written before their starts are sent.
+	// An entry VM that crashes in between leaves at most that many jobs in
+	// state Unknown.
 	startBatch = 256
-	// parallelStarts bounds the calls to the platform at once.
+	// parallelStarts bounds the concurrent calls to the platform.
 	parallelStarts = 32
-	// maxIntentAge is how old an intent may be when its start is sent. An entry VM
-	// that was paused for longer gives it up unsent, because others may have
-	// acted on it by then; startGrace leaves as much again for the call.
+	// maxIntentAge is how old an intent may be when its start is sent. An entry
+	// VM that was paused for longer abandons the attempt without sending it,
+	// because others act on the intent after startGrace. The other half of
+	// startGrace is left for the call itself.
 	maxIntentAge = startGrace / 2
-	// maxPlacements bounds the placements of one pass, so that urgent work that
-	// arrives during a burst waits for a part of the burst only.
+	// maxPlacements bounds the placements of one pass, so that urgent jobs that
+	// arrive during a burst wait for only a part of the burst.
 	maxPlacements = 1024
-	// maxStartTries bounds how often a start whose reply was lost is sent again
-	// under its attempt ID.
+	// maxStartTries bounds how often a start is sent under the same attempt ID
+	// when the reply is lost.
 	maxStartTries = 3
 )
 
-// start writes the intents of the placements and sends those that took effect.
+// start writes the intents of the placements in batches and sends the starts of
+// those that were certainly written.
 func (p *pass) start(ctx context.Context, placements []placement.Placement) error {
 	if len(placements) > maxPlacements {
 		placements, p.again = placements[:maxPlacements], true
@@ -68,9 +72,10 @@
 	return changes
 }
 
-// sendStarts asks the platform to start what the intents say. Only the writer of an
-// intent ever does: another that took over could be paused before the call and
-// make it after the attempt was given up, which would be a second run.
+// sendStarts asks the platform to start the tasks of the intents. Only the writer
+// of an intent may do so: another entry VM that took over could be paused before
+// the call and make it after the attempt was abandoned, which would run the job
+// twice.
 func (p *pass) sendStarts(ctx context.Context, intents map[model.JobID]Record) error {
 	ids := slices.Sorted(maps.Keys(intents))
 	outcomes := make([]transition, len(ids))
@@ -85,7 +90,7 @@
 	return err
 }
 
-// inParallel makes n calls to the platform, some at once.
+// inParallel calls call(0) to call(n-1), at most j.parallel of them concurrently.
 func (j *Jobs) inParallel(n int, call func(i int)) {
 	if j.parallel == 1 {
 		for i := range n {
@@ -104,9 +109,10 @@
 	_ = calls.Wait() // the calls return no errors
 }
 
-// sendStart sends one start and returns what follows from the answer; nothing
-// does where none came. A refusal counts as certain only if no copy was
-// lost on the way before it: a lost one may still arrive.
+// sendStart sends one start, repeating it if no reply comes, and returns the
+// transition that follows from the reply, or a transition without apply if the
+// outcome is unknown. A refusal is certain only if no earlier copy of the
+// request went unanswered: that copy may still arrive.
 func (p *pass) sendStart(ctx context.Context, r *Record) transition {
 	task := infra.Task{Attempt: r.Attempt, Job: r.ID, VM: r.VM, Size: r.Size, TTL: taskTTL}
 	lost := false
@@ -127,11 +133,12 @@
 	if !lost {
 		return notStartedTransition(r.ID, r.Attempt, p.clock.Now(), errIntentExpired)
 	}
-	p.log.Info("start without an answer", "job", r.ID, "vm", r.VM)
+	p.log.Info("no reply to the start of a task, its outcome is unknown", "job", r.ID, "vm", r.VM)
 	return transition{}
 }
 
-// errIntentExpired says that an intent was too old to be sent.
+// errIntentExpired is the reason of an attempt whose intent was older than
+// maxIntentAge before its start was sent.
 var errIntentExpired = errors.New("this entry VM was held up for too long")
 
 func startedTransition(id model.JobID, attempt model.AttemptID, at time.Time) transition {
@@ -154,7 +161,8 @@
 	}}
 }
 
-// abandonAttempt ends an attempt that certainly doesn't run any more.
+// abandonAttempt ends an attempt that certainly doesn't run any more: the job is
+// cancelled if that was asked for, and waits again otherwise.
 func (r *Record) abandonAttempt(at time.Time, why string) {
 	if r.CancelBy != "" {
 		r.enter(Cancelled, at, "by "+string(r.CancelBy))
