--- a/internal/jobs/write.go
+++ b/internal/jobs/write.go
@@ -11,33 +11,35 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// transition is one step of one job. Apply looks at the record as the store
-// has it and returns false where the transition no longer makes sense; it may
-// be called again on a newer record.
+// transition is one state change of one job. apply changes the record if the
+// transition is still valid for it, and returns false otherwise. It may be
+// called again on a newer record after a conflict. A nil apply is skipped.
 type transition struct {
 	job   model.JobID
 	apply func(r *Record) bool
 }
 
 const (
-	// maxTxnGroups and maxTxnBytes bound one write. The service refuses
-	// requests over 1.5 MB by default, and base64 adds a third.
+	// maxTxnGroups and maxTxnBytes bound one transaction. The store refuses
+	// requests over 1.5 MB by default, and base64 adds a third to the size.
 	maxTxnGroups = 48
 	maxTxnBytes  = 700 << 10
-	// maxWriteTries bounds how often a write that lost against another is made
-	// anew; what is left is done by the next pass.
+	// maxWriteTries bounds how often a write that conflicts with another is
+	// tried. The next pass makes the transitions that remain.
 	maxWriteTries = 4
-	// maxRateLimitTries and limitedWait are how a write waits for the service's
-	// rate limit: three quarters of a second in all, within what urgent work
-	// may take to start.
+	// A call that is refused by a rate limit is tried maxRateLimitTries times.
+	// The wait doubles from minRateLimitWait to maxRateLimitWait and adds up to
+	// three quarters of a second, which is within the time that urgent jobs have
+	// to start.
 	maxRateLimitTries = 12
 	minRateLimitWait  = 10 * time.Millisecond
 	maxRateLimitWait  = 80 * time.Millisecond
 )
 
-// write makes the changes, as many groups in one transaction as fit, and
-// returns the jobs whose change certainly took effect with their new records.
-// Jobs in one transaction share its fate; a conflict costs a new reading.
+// write applies the transitions, with as many groups per transaction as fit, and
+// returns the new records of the jobs whose change certainly took effect. All
+// jobs of a transaction succeed or fail together. After a conflict the changed
+// groups are read and the transaction is tried again.
 func (j *Jobs) write(ctx context.Context, changes []transition) (map[model.JobID]Record, error) {
 	byKey := make(map[string][]transition)
 	var keys []string
@@ -64,7 +66,7 @@
 	return done, errors.Join(errs...)
 }
 
-// draft is a group about to be written.
+// draft is the new value of a group that is about to be written.
 type draft struct {
 	key     string
 	from    storedGroup
@@ -73,8 +75,9 @@
 	touched []model.JobID
 }
 
-// writeBatch writes the first groups that fit into a transaction and returns
-// how many keys it has dealt with.
+// writeBatch writes as many groups from the start of keys as fit into a
+// transaction, adds the changed records to done, and returns how many keys it
+// has processed.
 func (j *Jobs) writeBatch(ctx context.Context, keys []string, byKey map[string][]transition, done map[model.JobID]Record) (int, error) {
 	for range maxWriteTries {
 		drafts, n, err := j.drafts(keys, byKey)
@@ -157,7 +160,8 @@
 	return txn
 }
 
-// adoptConflicting takes the groups as they are now from a refused transaction.
+// adoptConflicting updates the mirror with the current groups that a conflicting
+// transaction has read.
 func (j *Jobs) adoptConflicting(drafts []draft, res infra.TxnResult) {
 	for i, d := range drafts {
 		if i >= len(res.Reads) {
@@ -172,7 +176,7 @@
 	}
 }
 
-// commit is infra.Commit, patient with the service's rate limit.
+// commit is infra.Commit with repeats when the store's rate limit refuses it.
 func (j *Jobs) commit(ctx context.Context, txn infra.Txn) (res infra.TxnResult, err error) {
 	err = j.retryRateLimited(ctx, func() error {
 		j.counts.writes.Add(1)
@@ -182,8 +186,9 @@
 	return res, err
 }
 
-// retryRateLimited repeats a call that is refused unread because of a rate. Where
-// others use the rate up, one try in a few is let in.
+// retryRateLimited repeats a call that a rate limit refuses without processing
+// it, with exponential backoff. Even while other clients use up the rate, about
+// one try in a few is admitted.
 func (j *Jobs) retryRateLimited(ctx context.Context, call func() error) error {
 	wait := minRateLimitWait
 	for try := 1; ; try++ {
