--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -16,11 +16,12 @@
 	maxSubmitJobs = 5000 // jobs in one submit
 )
 
-// Submit stores the jobs and returns their IDs, in order. The change ID makes
-// it idempotent: a repeat returns the same IDs and adds nothing. Fields ID and
-// SubmittedAt are set here. Errors are *Refusal and *Error; after one that is
-// Uncertain, and after one of a large batch that isn't, a repeat under the
-// same change ID goes on where it stopped.
+// Submit stores the jobs and returns their IDs, in order. It sets the fields ID
+// and SubmittedAt. The change ID makes it idempotent: a repeat returns the same
+// IDs and adds nothing; an empty one is replaced by a new ID. Errors are *Refusal
+// or *Error. After an *Error that is Uncertain, or any *Error for a batch of more
+// than one group, some jobs may be stored, and a repeat under the same change ID
+// stores the rest.
 func (j *Jobs) Submit(ctx context.Context, change model.ChangeID, all []model.Job) ([]model.JobID, error) {
 	if change == "" {
 		change = j.changeID()
@@ -111,8 +112,8 @@
 	return true
 }
 
-// submitBatcher gathers the groups that callers submit at the same time into shared
-// transactions: whoever comes while one is under way goes with the next.
+// submitBatcher combines groups that callers submit concurrently into shared
+// transactions: groups that arrive during a transaction are part of the next one.
 type submitBatcher struct {
 	mu      sync.Mutex
 	waiting []*submission
@@ -134,7 +135,8 @@
 	return &submission{key, g, value, make(chan error, 1)}, nil
 }
 
-// add writes the parts with whatever else waits, and returns the first error.
+// add queues the parts for writing, waits for all of them, and returns the first
+// error. If ctx ends first it is not known whether the parts are written.
 func (s *submitBatcher) add(ctx context.Context, j *Jobs, parts []*submission) error {
 	s.mu.Lock()
 	s.waiting = append(s.waiting, parts...)
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// flush writes until nobody waits.
+// flush writes batches until the queue is empty.
 func (s *submitBatcher) flush(ctx context.Context, j *Jobs) {
 	for {
 		batch := s.take()
@@ -182,11 +184,12 @@
 	return batch
 }
 
-// submitTimeout bounds one write of submitted jobs with its repeats.
+// submitTimeout bounds one write of submitted jobs, repeats included.
 const submitTimeout = 5 * time.Second
 
-// create writes new groups in one transaction. Where one of them is there
-// already each is tried by itself, so that one repeat does not fail the rest.
+// create writes new groups in one transaction. If one of them exists already,
+// each is written in a transaction of its own, so that a repeated submit doesn't
+// fail the others.
 func (j *Jobs) create(ctx context.Context, batch []*submission) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -215,7 +218,8 @@
 	}
 }
 
-// resolveRepeat accepts a group that is there already if it is of the same jobs.
+// resolveRepeat returns nil if the group that is already stored has the same jobs,
+// and a *Refusal with CodeConflict otherwise.
 func (j *Jobs) resolveRepeat(s *submission, res infra.TxnResult) error {
 	if len(res.Reads) == 0 {
 		return wrapError("submit", s.group.Change, infra.Errorf("submit", infra.KindUnknown, "not read back"))
