--- a/internal/jobs/cancel.go
+++ b/internal/jobs/cancel.go
@@ -7,21 +7,21 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Cancellation is what became of one job that was to be cancelled.
+// Cancellation is the result of Cancel for one job.
 type Cancellation struct {
 	Job      model.JobID
 	Before   State
 	After    State
-	Stopping bool // its task is told to stop and the job is cancelled after
+	Stopping bool // cancelled once its task has stopped
 	Reason   string
-	Refused  *Refusal // nil where it was done
+	Refused  *Refusal // nil if the job is cancelled or being cancelled
 }
 
-// Cancel cancels jobs: those that wait at once, those that run as soon as
-// their task has stopped. Jobs of a group share a write, so thousands cost as
-// many writes as they have groups, by dozens in one transaction. A repeat
-// under the same change ID is the same change. An error means that it is not
-// known of all jobs; a repeat goes on.
+// Cancel cancels jobs: those without a task immediately, those that are starting
+// or running as soon as their task has stopped. Jobs of a group share a write, and
+// one transaction has up to maxTxnGroups groups, so cancelling thousands of jobs
+// takes few transactions. A repeat under the same change ID is idempotent. After
+// an error some jobs may not be cancelled, and a repeat cancels the rest.
 func (j *Jobs) Cancel(ctx context.Context, change model.ChangeID, why string, ids []model.JobID) ([]Cancellation, error) {
 	if err := j.fetch(ctx, ids); err != nil {
 		return nil, err
@@ -69,18 +69,18 @@
 	return true
 }
 
-// Verdict is an operator's word on a job of which it is not known whether it
-// ran.
+// Verdict is an operator's decision on a job whose outcome is unknown.
 type Verdict string
 
-// The verdicts.
+// The possible verdicts.
 const (
-	VerdictRan       Verdict = "ran"       // it did its work
-	VerdictNotRun    Verdict = "not-run"   // it did not, and may be started
-	VerdictCancelled Verdict = "cancelled" // whatever it did, it is over
+	VerdictRan       Verdict = "ran"       // it ran and has succeeded
+	VerdictNotRun    Verdict = "not-run"   // it did not run, and may be started again
+	VerdictCancelled Verdict = "cancelled" // cancelled, whether or not it ran
 )
 
-// Decide carries out an operator's verdict on a job in state Unknown.
+// Decide applies an operator's verdict to a job in state Unknown. It returns a
+// *Refusal for a job in another state and for an unknown verdict.
 func (j *Jobs) Decide(ctx context.Context, id model.JobID, v Verdict, who string) error {
 	if err := j.fetch(ctx, []model.JobID{id}); err != nil {
 		return err
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// fetch makes sure that the mirror has the groups of the jobs: an entry VM
-// that places nothing keeps no mirror.
+// fetch loads the groups of the jobs into the mirror, which is not kept up to date
+// on entry VMs without the lease.
 func (j *Jobs) fetch(ctx context.Context, ids []model.JobID) error {
 	keys := make(map[string]bool)
 	for _, id := range ids {
@@ -143,6 +143,6 @@
 	return nil
 }
 
-// maxSingleReads is up to how many groups are read one by one; more are cheaper
-// read all at once.
+// maxSingleReads is the number of groups up to which they are read one by one;
+// beyond it, reading all groups at once is cheaper.
 const maxSingleReads = 4
