--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// leaseTTL is how long jobs lie idle after the entry VM that places them
-	// died. Urgent work has 2.2 s to start, but a lease as short as that would
-	// lapse at each pause of a small VM.
+	// leaseTTL bounds how long no jobs are placed after the lease holder has
+	// crashed. Urgent jobs must start within 2.2 s, but a lease that short would
+	// expire at every pause of a small VM; see urgentTakeoverDelay.
 	leaseTTL           = 6 * time.Second
 	leaseRenewInterval = leaseTTL / 3
-	// leaseCheckInterval is how often an entry VM that does not hold the lease asks.
+	// leaseCheckInterval is how often an entry VM without the lease checks
+	// whether it is free.
 	leaseCheckInterval = 2 * time.Second
 )
 
-// lease is this entry VM's claim on the work of placing.
+// lease is the state of the placement lease as this entry VM knows it. Its holder
+// does the passes.
 type lease struct {
 	id      infra.LeaseID
 	held    bool
@@ -25,7 +27,8 @@
 	checked time.Time
 }
 
-// ensureLease reports whether this entry VM is to do the passes.
+// ensureLease renews the lease if this entry VM holds it, tries to acquire it if
+// it is free, and reports whether it is held.
 func (j *Jobs) ensureLease(ctx context.Context) (bool, error) {
 	now := j.clock.Now()
 	if j.lease.held {
@@ -42,7 +45,8 @@
 	return j.acquireLease(ctx, now)
 }
 
-// acquireLease makes a lease and puts it under the key, if nobody was faster.
+// acquireLease grants a lease and stores it under leaseKey, unless another entry
+// VM has acquired it in the meantime.
 func (j *Jobs) acquireLease(ctx context.Context, now time.Time) (bool, error) {
 	var id infra.LeaseID
 	err := j.retryRateLimited(ctx, func() (err error) {
@@ -76,21 +80,23 @@
 		return false, nil
 	}
 	if err != nil {
-		// The work goes on: the lease may still stand, and is no safeguard.
-		j.log.Info("lease of jobs not renewed, will be tried again", "error", err.Error())
+		// Passes go on: the lease may still be valid, and correctness doesn't
+		// depend on it.
+		j.log.Info("placement lease not renewed, retrying", "error", err.Error())
 		return true, nil
 	}
 	j.lease.renewed = now
 	return true, nil
 }
 
-// releaseLease hands the work over at once rather than when the lease lapses.
+// releaseLease revokes the lease, so that another entry VM needn't wait until it
+// expires.
 func (j *Jobs) releaseLease(ctx context.Context) {
 	if !j.lease.held {
 		return
 	}
 	if err := j.store.Revoke(ctx, j.lease.id); err != nil {
-		j.log.Error(err, "the lease of jobs lapses instead")
+		j.log.Error(err, "placement lease not revoked, it will expire")
 	}
 	j.lease = lease{}
 }
