--- a/internal/jobs/mirror.go
+++ b/internal/jobs/mirror.go
@@ -10,23 +10,23 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// storedGroup is a group with the revision of its key, for CAS.
+// storedGroup is a group with the revision of its key, for compare-and-swap.
 type storedGroup struct {
 	*group
 	rev infra.Revision
 }
 
-// mirror is what this entry VM knows of the jobs in the store. It may be
-// stale; every write is bound to the revision that it was made from. Groups in
-// it are never changed, only replaced.
+// mirror is this entry VM's local copy of the jobs in the store. It may be stale:
+// every write is conditional on the revision it was derived from. Its groups are
+// immutable; they are only replaced.
 type mirror struct {
 	store infra.Store
 
 	mu     sync.Mutex
 	groups map[string]storedGroup
-	rev    infra.Revision // up to which groups are known
-	// watching is set while a watch keeps groups up to date, so that refresh
-	// need not read them all.
+	rev    infra.Revision // up to which all changes are included
+	// watching is set while a watch keeps groups up to date; refresh then reads
+	// nothing.
 	watching bool
 }
 
@@ -34,8 +34,8 @@
 	return &mirror{store: s, groups: make(map[string]storedGroup)}
 }
 
-// refresh brings the mirror up to date: from the watch where one runs, else by
-// reading everything. Only groups that changed are decoded.
+// refresh brings the mirror up to date by reading all groups, unless a watch
+// does. Only groups that have changed are decoded.
 func (m *mirror) refresh(ctx context.Context) error {
 	if m.isWatching() {
 		return nil
@@ -47,7 +47,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if rev < m.rev {
-		return nil // an answer overtaken by a later write of ours
+		return nil // the reply is older than what the mirror has
 	}
 	next := make(map[string]storedGroup, len(kvs))
 	for _, kv := range kvs {
@@ -63,16 +63,16 @@
 	}
 	for key, g := range m.groups {
 		if _, ok := next[key]; !ok && g.rev > rev {
-			next[key] = g // written by us after the answer was made
+			next[key] = g // written by this entry VM after the read
 		}
 	}
 	m.groups, m.rev = next, rev
 	return nil
 }
 
-// startWatch starts a watch from what refresh has read, so that passes need not
-// read twenty thousand jobs each, and calls news after each change. It ends
-// with ctx.
+// startWatch starts a watch after the revision that refresh has read, so that not
+// every pass has to read 20,000 jobs. It calls onChange after each batch of
+// changes and ends with ctx.
 func (m *mirror) startWatch(ctx context.Context, onChange func()) error {
 	if m.isWatching() {
 		return nil
@@ -111,8 +111,9 @@
 	m.watching = on
 }
 
-// apply applies one batch; a watch that failed or can't be read is dropped, and
-// the next refresh reads everything.
+// apply applies one batch of changes. It returns false if the watch has failed or
+// a group can't be decoded; the watch then ends and the next refresh reads all
+// groups.
 func (m *mirror) apply(batch infra.WatchBatch) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,7 +140,8 @@
 	return true
 }
 
-// put notes a group as it was read or written by this entry VM.
+// put stores a group that this entry VM has read or written, unless the mirror has
+// a newer revision.
 func (m *mirror) put(key string, g storedGroup) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -161,7 +163,7 @@
 	return g, ok
 }
 
-// all returns every group by key. The groups are read-only.
+// all returns all groups by key. Callers must not change the groups.
 func (m *mirror) all() map[string]storedGroup {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -172,7 +174,8 @@
 	return out
 }
 
-// find returns the job's record; false where the mirror has none.
+// find returns the job's record, or false if the mirror has none. Callers must not
+// change it.
 func (m *mirror) find(id model.JobID) (*Record, bool) {
 	key, at, ok := keyOf(id)
 	if !ok {
