--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// survivalTime is how long a task must have run to clear its worker of failing
-	// everything it starts.
+	// survivalTime is how long a task must have run to count as evidence that its
+	// worker doesn't fail every task it starts.
 	survivalTime = 10 * time.Second
-	// saveInterval bounds what an entry VM that takes over has to learn anew, at
-	// two writes a minute.
+	// saveInterval is the time between two writes of the learned state. It bounds
+	// what is lost when another entry VM takes over, at two writes a minute.
 	saveInterval = 30 * time.Second
-	// usageInterval is how often usage is read: reports lag by more than that, and
-	// one list has every task of the fleet.
+	// usageInterval is how often usage is read. Reports lag by more than that, and
+	// each list contains every task of the fleet.
 	usageInterval = 5 * time.Second
-	// maxQuarantineShare is the share of workers that may be in quarantine: twice
-	// the two in a hundred that are known to fail everything, and a fleet that
-	// lost more than that has another cause than its workers. One always may be.
+	// maxQuarantineShare is the maximum share of workers in quarantine, though one
+	// worker always may be. It is more than twice the 2% of workers that are known
+	// to fail every task; if more seem faulty, the cause is not the workers.
 	maxQuarantineShare = 0.05
 )
 
-// learnedState is what was learnedState of kinds of jobs and of workers, kept in one key
-// of the store for whoever takes the work over.
+// learnedState is the usage history of job kinds and the failure history of
+// workers. It is stored under learnedKey for the next lease holder; only its
+// exported fields are encoded.
 type learnedState struct {
 	Sizes *sizing.UsageHistory
 	Blame *blame.Book
@@ -37,9 +38,9 @@
 	dirty      bool
 	saved      time.Time
 	rev        infra.Revision
-	recorded   map[model.AttemptID]blame.Outcome // what was recorded of an attempt
-	lastReport map[model.AttemptID]time.Time     // the newest usage report taken in
-	usageRead  time.Time                         // when usage was last read
+	recorded   map[model.AttemptID]blame.Outcome // outcome last recorded for an attempt
+	lastReport map[model.AttemptID]time.Time     // time of the newest usage report processed for an attempt
+	usageRead  time.Time                         // time of the last read of usage
 }
 
 func newLearned() *learnedState {
@@ -55,7 +56,8 @@
 
 func (l *learnedState) jobToBlame(failedOn []model.VMID) bool { return l.Blame.JobToBlame(failedOn) }
 
-// loadLearned reads once what an earlier holder learned.
+// loadLearned loads the learned state of an earlier lease holder, once per
+// process. An unreadable value is logged and replaced by an empty state.
 func (j *Jobs) loadLearned(ctx context.Context) error {
 	l := j.learned
 	if l.loaded {
@@ -63,20 +65,21 @@
 	}
 	kv, _, err := j.store.Get(ctx, learnedKey)
 	if err != nil {
-		return wrapError("read what was learned", "", err)
+		return wrapError("read learned state", "", err)
 	}
 	l.loaded, l.saved, l.rev = true, j.clock.Now(), kv.ModRevision
 	if kv.ModRevision == 0 {
 		return nil
 	}
 	if err := json.Unmarshal(kv.Value, l); err != nil {
-		j.log.Error(err, "what was learned can't be read and is learned anew")
+		j.log.Error(err, "learned state can't be decoded, starting with an empty one")
 		l.Sizes, l.Blame = sizing.NewUsageHistory(), blame.NewBook()
 	}
 	return nil
 }
 
-// saveLearned writes it now and then. A lost write costs learning, nothing else.
+// saveLearned stores the learned state if it has changed and saveInterval has
+// passed. A lost write only means that sizes and faulty workers are learned again.
 func (p *pass) saveLearned(ctx context.Context) error {
 	l := p.learned
 	if !l.dirty || p.now.Sub(l.saved) < saveInterval {
@@ -84,7 +87,7 @@
 	}
 	value, err := json.Marshal(l)
 	if err != nil || len(value) > infra.MaxValueBytes {
-		return wrapError("encode what was learned", "", infra.Errorf("encode", infra.KindTooLarge, "%d bytes: %v", len(value), err))
+		return wrapError("encode learned state", "", infra.Errorf("encode", infra.KindTooLarge, "%d bytes: %v", len(value), err))
 	}
 	l.saved = p.now
 	res, err := p.store.Txn(ctx, infra.Txn{
@@ -93,10 +96,10 @@
 		Else: []infra.Op{infra.Read(learnedKey)},
 	})
 	if err != nil {
-		return wrapError("save what was learned", "", err)
+		return wrapError("save learned state", "", err)
 	}
 	l.rev = res.Revision
-	if !res.Succeeded { // another holder's; ours is written over it next time
+	if !res.Succeeded { // another lease holder wrote it; the next save overwrites it
 		l.rev = res.Reads[0].ModRevision
 		return nil
 	}
@@ -104,13 +107,14 @@
 	return nil
 }
 
-// updateLearned takes in how tasks went and what they use.
+// updateLearned records the outcomes and the resource usage of tasks, updates the
+// quarantine of workers, and saves the learned state.
 func (p *pass) updateLearned(ctx context.Context) error {
 	p.recordOutcomes()
 	maxQuarantined := max(1, int(maxQuarantineShare*float64(len(p.view.Load().VMs))))
 	for _, vm := range p.learned.Blame.UpdateQuarantine(p.now, maxQuarantined) {
-		p.log.Info("worker quarantined, it fails what runs elsewhere", "vm", vm)
-		p.learned.saved = time.Time{} // rare, and costly to learn anew
+		p.log.Info("worker quarantined, it fails jobs that run on other workers", "vm", vm)
+		p.learned.saved = time.Time{} // saved in this pass: rare, and costly to learn again
 	}
 	if err := p.recordUsage(ctx); err != nil {
 		return err
@@ -137,8 +141,10 @@
 	}
 }
 
-// outcomeOf says what a task shows of its worker. Running out of memory shows
-// nothing: the job had too little, and would have anywhere.
+// outcomeOf returns what the state of a task says about its worker, and false if
+// it says nothing. Running out of memory says nothing: the job was given too
+// little and would have failed on any worker. survived tells whether the task was
+// recorded as survived before.
 func outcomeOf(r *Record, t infra.Task, now time.Time, survived bool) (blame.Outcome, bool) {
 	switch {
 	case t.State == infra.TaskSucceeded:
@@ -153,7 +159,8 @@
 	return blame.FailedEarly, true
 }
 
-// recordUsage takes in the newest reports and acts on tasks over their memory.
+// recordUsage records new usage reports and enforces the memory limits of tasks.
+// It does nothing within usageInterval of the last read.
 func (p *pass) recordUsage(ctx context.Context) error {
 	if p.now.Sub(p.learned.usageRead) < usageInterval {
 		return nil
@@ -183,7 +190,8 @@
 	return nil
 }
 
-// enforceMemory acts on a task over its memory by its class.
+// enforceMemory throttles, checkpoints or stops a task that exceeds its memory,
+// according to sizing.OverrunAction.
 func (p *pass) enforceMemory(ctx context.Context, r *Record, u infra.Usage, inUse model.Resources) error {
 	memoryShort := inUse.MemoryMB > p.view.Load().VMs[u.VM].Capacity.MemoryMB
 	switch sizing.OverrunAction(&r.Job, r.Size, u.Used, memoryShort) {
@@ -197,14 +205,14 @@
 	return nil
 }
 
-// throttleDivisor is the part of its processors a throttled task keeps: a quarter
-// slows the growth of its memory and still lets it come to an end.
+// throttleDivisor divides the processors of a throttled task. A quarter of them
+// slows the growth of its memory and still lets the task finish.
 const throttleDivisor = 4
 
 func (p *pass) sizeOf(r *Record) model.Resources { return p.learned.Sizes.Size(&r.Job, r.MinMemoryMB) }
 
-// pruneLearned forgets attempts that the platform has forgotten and workers
-// that are no more.
+// pruneLearned removes attempts that the platform no longer lists and workers that
+// are no longer in the view.
 func (p *pass) pruneLearned() {
 	for a := range p.learned.recorded {
 		if _, ok := p.tasks[a]; !ok {
