--- a/internal/jobs/urgent.go
+++ b/internal/jobs/urgent.go
@@ -8,20 +8,22 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// urgentTakeoverDelay is how long urgent work waits for the holder of the lease. An
-// entry VM that dies takes the lease with it for leaseTTL, but urgent work has
-// 2.2 s to start: whoever accepted it then does one pass itself. Two placers
-// at once collide in their compare-and-swap and do no harm.
+// urgentTakeoverDelay is how long an urgent job waits for the lease holder. The
+// lease of an entry VM that has crashed stands for up to leaseTTL, but urgent
+// jobs must start within 2.2 s. The entry VM that accepted the job therefore does
+// a pass without the lease. Concurrent passes are safe, because of two
+// conflicting compare-and-swaps only one succeeds.
 const urgentTakeoverDelay = 700 * time.Millisecond
 
-// acceptedJob is an urgent job that was submitted here.
+// acceptedJob is an urgent job that was submitted to this entry VM.
 type acceptedJob struct {
 	job model.JobID
 	at  time.Time
 }
 
-// urgentJobs remembers the urgent jobs submitted here until they are looked after
-// once. What then still waits does so for room, not for a holder.
+// urgentJobs holds the urgent jobs submitted to this entry VM until they have been
+// checked once after urgentTakeoverDelay. Jobs that wait longer do so for free
+// capacity, not for a lease holder.
 type urgentJobs struct {
 	mu   sync.Mutex
 	jobs []acceptedJob
@@ -37,7 +39,8 @@
 	}
 }
 
-// due takes the jobs out that have waited for long enough.
+// due removes and returns the jobs that were accepted at least
+// urgentTakeoverDelay ago.
 func (s *urgentJobs) due(now time.Time) []model.JobID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,8 +54,8 @@
 	return ids
 }
 
-// placeOverdueUrgent does a pass without the lease where urgent jobs accepted here
-// were not taken up.
+// placeOverdueUrgent does a pass without the lease if an urgent job accepted by
+// this entry VM is overdue and the lease holder has not yet considered it.
 func (j *Jobs) placeOverdueUrgent(ctx context.Context) error {
 	ids := j.urgent.due(j.clock.Now())
 	if len(ids) == 0 {
@@ -63,7 +66,7 @@
 	}
 	for _, id := range ids {
 		if r, ok := j.mirror.find(id); ok && r.State == Waiting && r.Reason == "" {
-			j.log.Info("urgent job not taken up by the holder of the lease", "job", id)
+			j.log.Info("urgent job not considered by the lease holder, doing a pass without the lease", "job", id)
 			_, err := j.pass(ctx)
 			return err
 		}
