--- a/internal/jobs/preempt.go
+++ b/internal/jobs/preempt.go
@@ -7,8 +7,9 @@
 	"github.com/pumicestage/pumicestage/policy/placement"
 )
 
-// preempt stops the tasks that give way. Their jobs go back to waiting once
-// the platform says that the tasks have ended, and the room is planned anew.
+// preempt stops the tasks that the plan preempts, if they are still running and
+// repeatable. Their jobs wait again once the platform reports that the tasks
+// have ended, and the next pass plans the freed capacity.
 func (p *pass) preempt(ctx context.Context, preemptions []placement.Preemption) error {
 	errs := make([]error, len(preemptions))
 	p.inParallel(len(preemptions), func(i int) {
