--- a/internal/jobs/read.go
+++ b/internal/jobs/read.go
@@ -8,8 +8,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// List returns every job that is not forgotten, by ID. Ended ones are kept
-// for an hour.
+// List returns all stored jobs, sorted by ID. Ended jobs are included until they
+// are deleted after endedRetention.
 func (j *Jobs) List(ctx context.Context) ([]Record, error) {
 	if err := j.mirror.refresh(ctx); err != nil {
 		return nil, err
@@ -22,7 +22,7 @@
 	return out, nil
 }
 
-// Get returns one job; a *Refusal where there is none.
+// Get returns one job, or a *Refusal with CodeNotFound if it doesn't exist.
 func (j *Jobs) Get(ctx context.Context, id model.JobID) (Record, error) {
 	if err := j.fetch(ctx, []model.JobID{id}); err != nil {
 		return Record{}, err
