--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -6,13 +6,14 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// State is where a job stands.
+// State is the state of a job.
 type State string
 
-// The states of a job. Starting is the intent: an attempt ID is in the store
-// and the platform may or may not have been asked. Unknown is a job that is
-// not repeatable and may have run; only an operator's word moves it on, or the
-// platform's if it still learns what became of the attempt.
+// The states of a job. Starting means that the intent with an attempt ID is in the
+// store and the platform may or may not have been asked to start the task.
+// Unknown is the state of a job that is not repeatable and may have run. It
+// leaves that state when an operator decides the outcome or the platform reports
+// what became of the attempt.
 const (
 	Waiting     State = "waiting"
 	Starting    State = "starting"
@@ -24,50 +25,53 @@
 	Cancelled   State = "cancelled"
 )
 
-// Ended reports whether the job is over.
+// Ended reports whether the state is final.
 func (s State) Ended() bool { return s == Succeeded || s == Failed || s == Cancelled }
 
-// holdsCapacity reports whether the job holdsCapacity capacity of a worker.
+// holdsCapacity reports whether a job in this state occupies capacity of a worker.
 func (s State) holdsCapacity() bool { return s == Starting || s == Running }
 
-// Record is one job as the store holds it.
+// Record is a job with its state, as it is stored.
 type Record struct {
 	model.Job
 	State   State
 	VM      model.VMID      `json:",omitempty"` // where it runs or ran last
-	Attempt model.AttemptID `json:",omitempty"` // the newest attempt to start it
-	Owner   string          `json:",omitempty"` // who wrote the intent; it alone sends the start
-	Size    model.Resources // what the worker sets aside
-	Since   time.Time       // when State was entered
-	Reason  string          `json:",omitempty"` // a sentence a person reads
+	Attempt model.AttemptID `json:",omitempty"` // ID of the latest attempt to start it
+	Owner   string          `json:",omitempty"` // process that wrote the intent; only it sends the start
+	Size    model.Resources // resources reserved on the worker
+	Since   time.Time       // time at which State was entered
+	Reason  string          `json:",omitempty"` // human-readable explanation of State
 	// CancelBy is the change that asked for the job to be cancelled while its
 	// task was being started or ran.
 	CancelBy model.ChangeID `json:",omitempty"`
 	FailedOn []model.VMID   `json:",omitempty"` // distinct workers it failed on
-	// LostEarly is how often its worker was lost soon after it began there.
+	// LostEarly counts how often its worker was lost within earlyLossWindow of the
+	// start.
 	LostEarly int `json:",omitempty"`
-	// MinMemoryMB is twice the memory that was too little for it, and Grow how
-	// often that happened.
+	// MinMemoryMB is twice the memory that the job last exceeded, in MB, and
+	// MemoryDoublings is how often that has happened.
 	MinMemoryMB     int64          `json:"LeastMB,omitempty"`
 	MemoryDoublings int            `json:"Grow,omitempty"`
-	History         []HistoryEntry `json:"Chain,omitempty"` // the newest, oldest first
+	History         []HistoryEntry `json:"Chain,omitempty"` // the first entry and the latest ones, oldest first
 }
 
-// HistoryEntry is one link of what happened to a job.
+// HistoryEntry records one state change of a job.
 type HistoryEntry struct {
 	At   time.Time
 	Text string
 }
 
 const (
-	// maxHistory and maxFailedOn bound a record, so that a group of them stays
-	// far below the store's limit of a value whatever happens to its jobs.
+	// maxHistory, maxFailedOn and maxReasonBytes bound the size of a record, so
+	// that a group always stays far below the store's limit on the size of a value.
 	maxHistory     = 12
 	maxFailedOn    = 8
 	maxReasonBytes = 300
 )
 
-// enter moves the record to a state.
+// enter sets the record's state, time and reason, and adds a history entry. Long
+// reasons are cut to maxReasonBytes, and only the first and the latest history
+// entries are kept, maxHistory in all.
 func (r *Record) enter(s State, at time.Time, reason string) {
 	if len(reason) > maxReasonBytes {
 		reason = reason[:maxReasonBytes]
@@ -86,10 +90,10 @@
 	}
 }
 
-// group is one value of the store: the jobs submitted together, at most
-// groupSize of them. Jobs never change groups, so that an ID names its key.
+// group is one value in the store: up to groupSize jobs that were submitted
+// together. Jobs never move between groups, so a job's key follows from its ID.
 type group struct {
-	Change model.ChangeID // that wrote it last; proves whose write it was
+	Change model.ChangeID // ID of the last write, to tell whether a write with a lost reply took effect
 	Jobs   []Record
 }
 
