--- a/internal/jobs/errors.go
+++ b/internal/jobs/errors.go
@@ -9,22 +9,23 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Code says why something asked of a job was refused.
+// Code is the reason for which a request on jobs was refused.
 type Code string
 
-// The codes of a Refusal. In every case nothing was changed.
+// The codes of a Refusal. In every case nothing was changed for the refused job or
+// group.
 const (
 	CodeNotFound Code = "not-found"
 	CodeState    Code = "state"    // the job has ended, or there is nothing to decide
-	CodeInvalid  Code = "invalid"  // the job makes no sense as given
-	CodeConflict Code = "conflict" // the change ID stands for other jobs
-	CodeRevision Code = "revision" // if-revision does not hold
+	CodeInvalid  Code = "invalid"  // the request has an invalid field
+	CodeConflict Code = "conflict" // the change ID was used for other jobs
+	CodeRevision Code = "revision" // the if-revision condition doesn't hold
 )
 
-// Refusal says that a request was certainly not carried out, and why.
+// Refusal is the error of a request that was certainly not carried out.
 type Refusal struct {
 	Code     Code
-	Field    string // "jobs[3].team" where a field is at fault
+	Field    string // the invalid field, such as "jobs[3].team"; may be empty
 	Revision infra.Revision
 	Detail   string
 }
@@ -37,11 +38,11 @@
 	return fmt.Sprintf("refused (%s): %s", r.Code, r.Detail)
 }
 
-// Error is a call to the platform that failed.
+// Error is the error of a failed call to the store or the platform.
 type Error struct {
 	Op        string
-	Change    model.ChangeID // repeating the request under it tells, where Uncertain
-	Uncertain bool           // the change may be in effect or come into effect
+	Change    model.ChangeID // if Uncertain, a repeat under this ID finds out the outcome
+	Uncertain bool           // the change may have taken effect or may still do so
 	Err       error
 }
 
@@ -51,6 +52,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
+// wrapError returns err as an *Error, with Uncertain set if the outcome of the call
+// is unknown. It returns nil if err is nil.
 func wrapError(op string, change model.ChangeID, err error) error {
 	if err == nil {
 		return nil
