--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -14,19 +14,20 @@
 	learnedKey  = infra.JobPrefix + "learned"
 	leaseKey    = infra.ShardPrefix + "jobs"
 
-	// groupSize is how many jobs share a key. A record is bounded at about
-	// 6 KB and usually has 700 bytes, so a group stays under 400 KB, and one
-	// write places up to 64 jobs.
+	// groupSize is how many jobs share a key. A record has at most about 6 KB and
+	// usually 700 bytes, so a group stays below 400 KB, and one write of a group
+	// can place up to 64 jobs.
 	groupSize = 64
 )
 
-// jobID names a job so that its key follows from it: no index is needed, and
-// nothing is searched to cancel one of twenty thousand.
+// jobID returns the ID of the nth job of a submit. The job's key follows from its
+// ID, so finding one of 20,000 jobs needs neither an index nor a search.
 func jobID(change model.ChangeID, n int) model.JobID {
 	return model.JobID(fmt.Sprintf("%s.%d", change, n))
 }
 
-// keyOf returns the key of the job's group and its place there.
+// keyOf returns the key of the job's group and its index in the group, or false if
+// the ID is malformed.
 func keyOf(id model.JobID) (key string, at int, ok bool) {
 	dot := strings.LastIndexByte(string(id), '.')
 	if dot <= 0 {
