--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -1,10 +1,10 @@
-// Package jobsapi is the HTTP interface to jobs on the operator port:
+// Package jobsapi implements the HTTP API for jobs on the operator port:
 //
-//	POST   /v1/jobs              submit one or many
-//	GET    /v1/jobs              list, filtered by query parameters
-//	DELETE /v1/jobs              cancel those that the query parameters select
-//	GET    /v1/jobs/{id}         one job with what happened to it
-//	DELETE /v1/jobs/{id}         cancel one
+//	POST   /v1/jobs              submit one or more jobs
+//	GET    /v1/jobs              list jobs, filtered by query parameters
+//	DELETE /v1/jobs              cancel the jobs selected by query parameters
+//	GET    /v1/jobs/{id}         get one job with its history
+//	DELETE /v1/jobs/{id}         cancel one job
 //	PUT    /v1/jobs/{id}/outcome decide a job whose outcome is unknown
 //
 // Errors are RFC 9457 problem documents.
@@ -29,17 +29,17 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Prefix is the path under which the handler answers.
+// Prefix is the path prefix of all routes of the handler.
 const Prefix = "/v1/jobs"
 
 const (
-	// maxBody bounds a submit: 5,000 jobs of a kilobyte.
+	// maxBody bounds a request body in bytes: 5,000 jobs of one kilobyte.
 	maxBody = 5 << 20
-	// timeout ends a request whose writes the store does not take.
+	// timeout ends a request whose writes the store doesn't accept.
 	timeout = 30 * time.Second
 )
 
-// Options are what the handler works with; all are required but Log.
+// Options configures the handler. All fields but Log are required.
 type Options struct {
 	Jobs   *jobs.Jobs
 	Access access.Gate
@@ -51,7 +51,7 @@
 	Options
 }
 
-// New returns the handler.
+// New returns the handler of the API.
 func New(o Options) http.Handler {
 	h := &handler{o}
 	r := mux.NewRouter()
@@ -68,7 +68,8 @@
 
 func (h *handler) handle(r *mux.Router, method, path string, need access.Role, op operation) {
 	r.Methods(method).Path(path).HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		// A client that goes away does not stop half an order.
+		// A request is completed even if the client disconnects, so that no
+		// command is carried out only in part.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), timeout)
 		defer cancel()
 		who, err := h.Access.Admit(req, need)
@@ -93,11 +94,12 @@
 func writeJSON(w http.ResponseWriter, status int, contentType string, body any) {
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client may be gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-// recordAudit enters an order in the audit trail, in the background: a submit must
-// not wait for a second write while urgent work has 2.2 s to start.
+// recordAudit records a command and its result in the audit trail. The entry is
+// written in the background: a submit must not wait for a second write, because
+// urgent jobs must start within 2.2 s.
 func (h *handler) recordAudit(r *http.Request, who access.Identity, change model.ChangeID, what, detail string, err error) {
 	e := audit.Entry{Who: who.Name, From: remoteHost(r), Change: change, What: what, Detail: detail, Result: audit.Done}
 	var refusal *jobs.Refusal
@@ -110,6 +112,7 @@
 	h.Trail.Note(e)
 }
 
+// remoteHost returns the client's address without its port.
 func remoteHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -120,7 +123,8 @@
 
 func count(n int) string { return strconv.Itoa(n) }
 
-// problemOf turns an error into a problem document.
+// problemOf converts an error to a problem document. An unrecognized error is
+// reported as unavailable.
 func problemOf(err error) api.Problem {
 	p := api.Problem{Status: http.StatusServiceUnavailable, Code: api.CodeUnavailable, Detail: err.Error()}
 	var denied *access.Error
