--- a/internal/jobs/jobsapi/operations.go
+++ b/internal/jobs/jobsapi/operations.go
@@ -18,8 +18,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Job is a job as submitted. Class is urgent, normal or deferrable; empty is
-// normal. RunTime is a Go duration.
+// Job is a job in a submit. Class is urgent, normal or deferrable; empty means
+// normal. RunTime is a Go duration such as 90s.
 type Job struct {
 	Team         model.TeamName `json:"team"`
 	Kind         string         `json:"kind"`
@@ -35,19 +35,19 @@
 	SpreadByRack bool           `json:"spreadByRack,omitempty"`
 }
 
-// SubmitRequest is the body of a submit. A repeat with the same Change adds
-// nothing and gets the same IDs.
+// SubmitRequest is the body of a submit. Change is its change ID: a repeat with
+// the same one adds nothing and returns the same job IDs.
 type SubmitRequest struct {
 	Change model.ChangeID `json:"change,omitempty"`
 	Jobs   []Job          `json:"jobs"`
 }
 
-// SubmitReply names the jobs in the order they were given.
+// SubmitReply has the IDs of the submitted jobs, in the order of the request.
 type SubmitReply struct {
 	Jobs []model.JobID `json:"jobs"`
 }
 
-// Status is where a job stands.
+// Status is the state of a job.
 type Status struct {
 	ID      model.JobID         `json:"id"`
 	Team    model.TeamName      `json:"team"`
@@ -57,23 +57,23 @@
 	VM      model.VMID          `json:"vm,omitempty"`
 	Since   time.Time           `json:"since"`
 	Reason  string              `json:"reason,omitempty"`
-	History []jobs.HistoryEntry `json:"chain,omitempty"` // of one job alone
+	History []jobs.HistoryEntry `json:"chain,omitempty"` // only in the reply for a single job
 }
 
-// ListReply is the answer to a list.
+// ListReply is the reply to a list.
 type ListReply struct {
 	Jobs []Status `json:"jobs"`
 }
 
-// CancelReply tells what became of each job.
+// CancelReply has the number of jobs cancelled and the refusals.
 type CancelReply struct {
 	Change    model.ChangeID `json:"change,omitempty"`
-	Cancelled int            `json:"cancelled"` // those that wait to stop included
-	Stopping  int            `json:"stopping"`
+	Cancelled int            `json:"cancelled"` // includes those in Stopping
+	Stopping  int            `json:"stopping"`  // cancelled once their task has stopped
 	Refused   []string       `json:"refused,omitempty"`
 }
 
-// OutcomeRequest decides a job whose outcome is unknown: ran, not-run or
+// OutcomeRequest decides the outcome of a job in state unknown: ran, not-run or
 // cancelled.
 type OutcomeRequest struct {
 	Outcome jobs.Verdict `json:"outcome"`
@@ -161,8 +161,9 @@
 	return reply, err
 }
 
-// cancelMany asks for a filter: a bare DELETE of all jobs is more often a slip
-// than meant.
+// cancelMany cancels the jobs that match the query parameters. It requires at
+// least one filter, because a DELETE of all jobs is more often a mistake than
+// intended.
 func (h *handler) cancelMany(ctx context.Context, r *http.Request, who access.Identity) (any, error) {
 	where, err := conditions(r.URL.Query())
 	if err != nil {
@@ -226,8 +227,9 @@
 	return slices.DeleteFunc(records, func(r jobs.Record) bool { return !jobsport.Matches(&r, where) }), nil
 }
 
-// conditions turns the query into conditions of equality on the columns of
-// "show jobs". A misspelt one would otherwise select everything.
+// conditions converts the query parameters to equality conditions on the columns
+// of "show jobs". Unknown parameters are refused, because ignoring a misspelt
+// filter would select every job.
 func conditions(q url.Values) ([]lang.Condition, error) {
 	var where []lang.Condition
 	for name, values := range q {
@@ -242,6 +244,7 @@
 	return where, nil
 }
 
+// filterColumns are the columns of "show jobs" that can be used as filters.
 var filterColumns = []string{"job", "team", "kind", "class", "state", "vm", "pool", "zone"}
 
 func idOf(r *http.Request) model.JobID { return model.JobID(mux.Vars(r)["id"]) }
