--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -1,5 +1,5 @@
-// Package jobsport fits the executor of jobs to the orders and questions of
-// operators.
+// Package jobsport adapts the job executor to the interfaces that operators'
+// commands and queries use.
 package jobsport
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// CommandAdapter is a command.Jobs.
+// CommandAdapter implements command.BulkJobs on a jobs.Jobs.
 type CommandAdapter struct {
 	Executor *jobs.Jobs
 }
 
 var _ command.BulkJobs = CommandAdapter{}
 
-// Cancel implements command.Jobs. A job's revision is that of its group, which
-// changes with its neighbours, so if-revision can't be met and is refused.
+// Cancel implements command.Jobs. A job has only the revision of its group, which
+// also changes with the other jobs of the group, so if-revision is refused.
 func (o CommandAdapter) Cancel(ctx context.Context, job model.JobID, t command.Terms) (command.Effect, error) {
 	effects, err := o.CancelAll(ctx, []model.JobID{job}, t)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return effects[0], nil
 }
 
-// CancelAll implements command.BulkJobs.
+// CancelAll implements command.BulkJobs. It refuses if-revision as Cancel does.
 func (o CommandAdapter) CancelAll(ctx context.Context, ids []model.JobID, t command.Terms) ([]command.Effect, error) {
 	if t.IfRevision != 0 {
 		return nil, &command.Refusal{Code: command.CodeRevision, Detail: "jobs have no revision of their own"}
@@ -60,8 +60,8 @@
 	return e
 }
 
-// Select implements command.Jobs. Ended jobs are left out: there is nothing to
-// cancel about them.
+// Select implements command.Jobs. Ended jobs are left out, since they can't be
+// cancelled.
 func (o CommandAdapter) Select(ctx context.Context, where []lang.Condition) ([]model.JobID, error) {
 	records, err := o.Executor.List(ctx)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return ids, nil
 }
 
-// Matches reports whether the job fulfils all conditions.
+// Matches reports whether the job satisfies all conditions.
 func Matches(r *jobs.Record, where []lang.Condition) bool {
 	for _, c := range where {
 		if !compare(column(r, c.Field), c) {
@@ -86,24 +86,26 @@
 	return true
 }
 
-// compare compares as text: what "show jobs" has are names and words.
-func compare(cell string, c lang.Condition) bool {
+// compare reports whether the value satisfies the condition. Values are compared
+// as text, because the columns of "show jobs" are names and words.
+func compare(value string, c lang.Condition) bool {
 	switch c.Comparison {
 	case lang.Equal:
-		return cell == c.Value
+		return value == c.Value
 	case lang.NotEqual:
-		return cell != c.Value
+		return value != c.Value
 	case lang.Less:
-		return cell < c.Value
+		return value < c.Value
 	case lang.LessOrEqual:
-		return cell <= c.Value
+		return value <= c.Value
 	case lang.Greater:
-		return cell > c.Value
+		return value > c.Value
 	}
-	return cell >= c.Value
+	return value >= c.Value
 }
 
-// column returns the cell that "show jobs" has under the name.
+// column returns the job's value in the named column of "show jobs", or "" for an
+// unknown column.
 func column(r *jobs.Record, name string) string {
 	switch name {
 	case "job":
@@ -128,7 +130,7 @@
 	return ""
 }
 
-// QueryAdapter is a query.Jobs.
+// QueryAdapter implements query.Jobs on a jobs.Jobs.
 type QueryAdapter struct {
 	Executor *jobs.Jobs
 }
@@ -159,7 +161,9 @@
 	return s
 }
 
-// CommandError turns an error of package jobs into one of package command.
+// CommandError converts an error of package jobs to one of package command: a
+// *command.Refusal for a *jobs.Refusal or a *jobs.Error that isn't Uncertain, and
+// a *command.UncertainError for anything else.
 func CommandError(change model.ChangeID, err error) error {
 	var refusal *jobs.Refusal
 	if errors.As(err, &refusal) {
