--- a/internal/jobs/jobsport/submit.go
+++ b/internal/jobs/jobsport/submit.go
@@ -8,9 +8,9 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Submit implements command.Jobs. The operator's name for the job serves as
-// the change ID of its submission: a repeat finds the job that is there, and
-// another job under that name is refused.
+// Submit implements command.Jobs. The name that the operator gave the job is the
+// change ID of its submit: a repeat finds the existing job, and another job under
+// the same name is refused.
 func (o CommandAdapter) Submit(ctx context.Context, job model.Job, t command.Terms) (command.Effect, error) {
 	ids, err := o.Executor.Submit(ctx, model.ChangeID(job.ID), []model.Job{job})
 	if err != nil {
@@ -26,7 +26,8 @@
 	return command.Effect{After: fmt.Sprintf("%s as job %s", stored.State, ids[0])}, nil
 }
 
-// sameJob compares what was asked for; ID and time are given at submission.
+// sameJob reports whether two jobs are equal apart from the ID and the time of
+// submission, which are set by Submit.
 func sameJob(a, b model.Job) bool {
 	a.ID, b.ID = "", ""
 	a.SubmittedAt = b.SubmittedAt
