--- a/internal/jobs/harness_test.go
+++ b/internal/jobs/harness_test.go
@@ -17,14 +17,16 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// testEntry is one entry VM with ways of its own to the store and the machines.
+// testEntry is one entry VM with its own fault-injecting clients of the store and
+// of the machines.
 type testEntry struct {
 	*Jobs
 	store    *faulty.Store
 	machines *faultyMachines
 }
 
-// testCluster is a platform, its workers and entry VMs on a fake clock.
+// testCluster is a simulated platform with its store, workers and entry VMs on a
+// fake clock.
 type testCluster struct {
 	t        testing.TB
 	clock    *clockwork.FakeClock
@@ -38,8 +40,9 @@
 
 var workerSize = model.Resources{MilliCPU: 8000, MemoryMB: 16384}
 
-// newTestCluster has workers of 8 processors and 16 GB, four to a rack, a rack to a
-// zone of four in turn.
+// newTestCluster returns a cluster with that many workers and entry VMs. Each
+// worker has 8 processors and 16 GB; four workers share a rack, and the racks are
+// spread over four zones in turn.
 func newTestCluster(t testing.TB, workers, nodes int) *testCluster {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC))
 	w := &testCluster{t: t, clock: clock, store: memstore.New(clock), platform: standin.New(clock), view: view.NewHolder()}
@@ -72,7 +75,7 @@
 	return fmt.Sprintf("%06d", w.ids)
 }
 
-// publish shows the world's snapshot to all nodes.
+// publish publishes a copy of the snapshot to the view of all entry VMs.
 func (w *testCluster) publish() {
 	w.snap.Revision++
 	next := w.snap
@@ -92,7 +95,7 @@
 
 func (w *testCluster) ctx() context.Context { return context.Background() }
 
-// submit stores jobs at the first node.
+// submit submits the jobs to the first entry VM.
 func (w *testCluster) submit(all ...model.Job) []model.JobID {
 	w.t.Helper()
 	ids, err := w.entries[0].Submit(w.ctx(), "", all)
@@ -100,14 +103,16 @@
 	return ids
 }
 
-// step lets each node do a pass; errors are part of the failures played.
+// step does one pass on each entry VM. Errors are ignored: they follow from the
+// injected faults.
 func (w *testCluster) step() {
 	for _, n := range w.entries {
 		_ = n.Step(w.ctx())
 	}
 }
 
-// run steps for a time, a second each.
+// run advances the clock by d in steps of one second, with a pass on each entry VM
+// after every step.
 func (w *testCluster) run(d time.Duration) {
 	for range int(d / time.Second) {
 		w.clock.Advance(time.Second)
@@ -115,7 +120,7 @@
 	}
 }
 
-// get reads a job from the store, past all mirrors.
+// get reads a job directly from the store, not from a mirror.
 func (w *testCluster) get(id model.JobID) Record {
 	w.t.Helper()
 	key, at, ok := keyOf(id)
@@ -133,7 +138,7 @@
 	w.platform.Machines.SetBehaviour(id, b)
 }
 
-// smallJob is a repeatable job of a processor and a gigabyte.
+// smallJob returns a repeatable job of one processor and 1 GB.
 func smallJob() model.Job {
 	return model.Job{
 		Team: "panel", Kind: "crosstab", Class: model.ClassNormal, Repeatable: true,
@@ -141,7 +146,7 @@
 	}
 }
 
-// nonRepeatableJob is the same, but not repeatable.
+// nonRepeatableJob returns a job of the same size that is not repeatable.
 func nonRepeatableJob() model.Job {
 	j := smallJob()
 	j.Kind, j.Repeatable = "incentives", false
