--- a/internal/jobs/machines_test.go
+++ b/internal/jobs/machines_test.go
@@ -9,19 +9,21 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// faultyMachines is one entry VM's way to the platform's faultyMachines, with faults.
+// faultyMachines is one entry VM's client of the platform's machines, with injected
+// faults.
 type faultyMachines struct {
 	*standin.Machines
-	// before is called before each start; a test pauses the entry VM in it, or
-	// lets others act first.
+	// before, if not nil, is called before each start. Tests use it to pause the
+	// entry VM or to let other entry VMs act first.
 	before func(t infra.Task)
-	// loseReplies and loseRequests make the next starts report KindUnknown
-	// with and without effect.
+	// loseReplies and loseRequests are how many of the next starts fail with
+	// KindUnknown, after taking effect and without taking effect respectively.
 	loseReplies, loseRequests int
 
-	mu sync.Mutex // guards the counts while starts go out side by side
+	mu sync.Mutex // guards loseReplies and loseRequests during concurrent starts
 }
 
+// consume decrements n and reports whether it was above zero.
 func (m *faultyMachines) consume(n *int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,8 +49,7 @@
 	return err
 }
 
-// slowStore lets the reply to the first transaction take longer than a start
-// may be late.
+// slowStore delays the reply to the first transaction by more than maxIntentAge.
 type slowStore struct {
 	infra.Store
 	cluster *testCluster
