--- a/internal/jobs/race_test.go
+++ b/internal/jobs/race_test.go
@@ -13,20 +13,21 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// raceSimulation plays one run of entry VMs that place at the same time. At each
-// write and each start another entry VM may do a whole pass in between, time
-// may pass, a worker die, or a cancel arrive; replies and requests get lost.
+// raceSimulation simulates entry VMs that place jobs concurrently. Before each
+// write and each start, another entry VM may do a whole pass, time may pass, a
+// worker may fail or recover, a job may be cancelled, and replies and requests may
+// be lost.
 type raceSimulation struct {
 	*testCluster
 	rng           *rand.Rand
 	inPass        map[*testEntry]bool
 	ids           []model.JobID
-	nonRepeatable map[model.JobID]bool // those that are not repeatable
+	nonRepeatable map[model.JobID]bool // whether a job is not repeatable
 	depth         int
-	faultsOff     bool // no more faults
+	faultsOff     bool // no more faults are injected
 }
 
-// maxNesting is how many entry VMs may be held up inside each other.
+// maxNesting bounds how many passes may be nested in each other.
 const maxNesting = 2
 
 func (s *raceSimulation) chance(percent int) bool { return !s.faultsOff && s.rng.IntN(100) < percent }
@@ -36,7 +37,7 @@
 	n.machines.before = func(infra.Task) { s.interleave(n) }
 }
 
-// interleave is what happens while n waits for the platform.
+// interleave simulates what happens while n waits for the store or the platform.
 func (s *raceSimulation) interleave(n *testEntry) {
 	if s.faultsOff || s.depth > maxNesting {
 		return
@@ -79,18 +80,19 @@
 	}
 }
 
-// stepOne does a pass at an entry VM that is not in the middle of one.
+// stepOne does a pass on an entry VM unless it is in the middle of one.
 func (s *raceSimulation) stepOne(n *testEntry) {
 	if s.inPass[n] {
 		return
 	}
 	s.inPass[n] = true
 	defer delete(s.inPass, n)
-	_ = n.Step(s.ctx()) // lost replies and conflicts are part of the play
+	_ = n.Step(s.ctx()) // lost replies and conflicts are expected
 	s.checkInvariants()
 }
 
-// checkInvariants holds at every moment.
+// checkInvariants checks what must hold at any time: no worker runs more than its
+// capacity, and no job that is not repeatable is started twice.
 func (s *raceSimulation) checkInvariants() {
 	s.t.Helper()
 	tasks, err := s.platform.Machines.Tasks(s.ctx())
@@ -105,8 +107,8 @@
 		assert.Assert(s.t, u.Fits(s.snap.VMs[vm].Capacity), "VM %s runs more than it has", vm)
 	}
 	starts := s.platform.Machines.Tally().Starts
-	for id, once := range s.nonRepeatable {
-		if !once {
+	for id, nonRepeatable := range s.nonRepeatable {
+		if !nonRepeatable {
 			continue
 		}
 		assert.Assert(s.t, starts[id] <= 1, "job %s is not repeatable and was started %d times", id, starts[id])
@@ -114,11 +116,11 @@
 }
 
 func TestConcurrentPlacers(t *testing.T) {
-	// Three entry VMs place the same jobs at once while the platform loses
-	// replies, workers die and operators cancel. The caller sees each job that
-	// is not repeatable started at most once, no worker is given more than it
-	// has, and once the faults end every job is over or shown as unknown: none
-	// is lost and none runs without a record.
+	// Three entry VMs place the same jobs concurrently while the platform loses
+	// replies, workers fail and operators cancel jobs. No job that is not
+	// repeatable may be started twice, and no worker may run more than its
+	// capacity. After the faults, every job must have ended or be in state
+	// Unknown: none is lost and no task runs without a record.
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			s := &raceSimulation{testCluster: newTestCluster(t, 6, 3), rng: rand.New(rand.NewPCG(seed, 7)), inPass: make(map[*testEntry]bool), nonRepeatable: make(map[model.JobID]bool)}
@@ -157,7 +159,7 @@
 		if s.chance(30) {
 			n.store.LoseReplies(1)
 		}
-		s.depth = maxNesting + 1 // nothing in between: the write is not this goroutine's
+		s.depth = maxNesting + 1 // disables interleave: Submit writes in another goroutine
 		_, err := n.Submit(s.ctx(), change, all)
 		s.depth = 0
 		assert.NilError(s.t, err)
@@ -180,7 +182,9 @@
 	}
 }
 
-// checkFinalState holds once the faults are over.
+// checkFinalState checks what must hold after the faults: every job is recorded
+// and has ended or is in state Unknown, and every running task belongs to the
+// current attempt of a running job.
 func (s *raceSimulation) checkFinalState() {
 	s.checkInvariants()
 	all, err := s.entries[0].List(s.ctx())
