--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -12,29 +12,31 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// load keeps jobs waiting on a world and counts what becomes of them.
+// load keeps a number of jobs waiting in a test cluster and counts their outcomes.
 type load struct {
 	*testCluster
 	rng       *rand.Rand
 	job       jobGenerator
 	submitted int
-	// afterStep is called after afterStep step; a baseline takes its knowledge away in it.
+	// afterStep is called after each pass. A baseline resets the learned state in
+	// it.
 	afterStep func(n *testEntry)
 }
 
-// tally is what a load came to.
+// benchTally holds the results of a load.
 type benchTally struct {
-	usedCPU      float64 // share of the workers' processors that tasks really used
-	usedMemory   float64 // share of their memory
-	excessCPU    float64 // processors wanted beyond what the workers have, as a share of those
+	usedCPU      float64 // mean share of the workers' processors used by tasks
+	usedMemory   float64 // mean share of the workers' memory used by tasks
+	excessCPU    float64 // processors demanded beyond the workers' capacity, as a share of that capacity
 	failures     map[string]int
 	states       map[State]int
 	starts       int
-	startedTwice int // jobs that may not be repeated and were started more than once
-	missingJobs  int // jobs that are in no state at all
+	startedTwice int // jobs that are not repeatable and were started more than once
+	missingJobs  int // submitted jobs without a record
 }
 
-// simulate runs for a time and keeps so many jobs waiting.
+// simulate runs the cluster for d and tops up the waiting jobs to the given number
+// every 5 seconds. Usage is averaged over the second half.
 func (l *load) simulate(d time.Duration, waiting int) benchTally {
 	var out benchTally
 	out.failures = make(map[string]int)
@@ -79,9 +81,9 @@
 	return out
 }
 
-// inUse counts a worker on which tasks want more processors than it has as
-// fully used, and returns what they want beyond. Such tasks would be slowed by
-// as much, which the stand-in doesn't play.
+// inUse returns the resources in use on all workers, each bounded by the worker's
+// capacity, and the milli-CPUs demanded beyond it. Real tasks would be slowed by
+// that excess; the stand-in doesn't simulate it.
 func inUse(byVM map[model.VMID]model.Resources) (sum model.Resources, excess int64) {
 	for _, used := range byVM {
 		excess += max(used.MilliCPU-workerSize.MilliCPU, 0)
@@ -130,8 +132,9 @@
 	}
 }
 
-// BenchmarkSizesOff has 20 kinds of job of which 6 were declared wrong by four
-// times, half of them too large. Usage reports are ten seconds apart.
+// BenchmarkSizesOff runs 20 kinds of jobs, of which 3 declare four times and 3 a
+// quarter of the resources that they use. Usage is reported every 10 seconds. It
+// compares sizes learned per kind with the declared sizes.
 func BenchmarkSizesOff(b *testing.B) {
 	job := func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
 		kind := rng.IntN(20)
@@ -153,7 +156,7 @@
 			for b.Loop() {
 				l := &load{testCluster: newTestCluster(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, afterStep: func(*testEntry) {}}
 				if name != "learned" {
-					l.job = withOwnKind(job) // nothing is learned of a kind of one job
+					l.job = withOwnKind(job) // a kind with a single job has no usage history
 				}
 				l.platform.Machines.SetUsageEvery(10 * time.Second)
 				got := l.simulate(20*time.Minute, 150)
@@ -169,7 +172,7 @@
 
 type jobGenerator func(rng *rand.Rand, n int) (model.Job, standin.Behaviour)
 
-// withOwnKind gives each job a kind of its own.
+// withOwnKind returns a generator that gives each job a kind of its own.
 func withOwnKind(job jobGenerator) jobGenerator {
 	return func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
 		j, behaviour := job(rng, n)
@@ -178,8 +181,9 @@
 	}
 }
 
-// BenchmarkBadWorkers has 4 of 200 workers fail everything at once. What is
-// lost are starts that fail on them and jobs that end as failed.
+// BenchmarkBadWorkers runs jobs on 200 workers of which 4 fail every task
+// immediately, with and without the failure history of workers. It reports the
+// failed starts and the jobs that end as failed.
 func BenchmarkBadWorkers(b *testing.B) {
 	job := func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
 		j := smallJob()
@@ -224,8 +228,8 @@
 	return n
 }
 
-// BenchmarkPoisonedKind submits 1,000 jobs that always fail, at once or late,
-// among good ones.
+// BenchmarkPoisonedKind submits 1,000 jobs that always fail, early or late, among
+// jobs that succeed. It reports the workers that are quarantined wrongly.
 func BenchmarkPoisonedKind(b *testing.B) {
 	for _, after := range []time.Duration{time.Second, 25 * time.Second} {
 		b.Run("after-"+after.String(), func(b *testing.B) {
@@ -250,8 +254,9 @@
 	}
 }
 
-// BenchmarkScale submits 20,000 jobs to 3,600 workers, of which three quarters
-// fit at once, loses a reply in each second, and runs until all are over.
+// BenchmarkScale submits 20,000 jobs to 3,600 workers, which can run three quarters
+// of them concurrently, loses a reply of the store and of the platform in every
+// pass, and runs until all jobs have ended.
 func BenchmarkScale(b *testing.B) {
 	for b.Loop() {
 		w := newTestCluster(b, 3600, 1)
@@ -288,8 +293,8 @@
 	}
 }
 
-// drain passes until no job is left, and returns the mean share of processors
-// set aside while jobs waited.
+// drain does passes until all jobs have ended, at most 200. It returns the mean
+// share of processors reserved while jobs waited, and the number of passes.
 func (w *testCluster) drain(n *testEntry) (used float64, passes int) {
 	samples := 0
 	for passes = 1; passes < 200; passes++ {
@@ -298,7 +303,7 @@
 		n.machines.loseReplies = 1
 		n.machines.mu.Unlock()
 		n.store.LoseReplies(1)
-		_ = n.Step(w.ctx()) // a lost reply is found out about by the next
+		_ = n.Step(w.ctx()) // the next pass recovers from a lost reply
 		all, _ := n.List(w.ctx())
 		var waiting, left int
 		var cpu int64
