--- a/internal/jobs/urgent_bench_test.go
+++ b/internal/jobs/urgent_bench_test.go
@@ -20,22 +20,22 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// deployment is a deployment of deployment's size on the stand-in over loopback HTTP,
-// in real time: 50 workers, 8 entry VMs, and the service's limits of writes
-// and reads.
+// deployment is a deployment of production size on the stand-in platform over
+// loopback HTTP, in real time: 50 workers, 8 entry VMs, and a store that limits
+// writes and reads per second.
 type deployment struct {
-	server       *standin.Server // the machines, which are no part of the service and its limits
+	server       *standin.Server // the machines, not subject to the store's limits
 	service      *standin.Server
-	address      string // of the service
+	address      string // address of the store
 	nodes        []*Jobs
 	startLatency *startLatencies
 }
 
-// startLatencies are the times from submit to start, in microseconds.
+// startLatencies holds the latencies from submit to start, in microseconds.
 type startLatencies struct {
 	mu            sync.Mutex
 	histogram     *hdrhistogram.Histogram
-	failedSubmits int // submits
+	failedSubmits int // number of submits that failed
 }
 
 const (
@@ -78,9 +78,8 @@
 	return d
 }
 
-// loadStore writes as often as the service lets all clients together write, and
-// each of its writes that is refused comes again, as other work of the system
-// would at its busiest.
+// loadStore simulates other clients at peak load: together they write at the store's
+// rate limit, and each retries its refused writes.
 func (d *deployment) loadStore(ctx context.Context) {
 	const clients = 30
 	for range clients {
@@ -100,9 +99,9 @@
 	}
 }
 
-// BenchmarkUrgentStart has urgent jobs arrive at random entry VMs among
-// bursts of deferrable ones, and reports how long each took from the call of
-// Submit until the platform had its task.
+// BenchmarkUrgentStart submits urgent jobs to random entry VMs among bursts of
+// deferrable ones, and reports the latency from the call of Submit until the
+// platform has started the task.
 func BenchmarkUrgentStart(b *testing.B) {
 	for _, c := range []struct {
 		name      string
@@ -115,7 +114,7 @@
 				if c.storeLoad {
 					d.loadStore(ctx)
 				}
-				time.Sleep(3 * time.Second) // the service's burst is used up, and one holds the lease
+				time.Sleep(3 * time.Second) // until the burst of the store's rate limit is used up and an entry VM holds the lease
 				d.drive(ctx, 200)
 				d.report(b)
 				cancel()
@@ -124,8 +123,8 @@
 	}
 }
 
-// drive submits urgent jobs one after the other. A twentieth comes with a burst
-// of 50 deferrable ones.
+// drive submits n urgent jobs at random intervals below 100 ms. Every twentieth
+// comes with a burst of 50 deferrable jobs.
 func (d *deployment) drive(ctx context.Context, n int) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	var pending sync.WaitGroup
@@ -156,7 +155,8 @@
 	pending.Wait()
 }
 
-// await asks the stand-in itself, not over HTTP, until the job has started.
+// await polls the stand-in directly, not over HTTP, until the job has started or
+// 30 seconds have passed, and records the latency.
 func (d *deployment) await(id model.JobID, since time.Time) {
 	for time.Since(since) < 30*time.Second {
 		if d.server.Machines.Tally().Starts[id] > 0 {
