--- a/internal/jobs/decisions_test.go
+++ b/internal/jobs/decisions_test.go
@@ -12,6 +12,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
+// states counts the jobs by state.
 func (w *testCluster) states(ids []model.JobID) map[State]int {
 	out := make(map[State]int)
 	for _, id := range ids {
@@ -21,8 +22,9 @@
 }
 
 func TestJobThatFailsEverywhereIsStopped(t *testing.T) {
-	// A bad job fails on each worker it is given. After three distinct ones it
-	// is stopped and says so; the workers go on to take other work.
+	// A job that fails on every worker must not be retried forever or get its
+	// workers quarantined. It fails after three distinct workers, and the workers
+	// continue to take other jobs.
 	w := newTestCluster(t, 8, 1)
 	bad := smallJob()
 	bad.Kind = "poisoned"
@@ -39,9 +41,10 @@
 }
 
 func TestWorkerThatFailsEverything(t *testing.T) {
-	// A worker fails whatever it starts at once, and so always has room. Jobs
-	// of several kinds that run elsewhere show it; it gets no more, and one
-	// job at a time tries it again until it is mended.
+	// A worker that fails every task immediately always has free capacity and
+	// would attract all jobs. It is quarantined once jobs of several kinds fail on
+	// it and run elsewhere. Later it is probed with one job at a time, and
+	// reinstated after its repair.
 	w := newTestCluster(t, 24, 1)
 	w.platform.Machines.SetWorkerFails("v0003", true)
 	var ids []model.JobID
@@ -72,7 +75,7 @@
 	}
 	before := failures()
 	w.run(30 * time.Second)
-	assert.Equal(t, failures(), before, "it gets no more")
+	assert.Equal(t, failures(), before, "a quarantined worker gets no more tasks")
 	w.platform.Machines.SetWorkerFails("v0003", false)
 	for range 12 {
 		refill()
@@ -85,6 +88,8 @@
 	}
 }
 
+// The quarantine of a worker must survive a change of the lease holder: the next
+// one loads the learned state from the store.
 func TestQuarantineOutlivesTheHolder(t *testing.T) {
 	w := newTestCluster(t, 40, 1)
 	w.platform.Machines.SetWorkerFails("v0000", true)
@@ -106,9 +111,9 @@
 }
 
 func TestTooLittleMemoryIsLearned(t *testing.T) {
-	// A kind was declared with a quarter of the memory it needs. Its first jobs
-	// are ended by their worker's guard and get twice as much each time; those
-	// that come later get enough at once.
+	// Jobs of a kind that declares a quarter of the memory it needs are stopped by
+	// the workers' memory guard. Their memory is doubled at each retry, and later
+	// jobs of the kind get enough at their first start. No worker is blamed.
 	w := newTestCluster(t, 8, 1)
 	w.platform.Machines.SetUsageEvery(5 * time.Second)
 	job := smallJob()
@@ -133,9 +138,9 @@
 }
 
 func TestUrgentDisplacesDeferrable(t *testing.T) {
-	// The fleet is full of deferrable work and of one job that is not
-	// repeatable. An urgent job starts within two passes; what gave way keeps
-	// its progress and runs again when there is room.
+	// The only worker is full with deferrable jobs, one of them not repeatable. An
+	// urgent job must start within two passes by preempting repeatable jobs, which
+	// run again once there is free capacity.
 	w := newTestCluster(t, 1, 1)
 	preemptible, protected := smallJob(), nonRepeatableJob()
 	preemptible.Class, preemptible.Checkpoints, protected.Class = model.ClassDeferrable, true, model.ClassDeferrable
@@ -156,9 +161,9 @@
 }
 
 func TestBorrowedCapacityIsTakenBack(t *testing.T) {
-	// Team panel has borrowed the whole fleet while team cleaning was idle.
-	// When cleaning comes back it gets its guarantee within a few passes, and
-	// panel keeps its own.
+	// Team panel borrows the whole fleet while team cleaning is idle. When cleaning
+	// submits jobs, it must get its guaranteed capacity within a few passes, and
+	// panel keeps its own guarantee.
 	w := newTestCluster(t, 2, 1)
 	share := model.Resources{MilliCPU: 8000, MemoryMB: 16384}
 	w.snap.Declaration = &model.Declaration{Generation: 2, Teams: []model.Team{{Name: "panel", Guaranteed: share}, {Name: "cleaning", Guaranteed: share}}}
