--- a/internal/jobs/failure_test.go
+++ b/internal/jobs/failure_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestStartWithoutReplyRunsOnce(t *testing.T) {
-	// The operator sees one run. The platform starts the task and the reply is
-	// lost, also of the repeats; the entry VM then finds the task in the list.
-	// Repeats bear the same attempt ID, so the platform starts nothing twice.
+	// The platform starts a task and the reply is lost, once or at every repeat.
+	// The job must run once: repeats have the same attempt ID, so the platform
+	// starts no second task, and the entry VM finds the task in the list.
 	for _, lost := range []int{1, maxStartTries} {
 		w := newTestCluster(t, 4, 2)
 		w.entries[0].machines.loseReplies = lost
@@ -28,10 +28,9 @@
 }
 
 func TestStartThatMayHaveBeenSentIsNotRepeated(t *testing.T) {
-	// The operator sees "unknown" and decides. Every copy of the start is lost
-	// on the way and the task never shows up, but a copy could still arrive; a
-	// job that is not repeatable therefore isn't started again by itself. A
-	// repeatable one is.
+	// Every copy of a start is lost on the way and its task is never listed, but a
+	// copy could still arrive. A job that is not repeatable must become Unknown
+	// until an operator decides; a repeatable one is started again.
 	w := newTestCluster(t, 4, 2)
 	w.entries[0].machines.loseRequests = 2 * maxStartTries
 	ids := w.submit(nonRepeatableJob(), smallJob())
@@ -49,9 +48,9 @@
 }
 
 func TestRefusalAfterALostCopyIsNotCertain(t *testing.T) {
-	// The operator sees "unknown", not a second run. The first copy of a start
-	// gets no answer, the second is refused because the worker has just died;
-	// the first may still arrive once the worker is back.
+	// The first copy of a start gets no reply, and the second is refused because
+	// the worker has just failed. The first may still arrive once the worker is
+	// back, so the job must become Unknown rather than be started again.
 	w := newTestCluster(t, 2, 1)
 	n := w.entries[0]
 	n.machines.loseRequests = 1
@@ -66,9 +65,9 @@
 }
 
 func TestNoStartBeforeItsIntentIsCertain(t *testing.T) {
-	// The caller sees one run. The store does not answer the write of the
-	// intent, which may or may not have taken effect; a start sent now could
-	// be one more beside that of whoever reads the old state.
+	// The write of an intent gets no reply and may or may not have taken effect. A
+	// start must not be sent for it, because another entry VM that reads the old
+	// state could start the job as well.
 	for _, tc := range []struct {
 		name string
 		lose func(w *testCluster)
@@ -90,9 +89,9 @@
 }
 
 func TestVerdictStandsAgainstALateStart(t *testing.T) {
-	// An entry VM is paused before it sends a start. Others call the job
-	// unknown and an operator decides that it is over. The late start arrives:
-	// the verdict stands and the task is stopped.
+	// An entry VM is paused before it sends a start. Another sets the job to
+	// Unknown and an operator cancels it. When the late start arrives, the job must
+	// stay cancelled and the task be stopped.
 	w := newTestCluster(t, 2, 2)
 	paused, other := w.entries[0], w.entries[1]
 	id := w.submit(nonRepeatableJob())[0]
@@ -111,9 +110,9 @@
 }
 
 func TestLateStartIsAdopted(t *testing.T) {
-	// As above, but the operator decides that the job has not run. The late
-	// start arrives before the next pass: the job runs under it and is not
-	// started once more.
+	// As above, but the operator decides that the job has not run. The late start
+	// arrives before the next pass, which must adopt its task instead of starting
+	// the job again.
 	w := newTestCluster(t, 2, 2)
 	paused, other := w.entries[0], w.entries[1]
 	id := w.submit(nonRepeatableJob())[0]
@@ -130,9 +129,9 @@
 }
 
 func TestStaleObservationDoesNotChangeNewAttempt(t *testing.T) {
-	// A worker dies. One entry VM finds its task lost and is held up before it
-	// writes that; another has by then started the job elsewhere. The first
-	// must not give up the new attempt for what it saw of the old one.
+	// A worker fails. One entry VM observes that the task is lost and is delayed
+	// before it writes the transition, while another starts the job on another
+	// worker. The stale transition must not abandon the new attempt.
 	w := newTestCluster(t, 3, 2)
 	slow, other := w.entries[0], w.entries[1]
 	id := w.submit(smallJob())[0]
@@ -150,9 +149,9 @@
 }
 
 func TestUrgentJobWhileTheHolderIsDead(t *testing.T) {
-	// The entry VM that places has died, and its lease stands for seconds more.
-	// A caller's urgent job starts all the same, placed by the one that took
-	// it; a normal one waits for the next holder.
+	// The lease holder has crashed and its lease is valid for some seconds more. An
+	// urgent job must be placed by the entry VM that accepted it, after
+	// urgentTakeoverDelay; a normal job waits for the next lease holder.
 	w := newTestCluster(t, 2, 2)
 	dead, other := w.entries[0], w.entries[1]
 	held, err := dead.ensureLease(w.ctx())
@@ -172,14 +171,14 @@
 	ids, err := other.Submit(w.ctx(), "u", []model.Job{urgent})
 	assert.NilError(t, err)
 	passAfter(100 * time.Millisecond)
-	assert.Equal(t, w.state(ids[0]), Waiting, "the holder has its chance")
+	assert.Equal(t, w.state(ids[0]), Waiting, "the lease holder is given urgentTakeoverDelay")
 	passAfter(passInterval)
 	assert.Equal(t, w.state(ids[0]), Running)
 }
 
 func TestOneHolderAtATime(t *testing.T) {
-	// Three entry VMs want to place. One holds the lease, and another takes it
-	// within seconds after it was handed over or its holder stopped renewing.
+	// Of three entry VMs only one may hold the lease at a time. Another acquires it
+	// within seconds after it was released or has expired.
 	w := newTestCluster(t, 2, 3)
 	holders := func() (held []int) {
 		for i, n := range w.entries {
@@ -196,7 +195,7 @@
 	assert.DeepEqual(t, holders(), []int{0})
 	w.entries[0].releaseLease(w.ctx())
 	w.entries[0].lease.checked = w.clock.Now()
-	assert.DeepEqual(t, holders(), []int(nil)) // all asked a moment ago
+	assert.DeepEqual(t, holders(), []int(nil)) // all have just checked
 	w.clock.Advance(leaseCheckInterval)
 	w.entries[0].lease.checked = w.clock.Now()
 	assert.DeepEqual(t, holders(), []int{1})
@@ -205,10 +204,10 @@
 }
 
 func TestHolderPausedBetweenIntentAndStart(t *testing.T) {
-	// The operator sees one run or "unknown", never two. An entry VM writes
-	// the intent and is paused, as by its host; another takes over, finds no
-	// task and says unknown. The first wakes and its start arrives: the job is
-	// running under the one attempt it ever had.
+	// An entry VM writes an intent and is paused, for example by its hypervisor.
+	// Another takes over, finds no task and sets the job to Unknown. When the first
+	// resumes and its start arrives, the job must run under its only attempt and
+	// never be started twice.
 	w := newTestCluster(t, 4, 2)
 	paused, other := w.entries[0], w.entries[1]
 	id := w.submit(nonRepeatableJob())[0]
@@ -225,9 +224,9 @@
 }
 
 func TestHolderPausedBeforeSendingDoesNotStart(t *testing.T) {
-	// The caller sees a late start and one run. The store holds the intent's
-	// reply back for longer than others wait before they act on it, so the
-	// entry VM must not send the start any more.
+	// The store delays the reply to the write of an intent by more than
+	// maxIntentAge. The entry VM must not send the start any more, because others
+	// may be about to act on the intent; the job is started later, once.
 	w := newTestCluster(t, 4, 1)
 	n := w.entries[0]
 	id := w.submit(nonRepeatableJob())[0]
@@ -235,7 +234,7 @@
 	n.machines.before = func(infra.Task) { sent++ }
 	n.Jobs.store = &slowStore{Store: n.store, cluster: w}
 	assert.NilError(t, n.Step(w.ctx()))
-	assert.Equal(t, sent, 0, "nothing is sent")
+	assert.Equal(t, sent, 0, "no start is sent")
 	assert.Equal(t, w.state(id), Waiting)
 	w.run(time.Second)
 	assert.Equal(t, w.state(id), Running)
@@ -243,8 +242,9 @@
 }
 
 func TestLostWorker(t *testing.T) {
-	// A worker dies with a job that may run again and one that may not. The
-	// first runs again elsewhere; of the second nobody knows how far it came.
+	// A worker fails with a repeatable job and one that is not. The first must run
+	// again on another worker; the second becomes Unknown, since it may have done
+	// its work.
 	w := newTestCluster(t, 2, 2)
 	ids := w.submit(nonRepeatableJob(), smallJob())
 	w.step()
@@ -257,7 +257,8 @@
 	assert.Assert(t, w.get(ids[1]).VM != vm)
 }
 
-// A job that crashes each worker that starts it is started on the next, without end.
+// A job that crashes every worker it starts on must fail after maxEarlyLosses
+// workers instead of being started on the next one without limit.
 func TestJobThatCrashesItsWorkersFails(t *testing.T) {
 	w := newTestCluster(t, 10, 1)
 	id := w.submit(smallJob())[0]
@@ -273,12 +274,13 @@
 }
 
 func TestExpiredTaskLeases(t *testing.T) {
-	// All entry VMs are cut off for longer than a task's lease. The platform
-	// ends the tasks as lost: what may run again does, the other is unknown.
+	// No entry VM renews the tasks' leases for longer than taskTTL, and the platform
+	// ends the tasks as lost. A repeatable job must run again; the other becomes
+	// Unknown.
 	w := newTestCluster(t, 2, 2)
 	ids := w.submit(nonRepeatableJob(), smallJob())
 	w.run(10 * time.Minute)
-	assert.Equal(t, w.state(ids[0]), Running, "renewed while an entry VM is there")
+	assert.Equal(t, w.state(ids[0]), Running, "the lease is renewed while entry VMs do passes")
 	w.clock.Advance(taskTTL + time.Second)
 	w.run(2 * time.Second)
 	assert.Equal(t, w.state(ids[0]), Unknown)
@@ -287,9 +289,9 @@
 }
 
 func TestCancelRacesStart(t *testing.T) {
-	// The operator cancels while the start is on its way. Whether it is
-	// refused, runs, or its reply is lost, the job ends as cancelled and
-	// nothing of it runs on.
+	// An operator cancels a job while its start is being sent. Whether the task
+	// starts, the start is refused, or its reply is lost, the job must end as
+	// cancelled and no task of it may keep running.
 	for _, tc := range []struct {
 		name   string
 		arrive func(w *testCluster)
@@ -324,8 +326,9 @@
 }
 
 func TestThousandsCancelledAtOnce(t *testing.T) {
-	// An operator cancels 2,000 waiting and running jobs in one order, and the
-	// reply to one write is lost. All end, at a few dozen writes.
+	// An operator cancels 2,000 waiting and running jobs in one command, and the
+	// reply to one write is lost. All must be cancelled, with at most 8 writes by
+	// the command.
 	w := newTestCluster(t, 50, 2)
 	var ids []model.JobID
 	for range 2 {
@@ -349,9 +352,9 @@
 }
 
 func TestLostReplyToSubmit(t *testing.T) {
-	// The caller's submit takes effect and the reply is lost, and the caller
-	// repeats it under its change ID at another entry VM: the jobs are there
-	// once. Other jobs under the same ID are refused.
+	// The reply of the store to a submit is lost, and the caller repeats the submit
+	// with the same change ID on another entry VM. The jobs must be stored once.
+	// Other jobs with the same change ID are refused.
 	w := newTestCluster(t, 2, 2)
 	w.entries[0].store.LoseReplies(1)
 	first, err := w.entries[0].Submit(w.ctx(), "c-1", copiesOf(3, nonRepeatableJob()))
@@ -368,8 +371,8 @@
 }
 
 func TestLeavingWorker(t *testing.T) {
-	// A worker is drained. New jobs go elsewhere at once; a task that keeps
-	// its progress moves, one that can't is waited for.
+	// A worker is drained. New jobs must be placed on other workers, and a task that
+	// checkpoints is moved; a task that can't is left to finish.
 	w := newTestCluster(t, 2, 1)
 	keeps := smallJob()
 	keeps.Checkpoints = true
