--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -10,6 +10,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
+// A job is placed, started once, succeeds, and is deleted from the store after
+// endedRetention.
 func TestJobRunsToItsEnd(t *testing.T) {
 	w := newTestCluster(t, 4, 2)
 	id := w.submit(smallJob())[0]
@@ -25,9 +27,11 @@
 	w.step()
 	kvs, _, err := w.store.Range(w.ctx(), groupPrefix)
 	assert.NilError(t, err)
-	assert.Equal(t, len(kvs), 0, "ended jobs are forgotten")
+	assert.Equal(t, len(kvs), 0, "ended jobs are deleted after endedRetention")
 }
 
+// A job that no worker can ever run must be marked unplaceable by the first pass,
+// with the violated constraint as the reason.
 func TestUnplaceableJobIsReportedAtOnce(t *testing.T) {
 	w := newTestCluster(t, 4, 1)
 	for _, tc := range []struct {
@@ -51,6 +55,7 @@
 	}
 }
 
+// Placing 1,000 jobs must share transactions rather than take a write per job.
 func TestBurstCostsFewWrites(t *testing.T) {
 	w := newTestCluster(t, 200, 1)
 	before := w.entries[0].Counts().Writes
