--- a/internal/jobs/jobsapi/jobsapi_test.go
+++ b/internal/jobs/jobsapi/jobsapi_test.go
@@ -21,7 +21,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// roleGate admits as far as the role goes.
+// roleGate admits requests that need at most its role, always as user ana.
 type roleGate struct{ role access.Role }
 
 func (g *roleGate) Admit(_ *http.Request, need access.Role) (access.Identity, error) {
@@ -54,7 +54,8 @@
 	return &testAPI{New(Options{Jobs: j, Access: g, Trail: trail, Log: logr.Discard()}), j, g, trail}
 }
 
-// call returns the status and decodes the answer into reply.
+// call sends a request to the handler, decodes the body of the response into
+// reply unless that is nil, and returns the status code.
 func (p *testAPI) call(t *testing.T, method, path, body string, reply any) int {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -124,8 +125,9 @@
 	}
 }
 
-// An operator without the role submits jobs. The refusal has to be in the audit
-// trail: whoever tries doors is to be seen, also where none opened.
+// A submit by an operator without the required role is refused. The audit trail must
+// contain the refusal, so that attempts without permission are visible; a
+// permitted read leaves no entry.
 func TestDeniedSubmitIsInTheTrail(t *testing.T) {
 	p := newTestAPI(t)
 	p.gate.role = access.RoleView
