--- a/internal/jobs/jobsport/jobsport_test.go
+++ b/internal/jobs/jobsport/jobsport_test.go
@@ -18,7 +18,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// discardTrail keeps nothing.
+// discardTrail is an audit trail that discards all events.
 type discardTrail struct{}
 
 func (discardTrail) Record(context.Context, command.Event) error { return nil }
