--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -52,7 +52,7 @@
 	clock           clockwork.Clock
 	log             logr.Logger
 	newID           func() string
-	owner           string // Self and a random ID: distinguishes this process from earlier ones of the same entry VM
+	owner           string // Self and a unique ID, which identify this process
 	parallel        int    // maximum number of concurrent calls to Machines
 	wakeup          chan struct{}
 	mirror          *mirror
@@ -124,6 +124,7 @@
 	return hex.EncodeToString(b[:])
 }
 
+// changeID returns a new change ID for a write by this entry VM.
 func (j *Jobs) changeID() model.ChangeID {
 	return model.ChangeID(string(j.self) + "-" + j.newID())
 }
--- a/internal/jobs/learned.go
+++ b/internal/jobs/learned.go
@@ -50,10 +50,13 @@
 	}
 }
 
+// workerStatus returns why the worker takes no new tasks, or "", and whether it may
+// take a job as a probe.
 func (l *learnedState) workerStatus(vm model.VMID, now time.Time) (string, bool) {
 	return l.Blame.WorkerStatus(vm, now)
 }
 
+// jobToBlame reports whether failures on these workers are due to the job.
 func (l *learnedState) jobToBlame(failedOn []model.VMID) bool { return l.Blame.JobToBlame(failedOn) }
 
 // loadLearned loads the learned state of an earlier lease holder, once per
@@ -123,6 +126,8 @@
 	return p.saveLearned(ctx)
 }
 
+// recordOutcomes records the outcome of each attempt for its worker, once. An
+// attempt recorded as survived is recorded again when it succeeds or fails.
 func (p *pass) recordOutcomes() {
 	l := p.learned
 	for _, r := range p.records {
@@ -209,6 +214,7 @@
 // slows the growth of its memory and still lets the task finish.
 const throttleDivisor = 4
 
+// sizeOf returns the resources to reserve for the job.
 func (p *pass) sizeOf(r *Record) model.Resources { return p.learned.Sizes.Size(&r.Job, r.MinMemoryMB) }
 
 // pruneLearned removes attempts that the platform no longer lists and workers that
--- a/internal/jobs/mirror.go
+++ b/internal/jobs/mirror.go
@@ -89,6 +89,7 @@
 	return nil
 }
 
+// applyBatches applies the batches of a watch until it ends or fails.
 func (m *mirror) applyBatches(batches <-chan infra.WatchBatch, onChange func()) {
 	defer m.setWatching(false)
 	for batch := range batches {
@@ -188,6 +189,7 @@
 	return &g.Jobs[at], true
 }
 
+// decode decodes a stored group.
 func decode(kv infra.KV) (storedGroup, error) {
 	g := &group{}
 	if err := json.Unmarshal(kv.Value, g); err != nil {
--- a/internal/jobs/pass.go
+++ b/internal/jobs/pass.go
@@ -24,6 +24,9 @@
 	again     bool      // another pass should follow immediately
 }
 
+// pass does one reconciliation pass, or nothing while no declaration is known. A
+// failed part doesn't keep the other parts from running; their errors are joined.
+// It reports whether another pass should follow immediately.
 func (j *Jobs) pass(ctx context.Context) (again bool, err error) {
 	j.counts.passes.Add(1)
 	if j.view.Load().Declaration == nil {
@@ -48,6 +51,7 @@
 	return p.again, errors.Join(errs...)
 }
 
+// newPass collects the records and then lists the platform's tasks and VMs.
 func (j *Jobs) newPass(ctx context.Context) (*pass, error) {
 	p := &pass{Jobs: j, now: j.clock.Now(), tasks: make(map[model.AttemptID]infra.Task), listedVMs: make(map[model.VMID]infra.Machine)}
 	p.collectRecords()
@@ -125,6 +129,9 @@
 	return errors.Join(started, p.recordRefusals(ctx, plan.Refused))
 }
 
+// snapshot returns the input of the placement plan: the workers, the waiting jobs,
+// and the running ones. Starting jobs count as stopping, so that they are not
+// preempted.
 func (p *pass) snapshot() placement.Snapshot {
 	d := p.view.Load().Declaration
 	s := placement.Snapshot{Workers: p.workers(), Teams: d.Teams, Weights: placement.WeightsOf(d.Weights)}
--- a/internal/jobs/run.go
+++ b/internal/jobs/run.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// sleep waits for d or until ctx ends.
 func (j *Jobs) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -52,6 +53,8 @@
 	}
 }
 
+// handOver ends the watch and releases the lease, also after ctx is cancelled, so
+// that another entry VM can acquire it at once.
 func (j *Jobs) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
 	defer cancel()
--- a/internal/jobs/start.go
+++ b/internal/jobs/start.go
@@ -56,6 +56,8 @@
 	return errors.Join(errs...)
 }
 
+// intents returns the transitions to Starting for the placements, each with a new
+// attempt ID.
 func (p *pass) intents(placements []placement.Placement) []transition {
 	changes := make([]transition, len(placements))
 	for i, pl := range placements {
@@ -141,6 +143,8 @@
 // maxIntentAge before its start was sent.
 var errIntentExpired = errors.New("this entry VM was held up for too long")
 
+// startedTransition returns the transition of an attempt that the platform has
+// started.
 func startedTransition(id model.JobID, attempt model.AttemptID, at time.Time) transition {
 	return transition{id, func(r *Record) bool {
 		if r.Attempt != attempt || r.State != Starting {
@@ -151,6 +155,8 @@
 	}}
 }
 
+// notStartedTransition returns the transition of an attempt that was certainly not
+// started.
 func notStartedTransition(id model.JobID, attempt model.AttemptID, at time.Time, err error) transition {
 	return transition{id, func(r *Record) bool {
 		if r.Attempt != attempt || r.State != Starting {
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -54,6 +54,8 @@
 	return ids, nil
 }
 
+// validate returns a *Refusal if the change ID, the number of jobs or a job is
+// invalid.
 func (j *Jobs) validate(change model.ChangeID, all []model.Job) error {
 	if !validChangeID(string(change)) {
 		return &Refusal{Code: CodeInvalid, Field: "change", Detail: "want 1 to 64 of a-z, A-Z, 0-9, '-' and '_'"}
@@ -75,6 +77,8 @@
 	return nil
 }
 
+// invalidField returns the first invalid field of the job and what is wrong with
+// it, or "" if the job is valid. An empty teams admits every team.
 func invalidField(job *model.Job, teams map[model.TeamName]bool) (field, detail string) {
 	names := []struct{ field, value string }{
 		{"team", string(job.Team)}, {"kind", job.Kind}, {"pool", string(job.Pool)}, {"zone", string(job.Zone)},
@@ -115,16 +119,17 @@
 // submitBatcher combines groups that callers submit concurrently into shared
 // transactions: groups that arrive during a transaction are part of the next one.
 type submitBatcher struct {
-	mu      sync.Mutex
-	waiting []*submission
-	busy    bool
+	mu       sync.Mutex
+	waiting  []*submission
+	flushing bool
 }
 
+// submission is a new group that waits to be written.
 type submission struct {
 	key   string
 	group *group
-	value []byte
-	done  chan error
+	value []byte     // group, encoded
+	done  chan error // receives the result of the write
 }
 
 func newSubmission(key string, g *group) (*submission, error) {
@@ -140,8 +145,8 @@
 func (s *submitBatcher) add(ctx context.Context, j *Jobs, parts []*submission) error {
 	s.mu.Lock()
 	s.waiting = append(s.waiting, parts...)
-	startFlush := !s.busy
-	s.busy = true
+	startFlush := !s.flushing
+	s.flushing = true
 	s.mu.Unlock()
 	if startFlush {
 		go s.flush(context.WithoutCancel(ctx), j)
@@ -170,6 +175,8 @@
 	}
 }
 
+// take removes and returns as many groups from the queue as fit into a transaction.
+// If there are none, the next add starts a new flush.
 func (s *submitBatcher) take() []*submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +187,7 @@
 	}
 	batch := s.waiting[:n:n]
 	s.waiting = s.waiting[n:]
-	s.busy = n > 0
+	s.flushing = n > 0
 	return batch
 }
 
--- a/internal/jobs/urgent_bench_test.go
+++ b/internal/jobs/urgent_bench_test.go
@@ -114,7 +114,7 @@
 				if c.storeLoad {
 					d.loadStore(ctx)
 				}
-				time.Sleep(3 * time.Second) // until the burst of the store's rate limit is used up and an entry VM holds the lease
+				time.Sleep(3 * time.Second) // the rate limit's burst is used up and the lease is held
 				d.drive(ctx, 200)
 				d.report(b)
 				cancel()
--- a/internal/jobs/write.go
+++ b/internal/jobs/write.go
@@ -104,6 +104,8 @@
 	return min(maxTxnGroups, len(keys)), wrapError("write jobs", "", infra.Errorf("write", infra.KindConflict, "others write the same jobs"))
 }
 
+// drafts returns the new values of the first groups that fit into a transaction,
+// and how many keys they cover. Groups that no transition changes are left out.
 func (j *Jobs) drafts(keys []string, byKey map[string][]transition) ([]draft, int, error) {
 	var drafts []draft
 	bytes := 0
@@ -127,6 +129,8 @@
 	return drafts, len(keys), nil
 }
 
+// draft applies the transitions to a copy of the group. The draft has no touched
+// jobs if the mirror lacks the group or no transition applies.
 func (j *Jobs) draft(key string, changes []transition) (draft, error) {
 	from, ok := j.mirror.get(key)
 	if !ok {
@@ -151,6 +155,8 @@
 	return d, nil
 }
 
+// txnOf returns the transaction that writes the drafts, conditional on the
+// revisions they were made from.
 func txnOf(drafts []draft) infra.Txn {
 	var txn infra.Txn
 	for _, d := range drafts {
