--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -11,13 +11,13 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// grown is a cell of a grown deployment in the middle of a burst: its workers
-// are full and several hundred jobs wait.
-func grown(b *testing.B, workers, jobs int) (*Core, time.Duration) {
+// busyCell returns the core of a cell with the given numbers of workers and waiting jobs, and the
+// present on its clock. Each job has two steps of eight tasks, one after the other.
+func busyCell(b *testing.B, workers, jobs int) (*Core, time.Duration) {
 	b.Helper()
 	now := time.Hour
-	c := NewCore(service, token, Bounds{MaxHold: 10 * time.Second}, logr.Discard())
-	c.Declare(Declared{Version: 1, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 3, Stretch: 1.6}}})
+	c := NewCore(service, token, Bounds{MaxLease: 10 * time.Second}, logr.Discard())
+	c.Configure(Declared{Version: 1, Queues: map[string]Queue{queue: {Name: queue, Service: service, MaxAttempts: 3, Stretch: 1.6}}})
 	c.AllowUntil(now + 1000*time.Hour)
 	c.SetCertain(true)
 	for i := range workers {
@@ -36,10 +36,10 @@
 	return c, now
 }
 
-// BenchmarkPlanWhileFull is what each plan costs while nothing fits: it is made
-// at every answer of a worker.
+// BenchmarkPlanWhileFull measures a plan while no task fits on a worker. A plan is made at every
+// answer of a worker.
 func BenchmarkPlanWhileFull(b *testing.B) {
-	c, now := grown(b, 70, 500)
+	c, now := busyCell(b, 70, 500)
 	c.Plan(now, epoch)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -48,8 +48,8 @@
 	}
 }
 
-// BenchmarkPlanOfManyWorkspaces is a plan over two thousand waiting steps of 82 workspaces while
-// the pool is full, without limits, far from them, and with each at its limit.
+// BenchmarkPlanOfManyWorkspaces measures a plan over two thousand waiting steps of 82 workspaces while
+// the pool is full: without limits, far from the limits, and with each workspace at its limit.
 func BenchmarkPlanOfManyWorkspaces(b *testing.B) {
 	const workspaces, waiting = 82, 2000
 	for _, c := range []struct {
@@ -57,13 +57,13 @@
 		limit int64 // in tasks
 	}{{"no limits", 0}, {"far from limits", 10_000}, {"at limits", 1}} {
 		b.Run(c.name, func(b *testing.B) {
-			core, now := grown(b, 70, 0)
+			core, now := busyCell(b, 70, 0)
 			d := Declared{Version: 2, Queues: core.declared.Queues, Services: map[string]Service{service: {Name: service}}, Workspaces: make(map[work.WorkspaceName]workspace.Workspace)}
 			for i := range workspaces {
 				name := work.WorkspaceName(fmt.Sprintf("ws%d", i))
 				d.Workspaces[name] = workspace.Workspace{Name: name, Limit: short(1).Size.Times(c.limit)}
 			}
-			core.Declare(d)
+			core.Configure(d)
 			for i := range waiting {
 				name := work.WorkspaceName(fmt.Sprintf("ws%d", i%workspaces))
 				j := &work.Job{ID: work.JobID(fmt.Sprintf("%016x", i)), Queue: queue, Workspace: name, Steps: []work.Step{short(8)}}
@@ -79,10 +79,10 @@
 	}
 }
 
-// BenchmarkReport is what the fleet's owner asks of each cell several times a
-// second.
+// BenchmarkReport measures the report that the fleet's owner requests from each cell several
+// times a second.
 func BenchmarkReport(b *testing.B) {
-	c, now := grown(b, 70, 500)
+	c, now := busyCell(b, 70, 500)
 	c.Plan(now, epoch)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -90,28 +90,28 @@
 	}
 }
 
-// BenchmarkBurstOfALargeCell plays a second of a burst on a cell that has drawn most
-// of a fleet: 270 workers, ten tasks on each, more waiting than fits. Workers are
-// polled and plans made as often as an engine does. The figure to read is the time
-// for each start.
+// BenchmarkBurstOfALargeCell simulates a second of a burst on a cell that has most of a fleet's
+// VMs: 270 workers with ten tasks each, and more tasks waiting than fit. Workers are polled and
+// plans made as often as by an engine. The relevant result is ns/start.
 func BenchmarkBurstOfALargeCell(b *testing.B) {
 	starts := 0
 	for b.Loop() {
-		starts += burst(b)
+		starts += runBurst(b)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(starts), "ns/start")
 }
 
 const (
-	burstWorkers = 270
-	burstTask    = 640 * time.Millisecond
-	burstPlans   = 10 * time.Millisecond // between plans
+	burstWorkers      = 270
+	burstTaskTime     = 640 * time.Millisecond
+	burstPlanInterval = 10 * time.Millisecond // between plans
 )
 
-func burst(b *testing.B) (starts int) {
-	c, now := grown(b, burstWorkers, 0)
+// runBurst simulates the burst and returns the number of starts.
+func runBurst(b *testing.B) (starts int) {
+	c, now := busyCell(b, burstWorkers, 0)
 	accept := func(n int) {
-		step := work.Step{Count: 8, Size: work.Resources{MilliCPU: 3100, MemoryMB: 4400}, Estimate: burstTask}
+		step := work.Step{Count: 8, Size: work.Resources{MilliCPU: 3100, MemoryMB: 4400}, Estimate: burstTaskTime}
 		second := step
 		second.After = []int{0}
 		for range n {
@@ -128,17 +128,17 @@
 		running[id], ends[id] = make(map[work.TaskRef]Run), make(map[work.TaskRef]time.Duration)
 	}
 	accept(500)
-	for end := now + time.Second; now < end; now += burstPlans {
+	for end := now + time.Second; now < end; now += burstPlanInterval {
 		accept(2)
 		for _, s := range c.Plan(now, epoch).Starts {
 			starts++
 			id := s.Worker.ID
 			running[id][s.Start.Task] = Run{Task: s.Start.Task, Run: s.Start.Run}
 			// Tasks of a step differ in length.
-			ends[id][s.Start.Task] = now + burstTask + time.Duration(s.Start.Task.Index)*20*time.Millisecond
+			ends[id][s.Start.Task] = now + burstTaskTime + time.Duration(s.Start.Task.Index)*20*time.Millisecond
 			c.StartAnswered(s, OutcomeOK, now, now)
 		}
-		polled := int(now/burstPlans) % 3 // each worker every third plan
+		polled := int(now/burstPlanInterval) % 3 // each worker every third plan
 		for i, id := range ids {
 			if i%3 != polled {
 				continue
@@ -165,10 +165,10 @@
 	return starts
 }
 
-// BenchmarkWorkerCrashes is the crash of one of six hundred full workers: what ran there is
-// blamed or not, and waits again.
+// BenchmarkWorkerCrashes measures the handling of a crash of one of six hundred full workers: the core
+// decides which of its tasks are suspects and queues them again.
 func BenchmarkWorkerCrashes(b *testing.B) {
-	c, now := grown(b, 600, 1000)
+	c, now := busyCell(b, 600, 1000)
 	for range 8 {
 		now += time.Millisecond
 		for _, s := range c.Plan(now, epoch).Starts {
@@ -209,22 +209,22 @@
 	}
 }
 
-// BenchmarkStartsInALargePool is what the starts of a burst cost the owner of a pool that is
-// nearly empty: twelve jobs arrive between two plans. The figure to read is the time a start.
+// BenchmarkStartsInALargePool measures the starts of a burst in a pool that is nearly empty: twelve jobs
+// arrive between two plans. The relevant result is ns/start.
 func BenchmarkStartsInALargePool(b *testing.B) {
 	for _, workers := range []int{365, 1460, 2920} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			starts := 0
 			for b.Loop() {
 				b.StopTimer()
-				c, now := grown(b, workers, 0)
+				c, now := busyCell(b, workers, 0)
 				b.StartTimer()
 				for plan := range 10 {
 					for i := range 12 {
 						j := &work.Job{ID: work.JobID(fmt.Sprintf("%08x%08x", plan, i)), Queue: queue, Steps: []work.Step{short(8)}}
 						c.Accept(j, c.declared.Queues[queue], now)
 					}
-					now += burstPlans
+					now += burstPlanInterval
 					starts += len(c.Plan(now, epoch).Starts)
 				}
 			}
--- a/internal/engine/claims.go
+++ b/internal/engine/claims.go
@@ -13,38 +13,39 @@
 )
 
 const (
-	// reviewEvery is how often it is looked whether a workspace uses what the cell has for it.
-	// What it did not need for two of these goes back: within a second or so, so that a burst
-	// in another cell finds it.
-	reviewEvery = 500 * time.Millisecond
-	// giveBackEvery separates changes by which parts are given back that others wait for, as the
-	// runs that hold them end: each is a transaction.
-	giveBackEvery = 100 * time.Millisecond
-	// claimsInTxn is how many ledgers fit into a transaction beside the owner's key, each with
-	// a condition and a write.
-	claimsInTxn = (txnEntries - 1) / 2
+	// reviewInterval is how often the cell checks whether a workspace needs the limit share that
+	// the cell holds for it. What it did not need for two intervals is given back, within about
+	// a second, so that a burst in another cell can use it.
+	reviewInterval = 500 * time.Millisecond
+	// giveBackInterval separates the transactions that give back parts for which other cells
+	// wait, while the runs that use them end.
+	giveBackInterval = 100 * time.Millisecond
+	// maxClaimsPerTxn is the number of ledgers that fit into a transaction beside the owner's
+	// key, each with a condition and a write.
+	maxClaimsPerTxn = (txnEntries - 1) / 2
 )
 
-// shareClaim is a change of what the cell holds of a workspace's limit.
+// shareClaim is a change of the cell's limit share: the parts of a workspace's limit that are
+// allocated to the cell in the workspace's ledger in the store.
 type shareClaim struct {
 	workspace work.WorkspaceName
-	rev       infra.Revision // on which it is based
+	rev       infra.Revision // of the ledger on which the change is based; 0: none is stored
 	workspace.Settlement
 }
 
-// Claims returns the changes of ledgers that are due, the largest first, and notes that they are
-// under way. What is to be given back is not used from here on: were the change carried out late,
-// another cell would have it already.
+// Claims returns the ledger changes that are due, at most maxClaimsPerTxn, those with the largest
+// allocation first, and marks them as in flight. Parts that are to be given back are not used from
+// here on: if the change takes effect unnoticed, another cell may use them at once.
 func (c *Core) Claims(now time.Duration) []shareClaim {
 	var out []shareClaim
-	hidden := c.hiddenUse(now)
+	hidden := c.unassignedUsage(now)
 	for name, a := range c.limits.accounts {
-		if a.inFlight || a.unreadable || !a.planned {
+		if a.inFlight || a.ledgerUnreadable || !a.needKnown {
 			continue
 		}
 		claim := workspace.Claim{
 			Cell: c.cell, Cells: c.cells, Need: a.need,
-			// What was started or adopted since the last plan is in use, too.
+			// This includes tasks started or adopted since the last plan.
 			InUse: workspace.PartsFor(a.used.Plus(hidden[name]), a.limit),
 		}
 		if !c.claimDue(a, &claim, now) {
@@ -55,86 +56,92 @@
 		}
 	}
 	slices.SortFunc(out, func(x, y shareClaim) int { return cmp.Compare(y.Allocated, x.Allocated) })
-	if len(out) > claimsInTxn {
-		out = out[:claimsInTxn] // the others are due again at the next review
+	if len(out) > maxClaimsPerTxn {
+		out = out[:maxClaimsPerTxn] // the others are due again at the next review
 	}
 	for i := range out {
-		c.limits.of(out[i].workspace).inFlight = true
+		c.limits.account(out[i].workspace).inFlight = true
 	}
 	return out
 }
 
-// claimDue says whether the account's share is to change, and completes the claim.
+// claimDue reports whether the account's share must be settled now, and sets the claim's need:
+// the present one while other cells wait for parts of the limit, else the peak of the last
+// reviews.
 func (c *Core) claimDue(a *account, claim *workspace.Claim, now time.Duration) bool {
 	has := a.ledger.Of(c.cell, len(c.cells))
-	waits, noted := a.short(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
-	if waits && !noted {
+	waits, recorded := a.needsLargerShare(len(c.cells)), a.ledger.UnmetNeeds[c.cell] > 0
+	if waits && !recorded {
 		return true
 	}
-	givesBack := a.explicit && a.granted < has && claim.InUse < has && a.ledger.Contended(*claim)
-	if givesBack && now >= a.reviewed+giveBackEvery {
-		a.reviewed = now
+	givesBack := a.explicit && a.usable < has && claim.InUse < has && a.ledger.Contended(*claim)
+	if givesBack && now >= a.reviewedAt+giveBackInterval {
+		a.reviewedAt = now
 		return true
 	}
-	if now < a.reviewed+reviewEvery {
+	if now < a.reviewedAt+reviewInterval {
 		return false
 	}
-	a.reviewed = now
-	peak := max(a.need, a.peak, a.lastPeak)
-	a.lastPeak, a.peak = a.peak, a.need
+	a.reviewedAt = now
+	peak := max(a.need, a.peakNeed, a.previousPeakNeed)
+	a.previousPeakNeed, a.peakNeed = a.peakNeed, a.need
 	if a.ledger.Contended(*claim) {
-		return true // what it may need again is of use elsewhere now
+		return true // keep no reserve for later needs: another cell needs it now
 	}
 	claim.Need = peak
-	restores := a.explicit && a.granted < min(has, claim.Need)
-	return waits || noted || restores || a.inDoubt || a.ledger.HasSurplus(*claim)
+	restores := a.explicit && a.usable < min(has, claim.Need)
+	return waits || recorded || restores || a.outcomeUnknown || a.ledger.HasSurplus(*claim)
 }
 
-// settle settles the claim with the ledger as it is known; false where the ledger says so already.
+// settle computes the result of the claim on the last known ledger and lowers what the cell may
+// use accordingly. It returns false if the ledger needs no change.
 func (c *Core) settle(a *account, claim workspace.Claim) (workspace.Settlement, bool) {
 	before := a.share(len(c.cells))
 	s := a.ledger.Settle(claim)
-	a.lower(s.Usable, len(c.cells))
+	a.lowerShare(s.Usable, len(c.cells))
 	same := s.Allocated == a.ledger.Of(c.cell, len(c.cells)) && s.Ledger.UnmetNeeds[c.cell] == a.ledger.UnmetNeeds[c.cell]
-	return s, !same || s.Usable > before || a.inDoubt // what is stored makes the earlier change fail
+	// If the outcome of an earlier change is unknown, a write makes that change fail.
+	return s, !same || s.Usable > before || a.outcomeUnknown
 }
 
-// wantsShares reports whether a workspace's work waits for a share that was not asked for yet.
-func (c *Core) wantsShares() bool {
+// hasUnrecordedNeed reports whether a workspace's work waits for a larger share and the ledger does
+// not record this yet.
+func (c *Core) hasUnrecordedNeed() bool {
 	for _, a := range c.limits.accounts {
-		if a.limited() && a.short(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
+		if a.limited() && a.needsLargerShare(len(c.cells)) && !a.inFlight && a.ledger.UnmetNeeds[c.cell] == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// lookDue reports whether ledgers are to be read: where another cell asked for that, where this
-// one waits for what others have, and, half as often, where it has more than its even share and
-// the word of others may have been lost.
-func (c *Core) lookDue(now time.Duration) bool {
+// ledgerReadDue reports whether ledgers must be read: because another cell asked for it, because
+// this cell waits for parts that others hold, or, half as often, because this cell holds more than
+// an even share and a request of another cell may have been lost.
+func (c *Core) ledgerReadDue(now time.Duration) bool {
 	even, due := workspace.EvenShare(len(c.cells)), false
 	for _, a := range c.limits.accounts {
 		waits, above := a.ledger.UnmetNeeds[c.cell] > 0, a.ledger.Of(c.cell, len(c.cells)) > even
-		if a.inFlight || !a.lookNow && !(waits && now >= a.looked+reviewEvery) && !(above && now >= a.looked+2*reviewEvery) {
+		if a.inFlight || !a.ledgerPollRequested && !(waits && now >= a.ledgerPolledAt+reviewInterval) && !(above && now >= a.ledgerPolledAt+2*reviewInterval) {
 			continue
 		}
-		a.looked, a.lookNow, due = now, false, true
+		a.ledgerPolledAt, a.ledgerPollRequested, due = now, false, true
 	}
 	return due
 }
 
-// LookAtLimits notes that another cell waits for some of the workspaces' limits, or gave back.
-func (c *Core) LookAtLimits(names []work.WorkspaceName) {
+// MarkLedgersStale has the ledgers of the workspaces read and their shares reviewed at once, as
+// another cell waits for parts of these limits or has given some back.
+func (c *Core) MarkLedgersStale(names []work.WorkspaceName) {
 	for _, name := range names {
-		a := c.limits.of(name)
-		a.lookNow, a.reviewed = true, 0
+		a := c.limits.account(name)
+		a.ledgerPollRequested, a.reviewedAt = true, 0
 	}
 }
 
-// usesShares reports whether the cell uses more of a limit than it may without being sure of the
-// configuration.
-func (c *Core) usesShares() bool {
+// exceedsProvisionalShare reports whether the cell needs more of a limit than it may use while it
+// can't confirm that its configuration is the newest.
+func (c *Core) exceedsProvisionalShare() bool {
 	for _, a := range c.limits.accounts {
 		if a.limited() && a.need > workspace.ProvisionalShare(len(c.cells)) {
 			return true
@@ -143,63 +150,66 @@
 	return false
 }
 
-// Claimed takes over that the change was stored.
-func (c *Core) Claimed(s shareClaim, rev infra.Revision) {
-	a := c.limits.of(s.workspace)
-	a.inFlight, a.inDoubt = false, false
+// ClaimStored tells the core that the change was stored, with the ledger's new revision.
+func (c *Core) ClaimStored(s shareClaim, rev infra.Revision) {
+	a := c.limits.account(s.workspace)
+	a.inFlight, a.outcomeUnknown = false, false
 	a.ledger, a.rev = s.Ledger, rev
-	c.log.Info("share of a limit", "workspace", a.name, "parts", s.Usable, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
-	a.granted = s.Usable
+	c.log.Info("limit share changed", "workspace", a.name, "parts", s.Usable, "of", workspace.Whole, "has", s.Allocated, "need", a.need, "waits", s.Ledger.UnmetNeeds[c.cell] > 0)
+	a.usable = s.Usable
 	_, a.explicit = s.Ledger.Allocated[c.cell]
 }
 
-// ClaimFailed takes over that the change was not stored; doubt says that it may yet be.
+// ClaimFailed tells the core that the change was not stored; doubt tells that it may have been or
+// may yet be.
 func (c *Core) ClaimFailed(s shareClaim, doubt bool) {
-	a := c.limits.of(s.workspace)
+	a := c.limits.account(s.workspace)
 	a.inFlight = false
-	a.inDoubt = a.inDoubt || doubt
+	a.outcomeUnknown = a.outcomeUnknown || doubt
 }
 
-// LedgerRead takes a ledger over as the store has it. It never raises what the cell may use: a
-// change of its own that was not answered may yet be carried out, and give back what was read;
-// only a change that is stored settles that.
-func (c *Core) LedgerRead(name work.WorkspaceName, value []byte, rev infra.Revision) {
-	a := c.limits.of(name)
+// ApplyLedger sets a workspace's ledger as read from the store; rev 0: none is stored. It never
+// raises what the cell may use: a change of this cell that was not answered may still take effect
+// and give back parts that were read here. Only a later change that is stored settles this.
+func (c *Core) ApplyLedger(name work.WorkspaceName, value []byte, rev infra.Revision) {
+	a := c.limits.account(name)
 	var l workspace.Ledger
-	a.unreadable = false
+	a.ledgerUnreadable = false
 	if rev != 0 {
 		if err := json.Unmarshal(value, &l); err != nil {
-			c.log.Error(err, "ledger of a limit is malformed: the cell goes on with what it had", "workspace", name)
-			a.unreadable = true
+			c.log.Error(err, "limit ledger is malformed, the cell keeps its share", "workspace", name)
+			a.ledgerUnreadable = true
 		}
 	}
 	a.ledger, a.rev = l, rev
 	if has, named := l.Allocated[c.cell]; named {
-		a.lower(has, len(c.cells))
+		a.lowerShare(has, len(c.cells))
 	}
 }
 
-// LedgerSeen takes a ledger over that was read while nothing of this cell's was under way.
-func (c *Core) LedgerSeen(kv infra.KV) {
+// ApplyNewerLedger applies a ledger read from the store if it is newer than the known one and no
+// change of this cell is in flight.
+func (c *Core) ApplyNewerLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
-	if a := c.limits.of(name); !a.inFlight && kv.ModRevision > a.rev {
-		c.LedgerRead(name, kv.Value, kv.ModRevision)
+	if a := c.limits.account(name); !a.inFlight && kv.ModRevision > a.rev {
+		c.ApplyLedger(name, kv.Value, kv.ModRevision)
 	}
 }
 
+// workspaceOf returns the workspace of a ledger's key.
 func workspaceOf(key string) work.WorkspaceName {
 	return work.WorkspaceName(strings.TrimPrefix(key, infra.WorkLimitPrefix))
 }
 
-// RestoreLedger takes over what earlier owners had. Nothing of theirs can be carried out any
-// more: the owner's key, which is in the condition of every change, is another one.
+// RestoreLedger takes the share of the cell's earlier owners over. None of their changes can take
+// effect any more: each is conditional on the owner's key, which has changed.
 func (c *Core) RestoreLedger(kv infra.KV) {
 	name := workspaceOf(kv.Key)
-	c.LedgerRead(name, kv.Value, kv.ModRevision)
-	a := c.limits.of(name)
-	if a.unreadable {
-		a.lower(0, len(c.cells))
+	c.ApplyLedger(name, kv.Value, kv.ModRevision)
+	a := c.limits.account(name)
+	if a.ledgerUnreadable {
+		a.lowerShare(0, len(c.cells))
 		return
 	}
-	a.granted, a.explicit = a.ledger.Allocated[c.cell]
+	a.usable, a.explicit = a.ledger.Allocated[c.cell]
 }
--- a/internal/engine/crash_test.go
+++ b/internal/engine/crash_test.go
@@ -69,7 +69,7 @@
 		}
 		return time.Second
 	}
-	w.submit("lasts", lasting(4))
+	w.submit("lasts", longRunning(4))
 	w.submit("bad", short(3))
 	for _, id := range []work.JobID{"s1", "s2", "s3"} {
 		w.submit(id, short(3))
@@ -102,7 +102,7 @@
 	w := newCrashSim(t, 8)
 	w.workTime = func(work.TaskRef) time.Duration { return 0 }
 	w.setFaulty(simTick, "bad")
-	step := lasting(3)
+	step := longRunning(3)
 	step.AntiAffinity = 0
 	w.submit("bad", step)
 	w.run(40 * time.Second)
@@ -157,7 +157,7 @@
 	b := newRig(t)
 	b.worker("w1")
 	b.accept("j1", short(1))
-	b.answer(b.plan(), OutcomeOtherLife)
+	b.answer(b.plan(), OutcomeOtherIncarnation)
 	assert.Equal(t, len(b.core.find(work.TaskRef{StepRef: work.StepRef{Job: "j1"}}).crashes), 0)
 }
 
@@ -172,10 +172,10 @@
 			b.core.WorkerGone("w1", "test", b.now)
 		},
 		"vacated": func(b *rig) {
-			b.core.obey(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
+			b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
 			b.core.WorkerGone("w1", "test", b.now)
 		},
-		"taken away": func(b *rig) { b.core.obey(CellOrder{Kind: OrderGone, Worker: "w1"}, 1, b.now) },
+		"taken away": func(b *rig) { b.core.applyOrder(CellOrder{Kind: OrderWorkerRemoved, Worker: "w1"}, 1, b.now) },
 	}
 	for name, by := range leave {
 		t.Run(name, func(t *testing.T) {
@@ -200,7 +200,7 @@
 		return 600 * time.Millisecond
 	}
 	w.setFaulty(simTick, "bad")
-	w.submit("lasts", lasting(4))
+	w.submit("lasts", longRunning(4))
 	for _, id := range soundJobs {
 		w.submit(id, short(4))
 	}
@@ -237,9 +237,9 @@
 	}
 }
 
-// runBurst simulates a burst of sound jobs that fills the pool, with three faulty ones among
+// runCrashBurst simulates a burst of sound jobs that fills the pool, with three faulty ones among
 // them.
-func runBurst(t testing.TB, seed uint64, spontaneousRate float64) *crashSim {
+func runCrashBurst(t testing.TB, seed uint64, spontaneousRate float64) *crashSim {
 	w := newSeededCrashSim(t, 12, seed)
 	w.spontaneousRate = spontaneousRate
 	w.workTime = func(ref work.TaskRef) time.Duration {
@@ -276,7 +276,7 @@
 // Guards against giving up sound jobs of a burst, or holding them back for good, because
 // faulty ones crash the workers that they share.
 func TestSoundJobsOfABurstSurviveFaultyJobs(t *testing.T) {
-	w := runBurst(t, 1, 0)
+	w := runCrashBurst(t, 1, 0)
 	for _, id := range []work.JobID{"b0", "b1", "b2"} {
 		assertGivenUp(t, w, id)
 	}
@@ -306,10 +306,10 @@
 	small := work.Resources{MilliCPU: 500, MemoryMB: 200}
 	first, second := short(6), short(4)
 	first.Size, second.Size, second.After = small, small, []int{0}
-	longRunning := lasting(5)
-	longRunning.Size = small
+	service := longRunning(5)
+	service.Size = small
 	for i := range 3 {
-		w.submit(work.JobID(fmt.Sprintf("l%d", i)), longRunning)
+		w.submit(work.JobID(fmt.Sprintf("l%d", i)), service)
 	}
 	w.run(4 * time.Second)
 	sound := 0
@@ -370,7 +370,7 @@
 	lost, seed, runs := 0, uint64(0), 0
 	var waited time.Duration
 	for b.Loop() {
-		w := runBurst(b, seed, 0)
+		w := runCrashBurst(b, seed, 0)
 		seed++
 		_, l := w.soundBurstJobs()
 		lost += l
@@ -418,7 +418,7 @@
 	assert.Equal(t, len(b.plan().Starts), 0)
 	_, _, due := b.core.NextPoll("w1", b.now)
 	assert.Equal(t, due, true, "it is polled")
-	b.look("w1", Listing{})
+	b.poll("w1", Listing{})
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
 
@@ -432,7 +432,7 @@
 	w.takeOver()
 	task := w.core.find(work.TaskRef{StepRef: work.StepRef{Job: "bad"}})
 	before := len(task.crashes)
-	assert.Assert(t, task.presumed != 0)
+	assert.Assert(t, task.presumedRun != 0)
 	w.core.clearPresumed(task, 1)
 	assert.Equal(t, len(task.crashes), before)
 	w.core.clearPresumed(task, 2)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,89 +17,94 @@
 
 // Errors of an engine's calls.
 var (
-	// ErrNotReady: this entry VM does not own the workers (any more) or has
-	// not read what is stored yet. Nothing was done.
+	// ErrNotReady means that this entry VM does not own the cell, or has not restored the
+	// stored state yet. Nothing was done.
 	ErrNotReady = errors.New("engine: not the owner, or not ready")
-	// ErrStore: the store can't take the job now. Nothing was or will be stored.
+	// ErrStore means that the store is unavailable. Nothing was stored or will be.
 	ErrStore = errors.New("engine: the store does not answer")
-	// ErrUncertain: the store was sent the change and did not answer.
+	// ErrUncertain means that the change was sent to the store and not confirmed: it may or
+	// may not be stored.
 	ErrUncertain = errors.New("engine: the store did not confirm")
-	// ErrUnknownJob: no such job, or another workspace's: a caller learns nothing of those.
+	// ErrUnknownJob means that there is no such job, or that it belongs to another workspace:
+	// callers learn nothing about other workspaces' jobs.
 	ErrUnknownJob = errors.New("engine: no such job")
-	// ErrOtherWorkspace: a job of another workspace has the ID. Nothing was stored.
+	// ErrOtherWorkspace means that a job of another workspace has the ID. Nothing was stored.
 	ErrOtherWorkspace = errors.New("engine: the ID is a job of another workspace")
-	// ErrBehind: the caller's entry VM goes by an older configuration than the owner's. Nothing
-	// was done; it is told what is in force and decides anew.
-	ErrBehind = errors.New("engine: a newer configuration is in force")
+	// ErrStaleConfig means that the calling entry VM uses an older configuration than the
+	// owner. Nothing was done; the entry VM is sent the newer one and handles the request again.
+	ErrStaleConfig = errors.New("engine: a newer configuration is in force")
 )
 
-// Clock is where an engine's time comes from.
+// Clock is an engine's source of time.
 type Clock interface {
-	// Now is the time since the VM's start, suspended spells included.
+	// Now returns the time since the VM started, including time in which it was suspended.
 	Now() time.Duration
-	// Wall is the time of day.
+	// Wall returns the time of day.
 	Wall() time.Time
 }
 
-// Term is one spell of ownership.
+// Term is one ownership of a cell. All its orders carry its fencing token, by which workers
+// and the store refuse earlier owners.
 type Term interface {
-	// Token is the fencing token of all orders of the term.
+	// Token returns the fencing token. A later term has a greater one.
 	Token() int64
-	// AllowedUntil is until when orders may be given without another check of
-	// the lease, on the engine's clock.
+	// AllowedUntil returns the time, on the engine's clock, until which orders may be given
+	// without another check of the owner's lease.
 	AllowedUntil() time.Duration
-	// Certain reports whether no other owner can exist now.
+	// Certain reports whether it is certain that no other owner exists now.
 	Certain() bool
-	// End gives the term up.
+	// End ends the term for the reason, which is logged.
 	End(reason string)
-	// Relieve gives it up to another entry VM, as this one is behind its work.
-	Relieve()
+	// HandOver ends the term so that another entry VM takes over, because this one is
+	// overloaded.
+	HandOver()
 }
 
-// Configs tells how sure the entry VM is of its configuration.
+// Configs tells how recently the entry VM's configuration was known to be the newest.
 type Configs interface {
-	// Confirmed is when it was last known to be the newest, on the engine's clock.
+	// Confirmed returns when it was last known to be the newest, on the engine's clock.
 	Confirmed() time.Duration
-	// Confirm reads the newest.
+	// Confirm reads the newest configuration.
 	Confirm(ctx context.Context) error
 }
 
-// Options are what an Engine is made of.
+// Options configure an Engine.
 type Options struct {
 	Cell     string // the service whose workers and jobs these are
 	Store    infra.Store
 	Workers  Workers
 	Machines Machines
-	Advisor  Advisor // nil: no queue is advised
+	Advisor  Advisor // nil: there is none, and jobs of advised queues wait
 	Clock    Clock
 	Log      logr.Logger
 	Bounds   Bounds
 	Term     Term
-	// Listed returns once the registered workers were listed, or could not be for a
-	// while.
-	Listed func(ctx context.Context)
-	// Registry returns the service's workers that are registered now.
+	// WaitForRegistry returns once the registered workers are listed, or after a timeout if
+	// they can't be.
+	WaitForRegistry func(ctx context.Context)
+	// Registry returns the workers of the service that are registered now.
 	Registry func() []WorkerInfo
-	// Known is until when all registrations are in Registry, on the engine's clock; nil: always.
-	Known func() time.Duration
-	// Lookup has the registrations of these workers read one by one, without waiting for
-	// them; nil: it can't.
+	// RegistryCompleteAt returns the time, on the engine's clock, up to which Registry contains
+	// every registration; nil: it is always complete.
+	RegistryCompleteAt func() time.Duration
+	// Lookup requests that the registrations of these workers are read one by one, and
+	// returns at once; nil: not supported.
 	Lookup func(ids []work.WorkerID)
 	// Declared returns the operator's configuration in force.
 	Declared func() Declared
-	// Configs tells how sure it is that the configuration is the newest; nil: always.
+	// Configs tells how recent the configuration is; nil: it is always the newest.
 	Configs Configs
-	// TellCells tells the owners of the other cells to look at the ledgers of these workspaces,
-	// without waiting for them; nil: it can't.
-	TellCells func(names []work.WorkspaceName)
-	// OwnerKey is the key of the cell's owner, whose revision is the term's token.
-	OwnerKey string
-	Metrics  *Metrics
-	Pressure Pressure // nil: not measured
-	// Successor tells what other entry VM could take the cell over; nil: none.
+	// NotifyCells asks the owners of the other cells to read the ledgers of these workspaces,
+	// and returns at once; nil: not supported.
+	NotifyCells func(names []work.WorkspaceName)
+	// OwnerKey is the store key of the cell's owner. Its revision is the term's token.
+	OwnerKey        string
+	Metrics         *Metrics
+	SchedulingDelay DelayMeter // nil: not measured, taken as 0
+	// Successor tells which kind of other entry VM could take the cell over; nil: none can.
 	Successor func() overload.Successor
-	// ListRate is how many reads of the list of VMs the platform takes a second, from
-	// all entry VMs together; 0: any number.
+	// ListRate is how often per second the platform allows the list of VMs to be read, by all
+	// entry VMs together; 0: unlimited.
 	ListRate float64
 }
 
@@ -113,22 +118,22 @@
 	core     *Core
 	sessions map[work.WorkerID]*session
 	restored bool
-	// fleetToken is of the last owner of the fleet that gave orders.
+	// fleetToken is the fencing token of the latest owner of the fleet that gave orders.
 	fleetToken int64
 
-	relief overload.Handover
-	began  time.Duration // of the term
-	starts atomic.Int64  // given and not answered yet
+	handover         overload.Handover
+	startedAt        time.Duration // when Run began
+	unansweredStarts atomic.Int64  // start orders sent and not answered yet
 
 	planKick  chan struct{}
 	storeKick chan struct{}
 	shareKick chan struct{}
 	writer    *writer
-	lives     *incarnationWatcher
+	vmLister  *incarnationWatcher
 	wg        sync.WaitGroup
 }
 
-// New returns an engine for the term.
+// New returns an engine for the term o.Term. Run starts it.
 func New(o Options) *Engine {
 	e := &Engine{
 		Options:   o,
@@ -140,12 +145,13 @@
 	e.core = NewCore(o.Cell, o.Term.Token(), o.Bounds, o.Log.WithName("core"))
 	e.core.metrics = o.Metrics
 	e.writer = newWriter(e)
-	e.lives = &incarnationWatcher{engine: e}
+	e.vmLister = &incarnationWatcher{engine: e}
 	return e
 }
 
-// Run takes over what earlier owners left and carries jobs out until ctx ends
-// or the term is lost.
+// Run restores the state that earlier owners stored and runs jobs until ctx ends or the term
+// does. It returns the error of ctx, ErrNotReady once the term has ended, or the error of
+// restoring.
 func (e *Engine) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() {
@@ -153,11 +159,11 @@
 		e.wg.Wait()
 	}()
 	e.ctx = ctx
-	e.began = e.Clock.Now()
+	e.startedAt = e.Clock.Now()
 	if err := e.restore(ctx); err != nil {
 		return err
 	}
-	e.Log.Info("took over", "cell", e.Cell, "token", e.Term.Token(), "jobs", len(e.core.jobs), "open", len(e.core.open), "took", (e.Clock.Now() - e.began).String())
+	e.Log.Info("took over cell", "cell", e.Cell, "token", e.Term.Token(), "jobs", len(e.core.jobs), "open", len(e.core.open), "took", (e.Clock.Now() - e.startedAt).String())
 	e.mu.Lock()
 	e.restored = true
 	e.mu.Unlock()
@@ -165,26 +171,28 @@
 	e.wg.Go(func() { e.readInbox(ctx) })
 	e.wg.Go(func() { e.runShares(ctx) })
 	if e.Machines != nil {
-		e.wg.Go(func() { e.lives.run(ctx) })
+		e.wg.Go(func() { e.vmLister.run(ctx) })
 	}
 	e.RegistryChanged()
 	return e.planLoop(ctx)
 }
 
-// Pace of planning.
+// Timing of plans.
 const (
-	// planEvery replans although nothing happened: leases run out, pauses end.
-	planEvery = 100 * time.Millisecond
-	// planPause lets what happens together be planned together.
+	// planInterval is the time between plans when no event causes one: leases run out and
+	// backoffs end.
+	planInterval = 100 * time.Millisecond
+	// planPause is the delay from an event to its plan, so that events that come together
+	// share a plan.
 	planPause = 2 * time.Millisecond
-	// planShare bounds the share of time that plans take, as one to so many:
-	// at every answer of a hundred busy workers a long plan would take the
-	// processor from the answers themselves, and leases would run out.
-	planShare = 5
+	// planTimeDivisor limits the processor time of plans: the pause after a plan is this many
+	// times its duration, up to planInterval. If a long plan followed every answer of a hundred
+	// busy workers, it would delay the answers themselves, and leases would run out.
+	planTimeDivisor = 5
 )
 
 func (e *Engine) planLoop(ctx context.Context) error {
-	tick := time.NewTicker(planEvery)
+	tick := time.NewTicker(planInterval)
 	defer tick.Stop()
 	pause := planPause
 	for {
@@ -197,37 +205,37 @@
 		}
 		began := e.Clock.Now()
 		ok := e.plan(ctx)
-		pause = min(planEvery, max(planPause, planShare*(e.Clock.Now()-began)))
+		pause = min(planInterval, max(planPause, planTimeDivisor*(e.Clock.Now()-began)))
 		if !ok {
 			e.Term.End("a later owner is known")
 			return ErrNotReady
 		}
-		if e.relieved() {
-			e.Term.Relieve()
+		if e.handOverDue() {
+			e.Term.HandOver()
 			return ErrNotReady
 		}
 	}
 }
 
-// plan plans and sends the orders; false where the core is deposed.
+// plan makes a plan and sends its orders. It returns false if the core is deposed.
 func (e *Engine) plan(ctx context.Context) bool {
 	now := e.Clock.Now()
 	e.mu.Lock()
-	e.authority()
-	e.core.Declare(e.Declared())
+	e.updateAuthority()
+	e.core.Configure(e.Declared())
 	if e.Configs != nil {
 		e.core.Confirm(e.Configs.Confirmed())
 	}
-	if e.Known != nil {
-		e.core.RoomKnown(e.Known())
+	if e.RegistryCompleteAt != nil {
+		e.core.CapacityKnownAt(e.RegistryCompleteAt())
 	}
-	e.core.Strain(e.standing(), now)
-	e.core.LimitStarts(int(e.starts.Load()))
+	e.core.AdjustLoad(e.minSchedulingDelay(), now)
+	e.core.LimitStarts(int(e.unansweredStarts.Load()))
 	orders := e.core.Plan(now, e.Clock.Wall())
 	deposed := e.core.Deposed()
 	all, final := e.core.Dirty()
-	ack := e.core.unacknowledged()
-	wants := e.core.wantsShares()
+	ack := e.core.hasUnacknowledgedEnds()
+	wants := e.core.hasUnrecordedNeed()
 	e.mu.Unlock()
 	if deposed {
 		return false
@@ -242,13 +250,15 @@
 	return true
 }
 
-// authority tells the core how far its orders may go. The engine is locked.
-func (e *Engine) authority() {
+// updateAuthority tells the core until when it may give orders, and whether a later owner can
+// exist. e.mu must be held.
+func (e *Engine) updateAuthority() {
 	e.core.AllowUntil(e.Term.AllowedUntil())
 	e.core.SetCertain(e.Term.Certain())
 }
 
-// Submit accepts a job: it is stored when nil is returned.
+// Submit accepts a job. nil means that the job is stored, now or by an earlier call with the
+// same ID; other errors are ErrNotReady, ErrOtherWorkspace, ErrStore and ErrUncertain.
 func (e *Engine) Submit(ctx context.Context, j *work.Job, q Queue) error {
 	e.mu.Lock()
 	ready, known, other := e.restored, e.core.Known(j.ID), !e.core.isOf(j.ID, j.Workspace)
@@ -264,15 +274,16 @@
 	return e.writer.create(ctx, j, q)
 }
 
-// accepted hands a stored job to the core.
-func (e *Engine) accepted(j *work.Job, q Queue) {
+// jobStored passes a stored job to the core.
+func (e *Engine) jobStored(j *work.Job, q Queue) {
 	e.mu.Lock()
 	e.core.Accept(j, q, e.Clock.Now())
 	e.mu.Unlock()
 	kick(e.planKick)
 }
 
-// State returns what a caller of the workspace is told of the job.
+// State returns the job's state as callers of the workspace see it, ErrNotReady or
+// ErrUnknownJob.
 func (e *Engine) State(id work.JobID, workspace work.WorkspaceName) (work.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -286,7 +297,8 @@
 	return s, nil
 }
 
-// Cancel cancels the job for a caller of the workspace; it is stored when nil is returned.
+// Cancel cancels the job for a caller of the workspace. nil means that the job's end is
+// stored; ErrUncertain that ctx ended before that was known.
 func (e *Engine) Cancel(ctx context.Context, id work.JobID, workspace work.WorkspaceName) error {
 	done := make(chan error, 1)
 	e.mu.Lock()
@@ -309,7 +321,7 @@
 	}
 }
 
-// Waiting counts the queue's jobs that have not begun.
+// Waiting returns the number of the queue's jobs of which no task has started, or ErrNotReady.
 func (e *Engine) Waiting(queue string) (int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -319,7 +331,8 @@
 	return e.core.Waiting(queue), nil
 }
 
-// RegistryChanged makes the engine read the registered workers again.
+// RegistryChanged makes the engine read the registered workers again. It does nothing before
+// the stored state is restored.
 func (e *Engine) RegistryChanged() {
 	e.mu.Lock()
 	if !e.restored {
@@ -343,6 +356,7 @@
 	kick(e.planKick)
 }
 
+// kick wakes the reader of c, unless a wake-up is pending.
 func kick(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/engine/model_end_test.go
+++ b/internal/engine/model_end_test.go
@@ -2,18 +2,18 @@
 
 import "github.com/pumicestage/pumicestage/policy/work"
 
-// allEnded reports whether every job ended as it may: completed, or failed with a task under
-// which two workers had crashed.
+// allEnded reports whether every job ended in an allowed state: completed, failed because of a task
+// under which two workers crashed, or cancelled if the model cancels jobs.
 func (m *model) allEnded() bool {
 	for id := range m.jobs {
 		switch m.ended[id] {
 		case work.Completed:
 		case work.Failed:
-			if !m.mayBeGivenUp(id) {
+			if !m.mayFail(id) {
 				return false
 			}
 		case work.Cancelled:
-			if !m.again {
+			if !m.restarts {
 				return false
 			}
 		default:
@@ -23,7 +23,7 @@
 	return true
 }
 
-// idle reports whether nothing runs on a worker that is up.
+// idle reports whether no live worker runs a task.
 func (m *model) idle() bool {
 	for _, w := range m.workers {
 		if !w.dead && len(w.running) > 0 {
@@ -33,7 +33,8 @@
 	return true
 }
 
-func (m *model) mayBeGivenUp(id work.JobID) bool {
+// mayFail reports whether two workers crashed under a task of the job.
+func (m *model) mayFail(id work.JobID) bool {
 	for task, crashed := range m.crashed {
 		if task.Job == id && crashed >= 2 {
 			return true
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -17,10 +17,10 @@
 			continue
 		}
 		for _, t := range w.tasks {
-			if t.state != taskStopping || t.stopOK != 0 || t.stopSent != 0 && now < t.stopSent+stopRetryInterval {
+			if t.state != taskStopping || t.stopAnsweredAt != 0 || t.stopSentAt != 0 && now < t.stopSentAt+stopRetryInterval {
 				continue
 			}
-			t.stopSent = now
+			t.stopSentAt = now
 			out.Stops = append(out.Stops, StopOrder{Worker: w.info, Task: t.ref, Run: t.run})
 		}
 		for ref, s := range w.orphanedRuns {
@@ -39,8 +39,8 @@
 	t := c.find(work.TaskRef{StepRef: p.Step.Ref, Index: p.Index})
 	run := c.nextRun(t, out)
 	c.attach(t, w, run, taskStarting, now)
-	t.sent, t.left, t.answered, t.ranBefore, t.shown = now, 0, 0, 0, false
-	t.deadline = w.clockNow(now) + min(startValidity, c.bounds.MaxHold)
+	t.orderedAt, t.sentAt, t.answeredAt, t.ranBefore, t.confirmed = now, 0, 0, 0, false
+	t.deadline = w.clockNow(now) + min(startValidity, c.bounds.MaxLease)
 	w.deadline = max(w.deadline, t.deadline)
 	j := t.step.job
 	c.log.V(1).Info("start", "task", t.ref.String(), "run", run, "worker", w.info.ID, "waited", (now - j.accepted).String(),
@@ -82,10 +82,10 @@
 // have restarted, and would start a task that starts elsewhere.
 func (c *Core) StartSending(o StartOrder, now time.Duration) bool {
 	t := c.find(o.Start.Task)
-	if t == nil || t.run != o.Start.Run || t.where == nil || t.where.info.ID != o.Worker.ID {
+	if t == nil || t.run != o.Start.Run || t.worker == nil || t.worker.info.ID != o.Worker.ID {
 		return false
 	}
-	t.left = now
+	t.sentAt = now
 	return true
 }
 
@@ -108,13 +108,13 @@
 		c.deposed = true
 	}
 	t := c.find(o.Start.Task)
-	if t != nil && w != nil && t.where == w && t.run == o.Start.Run {
-		t.shown = t.shown || out == OutcomeOK && same
+	if t != nil && w != nil && t.worker == w && t.run == o.Start.Run {
+		t.confirmed = t.confirmed || out == OutcomeOK && same
 		c.startAnswered(t, w, out, now)
 	}
 	// Only now: the start did not begin there, and the end of the incarnation says nothing
 	// about its task.
-	if out == OutcomeOtherLife {
+	if out == OutcomeOtherIncarnation {
 		c.WorkerGone(o.Worker.ID, "another incarnation answers", now)
 	}
 }
@@ -125,8 +125,8 @@
 		c.started(t, w, now)
 	case OutcomeUnknown:
 		if t.state == taskStarting {
-			t.step.set(t, taskDoubtful)
-			t.answered = now
+			t.step.set(t, taskUncertain)
+			t.answeredAt = now
 		}
 	default:
 		c.notStarted(t, w, out, now)
@@ -135,10 +135,10 @@
 
 func (c *Core) started(t *task, w *worker, now time.Duration) {
 	switch t.state {
-	case taskStarting, taskDoubtful:
+	case taskStarting, taskUncertain:
 		c.attach(t, w, t.run, taskActive, now)
 	case taskStopping:
-		t.answered = now
+		t.answeredAt = now
 	}
 	t.step.job.begun = true
 }
@@ -153,7 +153,7 @@
 func (c *Core) notStarted(t *task, w *worker, out Outcome, now time.Duration) {
 	c.log.Info("start not carried out", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "outcome", out.String())
 	switch out {
-	case OutcomeNoRoom:
+	case OutcomeNoCapacity:
 		w.full = true
 		w.closedUntil = now + pollWaitMin
 	case OutcomeRefused, OutcomeNotSent:
@@ -172,21 +172,21 @@
 	case OutcomeFenced:
 		c.deposed = true
 		return
-	case OutcomeOtherLife:
+	case OutcomeOtherIncarnation:
 		c.WorkerGone(o.Worker.ID, "another incarnation answers", now)
 		return
 	}
-	answered := out == OutcomeOK || out == OutcomeOld
+	answered := out == OutcomeOK || out == OutcomeOldRun
 	if w := c.workers[o.Worker.ID]; w != nil && answered {
 		if s := w.orphanedRuns[o.Task]; s != nil && s.run <= o.Run {
 			s.stopOK = now
 		}
 	}
 	t := c.find(o.Task)
-	if t == nil || t.run != o.Run || t.where == nil || t.where.info.ID != o.Worker.ID {
+	if t == nil || t.run != o.Run || t.worker == nil || t.worker.info.ID != o.Worker.ID {
 		return
 	}
 	if answered {
-		t.stopOK = now
+		t.stopAnsweredAt = now
 	}
 }
--- a/internal/engine/poll_test.go
+++ b/internal/engine/poll_test.go
@@ -24,7 +24,7 @@
 	assert.Assert(t, due)
 	assert.Assert(t, h.Wait <= pollWaitMin)
 	assert.Equal(t, h.Deadline, time.Duration(0), "a worker that may be silent gets no lease extension")
-	b.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
+	b.poll("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j1"}}, Run: 1}}})
 	assert.Assert(t, !b.core.workers["w1"].closed(b.now), "a worker that answers takes tasks again")
 }
 
@@ -33,7 +33,7 @@
 // connection.
 func TestLongRunningWorkAndSilentWorkersArePolledRarely(t *testing.T) {
 	b := newRig(t)
-	b.running(lasting(1), "w1")
+	b.running(longRunning(1), "w1")
 	_, h, _ := b.core.NextPoll("w1", b.now)
 	assert.Equal(t, h.Wait, pollWait)
 	assert.Equal(t, pauseAfterMissed(2, 0), initialMissedPause)
--- a/internal/engine/restore.go
+++ b/internal/engine/restore.go
@@ -14,48 +14,50 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// OwnerGrace is how long an owner that can't reach the store goes on giving
-// orders after its lease was last certain. Outages of the store last some
-// seconds, and work that runs would lapse in them for nothing; a successor waits
-// as much longer for workers it can't reach.
+// OwnerGrace is how long an owner that can't reach the store goes on giving orders after its
+// lease was last certain. Outages of the store last some seconds, in which running tasks
+// would lose their leases for nothing. In return a successor waits as much longer for
+// workers that it can't reach.
 const OwnerGrace = 5 * time.Second
 
-// inheritedFor is how long after a take-over an earlier owner's leases may
-// last on a worker that was not heard.
-func inheritedFor() time.Duration {
+// inheritedLeaseTime returns how long after a take-over leases of an earlier owner may still
+// run on a worker that has not answered this one.
+func inheritedLeaseTime() time.Duration {
 	lease := time.Duration(float64(LeaseExtension) * (1 + maxClockDrift))
 	return OwnerGrace + lease + expiryMargin
 }
 
-// seizeTimeout ends one try at writing the commit keys.
-const seizeTimeout = 3 * time.Second
+// takeCommitKeysTimeout bounds one attempt to write all commit keys.
+const takeCommitKeysTimeout = 3 * time.Second
 
-// restore takes the commit keys over, which fences every transaction of earlier
-// owners, and then reads all jobs.
+// restore rewrites the commit keys, which fences all transactions of earlier owners, and then
+// reads all jobs. It retries until ctx ends or a later owner is found to have written.
 func (e *Engine) restore(ctx context.Context) error {
 	for ctx.Err() == nil {
-		first, err := e.seizeAll(ctx)
+		first, err := e.takeCommitKeys(ctx)
 		if err == nil {
 			err = e.load(ctx, first)
 		}
 		if err == nil || trace.IsCompareFailed(err) {
 			return err
 		}
-		e.Log.Info("can't take over yet", "error", err.Error())
-		sleep.For(ctx, storePause)
+		e.Log.Info("take-over failed, will retry", "error", err.Error())
+		sleep.For(ctx, storeRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// seizeAll writes all commit keys; first reports that nobody had before.
-func (e *Engine) seizeAll(ctx context.Context) (first bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, seizeTimeout)
+// takeCommitKeys writes all commit keys with this term's token; first reports that none of
+// them existed, so that the cell never had an owner. If a later owner has written one, the
+// error is a trace.CompareFailed.
+func (e *Engine) takeCommitKeys(ctx context.Context) (first bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, takeCommitKeysTimeout)
 	defer cancel()
-	var fresh [committers]bool
-	var errs [committers]error
+	var fresh [committerCount]bool
+	var errs [committerCount]error
 	var writers sync.WaitGroup
 	for i, c := range e.writer.committers {
-		writers.Go(func() { fresh[i], errs[i] = e.seize(ctx, c) })
+		writers.Go(func() { fresh[i], errs[i] = e.takeCommitKey(ctx, c) })
 	}
 	writers.Wait()
 	for _, err := range errs {
@@ -66,8 +68,8 @@
 	return !slices.Contains(fresh[:], false), trace.NewAggregate(errs[:]...)
 }
 
-// seize writes a commit key; fresh reports that it did not exist.
-func (e *Engine) seize(ctx context.Context, c *committer) (fresh bool, err error) {
+// takeCommitKey writes one commit key; fresh reports that it did not exist.
+func (e *Engine) takeCommitKey(ctx context.Context, c *committer) (fresh bool, err error) {
 	kv, _, err := e.Store.Get(ctx, c.key)
 	if err != nil {
 		return false, trace.Wrap(err)
@@ -79,10 +81,10 @@
 		}
 	}
 	if old.Token > e.Term.Token() {
-		return false, trace.CompareFailed("a later owner, token %d, has written", old.Token)
+		return false, trace.CompareFailed("a later owner with token %d has written commit key %q", old.Token, c.key)
 	}
 	if old.Token == e.Term.Token() {
-		// An earlier try of ours took effect without an answer.
+		// An earlier attempt of this term took effect, but its answer was lost.
 		c.rev = kv.ModRevision
 		return false, nil
 	}
@@ -98,12 +100,14 @@
 		return false, trace.Wrap(err)
 	}
 	if !res.Succeeded {
-		return false, trace.ConnectionProblem(nil, "the commit key changed meanwhile")
+		return false, trace.ConnectionProblem(nil, "commit key %q was changed by another writer", c.key)
 	}
 	c.rev = res.Revision
 	return kv.ModRevision == 0, nil
 }
 
+// load reads the cell's state from the store into the core. Unless the cell is new (first),
+// leases of earlier owners are taken into account.
 func (e *Engine) load(ctx context.Context, first bool) error {
 	progress, jobs, ledgers, err := e.readStored(ctx)
 	if err != nil {
@@ -113,7 +117,7 @@
 	for _, kv := range progress {
 		var p Progress
 		if err := json.Unmarshal(kv.Value, &p); err != nil {
-			e.Log.Error(err, "progress is malformed: the job starts over", "key", kv.Key)
+			e.Log.Error(err, "job progress is malformed, the job starts over", "key", kv.Key)
 			continue
 		}
 		byJob[strings.TrimPrefix(kv.Key, infra.WorkProgressPrefix(e.Cell))] = &p
@@ -121,52 +125,53 @@
 	now, wall := e.Clock.Now(), e.Clock.Wall()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.core.Declare(e.Declared())
+	e.core.Configure(e.Declared())
 	for _, kv := range ledgers {
 		e.core.RestoreLedger(kv)
 	}
 	for _, kv := range jobs {
 		var r JobRecord
 		if err := json.Unmarshal(kv.Value, &r); err != nil || r.Job == nil {
-			e.Log.Error(err, "job record is malformed and left alone", "key", kv.Key)
+			e.Log.Error(err, "job record is malformed, the job is not restored", "key", kv.Key)
 			continue
 		}
 		e.core.Restore(&r, byJob[string(r.Job.ID)], now, wall)
 	}
-	e.core.Reaffirm(now, wall)
+	e.core.FinishRestore(now, wall)
 	for _, info := range e.Registry() {
 		e.core.WorkerRegistered(info)
 	}
 	if !first {
-		e.core.InheritLeases(now + inheritedFor())
+		e.core.InheritLeases(now + inheritedLeaseTime())
 	}
 	return nil
 }
 
-// readStored reads the cell's progress and open jobs and what it holds of limits, and waits for the list of
-// workers meanwhile: while the store is slow each call takes a fifth of a second, and
-// nobody owns the cell. No earlier owner writes any more, so their order is free. Each page
-// has its time at the store's client: a bound on all of them would never let a cell of
-// thousands of jobs be read from a slow store.
+// readStored reads the progress of the cell's jobs, its open jobs and the ledgers of limits,
+// and at the same time waits for the list of workers. It does so in parallel, because a slow
+// store takes a fifth of a second for each call while no owner serves the cell; the order
+// doesn't matter, as earlier owners are fenced. There is no overall deadline, with which a
+// cell with thousands of jobs could never be read from a slow store: the store's client
+// bounds each page.
 func (e *Engine) readStored(ctx context.Context) (progress, jobs, ledgers []infra.KV, err error) {
 	var progressErr, jobsErr, ledgersErr error
 	var readers sync.WaitGroup
 	readers.Go(func() { progress, _, progressErr = e.Store.Range(ctx, infra.WorkProgressPrefix(e.Cell)) })
 	readers.Go(func() { jobs, _, jobsErr = e.Store.Range(ctx, infra.WorkOpenPrefix(e.Cell)) })
 	readers.Go(func() { ledgers, _, ledgersErr = e.Store.Range(ctx, infra.WorkLimitPrefix) })
-	if e.Listed != nil {
-		readers.Go(func() { e.Listed(ctx) })
+	if e.WaitForRegistry != nil {
+		readers.Go(func() { e.WaitForRegistry(ctx) })
 	}
 	readers.Wait()
 	return progress, jobs, ledgers, trace.NewAggregate(progressErr, jobsErr, ledgersErr)
 }
 
-// found adds a job that an entry VM stored itself.
-func (e *Engine) found(r *JobRecord) {
+// addFoundJob adds a job that an entry VM stored without reaching the owner.
+func (e *Engine) addFoundJob(r *JobRecord) {
 	e.mu.Lock()
 	if e.core.jobs[r.Job.ID] == nil {
 		e.core.Restore(r, nil, e.Clock.Now(), e.Clock.Wall())
-		// It was stored after this term began: no earlier owner knew it.
+		// The job was stored after this term began, so no earlier owner can have started it.
 		e.core.jobs[r.Job.ID].restored = false
 	}
 	e.mu.Unlock()
--- a/internal/engine/vacate.go
+++ b/internal/engine/vacate.go
@@ -4,59 +4,60 @@
 	"time"
 )
 
-// vacate stops lasting tasks on workers that are to be emptied, so that they
-// start elsewhere, as far as each step's limit on unavailable tasks allows.
+// vacate stops long-running tasks on workers that are to be emptied, so that they start elsewhere.
+// On draining workers it stops all of them, on others only as many as each step's limit on
+// unavailable tasks allows.
 func (c *Core) vacate(now time.Duration) {
 	for _, w := range c.workers {
-		if w.gone || w.missedPolls > 0 || w.cordon.Kind != Vacated && !w.info.Draining {
+		if w.gone || w.missedPolls > 0 || w.cordon.Kind != CordonVacate && !w.info.Draining {
 			continue
 		}
 		for _, t := range w.tasks {
 			if t.state != taskActive || !t.step.spec.LongRunning {
 				continue
 			}
-			if w.info.Draining || c.mayStop(t, now) {
-				c.log.Info("lasting task moves", "task", t.ref.String(), "from", w.info.ID, "draining", w.info.Draining)
+			if w.info.Draining || c.stopAllowed(t, now) {
+				c.log.Info("moving long-running task", "task", t.ref.String(), "from", w.info.ID, "draining", w.info.Draining)
 				t.step.set(t, taskStopping)
 			}
 		}
 	}
 }
 
-// mayStop reports whether an order may take the task away. Every other task of
-// its step that is not at work for certain counts as away, whatever the cause:
-// counting only our own stops would let a failure and an order add up to more
-// than the step can bear. There must also be a place to go.
-func (c *Core) mayStop(t *task, now time.Duration) bool {
+// stopAllowed reports whether the task may be stopped to move it. Every other task of its step that
+// is not certain to be serving counts as unavailable, whatever the cause: if only the stops of this
+// owner counted, a failure and a move together could exceed the step's limit. The task must also
+// have a place to go to.
+func (c *Core) stopAllowed(t *task, now time.Duration) bool {
 	away := 0
 	for _, o := range t.step.tasks {
-		if o != t && !o.atWork() {
+		if o != t && !o.serving() {
 			away++
 		}
 	}
 	if away >= max(1, t.step.spec.MaxUnavailable) {
 		return false
 	}
-	return c.hasPlace(t, now)
+	return c.canBePlaced(t, now)
 }
 
-// hasPlace reports whether another worker can take the task soon. Short tasks
-// are not counted: lasting ones go before them, and get the room of the first
-// that ends. Were they counted, a burst that fills the pool would hold up a
+// canBePlaced reports whether another worker can take the task soon. Capacity that short tasks use
+// counts as free for long-running ones, which are placed first and get the capacity of the first
+// short task that ends. Otherwise a burst of short tasks that fills the pool would delay a
 // maintenance wave until it is late.
-func (c *Core) hasPlace(t *task, now time.Duration) bool {
-	if c.roomInDoubt(now) {
+func (c *Core) canBePlaced(t *task, now time.Duration) bool {
+	if c.capacityUncertain(now) {
 		return false
 	}
 	s := t.step
 	on := make(map[*worker]int)
 	for _, o := range s.tasks {
-		if o.where != nil {
-			on[o.where]++
+		if o.worker != nil {
+			on[o.worker]++
 		}
 	}
 	for _, w := range c.workers {
-		if w == t.where || w.closed(now) && !w.full {
+		if w == t.worker || w.closed(now) && !w.full {
 			continue
 		}
 		if s.spec.AntiAffinity > 0 && on[w] >= s.spec.AntiAffinity {
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -192,7 +192,7 @@
 	}
 	w.tasks[t.ref] = t
 	w.load.count(t.step, 1)
-	t.count(1)
+	t.addUsage(1)
 }
 
 // remove takes the task off the worker; it does nothing if the task is not there.
@@ -202,7 +202,7 @@
 	}
 	delete(w.tasks, t.ref)
 	w.load.count(t.step, -1)
-	t.count(-1)
+	t.addUsage(-1)
 }
 
 // snapshot writes the planner's description of the worker to out.
@@ -217,7 +217,7 @@
 
 		LongRunning: w.load.longRunning, Serving: w.load.serving, BestEffort: w.load.bestEffort,
 		Slowness:       w.slowness.Factor(),
-		MaintenanceDue: w.cordon.Kind == Due,
+		MaintenanceDue: w.cordon.Kind == CordonMaintenanceDue,
 		Tasks:          len(w.tasks),
 	}
 	if n := len(w.info.Labels); n > 0 {
@@ -237,7 +237,7 @@
 func (w *worker) tooManyUnansweredStarts() bool {
 	n := 0
 	for _, t := range w.tasks {
-		if t.state == taskDoubtful {
+		if t.state == taskUncertain {
 			n++
 		}
 	}
--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -32,7 +32,7 @@
 		call, cancel := context.WithTimeout(ctx, listTimeout)
 		out := f.Machines.Move(call, id, o.pool, f.Term.Token())
 		cancel()
-		f.Metrics.VM("move")
+		f.Metrics.CountVMOrder("move")
 		f.Log.Info("VM move ordered", "vm", id, "from", moveByVM[id].From, "to", o.pool, "outcome", out.String())
 		f.recordOutcome(ctx, id, o, out)
 	})
@@ -50,8 +50,8 @@
 		}
 		p := &pools.Pool{Name: name, Parked: s.Standby}
 		if c := f.cells[name]; c != nil {
-			p.Used, p.Backlog, p.ArrivalRate, p.MissingVMs, p.SpareDemand = c.Used, c.Backlog, c.Arriving, c.Short, c.Spare
-			p.LateBacklog, p.ByLabel = c.Leftover, boundLoads(c.Bound)
+			p.Used, p.Backlog, p.ArrivalRate, p.MissingVMs, p.SpareDemand = c.Used, c.Backlog, c.ArrivalRate, c.MissingVMs, c.TrialVMs
+			p.LateBacklog, p.ByLabel = c.ExpiredBacklog, boundLoads(c.ByLabel)
 		}
 		if p.Backlog > 0 || p.LateBacklog > 0 {
 			f.lastBusy[name] = now
@@ -76,10 +76,10 @@
 }
 
 // boundLoads returns the load that only VMs with a certain label can serve, by label.
-func boundLoads(loads map[string]engine.BoundLoad) map[string]pools.LabelDemand {
+func boundLoads(loads map[string]engine.LabelLoad) map[string]pools.LabelDemand {
 	out := make(map[string]pools.LabelDemand, len(loads))
 	for label, l := range loads {
-		out[label] = pools.LabelDemand{Used: l.Used, Backlog: l.Backlog, LateBacklog: l.Leftover}
+		out[label] = pools.LabelDemand{Used: l.Used, Backlog: l.Backlog, LateBacklog: l.ExpiredBacklog}
 	}
 	return out
 }
@@ -99,7 +99,7 @@
 	}
 	w := f.worker(vm)
 	switch {
-	case vm.State == work.VMMoving || vm.State == work.VMUp && !p.Parked && (w == nil || !w.Heard):
+	case vm.State == work.VMMoving || vm.State == work.VMUp && !p.Parked && (w == nil || !w.Polled):
 		p.Incoming = append(p.Incoming, out)
 	case vm.State != work.VMUp:
 	case p.Parked:
--- a/internal/fleetowner/waves.go
+++ b/internal/fleetowner/waves.go
@@ -119,14 +119,14 @@
 	}
 	if view := f.cells[vm.Pool]; view != nil {
 		c.Backlog = view.Backlog > 0
-		c.SerialMoveTime = time.Duration(view.Serial) * longRunningMoveTime
+		c.SerialMoveTime = time.Duration(view.SerialMoves) * longRunningMoveTime
 	}
 	report := f.worker(vm)
 	switch {
-	case ordered || !c.Parked && (report == nil || !report.Heard):
+	case ordered || !c.Parked && (report == nil || !report.Polled):
 		c.VM.State = work.VMMoving
 	case report != nil:
-		c.Tasks, c.LongRunning = report.Tasks, report.Lasting
+		c.Tasks, c.LongRunning = report.Tasks, report.LongRunning
 	}
 	return c
 }
@@ -170,7 +170,7 @@
 		call, cancel := context.WithTimeout(ctx, listTimeout)
 		out := f.Machines.Maintain(call, id, w.Name, f.Term.Token())
 		cancel()
-		f.Metrics.VM("maintain")
+		f.Metrics.CountVMOrder("maintain")
 		f.Log.Info("maintenance ordered", "vm", id, "pool", f.vms[id].Pool, "wave", w.Name, "outcome", out.String(), "left", (w.Seen + w.Duration - o.sent).String())
 		f.recordOutcome(ctx, id, o, out)
 	})
--- a/internal/jobfront/front_test.go
+++ b/internal/jobfront/front_test.go
@@ -44,7 +44,7 @@
 func (o *owner) Waiting(string) (int, error)                     { return o.waiting, o.err }
 func (o *owner) Sync(engine.CellSync) (engine.CellAnswer, error) { return engine.CellAnswer{}, o.err }
 
-func (o *owner) LookAtLimits([]work.WorkspaceName) error { return o.err }
+func (o *owner) RecheckLimits([]work.WorkspaceName) error { return o.err }
 
 func (o *owner) Explain(id work.JobID) (engine.Explanation, error) {
 	return engine.Explanation{Job: id, State: o.state}, o.err
@@ -95,7 +95,7 @@
 	r.owner.err = engine.ErrNotReady
 	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue))
 	assert.Assert(t, r.stored(t, infra.WorkOpenKey(cell, "j1")))
-	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")))
+	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.InboxSubmit, "j1")))
 	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue), "a repeat is the same job")
 }
 
@@ -109,7 +109,7 @@
 	assert.NilError(t, err)
 	r.owner.err = engine.ErrUncertain
 	assert.NilError(t, r.front.Submit(context.Background(), newJob("j1"), queue))
-	assert.Assert(t, !r.stored(t, infra.WorkInboxKey(cell, engine.NoteSubmit, "j1")), "the job existed already")
+	assert.Assert(t, !r.stored(t, infra.WorkInboxKey(cell, engine.InboxSubmit, "j1")), "the job existed already")
 }
 
 func TestStatesAndCancellationsWithoutAnOwner(t *testing.T) {
@@ -130,7 +130,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, state, work.Cancelled)
 	assert.Assert(t, !r.stored(t, infra.WorkOpenKey(cell, "j1")), "a later owner would start it")
-	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.NoteCancel, "j1")))
+	assert.Assert(t, r.stored(t, infra.WorkInboxKey(cell, engine.InboxCancel, "j1")))
 	assert.NilError(t, r.front.Cancel(ctx, "j1", queue, ""), "it has ended already")
 }
 
@@ -258,7 +258,7 @@
 // must not be stored without the owner.
 func TestAJobRefusedForAnOldConfigurationIsNotStored(t *testing.T) {
 	r := newFixture(t)
-	r.owner.err = engine.ErrBehind
-	assert.Assert(t, errors.Is(r.front.Submit(context.Background(), newJob("j1"), queue), engine.ErrBehind))
+	r.owner.err = engine.ErrStaleConfig
+	assert.Assert(t, errors.Is(r.front.Submit(context.Background(), newJob("j1"), queue), engine.ErrStaleConfig))
 	assert.Assert(t, !r.stored(t, infra.WorkJobKey("j1")))
 }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -33,7 +33,7 @@
 	ctx      context.Context           // electors run until it ends; nil before start is called
 	electing map[string]bool           // duties with an elector
 	engines  map[string]*engine.Engine // by cell
-	load     ownership.Load
+	load     ownership.DutyCounter
 	wg       sync.WaitGroup
 }
 
@@ -72,8 +72,8 @@
 	n := d.node
 	e := ownership.New(ownership.Options{
 		Duty: duty, Store: n.store, Directory: n.directory, Self: n.self, Weight: n.settings.weight(),
-		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Load: &d.load,
-		LeastTTL: n.settings.MinTTL, Own: own, HandOver: n.leases.handOver, Behind: n.delay.Behind,
+		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Duties: &d.load,
+		MinTTL: n.settings.MinTTL, RunTerm: own, RevokeLater: n.leases.handOver, SchedulingDelay: n.delay.MaxDelay,
 	})
 	ctx := d.ctx
 	d.wg.Go(func() { e.Run(ctx) })
@@ -133,20 +133,20 @@
 		Clock:    n.clock,
 		Log:      n.log.WithName("engine").WithValues("cell", cell),
 		Bounds: engine.Bounds{
-			MaxHold: n.settings.MaxLease, PaceDelay: n.settings.PaceDelay, StopGrace: n.settings.StopGrace,
-			ConfigWithin: n.settings.ConfigWithin, RoomWithin: n.settings.MaxCapacityAge,
+			MaxLease: n.settings.MaxLease, PaceDelay: n.settings.PaceDelay, StopGrace: n.settings.StopGrace,
+			MaxConfigDelay: n.settings.ConfigWithin, MaxCapacityAge: n.settings.MaxCapacityAge,
 		},
-		Term:     t,
-		Listed:   n.registry.waitListed,
-		Registry: func() []engine.WorkerInfo { return n.registry.list(cell) },
-		Known:    n.registry.knownUntil,
-		Lookup:   n.registry.lookup,
-		Declared: n.operator.declared,
-		Configs:  n.operator, OwnerKey: infra.WorkOwnerKey(cellDuty(cell)),
-		TellCells: func(names []work.WorkspaceName) { d.notifyCells(cell, names) },
-		Metrics:   n.metrics.engine,
-		ListRate:  n.settings.ListRate,
-		Pressure:  n.delay, Successor: n.successor,
+		Term:               t,
+		WaitForRegistry:    n.registry.waitListed,
+		Registry:           func() []engine.WorkerInfo { return n.registry.list(cell) },
+		RegistryCompleteAt: n.registry.knownUntil,
+		Lookup:             n.registry.lookup,
+		Declared:           n.operator.declared,
+		Configs:            n.operator, OwnerKey: infra.WorkOwnerKey(cellDuty(cell)),
+		NotifyCells:     func(names []work.WorkspaceName) { d.notifyCells(cell, names) },
+		Metrics:         n.metrics.engine,
+		ListRate:        n.settings.ListRate,
+		SchedulingDelay: n.delay, Successor: n.successor,
 	})
 	d.setEngine(cell, e)
 	err := e.Run(ctx)
@@ -165,7 +165,7 @@
 // have expired, for one term.
 func (d *duties) ownFleet(ctx context.Context, t *ownership.Term) {
 	n := d.node
-	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), Status: n.settings.StatusRetention}
+	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), StatusPeriod: n.settings.StatusRetention}
 	var background sync.WaitGroup
 	background.Go(func() { retention.Run(ctx) })
 	defer background.Wait()
@@ -214,7 +214,7 @@
 
 func (d *duties) notifyCell(cell string, names []work.WorkspaceName) error {
 	if e := d.engine(cell); e != nil {
-		return e.LookAtLimits(names)
+		return e.RecheckLimits(names)
 	}
 	owner, known := d.cellOwner(cell)
 	if !known || owner.Entry == d.node.self.Entry {
@@ -222,7 +222,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	return d.node.link.LookAtLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
+	return d.node.link.RecheckLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
 }
 
 func (d *duties) cellOwner(cell string) (ownership.Record, bool) {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -42,9 +42,9 @@
 		expvar.Publish("stops", m.engine.Stops)
 		expvar.Publish("polls", m.engine.Polls)
 		expvar.Publish("store_txns", m.engine.Txns)
-		expvar.Publish("vm_orders", m.engine.VMs)
-		expvar.Publish("limit_shares", m.engine.Shares)
-		expvar.Publish("runs_lost", m.engine.Lost)
+		expvar.Publish("vm_orders", m.engine.VMOrders)
+		expvar.Publish("limit_shares", m.engine.ShareChanges)
+		expvar.Publish("runs_lost", m.engine.LostRuns)
 	})
 	return m
 }
@@ -64,7 +64,7 @@
 // a runnable goroutine waits for the processor, in microseconds; 0 while this entry VM owns
 // no cell.
 func (m *metrics) schedulingDelays() any {
-	return map[string]int64{"longest": m.delay.Behind().Microseconds(), "standing": m.delay.Standing().Microseconds()}
+	return map[string]int64{"longest": m.delay.MaxDelay().Microseconds(), "standing": m.delay.MinDelay().Microseconds()}
 }
 
 // latencyQuantiles returns the count and quantiles of callers' requests, in microseconds.
--- a/internal/ownerlink/ownerlink.go
+++ b/internal/ownerlink/ownerlink.go
@@ -43,7 +43,7 @@
 	kindPing
 	kindEndLease
 	kindConfig
-	kindLookAtLimits
+	kindRecheckLimits
 )
 
 // fromCaller reports whether the call carries a caller's request, which must be decided by
@@ -135,7 +135,7 @@
 	case resultOtherWorkspace:
 		return engine.ErrOtherWorkspace
 	case resultOutdatedConfig:
-		return engine.ErrBehind
+		return engine.ErrStaleConfig
 	}
 	return engine.ErrUncertain
 }
