--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -23,8 +23,8 @@
 	afterStep func(n *testEntry)
 }
 
-// benchTally holds the results of a load.
-type benchTally struct {
+// loadResult holds the results of a load.
+type loadResult struct {
 	usedCPU      float64 // mean share of the workers' processors used by tasks
 	usedMemory   float64 // mean share of the workers' memory used by tasks
 	excessCPU    float64 // processors demanded beyond the workers' capacity, as a share of that capacity
@@ -37,8 +37,8 @@
 
 // simulate runs the cluster for d and tops up the waiting jobs to the given number
 // every 5 seconds. Usage is averaged over the second half.
-func (l *load) simulate(d time.Duration, waiting int) benchTally {
-	var out benchTally
+func (l *load) simulate(d time.Duration, waiting int) loadResult {
+	var out loadResult
 	out.failures = make(map[string]int)
 	out.states = make(map[State]int)
 	seen := make(map[model.AttemptID]bool)
@@ -117,7 +117,7 @@
 	l.submitted += len(jobs)
 }
 
-func (l *load) count(out *benchTally) {
+func (l *load) count(out *loadResult) {
 	all, _ := l.entries[0].List(l.ctx())
 	for _, r := range all {
 		out.states[r.State]++
@@ -281,7 +281,7 @@
 		used, passes := w.drain(n)
 		counts := n.Counts()
 		l := &load{testCluster: w, submitted: 20000}
-		var got benchTally
+		var got loadResult
 		got.states = make(map[State]int)
 		l.count(&got)
 		b.ReportMetric(time.Since(begun).Seconds()/float64(passes), "s/pass")
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -120,7 +120,7 @@
 // transactions: groups that arrive during a transaction are part of the next one.
 type submitBatcher struct {
 	mu       sync.Mutex
-	waiting  []*submission
+	queue    []*submission
 	flushing bool
 }
 
@@ -144,7 +144,7 @@
 // error. If ctx ends first it is not known whether the parts are written.
 func (s *submitBatcher) add(ctx context.Context, j *Jobs, parts []*submission) error {
 	s.mu.Lock()
-	s.waiting = append(s.waiting, parts...)
+	s.queue = append(s.queue, parts...)
 	startFlush := !s.flushing
 	s.flushing = true
 	s.mu.Unlock()
@@ -181,12 +181,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, bytes := 0, 0
-	for n < len(s.waiting) && n < maxTxnGroups && (n == 0 || bytes+len(s.waiting[n].value) <= maxTxnBytes) {
-		bytes += len(s.waiting[n].value)
+	for n < len(s.queue) && n < maxTxnGroups && (n == 0 || bytes+len(s.queue[n].value) <= maxTxnBytes) {
+		bytes += len(s.queue[n].value)
 		n++
 	}
-	batch := s.waiting[:n:n]
-	s.waiting = s.waiting[n:]
+	batch := s.queue[:n:n]
+	s.queue = s.queue[n:]
 	s.flushing = n > 0
 	return batch
 }
@@ -231,14 +231,14 @@
 	if len(res.Reads) == 0 {
 		return wrapError("submit", s.group.Change, infra.Errorf("submit", infra.KindUnknown, "not read back"))
 	}
-	there, err := decode(res.Reads[0])
+	existing, err := decode(res.Reads[0])
 	if err != nil {
 		return err
 	}
-	j.mirror.put(s.key, there)
-	same := len(there.Jobs) == len(s.group.Jobs)
-	for i := 0; same && i < len(there.Jobs); i++ {
-		a, b := there.Jobs[i].Job, s.group.Jobs[i].Job
+	j.mirror.put(s.key, existing)
+	same := len(existing.Jobs) == len(s.group.Jobs)
+	for i := 0; same && i < len(existing.Jobs); i++ {
+		a, b := existing.Jobs[i].Job, s.group.Jobs[i].Job
 		a.SubmittedAt = b.SubmittedAt
 		same = a == b
 	}
--- a/internal/jobs/urgent.go
+++ b/internal/jobs/urgent.go
@@ -9,7 +9,7 @@
 )
 
 // urgentTakeoverDelay is how long an urgent job waits for the lease holder. The
-// lease of an entry VM that has crashed stands for up to leaseTTL, but urgent
+// lease of an entry VM that has crashed is valid for up to leaseTTL, but urgent
 // jobs must start within 2.2 s. The entry VM that accepted the job therefore does
 // a pass without the lease. Concurrent passes are safe, because of two
 // conflicting compare-and-swaps only one succeeds.
--- a/internal/jobs/urgent_bench_test.go
+++ b/internal/jobs/urgent_bench_test.go
@@ -170,10 +170,10 @@
 }
 
 func (d *deployment) report(b *testing.B) {
-	twice, starts := 0, d.server.Machines.Tally().Starts
+	startedTwice, starts := 0, d.server.Machines.Tally().Starts
 	for _, n := range starts {
 		if n > 1 {
-			twice++
+			startedTwice++
 		}
 	}
 	var writes, limited int64
@@ -185,7 +185,7 @@
 	b.ReportMetric(float64(d.startLatency.histogram.ValueAtQuantile(99))/1000, "p99-ms")
 	b.ReportMetric(float64(d.startLatency.histogram.Max())/1000, "max-ms")
 	b.ReportMetric(float64(d.startLatency.failedSubmits), "submits-failed")
-	b.ReportMetric(float64(twice), "started-twice")
+	b.ReportMetric(float64(startedTwice), "started-twice")
 	b.ReportMetric(float64(writes)/float64(len(starts)), "writes/job")
 	b.ReportMetric(float64(limited), "refused-by-rate")
 }
