--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -16,10 +16,10 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// BenchmarkDispatch compares a request through an entry VM with a direct one
-// to the same fake target, one after the other, all on loopback.
+// BenchmarkDispatch compares the latency of requests through an entry VM with
+// that of direct ones to the same fake target, sent one at a time on loopback.
 func BenchmarkDispatch(b *testing.B) {
-	s := newStage(b, 4, faketarget.Options{}, nil)
+	s := newTestEnv(b, 4, faketarget.Options{}, nil)
 	direct := "http://" + s.targets[0].Address() + "/x"
 	cases := []struct {
 		name, url string
@@ -45,6 +45,7 @@
 	}
 }
 
+// get sends a request and reads the response, which must have status 200.
 func get(b testing.TB, client *http.Client, url string) {
 	resp, err := client.Get(url)
 	if err != nil {
@@ -57,23 +58,24 @@
 	}
 }
 
-// BenchmarkLeaving measures how long after a target begins to leave it still
-// starts work, by each way alone, under steady load.
+// BenchmarkLeaving measures for how long a target that is leaving still starts
+// requests under steady load, separately for each way in which the entry VM can
+// learn of it.
 func BenchmarkLeaving(b *testing.B) {
 	ways := []struct {
 		name  string
-		leave func(*stage, *fakeLoads)
+		leave func(*testEnv, *fakeLoads)
 	}{
-		{"view", func(s *stage, _ *fakeLoads) {
+		{"view", func(s *testEnv, _ *fakeLoads) {
 			s.publish(2, func(v *view.Snapshot) {
 				vm := v.VMs["v0"]
 				vm.State = model.VMLeaving
 				v.VMs["v0"] = vm
 			})
 		}},
-		{"digest", func(_ *stage, l *fakeLoads) { l.set("v0") }},
-		{"health", func(s *stage, _ *fakeLoads) { s.targets[0].SayLeaving() }},
-		{"refusal", func(s *stage, _ *fakeLoads) { s.targets[0].Drain() }},
+		{"digest", func(_ *testEnv, l *fakeLoads) { l.set("v0") }},
+		{"health", func(s *testEnv, _ *fakeLoads) { s.targets[0].SayLeaving() }},
+		{"refusal", func(s *testEnv, _ *fakeLoads) { s.targets[0].Drain() }},
 	}
 	for _, way := range ways {
 		b.Run(way.name, func(b *testing.B) {
@@ -84,11 +86,11 @@
 	}
 }
 
-// lastStart returns when the leaving target last started a request, counted
-// from when it began to leave.
-func lastStart(b *testing.B, leave func(*stage, *fakeLoads)) time.Duration {
-	loads := &fakeLoads{leaving: make(map[model.VMID]bool)}
-	s := newStage(b, 4, faketarget.Options{ServiceTime: func(*http.Request) time.Duration { return time.Millisecond }},
+// lastStart returns the time from when the target began to leave until it last
+// started a request.
+func lastStart(b *testing.B, leave func(*testEnv, *fakeLoads)) time.Duration {
+	loads := &fakeLoads{leavingVMs: make(map[model.VMID]bool)}
+	s := newTestEnv(b, 4, faketarget.Options{ServiceTime: func(*http.Request) time.Duration { return time.Millisecond }},
 		func(o *Options) { o.Loads = loads })
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -103,12 +105,12 @@
 	return max(0, s.targets[0].Counts().LastStart.Sub(began))
 }
 
-// BenchmarkProbe measures one health probe, the fake target's side included.
+// BenchmarkProbe measures one health probe, including the work of the fake target.
 func BenchmarkProbe(b *testing.B) {
-	s := buildStage(b, 1, faketarget.Options{}, nil)
+	s := buildTestEnv(b, 1, faketarget.Options{}, nil)
 	ctx := context.Background()
 	for b.Loop() {
-		if s.server.prober.ask(ctx, s.targets[0].Address()) != health.ProbeOK {
+		if s.server.prober.fetchHealth(ctx, s.targets[0].Address()) != health.ProbeOK {
 			b.Fatal("no answer")
 		}
 	}
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// requestBody reads a caller's body within the limits. Its beginning is read
-// before the request queues; the rest is streamed to the target.
+// requestBody reads a caller's request body within the limits. A body that fits
+// the buffer limit is read before the request queues for a slot; a larger one is
+// streamed to the target.
 type requestBody struct {
-	src    io.Reader
-	length int64 // as declared, -1 where unknown
+	source io.Reader
+	length int64 // from Content-Length, -1 if unknown
 	rc     *http.ResponseController
 	limits Limits
 	start  time.Time
@@ -23,25 +24,26 @@
 	buffered []byte
 	eof      bool // buffered is the whole body
 	read     int64
-	streamed atomic.Bool  // the rest has been read from, so it cannot be sent again
-	failed   atomic.Value // error: why the caller's body broke off, errTooLarge included
+	streamed atomic.Bool  // an attempt has read from source, so the body cannot be sent again
+	failed   atomic.Value // *bodyFailure: why reading the caller's body failed, errTooLarge included
 }
 
-var errTooLarge = errors.New("body over its limit")
+var errTooLarge = errors.New("request body exceeds the size limit")
 
 func newRequestBody(w http.ResponseWriter, r *http.Request, l Limits) *requestBody {
 	return &requestBody{
-		src:    r.Body,
+		source: r.Body,
 		length: r.ContentLength,
 		rc:     http.NewResponseController(w),
 		limits: l,
-		start:  time.Now(), // a socket's deadlines are on the real clock
+		start:  time.Now(), // socket deadlines use the real clock, not the server's
 		eof:    r.ContentLength == 0,
 	}
 }
 
-// ahead returns how much prefetch may read.
-func (b *requestBody) ahead(whole bool) int64 {
+// prefetchSize returns the most bytes that prefetch may buffer. whole has the
+// same meaning as for prefetch.
+func (b *requestBody) prefetchSize(whole bool) int64 {
 	switch {
 	case b.eof:
 		return 0
@@ -55,9 +57,9 @@
 	return b.length
 }
 
-// prefetch reads a body that fits BufferBytes, so that it is whole before the
-// request takes a slot. whole asks for any body up to OnceBodyBytes in full: a
-// request that runs at most once is claimed by the digest of its body.
+// prefetch reads a body of at most BufferBytes in full before the request takes
+// a slot. If whole is set, it reads any body up to OnceBodyBytes in full: the
+// claim of a request that runs at most once includes the digest of its body.
 func (b *requestBody) prefetch(whole bool) *Problem {
 	if b.eof {
 		return nil
@@ -72,7 +74,7 @@
 	if b.length > limit {
 		return problemBodyTooLarge(limit, NotRun)
 	}
-	data, err := io.ReadAll(io.LimitReader(readerFunc(b.readSource), limit+1))
+	data, err := io.ReadAll(io.LimitReader(readerFunc(b.readWithMinRate), limit+1))
 	switch {
 	case err != nil:
 		return b.problem(err, NotRun)
@@ -84,8 +86,9 @@
 	return nil
 }
 
-// startStream lets the answer begin before the body has ended; otherwise
-// net/http reads a body to its end before the first byte of an answer.
+// startStream allows the response to begin before the request body has ended;
+// by default net/http reads the request body to its end before it writes the
+// first byte of a response.
 func (b *requestBody) startStream() *Problem {
 	if err := b.rc.EnableFullDuplex(); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return problemBadBody(NotRun)
@@ -93,32 +96,35 @@
 	return nil
 }
 
-// readSource reads from the caller within the least rate: by the time n bytes
-// are asked for, BodyGrace + n/BodyRate may have passed. A sender of single
-// bytes would otherwise hold a connection, and with a large body a slot.
-func (b *requestBody) readSource(p []byte) (int, error) {
+// readWithMinRate reads from the caller and enforces the minimum rate: after n
+// bytes have been read, the next read must end within BodyGrace + n/BodyRate of
+// the start. Otherwise a caller that sends single bytes would hold a connection,
+// and with a large body a slot.
+func (b *requestBody) readWithMinRate(p []byte) (int, error) {
 	allowed := b.limits.BodyGrace + time.Duration(b.read)*time.Second/time.Duration(b.limits.BodyRate)
-	// A writer without deadlines (a test's recorder) has no slow sender.
+	// The error is ignored: a writer without deadlines, such as
+	// httptest.ResponseRecorder, has no slow sender.
 	_ = b.rc.SetReadDeadline(b.start.Add(allowed))
-	n, err := b.src.Read(p)
+	n, err := b.source.Read(p)
 	b.read += int64(n)
 	return n, err
 }
 
-// stopDeadline lifts the read deadline: net/http goes on reading to see the
-// caller leave, and a deadline there would look as if it had.
+// stopDeadline clears the read deadline: net/http keeps reading in the
+// background to detect that the caller disconnects, and would take an expired
+// deadline for a disconnect.
 func (b *requestBody) stopDeadline() { _ = b.rc.SetReadDeadline(time.Time{}) }
 
-// complete reports whether the caller's body was read to its end.
+// complete reports whether the whole body was buffered.
 func (b *requestBody) complete() bool { return b.eof }
 
-// replayable reports whether the body can still be sent from its start.
+// replayable reports whether another attempt can send the body from its start.
 func (b *requestBody) replayable() bool { return b.eof || !b.streamed.Load() }
 
-// digest is the SHA-256 of the buffered body.
+// digest returns the SHA-256 of the buffered body.
 func (b *requestBody) digest() [sha256.Size]byte { return sha256.Sum256(b.buffered) }
 
-// contentLength is what is sent to the target: -1 for a body of unknown length.
+// contentLength returns the length declared to the target, -1 if it is unknown.
 func (b *requestBody) contentLength() int64 {
 	if b.eof {
 		return int64(len(b.buffered))
@@ -126,7 +132,7 @@
 	return b.length
 }
 
-// attempt returns the body for one attempt at a target.
+// attempt returns a reader of the body for one attempt to send the request.
 func (b *requestBody) attempt() *attemptBody {
 	a := &attemptBody{body: b}
 	if b.eof {
@@ -135,13 +141,13 @@
 	return a
 }
 
-// attemptBody is the body as one attempt reads it. net/http may go on reading
-// for an attempt that has ended; end keeps it from taking bytes that the next
-// attempt sends.
+// attemptBody is the body as one attempt reads it. net/http may keep reading on
+// behalf of an attempt that has ended; stop keeps it from consuming bytes that
+// the next attempt must send.
 type attemptBody struct {
-	body  *requestBody
-	whole *bytes.Reader // nil where the body is streamed
-	ended atomic.Bool
+	body    *requestBody
+	whole   *bytes.Reader // nil if the body is streamed
+	stopped atomic.Bool
 }
 
 // Read implements io.Reader.
@@ -149,23 +155,26 @@
 	if a.whole != nil {
 		return a.whole.Read(p)
 	}
-	a.body.streamed.Store(true) // before the look at ended, see refuse
-	if a.ended.Load() {
+	a.body.streamed.Store(true) // must precede the check of stopped, see stop
+	if a.stopped.Load() {
 		return 0, io.ErrClosedPipe
 	}
 	return a.body.stream(p)
 }
 
-// Close implements io.Closer. The caller's body is closed by its server.
+// Close implements io.Closer. It does nothing: the HTTP server closes the
+// caller's body.
 func (a *attemptBody) Close() error { return nil }
 
-// refuse ends the attempt's reading. Either a Read sees it, or the Read was
-// first and the body counts as streamed, and is not sent again.
-func (a *attemptBody) refuse() { a.ended.Store(true) }
+// stop makes further reads of this attempt fail. A concurrent Read either sees
+// it, or has already marked the body as streamed, and then the body is not sent
+// again.
+func (a *attemptBody) stop() { a.stopped.Store(true) }
 
-// stream hands on the caller's body as it comes.
+// stream reads the next part of the caller's body, and enforces BodyBytes and
+// the minimum rate.
 func (b *requestBody) stream(p []byte) (int, error) {
-	n, err := b.readSource(p)
+	n, err := b.readWithMinRate(p)
 	if b.read > b.limits.BodyBytes {
 		err = errTooLarge
 	}
@@ -179,14 +188,15 @@
 	return n, err
 }
 
-// bytesBody is a body that is in memory.
-func bytesBody(data []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(data)) }
+// inMemoryBody returns data as a response body.
+func inMemoryBody(data []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(data)) }
 
-// bodyFailure gives atomic.Value one type for all errors.
+// bodyFailure wraps an error, because atomic.Value requires that all values
+// have the same concrete type.
 type bodyFailure struct{ err error }
 
-// failure returns the problem of a body that broke off while it was streamed,
-// nil if it did not.
+// failure returns the problem to report if reading the body failed while it was
+// streamed, nil otherwise.
 func (b *requestBody) failure() *Problem {
 	f, ok := b.failed.Load().(*bodyFailure)
 	if !ok {
@@ -195,6 +205,7 @@
 	return b.problem(f.err, Unknown)
 }
 
+// problem converts an error from reading the body to a problem document.
 func (b *requestBody) problem(err error, o Outcome) *Problem {
 	switch {
 	case errors.Is(err, errTooLarge):
@@ -205,7 +216,7 @@
 	return problemBadBody(o)
 }
 
-// readerFunc is a function as an io.Reader.
+// readerFunc adapts a function to io.Reader.
 type readerFunc func(p []byte) (int, error)
 
 // Read implements io.Reader.
--- a/internal/entry/contract.go
+++ b/internal/entry/call.go
@@ -10,7 +10,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Header names of the contract with callers and targets.
+// Names of the headers that callers, entry VMs and targets exchange.
 const (
 	HeaderKey     = "Idempotency-Key"
 	HeaderCaller  = "Pumicestage-Caller"
@@ -19,33 +19,34 @@
 	HeaderOutcome = "Pumicestage-Outcome"
 )
 
-// Outcome says what is certain about a request.
+// Outcome tells a caller whether its request was run.
 type Outcome string
 
-// The outcomes. NotRun is said only where nothing was sent to a target, or
-// where the target itself said that it refused before starting.
+// The outcomes. NotRun is reported only if nothing was sent to a target, or if
+// the target itself reported that it refused the request before starting it.
 const (
 	Ran     Outcome = "ran"
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 )
 
-// AnonymousCaller is who calls where Pumicestage-Caller is missing: all such
-// callers share one share.
+// AnonymousCaller is the caller's name if Pumicestage-Caller is missing. All
+// such callers together have the fair share of one caller.
 const AnonymousCaller = "anonymous"
 
-// call is one request of a caller, as the contract reads it.
+// call holds the parsed path and headers of a caller's request.
 type call struct {
 	service  model.Service
 	path     string // escaped, with the service's prefix removed
 	caller   string
 	key      string
-	class    model.Class
+	class    model.Class // priority class
 	arrived  time.Time
 	deadline time.Time
 }
 
-// parseCall reads the contract's headers. Everything it refuses was not run.
+// parseCall parses and validates the path and headers of a request. A problem
+// that it returns always has the outcome NotRun.
 func (s *Server) parseCall(r *http.Request, now time.Time) (*call, *Problem) {
 	if headerSize(r.Header) > s.limits.HeaderBytes {
 		return nil, problemHeaderTooLarge(s.limits.HeaderBytes)
@@ -77,14 +78,15 @@
 	return c, nil
 }
 
-// Bounds of what is kept per caller and per key in memory and in the store.
+// Length limits in bytes. Callers' names and idempotency keys are kept in memory
+// and in the store.
 const (
 	maxCallerLength = 128
 	maxKeyLength    = 255
 )
 
-// parseKey reads the Idempotency-Key. The IETF draft makes it a structured
-// string in double quotes; bare tokens are widely sent and taken as well.
+// parseKey parses the Idempotency-Key. The IETF draft defines it as a structured
+// string in double quotes; bare tokens are in wide use and accepted as well.
 func (c *call) parseKey(h http.Header) *Problem {
 	values := h.Values(HeaderKey)
 	if len(values) > 1 {
@@ -103,47 +105,50 @@
 	return nil
 }
 
-// parseClass lowers the service's class where the caller asks for it. A caller
-// that asks for a higher one keeps the service's.
+// parseClass sets the class to the lower of the service's class and the one that
+// the caller requests.
 func (c *call) parseClass(h http.Header) *Problem {
 	c.class = c.service.Class
-	word := h.Get(HeaderClass)
-	if word == "" {
+	value := h.Get(HeaderClass)
+	if value == "" {
 		return nil
 	}
-	asked, ok := model.ParseClass(word)
+	requested, ok := model.ParseClass(value)
 	if !ok {
 		return problemBadHeader(HeaderClass, "must be urgent, normal or deferrable")
 	}
-	c.class = min(c.class, asked)
+	c.class = min(c.class, requested)
 	return nil
 }
 
+// parseTimeout sets the deadline from the caller's timeout, the service's or the
+// default, in this order, and caps it at MaxTimeout.
 func (c *call) parseTimeout(h http.Header, l Limits) *Problem {
 	timeout := c.service.Timeout
 	if timeout <= 0 {
 		timeout = l.DefaultTimeout
 	}
-	if word := h.Get(HeaderTimeout); word != "" {
-		asked, err := time.ParseDuration(word)
-		if err != nil || asked <= 0 {
+	if value := h.Get(HeaderTimeout); value != "" {
+		requested, err := time.ParseDuration(value)
+		if err != nil || requested <= 0 {
 			return problemBadHeader(HeaderTimeout, "must be a positive duration such as 800ms or 30s")
 		}
-		timeout = asked
+		timeout = requested
 	}
 	c.deadline = c.arrived.Add(min(timeout, l.MaxTimeout))
 	return nil
 }
 
 // targetPath returns the escaped path with the prefix /services/{service}
-// removed. It is cut from the escaped path so that %2F stays what it is.
+// removed. It works on the escaped path so that %2F is not turned into a slash.
 func targetPath(r *http.Request, name model.ServiceName) string {
 	escaped := strings.TrimPrefix(r.URL.EscapedPath(), "/services/")
 	_, rest, _ := strings.Cut(escaped, "/")
 	return "/" + rest
 }
 
-// headerSize is what the header takes on the wire, without the request line.
+// headerSize returns the size of the header on the wire in bytes, without the
+// request line.
 func headerSize(h http.Header) int {
 	size := 0
 	for name, values := range h {
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -16,9 +16,9 @@
 	"github.com/pumicestage/pumicestage/policy/slots"
 )
 
-// dispatcher carries out policy/dispatch: it brings the time and the view, and
-// hands each grant to the goroutine that waits for it. One lock holds it
-// together; a decision takes microseconds, and a request takes two.
+// dispatcher drives policy/dispatch: it supplies the time and the cluster view,
+// and delivers each grant to the goroutine that waits for it. One lock serializes
+// all calls: a decision takes microseconds, and a request needs two of them.
 type dispatcher struct {
 	clock clockwork.Clock
 	loads peer.Loads
@@ -26,17 +26,17 @@
 	zone  model.ZoneName
 	self  model.EntryID
 
-	mu        sync.Mutex
-	policy    *dispatch.Dispatcher
-	seen      *view.Snapshot // the snapshot that policy follows
-	entries   []slots.Entry  // as policy has them
-	entriesAt time.Time      // when they were last looked at
+	mu             sync.Mutex
+	policy         *dispatch.Dispatcher
+	snapshot       *view.Snapshot // the snapshot that policy was last updated from
+	entries        []slots.Entry  // the live entry VMs that policy was last updated with
+	entriesUpdated time.Time      // when the live entry VMs were last computed
 }
 
-// waiter is a request on its way to a slot.
+// waiter is a request that waits for a slot or holds one.
 type waiter struct {
 	ticket  *dispatch.Ticket
-	granted chan dispatch.Grant // gets exactly one grant, unless it is cancelled
+	granted chan dispatch.Grant // receives exactly one grant, unless the waiter is cancelled
 }
 
 func newDispatcher(o Options) *dispatcher {
@@ -51,14 +51,14 @@
 	}
 }
 
-// submit asks for a slot. A request that a target just refused names it in
-// avoid.
+// submit queues the call for a slot. avoid is the target that has just refused
+// the request, empty if there is none.
 func (d *dispatcher) submit(c *call, avoid model.VMID) (*waiter, *Problem) {
 	w := &waiter{granted: make(chan dispatch.Grant, 1)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
-	d.follow(now)
+	d.refresh(now)
 	ticket, refusal := d.policy.Submit(dispatch.Request{
 		Service: c.service.Name, Caller: c.caller, Class: c.class,
 		Arrived: c.arrived, Deadline: c.deadline, Avoid: avoid, Data: w,
@@ -71,15 +71,16 @@
 	return w, nil
 }
 
-// deliver hands out the grants that policy made.
+// deliver sends the pending grants of policy to their waiters. The caller holds
+// mu.
 func (d *dispatcher) deliver() {
 	for _, g := range d.policy.Grants() {
 		g.Ticket.Request.Data.(*waiter).granted <- g
 	}
 }
 
-// cancel takes a waiter out, as its caller went away or its deadline passed. A
-// slot that was granted meanwhile is freed.
+// cancel removes a waiter whose caller disconnected or whose deadline passed. A
+// slot that was granted in the meantime is freed.
 func (d *dispatcher) cancel(w *waiter) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,87 +91,99 @@
 	d.deliver()
 }
 
-// done ends a request's use of its slot.
-func (d *dispatcher) done(w *waiter, u dispatch.Outcome) {
+// done frees the waiter's slot and reports how the attempt ended.
+func (d *dispatcher) done(w *waiter, outcome dispatch.Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.policy.Done(w.ticket, u, d.clock.Now())
+	d.policy.Done(w.ticket, outcome, d.clock.Now())
 	d.deliver()
 }
 
-// tick follows the view and peers.
+// tick updates policy from the view and the peers, and lets it act on time that
+// has passed.
 func (d *dispatcher) tick() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
-	d.follow(now)
+	d.refresh(now)
 	d.policy.Tick(now)
 	d.deliver()
 }
 
-// retry asks whether a request that was certainly not run is submitted again.
+// retry returns the policy's verdict on submitting a request again that was
+// certainly not run. attempts counts those already made.
 func (d *dispatcher) retry(w *waiter, attempts int, replayable bool) retry.Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.policy.Retry(w.ticket, attempts, replayable, d.clock.Now())
 }
 
-func (d *dispatcher) probed(vm model.VMID, a health.ProbeResult) {
+// observeProbe passes the result of a health probe to policy.
+func (d *dispatcher) observeProbe(vm model.VMID, result health.ProbeResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.policy.ObserveProbe(vm, a, d.clock.Now())
+	d.policy.ObserveProbe(vm, result, d.clock.Now())
 	d.policy.Tick(d.clock.Now())
 	d.deliver()
 }
 
+// probesDue returns the targets whose health is to be probed now.
 func (d *dispatcher) probesDue() []dispatch.ProbeTarget {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
-	d.follow(now)
+	d.refresh(now)
 	return d.policy.ProbesDue(now)
 }
 
+// states returns the state of each target.
 func (d *dispatcher) states() []dispatch.TargetState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.policy.States(d.clock.Now())
 }
 
+// services returns the state of each service.
 func (d *dispatcher) services() []dispatch.ServiceState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.policy.Services(d.clock.Now())
 }
 
-func (d *dispatcher) lending() slots.Message {
+// lendingMessage returns what this entry VM tells its peers about slots that it
+// lends, borrows and needs.
+func (d *dispatcher) lendingMessage() slots.Message {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.policy.LendingMessage()
 }
 
+// queued returns the number of requests that wait for a slot.
 func (d *dispatcher) queued() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.policy.Queued()
 }
 
-// follow brings policy up to the newest snapshot and the live entry VMs.
-func (d *dispatcher) follow(now time.Time) {
+// refresh updates policy from the newest snapshot and the live entry VMs, if
+// either has changed. The caller holds mu.
+func (d *dispatcher) refresh(now time.Time) {
 	snap := d.view.Load()
-	if snap == d.seen && now.Sub(d.entriesAt) < entriesEvery {
+	if snap == d.snapshot && now.Sub(d.entriesUpdated) < entriesRefreshInterval {
 		return
 	}
 	entries := d.liveEntries(snap, now)
-	d.entriesAt = now
-	if snap == d.seen && sameEntries(entries, d.entries) {
+	d.entriesUpdated = now
+	if snap == d.snapshot && sameEntries(entries, d.entries) {
 		return
 	}
-	d.seen, d.entries = snap, entries
+	d.snapshot, d.entries = snap, entries
 	d.policy.Update(fleetOf(snap, entries), now)
 	d.deliver()
 }
 
+// fleetOf converts a snapshot to the input of policy. Without a declaration the
+// fleet has neither services nor VMs.
 func fleetOf(snap *view.Snapshot, entries []slots.Entry) dispatch.Fleet {
 	f := dispatch.Fleet{Entries: entries}
 	if snap.Declaration == nil {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -22,26 +22,26 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// stage is an entry VM on loopback before fake targets.
-type stage struct {
+// testEnv is an entry VM on loopback with fake targets.
+type testEnv struct {
 	t       testing.TB
 	holder  *view.Holder
 	server  *Server
 	url     string
 	targets []*faketarget.Target
 	claims  *memClaims
-	clock   *clockwork.FakeClock // of an idle stage
+	clock   *clockwork.FakeClock // set by newIdleTestEnv only
 }
 
-// probeWait is longer than the interval of any probe.
+// probeWait is longer than any interval between probes.
 const probeWait = 3 * time.Second
 
-// newIdleStage is newStage on a fake clock and without Run, so that nothing
-// happens between the steps of a test.
-func newIdleStage(t testing.TB, n int, o faketarget.Options, change func(*Options)) *stage {
+// newIdleTestEnv is like newTestEnv, but uses a fake clock and does not call Run,
+// so that nothing happens between the steps of a test.
+func newIdleTestEnv(t testing.TB, n int, o faketarget.Options, change func(*Options)) *testEnv {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	s := buildStage(t, n, o, func(o *Options) {
+	s := buildTestEnv(t, n, o, func(o *Options) {
 		o.Clock = clock
 		if change != nil {
 			change(o)
@@ -51,28 +51,29 @@
 	return s
 }
 
-// probe asks all targets that are due for their health, and waits.
-func (s *stage) probe() {
-	s.server.prober.step(context.Background())
+// probe probes the health of all targets that are due, and waits for the results.
+func (s *testEnv) probe() {
+	s.server.prober.startDue(context.Background())
 	s.server.prober.wait()
 }
 
-// newStage starts an entry VM and runs it.
-func newStage(t testing.TB, n int, o faketarget.Options, change func(*Options)) *stage {
+// newTestEnv builds a testEnv and calls Run on its entry VM.
+func newTestEnv(t testing.TB, n int, o faketarget.Options, change func(*Options)) *testEnv {
 	t.Helper()
-	s := buildStage(t, n, o, change)
+	s := buildTestEnv(t, n, o, change)
 	ctx, cancel := context.WithCancel(context.Background())
-	ran := make(chan struct{})
-	go func() { defer close(ran); _ = s.server.Run(ctx) }()
-	t.Cleanup(func() { cancel(); <-ran })
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); _ = s.server.Run(ctx) }()
+	t.Cleanup(func() { cancel(); <-stopped })
 	return s
 }
 
-// buildStage makes an entry VM with two services over the targets: tabulation
-// is repeatable, incentives is not.
-func buildStage(t testing.TB, n int, o faketarget.Options, change func(*Options)) *stage {
+// buildTestEnv creates n targets and an entry VM with two services on them:
+// tabulation is repeatable, incentives is not. change, if not nil, modifies the
+// options of the entry VM.
+func buildTestEnv(t testing.TB, n int, o faketarget.Options, change func(*Options)) *testEnv {
 	t.Helper()
-	s := &stage{t: t, holder: view.NewHolder(), claims: &memClaims{}}
+	s := &testEnv{t: t, holder: view.NewHolder(), claims: &memClaims{}}
 	for i := range n {
 		opts := o
 		opts.ID = fmt.Sprintf("v%d", i)
@@ -95,8 +96,8 @@
 	return s
 }
 
-// publish makes a snapshot of the targets known, after change.
-func (s *stage) publish(revision int64, change func(*view.Snapshot)) {
+// publish publishes a snapshot of the targets, modified by change if not nil.
+func (s *testEnv) publish(revision int64, change func(*view.Snapshot)) {
 	snap := &view.Snapshot{Declaration: &model.Declaration{
 		Generation: 1,
 		Zones:      []model.ZoneName{"z1"},
@@ -117,8 +118,9 @@
 	assert.Assert(s.t, s.holder.Publish(snap))
 }
 
-// publishSlots makes the targets of all services have n slots.
-func (s *stage) publishSlots(n int) {
+// publishSlots publishes a snapshot in which the targets of all services have n
+// slots.
+func (s *testEnv) publishSlots(n int) {
 	s.publish(2, func(v *view.Snapshot) {
 		for i := range v.Declaration.Services {
 			v.Declaration.Services[i].Slots = n
@@ -126,22 +128,22 @@
 	})
 }
 
-// reply is what a caller saw.
+// reply is what a caller received.
 type reply struct {
 	status  int
 	outcome Outcome
 	header  http.Header
 	body    string
-	err     error // of the connection, or of an answer that broke off
+	err     error // from the connection, or because the response was incomplete
 }
 
-func (r reply) whole() bool { return r.err == nil }
+func (r reply) complete() bool { return r.err == nil }
 
-func (s *stage) do(method, path, body string, header ...string) reply {
+func (s *testEnv) do(method, path, body string, header ...string) reply {
 	return s.doContext(context.Background(), method, path, strings.NewReader(body), header...)
 }
 
-func (s *stage) doContext(ctx context.Context, method, path string, body io.Reader, header ...string) reply {
+func (s *testEnv) doContext(ctx context.Context, method, path string, body io.Reader, header ...string) reply {
 	req, err := http.NewRequestWithContext(ctx, method, s.url+path, body)
 	if err != nil {
 		return reply{err: err}
@@ -158,7 +160,7 @@
 	return reply{resp.StatusCode, Outcome(resp.Header.Get(HeaderOutcome)), resp.Header, string(data), err}
 }
 
-// usable returns the targets that may get work.
+// usable returns the targets that may be sent requests.
 func (d *dispatcher) usable() []model.VMID {
 	var ids []model.VMID
 	for _, st := range d.states() {
@@ -169,8 +171,8 @@
 	return ids
 }
 
-// started sums the requests that targets started.
-func (s *stage) started() int {
+// started returns the number of requests started, summed over all targets.
+func (s *testEnv) started() int {
 	n := 0
 	for _, target := range s.targets {
 		n += target.Counts().Started
@@ -178,8 +180,9 @@
 	return n
 }
 
-// runs sums the runs of a key over all targets.
-func (s *stage) runs(key string) int {
+// runs returns how often requests with the key were started, summed over all
+// targets.
+func (s *testEnv) runs(key string) int {
 	n := 0
 	for _, target := range s.targets {
 		n += target.Counts().Runs[key]
@@ -187,14 +190,14 @@
 	return n
 }
 
-// memClaims is Claims in memory.
+// memClaims implements claim.Claims in memory.
 type memClaims struct {
 	mu     sync.Mutex
 	claims map[claim.Key]*memClaim
-	fail   *claim.Error  // returned by Claim where set
-	hold   chan struct{} // where set, Claim waits for its end
-	asked  int
-	window time.Duration // in which a claim may be sent by; an hour if 0
+	fail   *claim.Error  // if set, Claim returns it
+	hold   chan struct{} // if set, Claim waits until it is closed
+	asked  int           // calls of Claim
+	window time.Duration // how long after the claim its request may be sent; 0 for an hour
 }
 
 type memClaim struct {
@@ -258,16 +261,19 @@
 	return errors.New("no such claim")
 }
 
-// settled waits until every outcome is recorded.
-func (s *stage) settled() {
+// waitUntilRecorded waits until all outcomes are recorded. It drains the entry VM
+// and opens it again afterwards.
+func (s *testEnv) waitUntilRecorded() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	assert.NilError(s.t, s.server.Drain(ctx))
-	s.server.gate = newGate()
+	s.server.admission = newAdmission()
 }
 
-func TestForwardsRequestAndAnswer(t *testing.T) {
-	s := newStage(t, 2, faketarget.Options{}, nil)
+// A request's method, path, query, header and body must reach the target
+// unchanged, and its response must reach the caller.
+func TestForwardsRequestAndResponse(t *testing.T) {
+	s := newTestEnv(t, 2, faketarget.Options{}, nil)
 	cases := []struct {
 		name, method, path, body, want string
 	}{
@@ -286,9 +292,11 @@
 	}
 }
 
-func TestRefusesWhatBreaksTheContract(t *testing.T) {
+// A request that breaks the rules for callers must be refused with a problem
+// document before anything is sent to a target.
+func TestRefusesInvalidRequests(t *testing.T) {
 	small := func(o *Options) { o.Limits = Limits{HeaderBytes: 2000, BodyBytes: 1000} }
-	s := newStage(t, 1, faketarget.Options{}, small)
+	s := newTestEnv(t, 1, faketarget.Options{}, small)
 	long := strings.Repeat("k", 300)
 	cases := []struct {
 		name, path, body string
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -16,12 +16,12 @@
 
 func setRevision(s *view.Snapshot, r int64) { s.Revision = infra.Revision(r) }
 
-// A target misbehaves for one request, and answers the next ones rightly. The
-// caller of the first must see a broken connection or a problem that says
-// "unknown", never an answer that looks whole; callers after it must get their
-// own answer. The target must have been sent the request once: net/http sends a
-// request again by itself where a connection it has used before breaks, be it a
-// POST, as long as it bears an Idempotency-Key and no body.
+// A target misbehaves for one request and responds correctly to the next ones.
+// The first caller must see an aborted connection or a problem with the outcome
+// "unknown", never a response that looks complete; later callers must get their
+// own responses. The request must be sent to the target only once: net/http
+// itself resends a request if a reused connection breaks, even a POST, if it has
+// an Idempotency-Key and no body.
 func TestTargetMisbehaves(t *testing.T) {
 	cases := []struct {
 		fault  faketarget.Fault
@@ -43,20 +43,20 @@
 	for _, service := range []string{"tabulation", "incentives"} {
 		for _, tc := range cases {
 			t.Run(service+"/"+tc.fault.String(), func(t *testing.T) {
-				s := newStage(t, 1, faketarget.Options{}, nil)
+				s := newTestEnv(t, 1, faketarget.Options{}, nil)
 				path := "/services/" + service + "/x"
 				assert.Equal(t, s.do("POST", path, "b", HeaderKey, "before").outcome, Ran)
 				s.targets[0].SetFault(tc.fault, 1)
 				r := s.do("POST", path, "", HeaderKey, "k0", "X-Request", "first")
 				if tc.status == 0 {
-					assert.Assert(t, !r.whole(), "%d %q looks whole", r.status, r.body)
+					assert.Assert(t, !r.complete(), "%d %q looks complete", r.status, r.body)
 				} else {
 					assert.NilError(t, r.err)
 					assert.Equal(t, r.status, tc.status, r.body)
 					assert.Equal(t, r.outcome, tc.out)
 				}
 				assert.Equal(t, s.runs("k0"), tc.runs)
-				// A refusing target is asked for its health before it gets more.
+				// A target that refused is probed before it is sent further requests.
 				waitFor(t, func() bool { return len(s.server.dispatch.usable()) == 1 })
 				for i := range 5 {
 					r := s.do("POST", path, "b", HeaderKey, fmt.Sprint("next", i), "X-Request", fmt.Sprint("next", i))
@@ -69,11 +69,11 @@
 	}
 }
 
-// Targets answer each request twice while many callers ask at once. A second
-// answer left on a connection would be taken for that of the next request
-// there; each caller must see its own.
-func TestAnswersTwiceUnderLoadReachOnlyTheirCallers(t *testing.T) {
-	s := newStage(t, 2, faketarget.Options{}, nil)
+// Targets respond twice to each request while many callers send requests
+// concurrently. On a reused connection the second response would be taken for
+// that of the next request; each caller must get the response to its own.
+func TestDuplicateResponsesReachOnlyTheirCallers(t *testing.T) {
+	s := newTestEnv(t, 2, faketarget.Options{}, nil)
 	for _, target := range s.targets {
 		target.SetFault(faketarget.Twice, -1)
 	}
@@ -92,11 +92,11 @@
 	wg.Wait()
 }
 
-// The target answers after the caller's timeout. The caller is told at its
-// deadline that the outcome is unknown. Where the request runs at most once, a
-// repeat of its key gets the answer that came late, and nothing runs twice.
-func TestLateAnswer(t *testing.T) {
-	s := newStage(t, 1, faketarget.Options{}, nil)
+// The target responds after the caller's timeout. The caller must be told at its
+// deadline that the outcome is unknown. If the request runs at most once, a
+// repeat of its key must get the late response, and nothing may run twice.
+func TestLateResponse(t *testing.T) {
+	s := newTestEnv(t, 1, faketarget.Options{}, nil)
 	s.targets[0].SetFault(faketarget.Late, 2)
 	header := []string{HeaderKey, "k", HeaderTimeout, "50ms"}
 	r := s.do("GET", "/services/tabulation/x", "", HeaderTimeout, "50ms")
@@ -107,8 +107,8 @@
 	r = s.do("POST", "/services/incentives/x", "pay", header...)
 	assert.Equal(t, r.status, 504)
 	assert.Equal(t, r.outcome, Unknown)
-	t.Logf("told after %v", time.Since(start))
-	s.settled()
+	t.Logf("caller answered after %v", time.Since(start))
+	s.waitUntilRecorded()
 	r = s.do("POST", "/services/incentives/x", "pay", header...)
 	assert.Equal(t, r.status, 200)
 	assert.Equal(t, r.outcome, Ran)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -17,108 +17,113 @@
 	"github.com/pumicestage/pumicestage/policy/dispatch"
 )
 
-// forwarder sends requests to targets and their answers to callers.
+// forwarder sends requests to targets and relays their responses to callers.
 type forwarder struct {
 	transport *http.Transport
-	spares    *spares
+	spares    *spareConns
 	limits    Limits
 	clock     clockwork.Clock
 	buffers   sync.Pool
 }
 
-// copyBytes is the size of a copy buffer: a streamed answer's unit.
-const copyBytes = 32 << 10
+// copyBufferSize is the size in bytes of the buffers that relay responses.
+const copyBufferSize = 32 << 10
 
-// newForwarder makes a transport that uses each connection for one request.
+// newForwarder returns a forwarder whose transport uses each connection for one
+// request only. A nil dial means plain TCP.
 //
-// A connection that is used again can carry another request's answer: a target
-// that answers twice or late leaves bytes behind that the next request on the
-// connection takes for its own, and HTTP/1.1 has nothing to tell them apart by.
-// Also, net/http silently sends a request again where a reused connection
-// breaks before an answer. Neither can happen on a connection of one's own.
+// A reused connection can deliver the response of another request: a target
+// that responds twice or late leaves bytes on the connection that the next
+// request takes for its own response, and HTTP/1.1 offers no way to tell them
+// apart. Also, net/http silently resends a request if a reused connection breaks
+// before the response. Neither can happen if each request has its own connection.
 func newForwarder(dial dialFunc, l Limits, clock clockwork.Clock) *forwarder {
 	spares := newSpares(dial, l.ConnectTimeout)
 	return &forwarder{
 		transport: &http.Transport{
 			DialContext:            spares.DialContext,
 			DisableKeepAlives:      true,
-			DisableCompression:     true, // the answer passes as the target encoded it
+			DisableCompression:     true, // relay the body as the target encoded it
 			MaxResponseHeaderBytes: int64(headerSlack * l.HeaderBytes),
 		},
 		spares: spares,
 		limits: l,
 		clock:  clock,
 		buffers: sync.Pool{New: func() any {
-			b := make([]byte, copyBytes)
+			b := make([]byte, copyBufferSize)
 			return &b
 		}},
 	}
 }
 
-// result is how an attempt ended.
+// result describes how an attempt to send a request to a target ended.
 type result struct {
-	use     dispatch.Outcome
-	problem *Problem // nil where the caller has its answer, or a broken one
-	// broken: the answer broke off after its beginning was given on. The
-	// caller's connection must be broken as well.
+	outcome dispatch.Outcome
+	problem *Problem // nil if a response was relayed, in full or in part
+	// broken is set if relaying stopped after the response had begun. The
+	// caller's connection must be aborted, so that the caller sees the failure.
 	broken bool
 }
 
-// certainlyNotRun reports whether the request may be sent to another target.
+// certainlyNotRun reports whether the target certainly did not run the request,
+// so that it may be sent to another one.
 func (r result) certainlyNotRun() bool {
-	return r.use.Kind == dispatch.Refused || r.use.Kind == dispatch.NotSent
+	return r.outcome.Kind == dispatch.Refused || r.outcome.Kind == dispatch.NotSent
 }
 
-// send makes one attempt at the target and gives its answer to the caller.
+// send makes one attempt to send the request to the target at address, and
+// relays the response to the caller.
 func (f *forwarder) send(e *exchange, address string) result {
 	start := f.clock.Now()
-	resp, res := f.ask(e, address, start)
+	resp, res := f.sendRequest(e, address, start)
 	if resp == nil {
 		return res
 	}
 	defer resp.Body.Close()
-	res.use.ResponseLatency = f.clock.Since(start)
-	res = f.give(e, resp, res)
-	res.use.SlotTime = f.clock.Since(start)
+	res.outcome.ResponseLatency = f.clock.Since(start)
+	res = f.relay(e, resp, res)
+	res.outcome.SlotTime = f.clock.Since(start)
 	return res
 }
 
-// ask sends the request and reads the answer's header. Without an answer that
-// can be given on, it returns a nil response and how the attempt ended.
-func (f *forwarder) ask(e *exchange, address string, start time.Time) (*http.Response, result) {
+// sendRequest sends the request and reads the response header. If there is no
+// response that can be relayed, it returns nil and how the attempt ended.
+func (f *forwarder) sendRequest(e *exchange, address string, start time.Time) (*http.Response, result) {
 	body := e.body.attempt()
 	var sent atomic.Bool
 	resp, err := f.roundTrip(e, f.request(e, address, body, &sent))
 	if err != nil {
-		body.refuse()
-		return nil, f.noAnswer(e, sent.Load(), start)
+		body.stop()
+		return nil, f.resultWithoutResponse(e, sent.Load(), start)
 	}
-	if refused(resp) {
-		body.refuse()
+	if isRefusal(resp) {
+		body.stop()
 		resp.Body.Close()
-		res := f.ended(dispatch.Refused, start, problemRefused(retryAfter(resp.Header)))
-		res.use.RetryAfter = retryAfter(resp.Header)
+		res := f.newResult(dispatch.Refused, start, problemRefused(retryAfter(resp.Header)))
+		res.outcome.RetryAfter = retryAfter(resp.Header)
 		return nil, res
 	}
-	if !endIsVisible(resp) {
+	if !isDelimited(resp) {
 		resp.Body.Close()
-		return nil, f.ended(dispatch.Failed, start, problemTargetFailed())
+		return nil, f.newResult(dispatch.Failed, start, problemTargetFailed())
 	}
-	return resp, result{use: dispatch.Outcome{Kind: endingOf(resp.StatusCode)}}
+	return resp, result{outcome: dispatch.Outcome{Kind: outcomeKind(resp.StatusCode)}}
 }
 
-// endingOf tells an answer that says the target failed from all others.
-func endingOf(status int) dispatch.OutcomeKind {
+// outcomeKind returns Errored for a status that reports a failure of the target,
+// and Answered for all others.
+func outcomeKind(status int) dispatch.OutcomeKind {
 	if status >= http.StatusInternalServerError && status != http.StatusNotImplemented {
 		return dispatch.Errored
 	}
 	return dispatch.Answered
 }
 
-// roundTrip waits for the answer. Where the request runs at most once, its
-// caller is told at the deadline and the wait goes on for the outcome.
+// roundTrip sends the request and waits for the response header. For a request
+// that runs at most once, the caller is answered at the deadline, and the wait
+// continues in order to record the outcome.
 func (f *forwarder) roundTrip(e *exchange, req *http.Request) (*http.Response, error) {
-	if e.keep == nil {
+	if e.recorder == nil {
 		return f.transport.RoundTrip(req)
 	}
 	type answer struct {
@@ -134,18 +139,20 @@
 	case a := <-answers:
 		return a.resp, a.err
 	case <-e.waitCtx.Done():
-		e.late()
+		e.onDeadline()
 	}
 	a := <-answers
 	return a.resp, a.err
 }
 
-func (f *forwarder) ended(how dispatch.OutcomeKind, start time.Time, p *Problem) result {
-	return result{use: dispatch.Outcome{Kind: how, SlotTime: f.clock.Since(start)}, problem: p}
+// newResult returns the result of an attempt that began at start and has no
+// response to relay.
+func (f *forwarder) newResult(kind dispatch.OutcomeKind, start time.Time, p *Problem) result {
+	return result{outcome: dispatch.Outcome{Kind: kind, SlotTime: f.clock.Since(start)}, problem: p}
 }
 
-// request builds the request to the target. sent is set as soon as a
-// connection was handed over: from then on bytes may have left.
+// request builds the request to the target. sent is set as soon as the transport
+// has a connection: from then on bytes may have been sent.
 func (f *forwarder) request(e *exchange, address string, body *attemptBody, sent *atomic.Bool) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	ctx := httptrace.WithClientTrace(e.sendCtx, trace)
@@ -166,7 +173,7 @@
 		out.Body = body
 	}
 	copyEndToEnd(out.Header, e.in.Header)
-	out.Header.Del("Expect") // answered here: the body is asked for when it is read
+	out.Header.Del("Expect") // handled by this server, which sends "100 Continue" when the body is first read
 	out.Header.Set(HeaderCaller, e.call.caller)
 	out.Header.Set(HeaderTimeout, e.call.remaining(f.clock.Now()).Round(time.Millisecond).String())
 	addForwardedFor(out.Header, e.in.RemoteAddr)
@@ -176,6 +183,8 @@
 	return out.WithContext(ctx)
 }
 
+// targetURL builds the URL of a request to a target. A path whose escapes are
+// invalid is used literally.
 func targetURL(address, escapedPath, query string) *url.URL {
 	path, err := url.PathUnescape(escapedPath)
 	if err != nil {
@@ -184,6 +193,7 @@
 	return &url.URL{Scheme: "http", Host: address, Path: path, RawPath: escapedPath, RawQuery: query}
 }
 
+// addForwardedFor appends the caller's address to X-Forwarded-For.
 func addForwardedFor(h http.Header, remote string) {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
@@ -196,36 +206,39 @@
 	h.Set(name, host)
 }
 
-// noAnswer tells what is certain where no answer came.
-func (f *forwarder) noAnswer(e *exchange, sent bool, start time.Time) result {
+// resultWithoutResponse classifies an attempt that got no response, by whether
+// the deadline passed, the caller disconnected or its body failed, and whether
+// bytes may have been sent.
+func (f *forwarder) resultWithoutResponse(e *exchange, sent bool, start time.Time) result {
 	late := errors.Is(context.Cause(e.sendCtx), errDeadline)
 	gone := e.sendCtx.Err() != nil && !late
 	switch {
 	case e.body.failure() != nil:
-		return f.ended(dispatch.Abandoned, start, e.body.failure())
+		return f.newResult(dispatch.Abandoned, start, e.body.failure())
 	case gone && sent:
-		return f.ended(dispatch.Abandoned, start, problemTargetFailed())
+		return f.newResult(dispatch.Abandoned, start, problemTargetFailed())
 	case gone:
-		return f.ended(dispatch.Abandoned, start, problemUnreachable())
+		return f.newResult(dispatch.Abandoned, start, problemUnreachable())
 	case late && sent:
-		return f.ended(dispatch.Failed, start, problemTimeout("the target did not answer in time", Unknown))
+		return f.newResult(dispatch.Failed, start, problemTimeout("the target did not answer in time", Unknown))
 	case late:
-		return f.ended(dispatch.Failed, start, problemTimeout("the target was not reached in time", NotRun))
+		return f.newResult(dispatch.Failed, start, problemTimeout("the target was not reached in time", NotRun))
 	case sent:
-		return f.ended(dispatch.Failed, start, problemTargetFailed())
+		return f.newResult(dispatch.Failed, start, problemTargetFailed())
 	}
-	return f.ended(dispatch.NotSent, start, problemUnreachable())
+	return f.newResult(dispatch.NotSent, start, problemUnreachable())
 }
 
-// refused reports whether the target said that it did not start the request.
-func refused(resp *http.Response) bool {
+// isRefusal reports whether the response states that the target did not start
+// the request.
+func isRefusal(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderOutcome) == string(NotRun)
 }
 
-// endIsVisible reports whether the answer's framing shows where it ends. An
-// answer that ends with its connection looks whole where its target died in
-// the middle, and is not given on.
-func endIsVisible(resp *http.Response) bool {
+// isDelimited reports whether the framing of the response shows where it ends. A
+// response that ends when its connection closes would look complete if the
+// target died in the middle, and is not relayed.
+func isDelimited(resp *http.Response) bool {
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
 		return false
@@ -235,11 +248,14 @@
 	return !mayHaveBody(resp.Request.Method, resp.StatusCode)
 }
 
+// mayHaveBody reports whether HTTP allows a body in a response with this status
+// to a request with this method.
 func mayHaveBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// retryAfter reads a target's Retry-After in seconds, 0 if there is none.
+// retryAfter parses a Retry-After header in seconds. It returns 0 if the header
+// is missing, negative or a date.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || seconds < 0 {
--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// hopByHop are the headers that speak of one connection only (RFC 9110, 7.6.1).
+// hopByHop lists the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyEndToEnd copies the headers that are meant for the other end.
+// copyEndToEnd copies all headers but the hop-by-hop ones.
 func copyEndToEnd(dst, src http.Header) {
 	named := connectionNames(src)
 	for name, values := range src {
@@ -24,7 +24,8 @@
 	}
 }
 
-// connectionNames returns the headers that Connection declares hop-by-hop.
+// connectionNames returns the canonical names of the headers that Connection
+// declares hop-by-hop.
 func connectionNames(h http.Header) map[string]bool {
 	var named map[string]bool
 	for _, line := range h["Connection"] {
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -13,16 +13,17 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// fakeLoads is what peers' digests say.
+// fakeLoads implements peer.Loads; leavingVMs are the targets that peers report
+// as leaving.
 type fakeLoads struct {
-	mu      sync.Mutex
-	leaving map[model.VMID]bool
+	mu         sync.Mutex
+	leavingVMs map[model.VMID]bool
 }
 
 func (l *fakeLoads) set(vm model.VMID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaving[vm] = true
+	l.leavingVMs[vm] = true
 }
 
 // PeerInFlight implements peer.Loads.
@@ -32,39 +33,40 @@
 func (l *fakeLoads) PeerSaysLeaving(vm model.VMID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.leaving[vm]
+	return l.leavingVMs[vm]
 }
 
 // LiveEntries implements peer.Loads.
 func (*fakeLoads) LiveEntries(model.ZoneName) int { return 1 }
 
-// A target leaves, and this entry VM learns it by one way only. Work sent
-// after that would be cut by the target's reboot: callers would see "unknown".
-// From then on no request may start there, and all callers get their answers.
+// A target is leaving, and the entry VM learns of it in one way only. A request
+// sent there afterwards would be interrupted by the target's reboot, and its
+// caller told "unknown". No request may start there from then on, and all callers
+// must get a response.
 func TestLeavingTargetGetsNoWork(t *testing.T) {
 	cases := []struct {
 		name  string
-		leave func(*stage, *fakeLoads)
+		leave func(*testEnv, *fakeLoads)
 	}{
-		{"view", func(s *stage, _ *fakeLoads) {
+		{"view", func(s *testEnv, _ *fakeLoads) {
 			s.publish(2, func(v *view.Snapshot) {
 				vm := v.VMs["v0"]
 				vm.State = model.VMLeaving
 				v.VMs["v0"] = vm
 			})
 		}},
-		{"peer's digest", func(_ *stage, l *fakeLoads) { l.set("v0") }},
-		{"health answer", func(s *stage, _ *fakeLoads) {
+		{"peer's digest", func(_ *testEnv, l *fakeLoads) { l.set("v0") }},
+		{"health answer", func(s *testEnv, _ *fakeLoads) {
 			s.targets[0].Drain()
-			s.server.prober.step(context.Background())
+			s.server.prober.startDue(context.Background())
 			s.server.prober.wait()
 		}},
-		{"refusal", func(s *stage, _ *fakeLoads) { s.targets[0].Drain() }},
+		{"refusal", func(s *testEnv, _ *fakeLoads) { s.targets[0].Drain() }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			loads := &fakeLoads{leaving: make(map[model.VMID]bool)}
-			s := newIdleStage(t, 3, faketarget.Options{}, func(o *Options) { o.Loads = loads })
+			loads := &fakeLoads{leavingVMs: make(map[model.VMID]bool)}
+			s := newIdleTestEnv(t, 3, faketarget.Options{}, func(o *Options) { o.Loads = loads })
 			tc.leave(s, loads)
 			before := s.targets[0].Counts().Started
 			for i := range 60 {
@@ -77,10 +79,10 @@
 	}
 }
 
-// A target is rebooted after its drain. While it is down nothing reaches it;
-// once its health answer is ok again it gets work, though less at first.
-func TestTargetComesBack(t *testing.T) {
-	s := newIdleStage(t, 2, faketarget.Options{}, nil)
+// A target is rebooted after it was drained. It must get no requests until a
+// probe finds it healthy, and then fewer than its share at first.
+func TestTargetGetsWorkAfterReboot(t *testing.T) {
+	s := newIdleTestEnv(t, 2, faketarget.Options{}, nil)
 	s.targets[0].Drain()
 	s.probe()
 	assert.NilError(t, s.targets[0].Reboot())
@@ -95,5 +97,5 @@
 		assert.Equal(t, r.outcome, Ran, fmt.Sprint(i, r.body))
 	}
 	got := s.targets[0].Counts().Started
-	assert.Assert(t, got > 0 && got < 40, "a tenth of its half of 200 is right, not %d", got)
+	assert.Assert(t, got > 0 && got < 40, "expected about 10 requests, a tenth of its half of 200, got %d", got)
 }
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -5,72 +5,78 @@
 	"time"
 )
 
-// Limits bound what one caller or target can hold of an entry VM. Zero fields
-// take the default of DefaultLimits.
+// Limits bounds the resources of an entry VM that callers and targets can use.
+// Zero fields take the value from DefaultLimits.
 type Limits struct {
-	// HeaderBytes is the most a request's header may take (431 above it).
+	// HeaderBytes is the maximum size of a request header (431 above it).
 	HeaderBytes int
-	// BodyBytes is the most a request's body may take (413 above it).
+	// BodyBytes is the maximum size of a request body (413 above it).
 	BodyBytes int64
-	// BufferBytes is the most of a body that is read before the request
-	// queues. A body within it is complete before it takes a slot, so a slow
-	// sender holds none, and it can be sent to another target.
+	// BufferBytes is the maximum size of a body that is read in full before
+	// the request queues. Such a request takes a slot only when its body is
+	// complete, so a slow sender holds none, and it can be sent to another
+	// target if the first one refuses it.
 	BufferBytes int64
-	// OnceBodyBytes is the most the body of a request that runs at most once
-	// may take (413 above it): it is read in full before it is claimed, as its
-	// digest belongs to the claim.
+	// OnceBodyBytes is the maximum size of the body of a request that runs at
+	// most once (413 above it): it is read in full before the request is
+	// claimed, because the claim includes its digest.
 	OnceBodyBytes int64
-	// BufferedBytes is the most that all bodies read ahead take together (503
-	// above it).
+	// BufferedBytes is the maximum total size of all bodies that are read
+	// before their requests queue (503 above it).
 	BufferedBytes int64
-	// KeptAnswerBytes is the most of an answer that is recorded under an
-	// Idempotency-Key; of a larger one only the outcome is kept.
+	// KeptAnswerBytes is the maximum size of a response body that is recorded
+	// under an Idempotency-Key; of a larger response only the status and header
+	// are recorded.
 	KeptAnswerBytes int64
-	// HeaderTimeout is how long a caller may take to send a header.
+	// HeaderTimeout is the maximum time for a caller to send a request header.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a caller's connection may stay without request.
+	// IdleTimeout is how long a caller's connection may be idle between requests.
 	IdleTimeout time.Duration
 	// BodyGrace and BodyRate (bytes per second) bound a slow sender: after
-	// BodyGrace it must have kept the rate on average (408 below it).
+	// BodyGrace, a body must arrive at BodyRate or faster on average (408 below
+	// it).
 	BodyGrace time.Duration
 	BodyRate  int64
-	// WriteTimeout is how long one write of an answer may stand still before
-	// the caller is given up: a caller that does not read holds a slot.
+	// WriteTimeout is the maximum time for one write of a response. Beyond it
+	// the connection is aborted, because a caller that does not read holds a
+	// slot.
 	WriteTimeout time.Duration
-	// DefaultTimeout is a request's where neither caller nor service has one.
+	// DefaultTimeout is the timeout of a request if neither its caller nor its
+	// service sets one.
 	DefaultTimeout time.Duration
-	// MaxTimeout is the most a caller may ask for.
+	// MaxTimeout is the maximum timeout of a request. Longer ones are cut to it.
 	MaxTimeout time.Duration
-	// Inside is the most requests inside the entry VM, waiting ones included.
+	// Inside is the maximum number of requests in flight at the entry VM, those
+	// that wait for a slot included (503 above it).
 	Inside int
-	// ConnectTimeout is how long connecting to a target may take.
+	// ConnectTimeout is the maximum time to connect to a target.
 	ConnectTimeout time.Duration
 }
 
-// DefaultLimits returns the defaults. An entry VM is small (256 MB). With every
-// caller at every limit at once it holds BufferedBytes and Inside headers,
-// 64 MiB + 4096 x 32 KiB = 192 MiB.
+// DefaultLimits returns the default limits. They are sized for an entry VM with
+// 256 MB of memory: if all limits are reached at once, it holds BufferedBytes of
+// bodies and Inside headers, 64 MiB + 4096 x 32 KiB = 192 MiB.
 func DefaultLimits() Limits {
 	return Limits{
-		HeaderBytes:     32 << 10,         // four times what browsers and balancers send
+		HeaderBytes:     32 << 10,         // four times what browsers and load balancers send
 		BodyBytes:       64 << 20,         // a respondent file of a large panel, with margin
-		BufferBytes:     16 << 10,         // orders, queries and bookings fit
+		BufferBytes:     16 << 10,         // fits orders, queries and bookings
 		OnceBodyBytes:   1 << 20,          // an incentive batch of thousands of respondents
 		BufferedBytes:   64 << 20,         // a quarter of a small VM's memory
-		KeptAnswerBytes: 16 << 10,         // confirmations fit; a value of the store holds 1 MB
+		KeptAnswerBytes: 16 << 10,         // fits confirmations; a value in the store holds up to 1 MB
 		HeaderTimeout:   5 * time.Second,  // a header is one packet or a few
-		IdleTimeout:     75 * time.Second, // above the 60 s of common balancers, so that they close first
-		BodyGrace:       5 * time.Second,  // a lost packet or two must not fail an upload
-		BodyRate:        4 << 10,          // a poor mobile link in the field
-		WriteTimeout:    10 * time.Second, // a stalled reader, beyond any retransmission worth waiting for
-		DefaultTimeout:  30 * time.Second, // an analyst with a client on the line has given up by then
-		MaxTimeout:      15 * time.Minute, // the longest weighting run as a request; longer work is a job
+		IdleTimeout:     75 * time.Second, // above the 60 s of common load balancers, so that they close first
+		BodyGrace:       5 * time.Second,  // one or two lost packets must not fail an upload
+		BodyRate:        4 << 10,          // a poor mobile link
+		WriteTimeout:    10 * time.Second, // longer than useful TCP retransmissions take, so the reader has stalled
+		DefaultTimeout:  30 * time.Second, // interactive users have given up by then
+		MaxTimeout:      15 * time.Minute, // the longest weighting run that is made as a request; longer work is submitted as a job
 		Inside:          4096,
-		ConnectTimeout:  1 * time.Second, // zones are 1.5 ms apart; one lost SYN is sent again after 1 s
+		ConnectTimeout:  1 * time.Second, // zones are 1.5 ms apart; a lost SYN is retransmitted only after 1 s
 	}
 }
 
-// withDefaults fills zero fields.
+// withDefaults returns l with zero fields set to their defaults.
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
 	setDefault(&l.HeaderBytes, d.HeaderBytes)
@@ -97,11 +103,12 @@
 	}
 }
 
-// headerSlack is how far above HeaderBytes net/http reads on, so that the
-// contract's problem document can be sent in place of its bare 431.
+// headerSlack is the factor between HeaderBytes and the limit set in net/http.
+// In between, this package responds with its own problem document rather than
+// the plain 431 of net/http.
 const headerSlack = 4
 
-// Apply sets the connection limits on the server that carries the handler.
+// Apply sets the limits that net/http enforces on srv, which serves the handler.
 func (l Limits) Apply(srv *http.Server) {
 	l = l.withDefaults()
 	srv.ReadHeaderTimeout = l.HeaderTimeout
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -17,8 +17,8 @@
 	"github.com/pumicestage/pumicestage/internal/view"
 )
 
-// raw sends bytes as they are and reads one answer.
-func (s *stage) raw(send string) (*http.Response, string, error) {
+// raw sends the bytes on a connection of its own and reads one response.
+func (s *testEnv) raw(send string) (*http.Response, string, error) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	assert.NilError(s.t, err)
 	defer conn.Close()
@@ -34,8 +34,8 @@
 	return resp, string(body), err
 }
 
-// Callers that are over a limit, or slower than they may be, get a clear answer
-// that says whether anything was run, and hold neither slot nor connection.
+// Callers that exceed a limit or send too slowly must get a response that states
+// whether anything was run, and must not keep a slot or the connection.
 func TestLimits(t *testing.T) {
 	limits := func(o *Options) {
 		o.Limits = Limits{BodyBytes: 1000, BufferBytes: 100, OnceBodyBytes: 900, BodyGrace: 200 * time.Millisecond, HeaderTimeout: 200 * time.Millisecond}
@@ -59,12 +59,12 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newIdleStage(t, 1, faketarget.Options{}, limits)
+			s := newIdleTestEnv(t, 1, faketarget.Options{}, limits)
 			resp, body, err := s.raw(tc.send)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, tc.status, body)
 			assert.Equal(t, Outcome(resp.Header.Get(HeaderOutcome)), tc.outcome)
-			assert.Assert(t, resp.Close, "the rest of the request cannot be told from the next")
+			assert.Assert(t, resp.Close, "the connection must be closed: the rest of the request would be taken for the next one")
 			assert.Assert(t, s.started() <= tc.started)
 			for _, st := range s.server.dispatch.states() {
 				assert.Equal(t, st.InFlight, 0)
@@ -73,10 +73,11 @@
 	}
 }
 
-// Bodies are read ahead of their slots, up to a bound for all together. Beyond
-// it callers are told to come back, and the bound is free again afterwards.
+// The total size of bodies that are read before their requests get a slot is
+// bounded. Beyond the bound callers must be told to retry, and the bytes must be
+// released afterwards.
 func TestBufferedBodiesAreBounded(t *testing.T) {
-	s := newIdleStage(t, 1, faketarget.Options{}, func(o *Options) { o.Limits = Limits{BufferedBytes: 100} })
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits = Limits{BufferedBytes: 100} })
 	for i := range 3 {
 		r := s.do("POST", "/services/incentives/x", strings.Repeat("x", 101), HeaderKey, fmt.Sprint(i))
 		assert.Equal(t, r.status, 503)
@@ -87,9 +88,10 @@
 	}
 }
 
-// An HTTP/1.0 caller cannot see where a chunked answer ends; it gets a length.
+// An HTTP/1.0 caller cannot see where a chunked response ends, so the response
+// must have a Content-Length.
 func TestHTTP10CallerGetsALength(t *testing.T) {
-	s := newIdleStage(t, 1, faketarget.Options{}, nil)
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, nil)
 	s.targets[0].SetFault(faketarget.Chunked, 1)
 	resp, body, err := s.raw("GET /services/tabulation/x HTTP/1.0\r\n\r\n")
 	assert.NilError(t, err)
@@ -97,10 +99,10 @@
 	assert.Assert(t, len(body) > 4096)
 }
 
-// Both ways are streamed: the target's first piece reaches the caller before
-// the caller has sent its last.
+// Request and response must both be streamed: the first part of the response
+// reaches the caller before it has sent the last part of its request.
 func TestStreamsBothWays(t *testing.T) {
-	s := newIdleStage(t, 1, faketarget.Options{}, nil)
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, nil)
 	s.targets[0].SetFault(faketarget.Echo, 1)
 	r, w := io.Pipe()
 	req, err := http.NewRequest("POST", s.url+"/services/tabulation/x", r)
@@ -119,8 +121,9 @@
 	assert.Equal(t, string(rest), "last")
 }
 
-// The first target asked refuses. A body that was read before is sent again to
-// another; one that was streamed is gone, and the caller is told so.
+// The first target refuses the request. A body that was buffered must be sent to
+// another target; one that was streamed cannot be sent again, and the caller must
+// be told that the request was not run.
 func TestRetryAfterRefusal(t *testing.T) {
 	large := strings.Repeat("x", 1<<20)
 	cases := []struct {
@@ -135,12 +138,12 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newIdleStage(t, 3, faketarget.Options{}, nil)
+			s := newIdleTestEnv(t, 3, faketarget.Options{}, nil)
 			for _, target := range s.targets {
 				target.SetFault(faketarget.RefuseAfterBody, -1)
 			}
 			first := s.do("POST", "/services/tabulation/x", "")
-			assert.Equal(t, first.outcome, NotRun, "three attempts at most")
+			assert.Equal(t, first.outcome, NotRun, "at most three attempts")
 			s.clock.Advance(probeWait)
 			s.probe()
 			for _, target := range s.targets[tc.refusals:] {
@@ -160,15 +163,16 @@
 			}
 			assert.Assert(t, outcomes[tc.outcome] > 0, "%v", outcomes)
 			assert.Equal(t, outcomes[Unknown], 0)
-			assert.Equal(t, s.started(), outcomes[Ran], "not-run is true")
+			assert.Equal(t, s.started(), outcomes[Ran], "a request reported as not-run was started")
 		})
 	}
 }
 
-// Callers wait for the only slot and go away. Their places are freed, nothing
-// of theirs runs, and who comes after them is served.
-func TestCallerLeavesTheQueue(t *testing.T) {
-	s := newStage(t, 1, faketarget.Options{}, func(o *Options) { o.Limits.Inside = 20 })
+// Callers disconnect while they wait for the only slot. Their places in the queue
+// must be freed, none of their requests may run, and the next caller must be
+// served.
+func TestCallerDisconnectsWhileQueued(t *testing.T) {
+	s := newTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits.Inside = 20 })
 	s.publishSlots(1)
 	s.targets[0].SetFault(faketarget.Late, 1)
 	first := make(chan reply)
@@ -190,10 +194,10 @@
 	assert.Equal(t, s.started(), 2)
 }
 
-// An entry VM that has no declaration yet must not say that a service does not
-// exist: its callers would give up.
+// An entry VM that has no declaration yet must not respond that a service does
+// not exist: its callers would give up.
 func TestBeforeTheFirstDeclaration(t *testing.T) {
-	s := newIdleStage(t, 1, faketarget.Options{}, func(o *Options) { o.View = view.NewHolder() })
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.View = view.NewHolder() })
 	assert.Assert(t, !s.server.Ready())
 	r := s.do("GET", "/services/tabulation/x", "")
 	assert.Equal(t, r.status, 503)
@@ -201,17 +205,18 @@
 	assert.Assert(t, r.header.Get("Retry-After") != "")
 }
 
-// The entry VM leaves under load. Requests inside get their answers, new ones
-// are told to ask another, and Drain returns when the last has gone.
+// The entry VM drains while a request is in flight. That request must get its
+// response, new ones must be refused, and Drain must return when the last request
+// has ended.
 func TestDrain(t *testing.T) {
-	s := newStage(t, 1, faketarget.Options{}, nil)
+	s := newTestEnv(t, 1, faketarget.Options{}, nil)
 	s.targets[0].SetFault(faketarget.Late, 1)
 	inside := make(chan reply)
 	go func() { inside <- s.do("GET", "/services/tabulation/x", "") }()
 	waitFor(t, func() bool { return s.targets[0].Counts().Running == 1 })
 	short, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	assert.ErrorContains(t, s.server.Drain(short), "still inside: 1")
+	assert.ErrorContains(t, s.server.Drain(short), "still in flight: 1")
 	assert.Assert(t, strings.Contains(s.server.Metrics().String(), `"Service":"tabulation","Queued":0,"InFlight":1`))
 	assert.Assert(t, !s.server.Ready())
 	r := s.do("GET", "/services/tabulation/x", "")
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -7,14 +7,14 @@
 	"github.com/pumicestage/pumicestage/policy/retry"
 )
 
-// metrics counts what callers got and what targets did.
+// metrics holds the counters of responses to callers and of attempts at targets.
 type metrics struct {
 	all      expvar.Map
-	outcomes expvar.Map // answers by Pumicestage-Outcome
+	outcomes expvar.Map // responses by Pumicestage-Outcome
 	problems expvar.Map // problem documents by type
-	attempts expvar.Map // stays at targets by ending
-	retries  expvar.Map // by the retry policy's verdict
-	broken   expvar.Int // answers cut off visibly
+	attempts expvar.Map // attempts to send to a target, by how they ended
+	retries  expvar.Map // verdicts of the retry policy
+	broken   expvar.Int // responses aborted after they had begun
 
 	unsettled expvar.Int // claims whose outcome could not be recorded
 }
@@ -37,9 +37,9 @@
 	m.problems.Add(p.Type, 1)
 }
 
-func (m *metrics) attempt(how dispatch.OutcomeKind) { m.attempts.Add(how.String(), 1) }
+func (m *metrics) attempt(kind dispatch.OutcomeKind) { m.attempts.Add(kind.String(), 1) }
 
 func (m *metrics) retry(v retry.Verdict) { m.retries.Add(v.String(), 1) }
 
-// Metrics returns the server's counters, for the daemon to publish by expvar.
+// Metrics returns the server's counters, for the daemon to publish with expvar.
 func (s *Server) Metrics() expvar.Var { return &s.metrics.all }
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -13,100 +13,106 @@
 	"github.com/pumicestage/pumicestage/internal/claim"
 )
 
-// defaultRemember is how long a key is remembered where the service does not
-// say: a day covers a caller's night-long outage and its operators' repair.
-const defaultRemember = 24 * time.Hour
+// defaultKeyRetention is how long a key is remembered if the service does not
+// set a time: a day covers a caller's outage overnight and its repair.
+const defaultKeyRetention = 24 * time.Hour
 
-// recordTimeout bounds the recording of an outcome. What is not recorded by
-// then stays unknown: safe, and told as that.
+// recordTimeout bounds the recording of an outcome. An outcome that is not
+// recorded by then stays unknown, which is safe: the request is not run again,
+// and callers are told that its outcome is unknown.
 const recordTimeout = 30 * time.Second
 
-// lateTime is how long a request that runs at most once is waited for after
-// its deadline. Its caller has been told "unknown"; a repeat of the key gets
-// the outcome that is recorded then, where a cut would leave it unknown for ever.
-const lateTime = 60 * time.Second
+// lateOutcomeTimeout is how long after its deadline a request that runs at most
+// once may still finish. Its caller has been told "unknown" by then; a repeat of
+// the key gets the outcome recorded later, whereas cancelling the request at its
+// deadline would leave the outcome unknown for ever.
+const lateOutcomeTimeout = 60 * time.Second
 
-// serveOnce takes a request through that runs at most once: claim, slot, one
-// dispatch, record.
+// serveOnce serves a request that runs at most once: it claims the key, waits
+// for a slot, sends the request and records the outcome.
 func (s *Server) serveOnce(w http.ResponseWriter, r *http.Request, c *call, body *requestBody) {
 	ctx, cancel := s.withDeadline(r.Context(), c)
 	defer cancel()
 	e := &exchange{call: c, in: r, out: w, body: body, waitCtx: ctx}
 	req := s.claimRequest(e)
-	if state := s.ownKeys.begin(req); state != claim.Won {
-		s.giveRecorded(e, claim.Result{State: state})
+	if state := s.localKeys.begin(req); state != claim.Won {
+		s.answerFromClaim(e, claim.Result{State: state})
 		return
 	}
 	res, err := s.claim(e, req)
 	if err != nil || res.State != claim.Won {
-		s.ownKeys.end(req.Key)
+		s.localKeys.end(req.Key)
 	}
 	if err != nil {
 		s.answer(w, r, claimProblem(err), false)
 		return
 	}
 	if res.State != claim.Won {
-		s.giveRecorded(e, res)
+		s.answerFromClaim(e, res)
 		return
 	}
-	sendCtx, cancelSend := s.detached(r.Context(), c)
+	sendCtx, cancelSend := s.detachedContext(r.Context(), c)
 	defer cancelSend()
 	e.sendCtx = sendCtx
 	e.maySend = func() bool { return res.Ticket.MaySend(time.Now()) }
-	e.keep = &keptAnswer{limit: s.limits.KeptAnswerBytes}
-	e.late = func() { s.tellLate(e) }
+	e.recorder = &answerRecorder{limit: s.limits.KeptAnswerBytes}
+	e.onDeadline = func() { s.answerAtDeadline(e) }
 	out := s.run(e)
-	s.settle(req.Key, res.Ticket, out, e.keep)
+	s.settle(req.Key, res.Ticket, out, e.recorder)
 	s.finish(e, out)
 }
 
-// tellLate gives the caller its answer at the deadline, while the run goes on.
-func (s *Server) tellLate(e *exchange) {
-	e.told = true
+// answerAtDeadline responds to the caller at the deadline, while the target may
+// still be running the request. If the caller has disconnected, nothing is sent.
+func (s *Server) answerAtDeadline(e *exchange) {
+	e.answered = true
 	if !errors.Is(context.Cause(e.waitCtx), errDeadline) {
-		return // the caller has gone
+		return // the caller has disconnected
 	}
 	s.answer(e.out, e.in, problemTimeout("the target did not answer in time; ask again with the same key for the outcome", Unknown), true)
-	_ = http.NewResponseController(e.out).Flush() // a caller that went meanwhile
+	_ = http.NewResponseController(e.out).Flush() // fails only if the caller has disconnected
 }
 
+// claimRequest builds the claim for the exchange's request.
 func (s *Server) claimRequest(e *exchange) claim.Request {
-	remember := e.call.service.Remember
-	if remember <= 0 {
-		remember = defaultRemember
+	retention := e.call.service.Remember
+	if retention <= 0 {
+		retention = defaultKeyRetention
 	}
 	return claim.Request{
 		Key:      claim.Key{Service: e.call.service.Name, Caller: e.call.caller, Key: e.call.key},
 		Digest:   requestDigest(e),
-		Remember: remember,
+		Remember: retention,
 	}
 }
 
-// claim asks for the right to run the exchange's request.
+// claim claims the right to run the exchange's request. Without a claim store it
+// returns an error which is certain that the key was not claimed.
 func (s *Server) claim(e *exchange, req claim.Request) (claim.Result, error) {
 	if s.opts.Claims == nil {
-		return claim.Result{}, &claim.Error{Certain: true, Err: errNoClaims}
+		return claim.Result{}, &claim.Error{Certain: true, Err: errNoClaimStore}
 	}
 	return s.opts.Claims.Claim(e.waitCtx, req)
 }
 
-// ownKeys are the keys whose requests are inside this entry VM. A caller that
-// sends one key over and over, as clients in a retry loop do, is answered from
-// here: each repeat would else cost a transaction of the platform's store.
-type ownKeys struct {
+// localKeys holds the keys of the requests in flight at this entry VM. Repeats
+// of such a key, as from a client in a retry loop, are answered from it:
+// otherwise each of them would cost a transaction in the platform's store.
+type localKeys struct {
 	mu   sync.Mutex
 	keys map[claim.Key][sha256.Size]byte
 }
 
-// begin notes the key. Won says that it was not inside, and nothing more.
-func (o *ownKeys) begin(req claim.Request) claim.State {
+// begin adds the key. Won means only that no request with this key is in flight
+// at this entry VM; the store may still hold a claim.
+func (o *localKeys) begin(req claim.Request) claim.State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	digest, inside := o.keys[req.Key]
+	digest, running := o.keys[req.Key]
 	switch {
-	case inside && digest != req.Digest:
+	case running && digest != req.Digest:
 		return claim.Mismatch
-	case inside:
+	case running:
 		return claim.Running
 	}
 	if o.keys == nil {
@@ -116,15 +122,17 @@
 	return claim.Won
 }
 
-func (o *ownKeys) end(key claim.Key) {
+// end removes the key.
+func (o *localKeys) end(key claim.Key) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.keys, key)
 }
 
-var errNoClaims = errors.New("no store of claims")
+var errNoClaimStore = errors.New("no claim store is configured")
 
-// requestDigest names the request: method, path, query and body.
+// requestDigest returns a digest of the request's method, path, query and body,
+// by which a repeat is told from another request under the same key.
 func requestDigest(e *exchange) [sha256.Size]byte {
 	h := sha256.New()
 	body := e.body.digest()
@@ -135,6 +143,7 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
+// claimProblem converts an error from Claim to a problem document.
 func claimProblem(err error) *Problem {
 	var ce *claim.Error
 	if errors.As(err, &ce) && ce.Certain {
@@ -143,8 +152,8 @@
 	return problemClaimUncertain()
 }
 
-// giveRecorded answers a request whose key was claimed before.
-func (s *Server) giveRecorded(e *exchange, res claim.Result) {
+// answerFromClaim responds to a request whose key was claimed earlier.
+func (s *Server) answerFromClaim(e *exchange, res claim.Result) {
 	switch {
 	case res.State == claim.Running:
 		s.answer(e.out, e.in, problemKeyRunning(), false)
@@ -157,11 +166,12 @@
 	default:
 		s.metrics.outcome(Ran)
 		e.setWriteDeadline(s.limits.WriteTimeout)
-		giveKept(e.out, res.Answer)
+		writeRecordedAnswer(e.out, res.Answer)
 	}
 }
 
-func giveKept(w http.ResponseWriter, a claim.Answer) {
+// writeRecordedAnswer sends a recorded response to the caller.
+func writeRecordedAnswer(w http.ResponseWriter, a claim.Answer) {
 	h := w.Header()
 	for name, value := range a.Header {
 		h.Set(name, value)
@@ -169,86 +179,90 @@
 	h.Set(HeaderOutcome, string(Ran))
 	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body) // the caller may be gone; its key still has the answer
+	_, _ = w.Write(a.Body) // if the caller has disconnected, the response stays recorded
 }
 
-// detached returns a context for what was sent: it outlives the caller and the
-// deadline, as cutting a run would only hide its outcome.
-func (s *Server) detached(ctx context.Context, c *call) (context.Context, context.CancelFunc) {
-	late := *c
-	late.deadline = c.deadline.Add(lateTime)
-	return s.withDeadline(context.WithoutCancel(ctx), &late)
+// detachedContext returns a context for a request that was sent to a target. It
+// outlives the caller's connection, and the deadline by lateOutcomeTimeout:
+// cancelling the request would not undo it and would only hide its outcome.
+func (s *Server) detachedContext(ctx context.Context, c *call) (context.Context, context.CancelFunc) {
+	extended := *c
+	extended.deadline = c.deadline.Add(lateOutcomeTimeout)
+	return s.withDeadline(context.WithoutCancel(ctx), &extended)
 }
 
-// settle records a claim's outcome, or takes the claim back where nothing was
-// run. It does not hold up the answer: a repeat that comes before it is done is
-// told that the first may still be running.
-func (s *Server) settle(key claim.Key, t claim.Ticket, res result, kept *keptAnswer) {
-	s.gate.hold()
+// settle records a claim's outcome in the background, or releases the claim if
+// nothing was run. The response to the caller does not wait for it: a repeat
+// that arrives earlier is told that the first request may still be running.
+func (s *Server) settle(key claim.Key, t claim.Ticket, res result, recorder *answerRecorder) {
+	s.admission.extend()
 	go func() {
-		defer s.gate.leave()
-		defer s.ownKeys.end(key)
+		defer s.admission.release()
+		defer s.localKeys.end(key)
 		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
 		var err error
 		if res.problem != nil && res.problem.Outcome == NotRun {
 			err = s.opts.Claims.Release(ctx, t)
 		} else {
-			err = s.opts.Claims.Record(ctx, t, kept.answer())
+			err = s.opts.Claims.Record(ctx, t, recorder.answer())
 		}
 		if err != nil {
 			s.metrics.unsettled.Add(1)
-			s.log.Error(err, "the outcome of a claimed request could not be recorded", "claim", t.StoreKey)
+			s.log.Error(err, "failed to record the outcome of a claimed request", "claim", t.StoreKey)
 		}
 	}()
 }
 
-// keptAnswer is an answer as it is recorded under a key.
-type keptAnswer struct {
-	limit  int64
-	status int
-	header map[string]string
-	body   []byte
-	whole  bool
-	large  bool
+// answerRecorder collects a response in order to record it under its key.
+type answerRecorder struct {
+	limit    int64
+	status   int
+	header   map[string]string
+	body     []byte
+	complete bool // the whole body was received
+	tooLarge bool // the body exceeds limit and is not recorded
 }
 
-// begin notes the answer's status and header.
-func (k *keptAnswer) begin(resp *http.Response) {
+// recordHeader stores the status and the end-to-end headers of the response.
+func (k *answerRecorder) recordHeader(resp *http.Response) {
 	k.status = resp.StatusCode
 	k.header = make(map[string]string)
-	end := make(http.Header)
-	copyEndToEnd(end, resp.Header)
-	for name := range end {
+	header := make(http.Header)
+	copyEndToEnd(header, resp.Header)
+	for name := range header {
 		if name != "Date" && name != "Content-Length" {
-			k.header[name] = end.Get(name)
+			k.header[name] = header.Get(name)
 		}
 	}
 }
 
-// add takes in a piece of the body; a nil keptAnswer keeps nothing.
-func (k *keptAnswer) add(p []byte) {
+// recordBody appends a chunk of the body. It does nothing on a nil
+// answerRecorder.
+func (k *answerRecorder) recordBody(p []byte) {
 	if k == nil {
 		return
 	}
-	if k.large || int64(len(k.body)+len(p)) > k.limit {
-		k.large, k.body = true, nil
+	if k.tooLarge || int64(len(k.body)+len(p)) > k.limit {
+		k.tooLarge, k.body = true, nil
 		return
 	}
 	k.body = append(k.body, p...)
 }
 
-// end notes that the answer was whole.
-func (k *keptAnswer) end() {
+// markComplete marks the whole response as received. It does nothing on a nil
+// answerRecorder.
+func (k *answerRecorder) markComplete() {
 	if k != nil {
-		k.whole = true
+		k.complete = true
 	}
 }
 
-// answer is what to record: status 0, unknown, unless the answer was whole.
-func (k *keptAnswer) answer() claim.Answer {
-	if !k.whole {
+// answer returns the value to record. Its status is 0, which means that the
+// outcome is unknown, unless the whole response was received.
+func (k *answerRecorder) answer() claim.Answer {
+	if !k.complete {
 		return claim.Answer{}
 	}
-	return claim.Answer{Status: k.status, Header: k.header, Body: k.body, Kept: !k.large}
+	return claim.Answer{Status: k.status, Header: k.header, Body: k.body, Kept: !k.tooLarge}
 }
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -14,12 +14,12 @@
 	"github.com/pumicestage/pumicestage/internal/faketarget"
 )
 
-// Each case is a second request under a key, after a first one that ran and was
-// recorded. The request runs once, whatever comes.
+// Each case sends a second request with a key after the first one has run and was
+// recorded. No request may run a second time.
 func TestRepeatedKey(t *testing.T) {
 	cases := []struct {
 		name    string
-		change  func(*stage)
+		change  func(*testEnv)
 		path    string
 		body    string
 		caller  string
@@ -31,20 +31,20 @@
 		{"another body", nil, "/a", "pay more", "firm", 422, NotRun, 1},
 		{"another path", nil, "/b", "pay", "firm", 422, NotRun, 1},
 		{"another caller's key", nil, "/a", "pay", "other", 200, Ran, 2},
-		{"outcome unknown", func(s *stage) { s.setClaims(claim.Result{State: claim.Unknown}) }, "/a", "pay", "firm", 409, Unknown, 1},
-		{"still running elsewhere", func(s *stage) { s.setClaims(claim.Result{State: claim.Running}) }, "/a", "pay", "firm", 409, Unknown, 1},
-		{"answer not kept", func(s *stage) {
+		{"outcome unknown", func(s *testEnv) { s.setClaims(claim.Result{State: claim.Unknown}) }, "/a", "pay", "firm", 409, Unknown, 1},
+		{"still running elsewhere", func(s *testEnv) { s.setClaims(claim.Result{State: claim.Running}) }, "/a", "pay", "firm", 409, Unknown, 1},
+		{"answer not kept", func(s *testEnv) {
 			s.setClaims(claim.Result{State: claim.Recorded, Answer: claim.Answer{Status: 201}})
 		}, "/a", "pay", "firm", 409, Ran, 1},
-		{"store down, certain", func(s *stage) { s.claims.fail = &claim.Error{Certain: true, Err: errors.New("down")} }, "/a", "pay", "firm", 503, NotRun, 1},
-		{"store down, uncertain", func(s *stage) { s.claims.fail = &claim.Error{Err: errors.New("reply lost")} }, "/a", "pay", "firm", 503, Unknown, 1},
+		{"store down, certain", func(s *testEnv) { s.claims.fail = &claim.Error{Certain: true, Err: errors.New("down")} }, "/a", "pay", "firm", 503, NotRun, 1},
+		{"store down, uncertain", func(s *testEnv) { s.claims.fail = &claim.Error{Err: errors.New("reply lost")} }, "/a", "pay", "firm", 503, Unknown, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newIdleStage(t, 2, faketarget.Options{}, nil)
+			s := newIdleTestEnv(t, 2, faketarget.Options{}, nil)
 			first := s.do("POST", "/services/incentives/a", "pay", HeaderKey, `"k"`, HeaderCaller, "firm")
 			assert.Equal(t, first.outcome, Ran)
-			s.settled()
+			s.waitUntilRecorded()
 			if tc.change != nil {
 				tc.change(s)
 			}
@@ -60,8 +60,8 @@
 	}
 }
 
-// setClaims makes every claim that stands come to the result.
-func (s *stage) setClaims(r claim.Result) {
+// setClaims sets the result of all existing claims.
+func (s *testEnv) setClaims(r claim.Result) {
 	s.claims.mu.Lock()
 	defer s.claims.mu.Unlock()
 	for _, c := range s.claims.claims {
@@ -69,37 +69,38 @@
 	}
 }
 
-// A client in a retry loop sends one key fifty times at once. One request runs;
-// the others are told that it may be running, or get its answer; the store is
-// not asked for each.
-func TestHotKey(t *testing.T) {
-	s := newIdleStage(t, 2, faketarget.Options{}, nil)
+// A client in a retry loop sends fifty concurrent requests with one key. One of
+// them must run, the others must be told that it may be running, and only one of
+// them may cost a call of the claim store.
+func TestConcurrentRequestsWithOneKey(t *testing.T) {
+	s := newIdleTestEnv(t, 2, faketarget.Options{}, nil)
 	release := make(chan struct{})
 	s.claims.hold = release
-	let := sync.OnceFunc(func() { close(release) })
-	t.Cleanup(let)
+	releaseOnce := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(releaseOnce)
 	var wg sync.WaitGroup
 	replies := make(chan reply, 50)
 	for range 50 {
 		wg.Go(func() { replies <- s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k") })
 	}
 	for range 49 {
-		r := within(t, replies)
+		r := nextReply(t, replies)
 		assert.Equal(t, r.status, 409)
 		assert.Equal(t, r.outcome, Unknown)
 		assert.Assert(t, r.header.Get("Retry-After") != "")
 	}
-	let()
-	assert.Equal(t, within(t, replies).outcome, Ran)
+	releaseOnce()
+	assert.Equal(t, nextReply(t, replies).outcome, Ran)
 	wg.Wait()
 	assert.Equal(t, s.runs("k"), 1)
 	assert.Equal(t, s.claims.asked, 1)
 }
 
-// The caller goes away while its request runs at most once. The run goes on and
-// its outcome is kept: a repeat gets the answer and nothing runs again.
-func TestCallerLeavesARunningRequest(t *testing.T) {
-	s := newStage(t, 1, faketarget.Options{}, nil)
+// The caller disconnects while its request, which runs at most once, is running.
+// The run must continue and its outcome be recorded: a repeat must get the
+// response without another run.
+func TestCallerDisconnectsWhileRequestRuns(t *testing.T) {
+	s := newTestEnv(t, 1, faketarget.Options{}, nil)
 	s.targets[0].SetFault(faketarget.Late, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan reply)
@@ -109,7 +110,7 @@
 	waitFor(t, func() bool { return s.targets[0].Counts().Running == 1 })
 	cancel()
 	assert.Assert(t, (<-done).err != nil)
-	s.settled()
+	s.waitUntilRecorded()
 	r := s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k")
 	assert.Equal(t, r.outcome, Ran)
 	c := s.targets[0].Counts()
@@ -117,49 +118,49 @@
 	assert.Equal(t, c.Finished, 1)
 }
 
-// A request that is turned away after its claim was won has its claim taken
-// back: the caller is told "not-run", and the same key runs later.
-func TestNotRunGivesTheClaimBack(t *testing.T) {
-	s := newIdleStage(t, 1, faketarget.Options{}, nil)
+// A request is refused after its key was claimed. The caller must be told
+// "not-run" and the claim released, so that the same key can run later.
+func TestNotRunReleasesTheClaim(t *testing.T) {
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, nil)
 	s.targets[0].SetFault(faketarget.Refuse, 1)
 	r := s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k")
 	assert.Equal(t, r.outcome, NotRun)
 	assert.Equal(t, r.status, 503)
 	assert.Assert(t, r.header.Get("Retry-After") != "")
-	s.settled()
+	s.waitUntilRecorded()
 	s.clock.Advance(probeWait)
 	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k").outcome, Ran)
 	assert.Equal(t, s.runs("k"), 1)
 }
 
-// The entry VM stood still after it won the claim, for so long that the claim
-// may be forgotten and the key run by a repeat elsewhere. It must not send by
-// it any more; the caller is told that nothing ran.
-func TestOldClaimIsNotSentBy(t *testing.T) {
-	s := newIdleStage(t, 1, faketarget.Options{}, nil)
+// The entry VM stalls after it won the claim, for so long that the claim may
+// expire and a repeat of the key may run elsewhere. It must not send the request
+// any more, and the caller must be told that nothing ran.
+func TestExpiredClaimIsNotSent(t *testing.T) {
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, nil)
 	s.claims.window = -time.Second
 	r := s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k")
 	assert.Equal(t, r.outcome, NotRun)
 	assert.Equal(t, s.runs("k"), 0)
-	s.settled()
+	s.waitUntilRecorded()
 	s.claims.window = time.Hour
 	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k").outcome, Ran)
 }
 
-// An answer larger than what is kept passes whole; its repeat is told that the
-// request ran.
+// A response that is too large to be recorded must be relayed in full; a repeat
+// must be told that the request ran.
 func TestLargeAnswerIsNotKept(t *testing.T) {
-	s := newIdleStage(t, 1, faketarget.Options{}, func(o *Options) { o.Limits.KeptAnswerBytes = 10 })
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits.KeptAnswerBytes = 10 })
 	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k").status, 200)
-	s.settled()
+	s.waitUntilRecorded()
 	r := s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k")
 	assert.Equal(t, r.status, 409)
 	assert.Equal(t, r.outcome, Ran)
 	assert.Equal(t, s.runs("k"), 1)
 }
 
-// within returns the next reply, and gives up after a bounded time.
-func within(t testing.TB, replies <-chan reply) reply {
+// nextReply returns the next reply, and fails the test after 10 s without one.
+func nextReply(t testing.TB, replies <-chan reply) reply {
 	t.Helper()
 	select {
 	case r := <-replies:
@@ -170,7 +171,7 @@
 	}
 }
 
-// waitFor polls until ok, and gives up after a bounded time.
+// waitFor polls until ok returns true, and fails the test after 2000 polls.
 func waitFor(t testing.TB, ok func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -179,5 +180,5 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("waited in vain")
+	t.Fatal("condition not met after 2000 polls")
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	// entriesEvery is how often the live entry VMs are looked at where the
-	// snapshot stays: the time in which peers' digests tell who is alive.
-	entriesEvery = time.Second
-	// viewFresh is how old a view may be to tell that an entry VM lives that
-	// is not heard: a lease in the store lapses sooner.
-	viewFresh = 15 * time.Second
+	// entriesRefreshInterval is how often the live entry VMs are computed again
+	// while the snapshot does not change. Peers' digests show within this time
+	// which entry VMs are alive.
+	entriesRefreshInterval = time.Second
+	// maxViewAge is the maximum age of a view that counts as evidence that an
+	// entry VM is alive although no digest from its zone arrives. It is longer
+	// than the time after which a lease in the store expires.
+	maxViewAge = 15 * time.Second
 )
 
-// liveEntries returns the entry VMs among which slots are divided: those
-// registered in the view, this one in any case. An entry VM of a zone that is
-// not heard keeps its share while the store tells that it lives: where only the
-// links between entry VMs are cut, both sides would otherwise use its slots.
-// Where the view is stale as well, the zone is cut off from this one, and its
-// share is taken over, so that a cut-off zone has all slots of its own targets.
+// liveEntries returns the entry VMs among which slots are divided, ordered by
+// ID: this one and those registered in the view. An entry VM of a zone from which
+// no digests arrive keeps its share while the store shows it as alive: if only
+// the links between entry VMs are cut, both sides would otherwise use its slots.
+// If the view is stale as well, that zone is cut off from this one and its share
+// is taken over, so that a cut-off zone can use all slots of its own targets.
 func (d *dispatcher) liveEntries(snap *view.Snapshot, now time.Time) []slots.Entry {
 	live := []slots.Entry{{ID: d.self, Zone: d.zone}}
-	fresh := now.Sub(snap.AsOf) < viewFresh
+	fresh := now.Sub(snap.AsOf) < maxViewAge
 	for _, e := range snap.Entries {
 		if e.ID == d.self {
 			continue
 		}
-		if fresh || d.heard(e.Zone) {
+		if fresh || d.hearsZone(e.Zone) {
 			live = append(live, slots.Entry{ID: e.ID, Zone: e.Zone})
 		}
 	}
@@ -41,14 +43,15 @@
 	return live
 }
 
-// heard reports whether any peer of the zone is alive.
-func (d *dispatcher) heard(zone model.ZoneName) bool {
+// hearsZone reports whether digests arrive from any peer in the zone. Without
+// peers' loads it always reports true.
+func (d *dispatcher) hearsZone(zone model.ZoneName) bool {
 	if d.loads == nil {
 		return true
 	}
 	alive := d.loads.LiveEntries(zone)
 	if zone == d.zone {
-		alive-- // this one
+		alive-- // LiveEntries counts this entry VM as well
 	}
 	return alive > 0
 }
@@ -65,10 +68,10 @@
 
 func sameEntries(a, b []slots.Entry) bool { return slices.Equal(a, b) }
 
-// peers shows the peers' digests to policy.
+// peers implements dispatch.Peers with the digests received from peers.
 type peers struct {
 	loads   peer.Loads
-	digests peer.DigestSource // nil where loads shows none
+	digests peer.DigestSource // nil if loads provides no digests
 }
 
 func newPeers(l peer.Loads) *peers {
@@ -94,6 +97,7 @@
 	return all
 }
 
+// messageOf converts a peer's digest to the slot lending message in it.
 func messageOf(d peer.Digest) slots.Message {
 	var m slots.Message
 	for _, w := range d.Wants {
@@ -108,11 +112,12 @@
 	return m
 }
 
-// FillDigest sets what this entry VM tells its peers of its requests.
+// FillDigest sets the fields of d that describe this entry VM's requests and the
+// slots that it lends, borrows and needs.
 func (s *Server) FillDigest(d *peer.Digest) {
 	d.Loads = s.Loads()
 	d.Queued = uint32(s.Queued())
-	m := s.dispatch.lending()
+	m := s.dispatch.lendingMessage()
 	d.Wants, d.Loans, d.Borrowed = nil, nil, nil
 	for _, w := range m.Demands {
 		d.Wants = append(d.Wants, peer.SlotWant{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
@@ -125,7 +130,8 @@
 	}
 }
 
-// Loads returns what this entry VM has at each target, for its digest.
+// Loads returns this entry VM's requests in flight at each target, and whether it
+// considers the target leaving or ejected.
 func (s *Server) Loads() []peer.TargetLoad {
 	states := s.dispatch.states()
 	loads := make([]peer.TargetLoad, 0, len(states))
@@ -137,5 +143,5 @@
 	return loads
 }
 
-// Queued returns the requests that wait for a slot, for the digest.
+// Queued returns the number of requests that wait for a slot.
 func (s *Server) Queued() int { return s.dispatch.queued() }
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -13,10 +13,10 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// A target reboots while a spare connection to it is kept. The connection must
-// not be used: the request on it would be lost, its outcome unknown.
+// A target reboots while a spare connection to it is open. The connection must
+// not be used: a request on it would be lost, with its outcome unknown.
 func TestSpareConnectionOfARebootedTarget(t *testing.T) {
-	s := newIdleStage(t, 1, faketarget.Options{}, nil)
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, nil)
 	for range 20 {
 		assert.Equal(t, s.do("GET", "/services/tabulation/x", "").outcome, Ran)
 		waitFor(t, func() bool { return s.server.forward.spares.ready() == 1 })
@@ -26,41 +26,42 @@
 	assert.Equal(t, s.do("GET", "/services/tabulation/x", "").outcome, Ran)
 }
 
-func (s *spares) ready() int {
+// ready returns the number of spare connections.
+func (s *spareConns) ready() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // broken reports whether every spare connection was seen to be closed.
-func (s *spares) broken() bool {
+func (s *spareConns) broken() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sp := range s.conns {
-		if untouched(sp.conn) {
+		if isIdle(sp.conn) {
 			return false
 		}
 	}
 	return true
 }
 
-// zoneLoads hears some zones only.
+// zoneLoads is a fakeLoads with a number of live entry VMs per zone.
 type zoneLoads struct {
 	fakeLoads
-	heard   map[model.ZoneName]int
-	digests []peer.PeerDigest
+	liveEntries map[model.ZoneName]int
+	digests     []peer.PeerDigest
 }
 
 // LiveEntries implements peer.Loads.
-func (l *zoneLoads) LiveEntries(z model.ZoneName) int { return l.heard[z] }
+func (l *zoneLoads) LiveEntries(z model.ZoneName) int { return l.liveEntries[z] }
 
 // PeerDigests implements peer.DigestSource.
 func (l *zoneLoads) PeerDigests() []peer.PeerDigest { return l.digests }
 
-// Zones are cut off from each other, and from the store or not. A target's
-// slots must all be used in its own zone where nobody else can use them, and
-// must not be used twice where both sides can.
-func TestWhoSharesTheSlots(t *testing.T) {
+// Zones are cut off from each other, with or without access to the store. All
+// slots of a target must be usable in its own zone if no other zone can use them,
+// and must not be used twice if both sides can.
+func TestSlotShareWhenZonesAreCutOff(t *testing.T) {
 	both := map[model.ZoneName]int{"z1": 2, "z2": 2}
 	cases := []struct {
 		name  string
@@ -76,8 +77,8 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			loads := &zoneLoads{heard: tc.heard}
-			s := newIdleStage(t, 1, faketarget.Options{}, func(o *Options) { o.Loads = loads })
+			loads := &zoneLoads{liveEntries: tc.heard}
+			s := newIdleTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Loads = loads })
 			s.publish(2, func(v *view.Snapshot) {
 				v.AsOf = s.clock.Now().Add(-tc.age)
 				for i := range 4 {
@@ -85,38 +86,39 @@
 					v.Entries = append(v.Entries, view.EntryRecord{ID: model.EntryID(fmt.Sprint("e", i+1)), Zone: zone})
 				}
 			})
-			s.clock.Advance(2 * entriesEvery)
+			s.clock.Advance(2 * entriesRefreshInterval)
 			s.server.dispatch.tick()
 			assert.Equal(t, s.server.dispatch.states()[0].Limit, tc.limit)
 		})
 	}
 }
 
-// What an entry VM lends and borrows goes through digests and back.
+// Slots that entry VMs lend, borrow and need must be exchanged correctly through
+// digests in both directions.
 func TestLendingThroughDigests(t *testing.T) {
-	loads := &zoneLoads{heard: map[model.ZoneName]int{"z1": 2}}
-	s := newIdleStage(t, 4, faketarget.Options{}, func(o *Options) { o.Loads = loads })
+	loads := &zoneLoads{liveEntries: map[model.ZoneName]int{"z1": 2}}
+	s := newIdleTestEnv(t, 4, faketarget.Options{}, func(o *Options) { o.Loads = loads })
 	s.publish(2, func(v *view.Snapshot) {
 		v.AsOf = s.clock.Now()
 		v.Entries = []view.EntryRecord{{ID: "e1", Zone: "z1"}, {ID: "e2", Zone: "z1"}}
 	})
-	say := func(d peer.Digest) {
+	receive := func(d peer.Digest) {
 		d.Entry, d.Zone = "e2", "z1"
 		loads.digests = []peer.PeerDigest{{Digest: d, Heard: s.clock.Now()}}
 		s.server.dispatch.tick()
 	}
-	say(peer.Digest{Wants: []peer.SlotWant{{Service: "tabulation", Slots: 3}}})
-	var told peer.Digest
-	s.server.FillDigest(&told)
+	receive(peer.Digest{Wants: []peer.SlotWant{{Service: "tabulation", Slots: 3}}})
+	var sent peer.Digest
+	s.server.FillDigest(&sent)
 	lent := 0
-	for _, l := range told.Loans {
+	for _, l := range sent.Loans {
 		assert.Equal(t, l.To, model.EntryID("e2"))
 		lent += int(l.Slots)
 	}
 	assert.Equal(t, lent, 3)
 
-	say(peer.Digest{Loans: []peer.SlotLoan{{VM: "v3", To: "e1", Slots: 2, Version: 9}}})
+	receive(peer.Digest{Loans: []peer.SlotLoan{{VM: "v3", To: "e1", Slots: 2, Version: 9}}})
 	assert.Equal(t, s.server.dispatch.states()[3].Limit, 6)
-	s.server.FillDigest(&told)
-	assert.DeepEqual(t, told.Borrowed, []peer.SlotBorrow{{VM: "v3", From: "e2", Version: 9}})
+	s.server.FillDigest(&sent)
+	assert.DeepEqual(t, sent.Borrowed, []peer.SlotBorrow{{VM: "v3", From: "e2", Version: 9}})
 }
--- a/internal/entry/probe.go
+++ b/internal/entry/probe.go
@@ -13,73 +13,79 @@
 )
 
 const (
-	// probeTimeout is how long a health answer may take. A target that is
-	// slower three times in a row is no use to callers either.
+	// probeTimeout is the maximum time for a health response. A target that
+	// exceeds it three times in a row would be too slow for callers as well.
 	probeTimeout = time.Second
-	// probesAtOnce bounds the probes under way, so that targets that do not
-	// answer cost a small entry VM no more than some connections.
-	probesAtOnce = 32
-	// maxHealthBytes is all that is read of a health answer.
+	// maxConcurrentProbes bounds the concurrent probes, so that targets that do
+	// not respond occupy only a few connections of a small entry VM.
+	maxConcurrentProbes = 32
+	// maxHealthBytes is the maximum number of bytes read from a health response.
 	maxHealthBytes = 64
 )
 
-// prober asks targets for their health.
+// prober probes the health of targets.
 type prober struct {
 	transport *http.Transport
 	dispatch  *dispatcher
-	running   chan struct{}
-	tasks     sync.WaitGroup
+	slots     chan struct{}
+	probes    sync.WaitGroup
 }
 
-// newProber makes a prober with connections of its own, which it uses again:
-// they carry health answers only, and one that comes late or twice is off by
-// one probe at worst. A connection for each probe costs five times as much.
+// newProber returns a prober with its own connections, which are reused. Reuse is
+// safe here, unlike for callers' requests: the connections carry only health
+// responses, and one that arrives late or twice is at worst taken for that of the
+// next probe. A new connection for each probe costs five times as much.
 func newProber(dial dialFunc, d *dispatcher) *prober {
 	return &prober{
 		transport: &http.Transport{
 			DialContext:         dial,
 			MaxIdleConnsPerHost: 1,
-			IdleConnTimeout:     3 * probeTimeout, // beyond the interval, so that a live target keeps its one
+			IdleConnTimeout:     3 * probeTimeout, // longer than the probe interval, so that the connection to a live target stays open
 			DisableCompression:  true,
 		},
 		dispatch: d,
-		running:  make(chan struct{}, probesAtOnce),
+		slots:    make(chan struct{}, maxConcurrentProbes),
 	}
 }
 
-// step starts the probes that are due. Those beyond the bound are dropped; the
-// next interval brings them again.
-func (p *prober) step(ctx context.Context) {
+// startDue starts the probes that are due. Those beyond maxConcurrentProbes are
+// skipped until the next call.
+func (p *prober) startDue(ctx context.Context) {
 	for _, t := range p.dispatch.probesDue() {
 		select {
-		case p.running <- struct{}{}:
+		case p.slots <- struct{}{}:
 		default:
 			return
 		}
-		p.tasks.Go(func() {
-			defer func() { <-p.running }()
+		p.probes.Go(func() {
+			defer func() { <-p.slots }()
 			p.probe(ctx, t)
 		})
 	}
 }
 
-// wait returns when no probe is under way.
-func (p *prober) wait() { p.tasks.Wait() }
+// wait returns when no probe is running.
+func (p *prober) wait() { p.probes.Wait() }
 
+// close waits for running probes and closes the connections.
 func (p *prober) close() {
 	p.wait()
 	p.transport.CloseIdleConnections()
 }
 
+// probe probes a target and reports the result to the dispatcher, unless ctx
+// ended meanwhile.
 func (p *prober) probe(ctx context.Context, t dispatch.ProbeTarget) {
-	answer := p.ask(ctx, t.Address)
+	result := p.fetchHealth(ctx, t.Address)
 	if ctx.Err() != nil {
 		return
 	}
-	p.dispatch.probed(t.VM, answer)
+	p.dispatch.observeProbe(t.VM, result)
 }
 
-func (p *prober) ask(ctx context.Context, address string) health.ProbeResult {
+// fetchHealth requests the health of the target at address. Anything but a
+// well-formed response within probeTimeout counts as no answer.
+func (p *prober) fetchHealth(ctx context.Context, address string) health.ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/healthz", nil)
--- a/internal/entry/problem.go
+++ b/internal/entry/problem.go
@@ -11,21 +11,21 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Problem is an RFC 9457 problem document: what a caller gets where no
-// target's answer can be given.
+// Problem is an RFC 9457 problem document, which a caller receives if no
+// response of a target can be relayed.
 type Problem struct {
-	Type       string        `json:"type"` // one of the Problem types below
+	Type       string        `json:"type"` // one of the Type constants below
 	Title      string        `json:"title"`
 	Status     int           `json:"status"`
 	Detail     string        `json:"detail"`
 	Outcome    Outcome       `json:"outcome"`
-	RetryAfter time.Duration `json:"-"` // 0 where waiting does not help
+	RetryAfter time.Duration `json:"-"` // sent as Retry-After; 0 if retrying later does not help
 }
 
 // Error implements error.
 func (p *Problem) Error() string { return p.Title + ": " + p.Detail }
 
-// Problem types, relative references that clients may switch on.
+// Problem types. They are relative URI references that clients may switch on.
 const (
 	TypeBadHeader     = "/problems/bad-header"
 	TypeKeyMissing    = "/problems/idempotency-key-missing"
@@ -48,8 +48,9 @@
 	TypeAnswerNotKept = "/problems/answer-not-kept"
 )
 
-// write sends the document. The connection is closed where the request's body
-// was not read to its end, as the next request could not be found behind it.
+// write sends the document. closeConn must be set if the request's body was not
+// read to its end, because the start of the next request on the connection is
+// then unknown.
 func (p *Problem) write(w http.ResponseWriter, closeConn bool) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
@@ -67,16 +68,16 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(p.Status)
-	_, _ = w.Write(body) // the caller may be gone; there is nobody to tell
+	_, _ = w.Write(body) // if this fails, the caller has disconnected and there is nobody to inform
 }
 
-// retryAfterSeconds rounds up: the header knows whole seconds only, and a
-// caller back too early is turned away again.
+// retryAfterSeconds rounds up to whole seconds, the unit of the header: a caller
+// that retries too early would be rejected again.
 func retryAfterSeconds(d time.Duration) int {
 	return max(1, int((d+time.Second-1)/time.Second))
 }
 
-// problemOf tells a caller why policy turned its request away.
+// problemOf converts policy's refusal of a request to a problem document.
 func problemOf(r *dispatch.Refusal, name model.ServiceName) *Problem {
 	switch r.Reason {
 	case dispatch.NoService:
@@ -196,8 +197,8 @@
 		Detail: "this entry VM takes no new requests; ask again to reach another", Outcome: NotRun, RetryAfter: time.Second}
 }
 
-// problemStarting is told before the first declaration: "no such service" would
-// have callers give up on a service that exists.
+// problemStarting is sent before the first declaration is known: "no such
+// service" would make callers give up on a service that exists.
 func problemStarting() *Problem {
 	return &Problem{Type: TypeDraining, Title: "Entry VM is starting", Status: http.StatusServiceUnavailable,
 		Detail: "this entry VM does not know the services yet; ask again to reach another", Outcome: NotRun, RetryAfter: time.Second}
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -11,14 +11,16 @@
 	"github.com/pumicestage/pumicestage/policy/retry"
 )
 
-// serve takes one request through: contract, body, claim, slot, answer.
+// serve handles one request of a caller: it parses the headers, reads the body,
+// claims the key if required, waits for a slot and relays the response.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	if p := s.enter(); p != nil {
+	if p := s.admit(); p != nil {
 		s.answer(w, r, p, true)
 		return
 	}
-	defer s.gate.leave()
-	// Lift the deadline of an earlier answer, lest "100 Continue" fails.
+	defer s.admission.release()
+	// Clear the write deadline of an earlier response on this connection, which
+	// could make "100 Continue" fail.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 	c, p := s.parseCall(r, s.clock.Now())
 	if p != nil {
@@ -26,18 +28,18 @@
 		return
 	}
 	body := newRequestBody(w, r, s.limits)
-	once := !c.service.Repeatable
-	ahead := body.ahead(once)
-	defer s.buffered.Add(-ahead)
-	if s.buffered.Add(ahead) > s.limits.BufferedBytes {
+	atMostOnce := !c.service.Repeatable
+	prefetched := body.prefetchSize(atMostOnce)
+	defer s.prefetchedBytes.Add(-prefetched)
+	if s.prefetchedBytes.Add(prefetched) > s.limits.BufferedBytes {
 		s.answer(w, r, problemOverload("the entry VM holds as much of bodies as it may", time.Second), true)
 		return
 	}
-	if p := body.prefetch(once); p != nil {
+	if p := body.prefetch(atMostOnce); p != nil {
 		s.answer(w, r, p, true)
 		return
 	}
-	if once {
+	if atMostOnce {
 		s.serveOnce(w, r, c, body)
 		return
 	}
@@ -47,29 +49,30 @@
 	s.finish(e, s.run(e))
 }
 
-// exchange is one request with its answer under way.
+// exchange is the state of one request and its response.
 type exchange struct {
 	call *call
 	in   *http.Request
 	out  http.ResponseWriter
 	body *requestBody
-	// waitCtx ends at the deadline or when the caller goes away: the place in
-	// the queue is freed. sendCtx ends what was sent: with waitCtx where the
-	// request is repeatable.
+	// waitCtx ends at the deadline or when the caller disconnects, and frees the
+	// place in the queue. sendCtx cancels a request that was sent to a target; for
+	// a repeatable request it is the same as waitCtx.
 	waitCtx  context.Context
 	sendCtx  context.Context
 	attempts int
 
-	// Of a request that runs at most once:
-	maySend func() bool // whether the claim is young enough to send by
-	keep    *keptAnswer // records the answer
-	late    func()      // tells the caller that its deadline has passed
-	told    bool        // the caller has its answer, or is gone; nothing more is given
+	// The following are set only for a request that runs at most once.
+	maySend    func() bool     // reports whether the claim is recent enough to send the request
+	recorder   *answerRecorder // records the response
+	onDeadline func()          // responds to the caller when its deadline passes
+	answered   bool            // the caller has a response or has disconnected; nothing more is sent to it
 }
 
-// finish tells the caller how the exchange ended where no answer was given.
+// finish ends the exchange: it sends the problem if no response was relayed, and
+// aborts the connection if relaying broke off.
 func (s *Server) finish(e *exchange, res result) {
-	if e.told {
+	if e.answered {
 		return
 	}
 	if res.broken {
@@ -83,17 +86,19 @@
 	s.metrics.outcome(Ran)
 }
 
+// answer sends a problem document to the caller.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, p *Problem, closeConn bool) {
 	s.metrics.problem(p)
-	// The write deadline left by an earlier answer on the connection is over.
+	// The write deadline of an earlier response on this connection may have passed.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout))
-	p.write(w, closeConn || s.gate.isShut())
+	p.write(w, closeConn || s.admission.isClosed())
 }
 
 // errDeadline is the cause of a context that ended at the request's deadline.
-var errDeadline = errors.New("request deadline")
+var errDeadline = errors.New("request deadline exceeded")
 
-// withDeadline bounds ctx by the call's deadline on the server's clock.
+// withDeadline returns a context that ends at the call's deadline by the server's
+// clock, with the cause errDeadline.
 func (s *Server) withDeadline(ctx context.Context, c *call) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := s.clock.AfterFunc(c.deadline.Sub(s.clock.Now()), func() { cancel(errDeadline) })
@@ -103,8 +108,8 @@
 	}
 }
 
-// run gets the exchange a slot and sends it, again where it was certainly not
-// run and the retry policy agrees.
+// run waits for a slot and sends the request, and repeats this if the request was
+// certainly not run and the retry policy allows it.
 func (s *Server) run(e *exchange) result {
 	var avoid model.VMID
 	for {
@@ -125,23 +130,25 @@
 	}
 }
 
-// send makes one attempt; the slot is freed whatever happens.
+// send makes one attempt to send the request. It frees the slot in every case, a
+// panic included.
 func (s *Server) send(e *exchange, w *waiter, address string) result {
-	res := result{use: dispatch.Outcome{Kind: dispatch.Failed}}
-	defer func() { s.dispatch.done(w, res.use) }()
+	res := result{outcome: dispatch.Outcome{Kind: dispatch.Failed}}
+	defer func() { s.dispatch.done(w, res.outcome) }()
 	if e.maySend != nil && !e.maySend() {
-		// This VM stood still, or the wait for a slot was long: the claim may be
-		// forgotten soon and a repeat of the key run. Half of the time that it is
-		// remembered is left for the connection that would be opened now.
-		res = result{use: dispatch.Outcome{Kind: dispatch.Abandoned}, problem: problemTimeout("no slot came free while the claim of the key was young enough", NotRun)}
+		// This VM was stalled, or the wait for a slot was long: the claim may expire
+		// soon, and then a repeat of the key would run. The limit leaves half of the
+		// claim's retention for the connection that would be opened now.
+		res = result{outcome: dispatch.Outcome{Kind: dispatch.Abandoned}, problem: problemTimeout("no slot came free while the claim of the key was young enough", NotRun)}
 		return res
 	}
 	res = s.forward.send(e, address)
-	s.metrics.attempt(res.use.Kind)
+	s.metrics.attempt(res.outcome.Kind)
 	return res
 }
 
-// await waits for the waiter's slot, its deadline or its caller's leaving.
+// await waits until the waiter gets a slot or a refusal, its deadline passes or
+// its caller disconnects.
 func (s *Server) await(e *exchange, w *waiter) (dispatch.Grant, *Problem) {
 	select {
 	case g := <-w.granted:
@@ -155,7 +162,7 @@
 	}
 }
 
-// mayRetry asks the retry policy.
+// mayRetry reports whether the retry policy allows another attempt.
 func (s *Server) mayRetry(e *exchange, w *waiter) bool {
 	if e.waitCtx.Err() != nil {
 		return false
@@ -165,5 +172,5 @@
 	return verdict == retry.Retry
 }
 
-// remaining is what is left of the call's timeout.
+// remaining returns the time until the call's deadline.
 func (c *call) remaining(now time.Time) time.Duration { return c.deadline.Sub(now) }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,7 +1,8 @@
-// Package entry is the caller's path through an entry VM: accept a request,
-// claim it where it may run at most once, let it wait for a slot, send it to a
-// target, and give back the whole answer or a connection that is visibly
-// broken. What is let in, waits and goes where is decided in policy/.
+// Package entry serves callers' requests at an entry VM. It accepts a request,
+// claims its idempotency key if it may run at most once, queues it for a slot,
+// sends it to a target, and either relays the complete response or visibly aborts
+// the connection. Admission, queueing and target selection are decided in
+// policy/.
 package entry
 
 import (
@@ -23,49 +24,49 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	View   *view.Holder    // required
-	Loads  peer.Loads      // nil where there are no peers
-	Claims claim.Claims    // nil: requests that are not repeatable are not taken
-	Clock  clockwork.Clock // nil for the real one
+	Loads  peer.Loads      // nil if there are no peers
+	Claims claim.Claims    // if nil, requests that are not repeatable are refused
+	Clock  clockwork.Clock // nil for the real clock
 	Log    logr.Logger
 	Zone   model.ZoneName
 	Self   model.EntryID
 	Limits Limits // zero fields take their defaults
-	Seed   uint64 // of the random choices between targets
-	// Dial is the way to targets; nil for plain TCP.
+	Seed   uint64 // seeds the random choices between targets
+	// Dial opens connections to targets; nil for plain TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Server takes callers' requests. It is an http.Handler for the caller port.
+// Server serves callers' requests. It is the http.Handler of the caller port.
 type Server struct {
-	opts     Options
-	limits   Limits
-	clock    clockwork.Clock
-	log      logr.Logger
-	dispatch *dispatcher
-	forward  *forwarder
-	router   *mux.Router
-	metrics  *metrics
-	prober   *prober
-	ownKeys  ownKeys
+	opts      Options
+	limits    Limits
+	clock     clockwork.Clock
+	log       logr.Logger
+	dispatch  *dispatcher
+	forward   *forwarder
+	router    *mux.Router
+	metrics   *metrics
+	prober    *prober
+	localKeys localKeys
 
-	gate     *gate        // requests, and what outlives their caller
-	buffered atomic.Int64 // bytes of bodies read ahead, at most
+	admission       *admission   // requests in flight, and their work that outlives the caller's connection
+	prefetchedBytes atomic.Int64 // upper bound of the bytes of bodies that are buffered
 }
 
-// New returns a Server. Run must be running for it to follow its view.
+// New returns a Server. It follows changes of its view only while Run is running.
 func New(o Options) *Server {
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
 	}
-	s := &Server{opts: o, limits: o.Limits.withDefaults(), clock: o.Clock, log: o.Log, metrics: newMetrics(), gate: newGate()}
+	s := &Server{opts: o, limits: o.Limits.withDefaults(), clock: o.Clock, log: o.Log, metrics: newMetrics(), admission: newAdmission()}
 	s.dispatch = newDispatcher(o)
 	s.forward = newForwarder(o.Dial, s.limits, o.Clock)
 	s.metrics.all.Set("services", expvar.Func(func() any { return s.dispatch.services() }))
 	s.metrics.all.Set("targets", expvar.Func(func() any { return s.dispatch.states() }))
-	s.metrics.all.Set("inside", expvar.Func(func() any { return s.gate.inside() }))
+	s.metrics.all.Set("inside", expvar.Func(func() any { return s.admission.inFlight() }))
 	s.prober = newProber(s.forward.spares.dial, s.dispatch)
 	s.router = mux.NewRouter().UseEncodedPath().SkipClean(true)
 	s.router.HandleFunc("/services/{service}", s.serve)
@@ -77,14 +78,16 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// tick is how often waiting work is looked at for what no event tells: slots
-// that peers' digests show free, work that aged. Digests come a few times a
-// second, so that a shorter tick would find nothing new.
-const tick = 50 * time.Millisecond
+// tickInterval is how often the queues are examined for changes that no event
+// signals: slots that peers' digests show as free, and requests that have aged.
+// Digests arrive a few times a second, so a shorter interval would find nothing
+// new.
+const tickInterval = 50 * time.Millisecond
 
-// Run follows the view and asks targets for their health until ctx is done.
+// Run follows the view and probes the health of targets until ctx is done. It
+// returns ctx's error.
 func (s *Server) Run(ctx context.Context) error {
-	ticker := s.clock.NewTicker(tick)
+	ticker := s.clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	defer s.forward.spares.close()
 	defer s.prober.close()
@@ -97,41 +100,44 @@
 		case <-ticker.Chan():
 		}
 		s.dispatch.tick()
-		s.prober.step(ctx)
+		s.prober.startDue(ctx)
 	}
 }
 
-// Ready reports whether new requests are taken: a declaration is known, and the
-// entry VM does not leave.
-func (s *Server) Ready() bool { return !s.gate.isShut() && s.opts.View.Load().Declaration != nil }
+// Ready reports whether new requests are accepted: a declaration is known, and
+// the entry VM is not draining.
+func (s *Server) Ready() bool {
+	return !s.admission.isClosed() && s.opts.View.Load().Declaration != nil
+}
 
-// Drain stops taking new requests and waits until those inside, queued ones
-// included, have their answers and outcomes are recorded. It returns ctx's
-// error where that takes longer; the requests go on.
+// Drain stops accepting new requests and waits until those in flight, queued ones
+// included, are answered and their outcomes are recorded. If ctx ends first, it
+// returns ctx's error, and the requests continue.
 func (s *Server) Drain(ctx context.Context) error {
 	select {
-	case <-s.gate.close():
+	case <-s.admission.close():
 		return nil
 	case <-ctx.Done():
-		return trace.Wrap(ctx.Err(), "requests still inside: %d", s.gate.inside())
+		return trace.Wrap(ctx.Err(), "requests still in flight: %d", s.admission.inFlight())
 	}
 }
 
-// enter counts a request in, unless the entry VM is full, starting or leaving.
-func (s *Server) enter() *Problem {
+// admit counts a request as in flight, or returns a problem if the entry VM is
+// full, starting or draining.
+func (s *Server) admit() *Problem {
 	if s.opts.View.Load().Declaration == nil {
 		return problemStarting()
 	}
-	switch s.gate.enter(s.limits.Inside) {
-	case isShut:
+	switch s.admission.admit(s.limits.Inside) {
+	case rejectedClosed:
 		return problemDraining()
-	case isFull:
+	case rejectedFull:
 		return problemOverload("the entry VM has as many requests inside as it may", time.Second)
 	}
 	return nil
 }
 
-// service returns the declared service, or nil.
+// service returns the declared service, nil if there is none of that name.
 func (s *Server) service(name model.ServiceName) *model.Service {
 	d := s.opts.View.Load().Declaration
 	if d == nil {
--- a/internal/entry/together_test.go
+++ b/internal/entry/shared_slots_test.go
@@ -18,19 +18,19 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// group is some entry VMs that hear each other's digests at once.
-type group struct {
+// peerGroup is a set of entry VMs that know of each other without delay.
+type peerGroup struct {
 	mu      sync.Mutex
 	servers map[model.EntryID]*Server
 }
 
-// heardBy is the group as one of it hears it.
-type heardBy struct {
-	group *group
+// peerView implements peer.Loads for one entry VM of the group.
+type peerView struct {
+	group *peerGroup
 	self  model.EntryID
 }
 
-func (h *heardBy) peers() map[model.EntryID]*Server {
+func (h *peerView) peers() map[model.EntryID]*Server {
 	h.group.mu.Lock()
 	defer h.group.mu.Unlock()
 	peers := make(map[model.EntryID]*Server)
@@ -43,19 +43,20 @@
 }
 
 // PeerInFlight implements peer.Loads.
-func (h *heardBy) PeerInFlight(model.VMID) int { return 0 }
+func (h *peerView) PeerInFlight(model.VMID) int { return 0 }
 
 // PeerSaysLeaving implements peer.Loads.
-func (h *heardBy) PeerSaysLeaving(model.VMID) bool { return false }
+func (h *peerView) PeerSaysLeaving(model.VMID) bool { return false }
 
 // LiveEntries implements peer.Loads.
-func (h *heardBy) LiveEntries(model.ZoneName) int { return len(h.peers()) + 1 }
+func (h *peerView) LiveEntries(model.ZoneName) int { return len(h.peers()) + 1 }
 
-// Four entry VMs send to the same two targets, far more than these have slots
-// for, and most of it through one of them. Targets that take what they are sent
-// must never work on more than their slots; every caller gets its own answer.
-func TestEntryVMsTogetherKeepTheSlots(t *testing.T) {
-	s := buildStage(t, 2, faketarget.Options{
+// Four entry VMs send to the same two targets, most requests through one of them
+// and far more than the targets have slots. Targets that accept everything must
+// never have more requests running than slots, and every caller must get the
+// response to its own request.
+func TestEntryVMsTogetherNeverExceedSlots(t *testing.T) {
+	s := buildTestEnv(t, 2, faketarget.Options{
 		IgnoreSlots: true,
 		ServiceTime: func(*http.Request) time.Duration { return 2 * time.Millisecond },
 	}, nil)
@@ -66,10 +67,10 @@
 			v.Entries = append(v.Entries, view.EntryRecord{ID: id, Zone: "z1"})
 		}
 	})
-	g := &group{servers: make(map[model.EntryID]*Server)}
+	g := &peerGroup{servers: make(map[model.EntryID]*Server)}
 	var urls []string
 	for _, id := range ids {
-		server := New(Options{View: s.holder, Loads: &heardBy{g, id}, Log: logr.Discard(), Zone: "z1", Self: id})
+		server := New(Options{View: s.holder, Loads: &peerView{g, id}, Log: logr.Discard(), Zone: "z1", Self: id})
 		srv := httptest.NewServer(server)
 		t.Cleanup(srv.Close)
 		g.servers[id] = server
@@ -95,11 +96,11 @@
 	assert.Equal(t, s.started(), 24*20)
 }
 
-// at returns the stage with another entry VM to ask.
-func (s *stage) at(url string) *stage {
+// at returns a copy of the testEnv that sends its requests to the entry VM at url.
+func (s *testEnv) at(url string) *testEnv {
 	other := *s
 	other.url = url
 	return &other
 }
 
-var _ peer.Loads = (*heardBy)(nil)
+var _ peer.Loads = (*peerView)(nil)
