--- a/internal/engine/cell.go
+++ b/internal/engine/cell.go
@@ -7,99 +7,102 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// CellReport is what the owner of the fleet hears from the owner of a cell.
+// CellReport is the report of a cell's owner to the fleet's owner, which decides by it which VMs
+// the cell's pool needs.
 type CellReport struct {
-	Used     float64        `msgpack:"u"`           // cores in use
-	Backlog  float64        `msgpack:"b"`           // core-seconds that wait for room and are still of use
-	Leftover float64        `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
-	Arriving float64        `msgpack:"a"`           // core-seconds a second that came of late
-	Short    int            `msgpack:"s"`           // VMs that lasting tasks lack, whatever is free on the others
-	Workers  []WorkerReport `msgpack:"w"`
-	// Spare is how many empty VMs it could use while no other cell lacks any.
-	Spare int `msgpack:"p,omitempty"`
-	// Serial is how many moves must follow one on the other until no lasting task is on
-	// a worker whose VM a wave has yet to take.
-	Serial int `msgpack:"m,omitempty"`
-	// Bound is the part of the load that only workers with the label can take.
-	Bound map[string]BoundLoad `msgpack:"l,omitempty"`
+	Used           float64        `msgpack:"u"`           // cores in use
+	Backlog        float64        `msgpack:"b"`           // waiting core-seconds of jobs that are still of use
+	ExpiredBacklog float64        `msgpack:"o,omitempty"` // waiting core-seconds of jobs that are too late to be of use
+	ArrivalRate    float64        `msgpack:"a"`           // recently submitted core-seconds per second
+	MissingVMs     int            `msgpack:"s"`           // additional VMs that long-running tasks need, whatever is free on the others
+	Workers        []WorkerReport `msgpack:"w"`
+	// TrialVMs is how many empty VMs the cell could use for tasks that may crash their worker,
+	// as long as no other cell lacks VMs.
+	TrialVMs int `msgpack:"p,omitempty"`
+	// SerialMoves is how many moves, one after the other, are needed until no long-running task
+	// is on a VM that the current wave of maintenance has yet to take.
+	SerialMoves int `msgpack:"m,omitempty"`
+	// ByLabel is, by label, the part of the load that only workers with the label can take.
+	ByLabel map[string]LabelLoad `msgpack:"l,omitempty"`
 }
 
-// BoundLoad is load that asks for a label.
-type BoundLoad struct {
-	Used     float64 `msgpack:"u"`           // cores in use
-	Backlog  float64 `msgpack:"b"`           // core-seconds that wait for room and are still of use
-	Leftover float64 `msgpack:"o,omitempty"` // core-seconds that wait, too late to be of use
+// LabelLoad is the load of tasks that require a label.
+type LabelLoad struct {
+	Used           float64 `msgpack:"u"`           // cores in use
+	Backlog        float64 `msgpack:"b"`           // waiting core-seconds of jobs that are still of use
+	ExpiredBacklog float64 `msgpack:"o,omitempty"` // waiting core-seconds of jobs that are too late to be of use
 }
 
-// WorkerReport is one worker of a cell.
+// WorkerReport is the state of one worker of a cell.
 type WorkerReport struct {
-	ID       work.WorkerID `msgpack:"i"`
-	Tasks    int           `msgpack:"t"`
-	Lasting  int           `msgpack:"l"`
-	EmptyFor time.Duration `msgpack:"e"` // 0 while it has tasks
-	Cordon   Cordon        `msgpack:"c"`
-	Draining bool          `msgpack:"d"`
-	Heard    bool          `msgpack:"h"`
+	ID          work.WorkerID `msgpack:"i"`
+	Tasks       int           `msgpack:"t"` // including orphaned runs
+	LongRunning int           `msgpack:"l"` // long-running tasks
+	EmptyFor    time.Duration `msgpack:"e"` // 0 while it has tasks
+	Cordon      Cordon        `msgpack:"c"`
+	Draining    bool          `msgpack:"d"`
+	Polled      bool          `msgpack:"h"` // it has answered a poll of this owner
 }
 
-// Cordon says that the fleet's owner keeps new tasks off a worker, and why.
+// Cordon is the fleet owner's restriction on the tasks that a worker gets. The zero value is none.
 type Cordon struct {
 	Kind CordonKind `msgpack:"k"`
-	// Token is of the owner of the fleet that set it.
+	// Token is the fencing token of the fleet owner that set it.
 	Token int64 `msgpack:"t"`
 }
 
-// CordonKind is how far a worker is closed.
+// CordonKind is how far a cordon closes a worker.
 type CordonKind uint8
 
 // The kinds of cordon.
 const (
-	Open    CordonKind = iota
-	Vacated            // no new tasks; lasting ones leave
-	Claimed            // empty, and an order for its VM may be under way
-	Due                // open, but its VM's maintenance is to come: lasting tasks rather go elsewhere
+	CordonNone           CordonKind = iota
+	CordonVacate                    // gets no new tasks; long-running ones are moved away
+	CordonClaimed                   // is empty and gets no tasks: an order for its VM may be under way
+	CordonMaintenanceDue            // gets tasks, but long-running ones preferably elsewhere, as its VM's maintenance is due
 )
 
-// Closes reports whether the worker takes nothing new.
-func (c Cordon) Closes() bool { return c.Kind == Vacated || c.Kind == Claimed }
+// Closes reports whether the worker gets no new tasks.
+func (c Cordon) Closes() bool { return c.Kind == CordonVacate || c.Kind == CordonClaimed }
 
-// CellOrderKind names what the fleet's owner asks of a cell's.
+// CellOrderKind is what the fleet's owner orders a cell's owner to do with a worker.
 type CellOrderKind uint8
 
 // The kinds of CellOrder.
 const (
-	OrderVacate CellOrderKind = iota + 1 // close it, and empty it
-	OrderEvict                           // stop its short tasks as well
-	OrderClaim                           // close it if it is empty; fails otherwise
-	OrderOpen                            // take new tasks again
-	OrderGone                            // its life is over
-	OrderDue                             // its VM's maintenance is to come
+	OrderVacate         CellOrderKind = iota + 1 // set CordonVacate
+	OrderEvict                                   // stop its tasks other than long-running ones
+	OrderClaim                                   // set CordonClaimed; fails unless the worker is certain to be empty
+	OrderUncordon                                // remove the cordon
+	OrderWorkerRemoved                           // its incarnation has ended, as its VM was taken away
+	OrderMaintenanceDue                          // set CordonMaintenanceDue
 )
 
-// CellOrder is one order for one worker.
+// CellOrder is an order about one worker.
 type CellOrder struct {
 	Kind   CellOrderKind `msgpack:"k"`
 	Worker work.WorkerID `msgpack:"w"`
 }
 
-// CellSync carries orders and asks for a report made after them.
+// CellSync is a request of the fleet's owner to a cell's owner. The report in the answer is made
+// after the orders were carried out.
 type CellSync struct {
-	Token  int64       `msgpack:"t"` // of the owner of the fleet
+	Token  int64       `msgpack:"t"` // fencing token of the fleet's owner
 	Orders []CellOrder `msgpack:"o"`
-	// Joined are workers that live in the cell's pool by the platform's list of VMs and
-	// are missing in the cell's reports.
+	// Joined are workers that run in the cell's pool by the platform's list of VMs, but are
+	// missing in the cell's reports.
 	Joined []work.WorkerID `msgpack:"j,omitempty"`
 }
 
-// CellAnswer answers a CellSync.
+// CellAnswer is the answer to a CellSync.
 type CellAnswer struct {
-	Taken  []bool     `msgpack:"t"` // whether each order was carried out
-	Report CellReport `msgpack:"r"`
+	Executed []bool     `msgpack:"t"` // whether each order was carried out
+	Report   CellReport `msgpack:"r"`
 }
 
-// Sync carries the fleet owner's orders out and reports. An earlier owner of
-// the fleet is refused. So is everyone while a later owner of this cell can exist:
-// what is empty by our books may be in use by its.
+// Sync carries out the fleet owner's orders and returns a report. It returns ErrNotReady if the
+// orders are of an earlier owner of the fleet, and also while a later owner of this cell can
+// exist: a worker that is empty to this owner may be in use by the later one.
 func (e *Engine) Sync(s CellSync) (CellAnswer, error) {
 	now := e.Clock.Now()
 	e.mu.Lock()
@@ -110,53 +113,53 @@
 	e.fleetToken = s.Token
 	var a CellAnswer
 	for _, o := range s.Orders {
-		a.Taken = append(a.Taken, e.core.obey(o, s.Token, now))
+		a.Executed = append(a.Executed, e.core.applyOrder(o, s.Token, now))
 	}
 	if len(s.Orders) > 0 {
 		kick(e.planKick)
 	}
-	if unknown := e.core.unknown(s.Joined); len(unknown) > 0 && e.Lookup != nil {
+	if unknown := e.core.unknownWorkers(s.Joined); len(unknown) > 0 && e.Lookup != nil {
 		e.Lookup(unknown)
 	}
 	a.Report = e.core.report(now)
 	return a, nil
 }
 
-// unknown returns those of the workers that were neither seen nor are over.
-func (c *Core) unknown(ids []work.WorkerID) []work.WorkerID {
+// unknownWorkers returns those of the workers that this owner has never seen, in any incarnation.
+func (c *Core) unknownWorkers(ids []work.WorkerID) []work.WorkerID {
 	var out []work.WorkerID
 	for _, id := range ids {
-		if c.workers[id] == nil && len(c.over[id]) == 0 {
+		if c.workers[id] == nil && len(c.endedIncarnations[id]) == 0 {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func (c *Core) obey(o CellOrder, token int64, now time.Duration) bool {
+// applyOrder carries out an order of the fleet owner with the token and reports whether it could.
+func (c *Core) applyOrder(o CellOrder, token int64, now time.Duration) bool {
 	w := c.workers[o.Worker]
 	if w == nil {
-		return o.Kind == OrderGone || o.Kind == OrderOpen
+		return o.Kind == OrderWorkerRemoved || o.Kind == OrderUncordon
 	}
 	switch o.Kind {
 	case OrderVacate:
-		c.setCordon(w, Cordon{Kind: Vacated, Token: token})
+		c.setCordon(w, Cordon{Kind: CordonVacate, Token: token})
 	case OrderEvict:
 		c.evict(w)
 	case OrderClaim:
-		// An owner that has just taken over knows a worker before it knows
-		// what runs there. And ends that are not stored are known to the worker
-		// alone beside us: were its life to end, a successor would have done work
-		// done again.
+		// An owner that has just taken over knows of a worker before it knows what runs
+		// there. And ends of runs that are not stored yet are known only to the worker and
+		// this owner: if the worker was taken away, a successor would repeat finished work.
 		if !w.contacted || w.missedPolls > 0 || len(w.tasks)+len(w.orphanedRuns) > 0 || w.stored < w.seen {
 			return false
 		}
-		c.setCordon(w, Cordon{Kind: Claimed, Token: token})
-	case OrderOpen:
+		c.setCordon(w, Cordon{Kind: CordonClaimed, Token: token})
+	case OrderUncordon:
 		c.setCordon(w, Cordon{})
-	case OrderDue:
-		c.setCordon(w, Cordon{Kind: Due, Token: token})
-	case OrderGone:
+	case OrderMaintenanceDue:
+		c.setCordon(w, Cordon{Kind: CordonMaintenanceDue, Token: token})
+	case OrderWorkerRemoved:
 		c.endIncarnation(w, "its VM is taken away", lossPlanned, now)
 	}
 	return true
@@ -170,8 +173,8 @@
 	c.log.Info("cordon", "worker", w.info.ID, "kind", int(to.Kind), "tasks", len(w.tasks))
 }
 
-// evict stops everything on the worker but lasting tasks, which leave as their
-// steps' limits allow.
+// evict stops all tasks on the worker except long-running ones, which leave as their steps'
+// limits on unavailable tasks allow.
 func (c *Core) evict(w *worker) {
 	for _, t := range w.tasks {
 		if t.state == taskActive && !t.step.spec.LongRunning {
@@ -182,23 +185,24 @@
 }
 
 func (c *Core) report(now time.Duration) CellReport {
-	r := CellReport{Arriving: c.arrivalRate(now), Short: c.short(now), Spare: c.vmsForTrials(now), Serial: c.serialMoves(), Bound: make(map[string]BoundLoad)}
+	r := CellReport{ArrivalRate: c.arrivalRate(now), MissingVMs: c.missingVMs(now), TrialVMs: c.vmsForTrials(now), SerialMoves: c.serialMoves(), ByLabel: make(map[string]LabelLoad)}
 	for _, w := range c.workers {
 		r.addWorker(w, now)
 	}
-	most := c.mostCapacity()
+	largest := c.maxCapacity()
 	settled := c.settled(now)
 	for _, j := range c.open {
-		// What may not start yet waits for workers that are not heard, not for room. A pool
-		// with a backlog keeps its VMs: 18 idle ones stood beside a burst for five seconds.
+		// Jobs that may not start yet wait for workers that have not been polled, not for
+		// capacity. A pool with a backlog keeps its VMs: counting these jobs kept 18 idle VMs
+		// from a pool with a burst for five seconds.
 		if j.restored && !settled {
 			continue
 		}
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
-				// What fits on no VM would draw VMs for ever.
-				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(most) && !c.atLimit(s) {
-					r.addWaiting(s, o.tier, float64(n)*c.waitsFor(s, now).Seconds()*s.spec.Size.Cores())
+				// Tasks that fit on no VM would make the pool request VMs forever.
+				if n := s.pending - s.suspects(); n > 0 && s.ready() && s.reserved().Fits(largest) && !c.atLimit(s) {
+					r.addBacklog(s, o.tier, float64(n)*c.expectedHoldTime(s, now).Seconds()*s.spec.Size.Cores())
 				}
 			}
 		}
@@ -208,80 +212,81 @@
 
 func (r *CellReport) addWorker(w *worker, now time.Duration) {
 	wr := WorkerReport{
-		ID: w.info.ID, Tasks: len(w.tasks) + len(w.orphanedRuns), Lasting: w.load.longRunning, Cordon: w.cordon, Draining: w.info.Draining, Heard: w.contacted,
+		ID: w.info.ID, Tasks: len(w.tasks) + len(w.orphanedRuns), LongRunning: w.load.longRunning, Cordon: w.cordon, Draining: w.info.Draining, Polled: w.contacted,
 	}
 	if wr.Tasks == 0 {
 		wr.EmptyFor = now - w.emptySince
 	}
 	for _, t := range w.tasks {
 		if label := t.step.spec.Requires; label != "" {
-			b := r.Bound[label]
+			b := r.ByLabel[label]
 			b.Used += t.reserved().Cores()
-			r.Bound[label] = b
+			r.ByLabel[label] = b
 		}
 	}
 	r.Used += w.load.reserved.Cores()
 	r.Workers = append(r.Workers, wr)
 }
 
-func (r *CellReport) addWaiting(s *step, tier joborder.Tier, coreSeconds float64) {
-	useful, leftover := coreSeconds, 0.0
+func (r *CellReport) addBacklog(s *step, tier joborder.Tier, coreSeconds float64) {
+	useful, expired := coreSeconds, 0.0
 	if tier == joborder.TierExpired {
-		useful, leftover = 0, coreSeconds
+		useful, expired = 0, coreSeconds
 	}
 	r.Backlog += useful
-	r.Leftover += leftover
+	r.ExpiredBacklog += expired
 	if label := s.spec.Requires; label != "" {
-		b := r.Bound[label]
+		b := r.ByLabel[label]
 		b.Backlog += useful
-		b.Leftover += leftover
-		r.Bound[label] = b
+		b.ExpiredBacklog += expired
+		r.ByLabel[label] = b
 	}
 }
 
-// Waits reports whether anything waits for room.
-func (r *CellReport) Waits() bool { return r.Backlog > 0 || r.Leftover > 0 }
+// HasBacklog reports whether any task waits for capacity.
+func (r *CellReport) HasBacklog() bool { return r.Backlog > 0 || r.ExpiredBacklog > 0 }
 
-// mostCapacity is, for each kind of resource by itself, the most that any VM known
-// to the cell has.
-func (c *Core) mostCapacity() work.Resources {
-	most := c.largestVM
+// maxCapacity returns, for each kind of resource by itself, the most that any known VM or worker
+// has.
+func (c *Core) maxCapacity() work.Resources {
+	largest := c.largestVM
 	for _, w := range c.workers {
-		most = most.Max(w.info.Capacity)
+		largest = largest.Max(w.info.Capacity)
 	}
-	return most
+	return largest
 }
 
-// shortAfter is how long a lasting task waits before it counts as one that finds
-// no place: a plan comes within some milliseconds.
-const shortAfter = 200 * time.Millisecond
+// placementGrace is how long a long-running task waits before it counts as one that can't be
+// placed: the next plan comes within milliseconds.
+const placementGrace = 200 * time.Millisecond
 
-// short is how many more VMs the lasting tasks need. Cores that are free don't
-// tell: a step's limit of tasks on one VM asks for different VMs, and a task that
-// is to leave a VM for maintenance needs a place before it may.
-func (c *Core) short(now time.Duration) int {
+// missingVMs returns how many more VMs the long-running tasks need. The number of free cores does
+// not show it: a step's limit of tasks on one VM asks for different VMs, and a task that is to leave
+// a VM for maintenance needs a place elsewhere before it may be stopped.
+func (c *Core) missingVMs(now time.Duration) int {
 	need := 0
 	for _, j := range c.open {
-		if !j.LongRunning() || now < j.accepted+shortAfter {
+		if !j.LongRunning() || now < j.accepted+placementGrace {
 			continue
 		}
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
-				need = max(need, s.unplaced(now))
+				need = max(need, s.vmsForPending(now))
 			}
 		}
 	}
-	return need + c.stuckVMs(now)
+	return need + c.vmsForBlockedMoves(now)
 }
 
-// unplaced is how many VMs the step's waiting tasks need if none has room.
-func (s *step) unplaced(now time.Duration) int {
+// vmsForPending returns how many VMs the step's pending tasks need if no present VM has free
+// capacity; 0 for steps that are not long-running.
+func (s *step) vmsForPending(now time.Duration) int {
 	if !s.spec.LongRunning || s.pending == 0 || !s.ready() {
 		return 0
 	}
 	waiting := 0
 	for _, t := range s.tasks {
-		if t.state == taskPending && now >= t.notBefore+shortAfter {
+		if t.state == taskPending && now >= t.notBefore+placementGrace {
 			waiting++
 		}
 	}
@@ -289,21 +294,21 @@
 	return (waiting + each - 1) / each
 }
 
-// serialMoves is the longest row of moves that a wave asks of one step: as many of its
-// tasks as its limit allows move at a time.
+// serialMoves returns the greatest number of consecutive moves that a maintenance wave requires of
+// one step. As many tasks of a step as its limit on unavailable tasks allows move at a time.
 func (c *Core) serialMoves() int {
-	most := 0
+	largest := 0
 	for _, j := range c.open {
 		if !j.LongRunning() {
 			continue
 		}
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
-				most = max(most, s.serialMoves())
+				largest = max(largest, s.serialMoves())
 			}
 		}
 	}
-	return most
+	return largest
 }
 
 func (s *step) serialMoves() int {
@@ -312,7 +317,7 @@
 	}
 	n := 0
 	for _, t := range s.tasks {
-		if t.where != nil && (t.where.cordon.Kind == Due || t.where.cordon.Kind == Vacated) {
+		if t.worker != nil && (t.worker.cordon.Kind == CordonMaintenanceDue || t.worker.cordon.Kind == CordonVacate) {
 			n++
 		}
 	}
@@ -320,33 +325,34 @@
 	return (n + each - 1) / each
 }
 
-// stuckVMs is how many VMs would let the VMs that are to be emptied go on: as many as
-// one step may have tasks on the move at a time. With one at a time a wave over a
-// large pool is late, as each takes seconds to come. Steps share what comes.
-func (c *Core) stuckVMs(now time.Duration) int {
+// vmsForBlockedMoves returns how many additional VMs would let long-running tasks leave the VMs
+// that are to be emptied: as many as the tasks that one step may have on the move at a time. If only
+// one VM was requested at a time, a wave over a large pool would be late, as each VM takes seconds to
+// start. Steps share the VMs that come.
+func (c *Core) vmsForBlockedMoves(now time.Duration) int {
 	need := 0
 	for _, j := range c.open {
 		if !j.LongRunning() {
 			continue
 		}
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
-				need = max(need, min(c.stuckTasks(s, now), max(1, s.spec.MaxUnavailable)))
+				need = max(need, min(c.blockedMoves(s, now), max(1, s.spec.MaxUnavailable)))
 			}
 		}
 	}
 	return need
 }
 
-// stuckTasks counts the step's lasting tasks that are to leave their VMs and have no
-// place to go.
-func (c *Core) stuckTasks(s *step, now time.Duration) int {
+// blockedMoves returns the number of the step's long-running tasks that are to leave their VMs and
+// can't be placed elsewhere.
+func (c *Core) blockedMoves(s *step, now time.Duration) int {
 	n := 0
 	for _, t := range s.tasks {
-		if !s.spec.LongRunning || t.state != taskActive || t.where.cordon.Kind != Vacated {
+		if !s.spec.LongRunning || t.state != taskActive || t.worker.cordon.Kind != CordonVacate {
 			continue
 		}
-		if n == 0 && c.hasPlace(t, now) {
+		if n == 0 && c.canBePlaced(t, now) {
 			return 0
 		}
 		n++
--- a/internal/engine/incarnations_test.go
+++ b/internal/engine/incarnations_test.go
@@ -19,7 +19,7 @@
 
 func infoWithIncarnation(id work.WorkerID, incarnation work.Incarnation) WorkerInfo {
 	i := info(id)
-	i.Life = incarnation
+	i.Incarnation = incarnation
 	return i
 }
 
@@ -27,7 +27,7 @@
 func newIncarnationRig(t *testing.T) *rig {
 	b := newRig(t)
 	b.core.WorkerRegistered(infoWithIncarnation("w1", firstIncarnation))
-	b.look("w1", Listing{Life: firstIncarnation})
+	b.poll("w1", Listing{Life: firstIncarnation})
 	return b
 }
 
@@ -58,7 +58,7 @@
 
 			tell(b)
 			b.now += time.Second
-			b.look("w1", Listing{Life: secondIncarnation})
+			b.poll("w1", Listing{Life: secondIncarnation})
 			assert.Equal(t, b.core.find(ref).state, taskPending)
 			b.now += time.Second
 			o := b.plan()
@@ -72,13 +72,13 @@
 func TestEndsOfANewIncarnationAreNumberedFromOne(t *testing.T) {
 	b := newIncarnationRig(t)
 	first := b.startJob("j1", OutcomeOK)
-	b.look("w1", Listing{Life: firstIncarnation, Ended: []RunEnd{ended(9, first, work.Done)}})
+	b.poll("w1", Listing{Life: firstIncarnation, Ended: []RunEnd{ended(9, first, work.Done)}})
 	b.core.Flushed(b.core.TakeFlush(100), nil)
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
-	h := b.look("w1", Listing{Life: secondIncarnation})
+	h := b.poll("w1", Listing{Life: secondIncarnation})
 	assert.Equal(t, h.AckedThrough, int64(9), "as counted by the previous incarnation")
 	second := b.startJob("j2", OutcomeOK)
-	b.look("w1", Listing{Life: secondIncarnation, Ended: []RunEnd{ended(1, second, work.Done)}})
+	b.poll("w1", Listing{Life: secondIncarnation, Ended: []RunEnd{ended(1, second, work.Done)}})
 	assert.Equal(t, b.core.jobs["j2"].final, work.Completed)
 	_, h, due := b.core.NextPoll("w1", b.now)
 	assert.Equal(t, due, true)
@@ -95,14 +95,14 @@
 	b.core.workers["w2"].closedUntil = 0
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
 	b.now += time.Second
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	o := b.plan()
 	assert.Equal(t, len(o.Starts), 0, "not before the first run is certain not to go on")
 	assert.Equal(t, len(o.Stops), 1)
 	assert.Equal(t, o.Stops[0].Run, start.Start.Run)
 	b.core.StopAnswered(o.Stops[0], OutcomeOK, b.now)
 	b.now += time.Second
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	b.plan()
 	b.flush()
 	assert.Equal(t, len(b.plan().Starts), 1)
@@ -115,7 +115,7 @@
 	start := b.startJob("j1", OutcomeUnknown)
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
 	b.now += time.Second
-	b.look("w1", Listing{Life: secondIncarnation, Running: []Run{run(start)}})
+	b.poll("w1", Listing{Life: secondIncarnation, Running: []Run{run(start)}})
 	task := b.core.find(start.Start.Task)
 	assert.Equal(t, task.state, taskActive)
 	assert.Equal(t, len(b.plan().Stops), 0)
@@ -126,13 +126,13 @@
 func TestALateMessageOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	b := newIncarnationRig(t)
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	start := b.startJob("j1", OutcomeOK)
-	b.look("w1", Listing{Life: secondIncarnation, Running: []Run{run(start)}})
-	b.look("w1", Listing{Life: firstIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation, Running: []Run{run(start)}})
+	b.poll("w1", Listing{Life: firstIncarnation})
 	assert.Equal(t, b.core.WorkerRegistered(infoWithIncarnation("w1", firstIncarnation)), false)
 	assert.Equal(t, b.core.find(start.Start.Task).state, taskActive)
-	assert.Equal(t, b.core.workers["w1"].info.Life, secondIncarnation)
+	assert.Equal(t, b.core.workers["w1"].info.Incarnation, secondIncarnation)
 }
 
 // Guards against a worker that stays unknown after it restarted twice between two polls.
@@ -142,9 +142,9 @@
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
 	b.core.WorkerRegistered(infoWithIncarnation("w1", thirdIncarnation))
 	b.now += time.Second
-	b.look("w1", Listing{Life: thirdIncarnation})
+	b.poll("w1", Listing{Life: thirdIncarnation})
 	assert.Equal(t, b.core.find(ref).state, taskPending)
-	assert.Equal(t, b.core.workers["w1"].info.Life, thirdIncarnation)
+	assert.Equal(t, b.core.workers["w1"].info.Incarnation, thirdIncarnation)
 	b.now += time.Second
 	assert.Equal(t, len(b.plan().Starts), 1, "it takes tasks as soon as it reported its incarnation")
 }
@@ -153,7 +153,7 @@
 // previous one.
 func TestANewIncarnationTakesNothingUntilItsCapacityIsKnown(t *testing.T) {
 	b := newIncarnationRig(t)
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
 	small := infoWithIncarnation("w1", secondIncarnation)
@@ -168,9 +168,9 @@
 // which would hold up the wave.
 func TestANewIncarnationStaysCordoned(t *testing.T) {
 	b := newIncarnationRig(t)
-	b.core.obey(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
+	b.core.applyOrder(CellOrder{Kind: OrderVacate, Worker: "w1"}, 1, b.now)
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 0)
 }
@@ -182,7 +182,7 @@
 	b.core.WorkerRegistered(infoWithIncarnation("w1", firstIncarnation))
 	assert.Equal(t, len(b.core.workers), 0)
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
@@ -191,9 +191,9 @@
 // worker for good.
 func TestAnOvertakenRegistrationDoesNotCloseTheWorker(t *testing.T) {
 	b := newIncarnationRig(t)
-	b.look("w1", Listing{Life: thirdIncarnation})
+	b.poll("w1", Listing{Life: thirdIncarnation})
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
-	b.look("w1", Listing{Life: thirdIncarnation})
+	b.poll("w1", Listing{Life: thirdIncarnation})
 	b.core.WorkerRegistered(infoWithIncarnation("w1", thirdIncarnation))
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 1)
@@ -206,7 +206,7 @@
 	b := newIncarnationRig(t)
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
 	b.core.WorkerGone("w1", "test", b.now)
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	b.accept("j1", short(1))
 	assert.Equal(t, len(b.plan().Starts), 1)
 }
@@ -218,7 +218,7 @@
 	b.accept("j1", short(1))
 	start := b.plan().Starts[0]
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	assert.Equal(t, b.core.StartSending(start, b.now), false)
 	b.worker("w2")
 	next := b.startJob("j2", OutcomeOK)
@@ -231,7 +231,7 @@
 func TestNothingIsAcknowledgedWhileAStartMayHaveReachedTheNextIncarnation(t *testing.T) {
 	b := newIncarnationRig(t)
 	first := b.startJob("j1", OutcomeOK)
-	b.look("w1", Listing{Life: firstIncarnation, Ended: []RunEnd{ended(1, first, work.Done)}})
+	b.poll("w1", Listing{Life: firstIncarnation, Ended: []RunEnd{ended(1, first, work.Done)}})
 	b.flush()
 	b.accept("j2", short(1))
 	start := b.plan().Starts[0]
@@ -243,7 +243,7 @@
 	assert.Equal(t, acked(), int64(0), "the start is under way")
 	b.core.StartAnswered(start, OutcomeOK, maxInitialClock/2, b.now)
 	assert.Equal(t, acked(), int64(0), "the answer came from a clock that had started again")
-	b.look("w1", Listing{Life: firstIncarnation, Running: []Run{run(start)}})
+	b.poll("w1", Listing{Life: firstIncarnation, Running: []Run{run(start)}})
 	assert.Equal(t, acked(), int64(1), "it runs in this incarnation")
 }
 
@@ -253,10 +253,10 @@
 func TestALeaseMeantForAnEarlierIncarnationIsWaitedFor(t *testing.T) {
 	b := newIncarnationRig(t)
 	b.core.WorkerRegistered(infoWithIncarnation("w1", secondIncarnation))
-	b.look("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
 	b.startJob("j1", OutcomeOK)
 	b.core.PollFailed("w1", OutcomeUnknown, b.now)
-	b.now += rigBounds.MaxHold
+	b.now += rigBounds.MaxLease
 	b.core.PollFailed("w1", OutcomeUnknown, b.now)
 	assert.Equal(t, len(b.core.workers["w1"].tasks), 1)
 	b.now += b.core.maxLateRunDuration()
@@ -270,8 +270,8 @@
 func TestALateStartIsStoppedInEachLaterIncarnation(t *testing.T) {
 	b := newIncarnationRig(t)
 	start := b.startJob("j1", OutcomeUnknown)
-	b.look("w1", Listing{Life: secondIncarnation})
-	b.look("w1", Listing{Life: thirdIncarnation})
+	b.poll("w1", Listing{Life: secondIncarnation})
+	b.poll("w1", Listing{Life: thirdIncarnation})
 	o := b.plan()
 	assert.Equal(t, len(o.Starts), 0)
 	assert.Equal(t, len(o.Stops), 1)
@@ -283,7 +283,7 @@
 func TestARunThatContinuesInTheNextIncarnationIsNotBlamed(t *testing.T) {
 	b := newIncarnationRig(t)
 	start := b.startJob("j1", OutcomeUnknown)
-	b.look("w1", Listing{Life: secondIncarnation, Running: []Run{run(start)}})
+	b.poll("w1", Listing{Life: secondIncarnation, Running: []Run{run(start)}})
 	b.now += crashes.CorrelationWindow
 	b.core.attributeDueCrashes(b.now)
 	assert.Equal(t, len(b.core.find(start.Start.Task).crashes), 0)
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -126,7 +126,7 @@
 // missed that the limit was cut, and would begin work far above it.
 func (c *Core) share(a *account, now time.Duration) workspace.Parts {
 	share := a.share(len(c.cells))
-	if within := c.bounds.ConfigWithin; within > 0 && now > c.limits.confirmed+within {
+	if within := c.bounds.MaxConfigDelay; within > 0 && now > c.limits.confirmed+within {
 		return min(share, workspace.ProvisionalShare(len(c.cells)))
 	}
 	return share
@@ -159,7 +159,7 @@
 	out := make(map[work.WorkspaceName]work.Resources)
 	for _, w := range c.workers {
 		for ref := range w.orphanedRuns {
-			if t := c.find(ref); t != nil && t.where != w {
+			if t := c.find(ref); t != nil && t.worker != w {
 				name := t.step.job.Workspace
 				out[name] = out[name].Plus(t.step.spec.Size)
 			}
@@ -196,8 +196,8 @@
 // unheardRoom is what the workers that were not heard can run; false while it is not known
 // which there are.
 func (c *Core) unheardRoom() (room work.Resources, known bool) {
-	for id, pool := range c.alive {
-		if w := c.workers[id]; pool == c.cell && w == nil && len(c.over[id]) == 0 {
+	for id, pool := range c.upWorkers {
+		if w := c.workers[id]; pool == c.cell && w == nil && len(c.endedIncarnations[id]) == 0 {
 			room = room.Plus(c.largestVM)
 		}
 	}
--- a/internal/engine/model_incarnations_test.go
+++ b/internal/engine/model_incarnations_test.go
@@ -26,20 +26,20 @@
 	for task := range w.inDoubt {
 		m.crashed[task]++
 	}
-	if m.again && m.chance(60) {
+	if m.restarts && m.chance(60) {
 		m.addIncarnation(w.id)
 		return
 	}
 	m.addNewWorker()
 }
 
-func (m *model) addNewWorker() { m.addIncarnation(work.WorkerID(fmt.Sprintf("w%d", m.lives+1))) }
+func (m *model) addNewWorker() { m.addIncarnation(work.WorkerID(fmt.Sprintf("w%d", m.incarnations+1))) }
 
 // addIncarnation adds an incarnation of the worker, which knows nothing of those before.
 func (m *model) addIncarnation(id work.WorkerID) {
-	m.lives++
+	m.incarnations++
 	m.workers = append(m.workers, &modelWorker{
-		id: id, life: firstIncarnation + work.Incarnation(m.lives), slow: 0.98 + 0.02*m.rng.Float64(), born: m.now,
+		id: id, incarnation: firstIncarnation + work.Incarnation(m.incarnations), clockRate: 0.98 + 0.02*m.rng.Float64(), startedAt: m.now,
 		running: make(map[work.TaskRef]int), highest: make(map[work.TaskRef]int), inDoubt: make(map[work.TaskRef]bool),
 	})
 }
@@ -66,7 +66,7 @@
 
 // nextIncarnation returns the incarnation that followed under the worker's ID.
 func (m *model) nextIncarnation(w *modelWorker) *modelWorker {
-	i := slices.IndexFunc(m.workers, func(o *modelWorker) bool { return o.id == w.id && o.life > w.life })
+	i := slices.IndexFunc(m.workers, func(o *modelWorker) bool { return o.id == w.id && o.incarnation > w.incarnation })
 	if i < 0 {
 		return nil
 	}
@@ -81,7 +81,7 @@
 // cancelRandomJob has the current owner cancel a job. Whatever happens to that owner, an
 // acknowledged cancel holds.
 func (m *model) cancelRandomJob() {
-	ids := sorted(m.jobs)
+	ids := sortedIDs(m.jobs)
 	id := ids[m.rng.IntN(len(ids))]
 	m.current().core.Cancel(id, func(err error) {
 		if err == nil && m.ended[id] == work.Cancelled {
@@ -99,7 +99,7 @@
 		seed := *modelFirst + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			m := newModel(t, seed)
-			m.overlap, m.again = true, true
+			m.concurrentTxns, m.restarts = true, true
 			for range 1500 {
 				m.step()
 			}
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -11,20 +11,21 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// StartOrder is a start for one worker.
+// StartOrder is an order to a worker to start one run.
 type StartOrder struct {
 	Worker WorkerInfo
 	Start  Start
 }
 
-// StopOrder is a stop of one run.
+// StopOrder is an order to a worker to stop one run.
 type StopOrder struct {
 	Worker WorkerInfo
 	Task   work.TaskRef
 	Run    int
 }
 
-// PaceOrder sets how much of its share a fill task uses.
+// PaceOrder sets the percentage of its processor share that a best-effort task may use. Such a
+// task runs on processor time that others leave.
 type PaceOrder struct {
 	Worker  WorkerInfo
 	Task    work.TaskRef
@@ -32,13 +33,13 @@
 	Percent int
 }
 
-// AdviceOrder asks the advisor about a step.
+// AdviceOrder asks the advisor which of the workers may run a step.
 type AdviceOrder struct {
 	Step    work.StepRef
 	Workers []work.WorkerID
 }
 
-// Orders are what a plan asks to be done.
+// Orders are the result of a plan, to be carried out.
 type Orders struct {
 	Starts []StartOrder
 	Stops  []StopOrder
@@ -46,41 +47,43 @@
 	Advice []AdviceOrder
 }
 
-// judgeEvery separates looks at what every running task does. They go by what polls
-// tell, which is up to a second old; a busy cell plans a hundred times a second.
-const judgeEvery = 50 * time.Millisecond
+// progressCheckInterval is the time between two checks of the progress of all running tasks.
+// Progress comes from polls and is up to a second old, while a busy cell makes a hundred plans a
+// second.
+const progressCheckInterval = 50 * time.Millisecond
 
-// Plan decides what to order now. wall is the time of day, by which repeated
-// jobs are due.
+// Plan decides which orders to give now. wall is the time of day, which decides when the
+// occurrences of scheduled jobs are due. The orders are empty if the core is deposed or may
+// give no orders at this time (see AllowUntil).
 func (c *Core) Plan(now time.Duration, wall time.Time) Orders {
 	var out Orders
 	c.now = now
-	if c.deposed || now > c.startsUntil {
+	if c.deposed || now > c.ordersUntil {
 		return out
 	}
 	c.forgetEnded(now)
 	c.attributeDueCrashes(now)
 	c.openOccurrences(now, wall)
 	c.Expire(now)
-	if now >= c.judged+judgeEvery {
-		c.judged = now
-		c.stragglers(now)
+	if now >= c.progressCheckedAt+progressCheckInterval {
+		c.progressCheckedAt = now
+		c.stopStragglers(now)
 		c.planPacing(now, &out)
 	}
 	c.vacate(now)
 	c.planStops(now, &out)
-	c.findStrays()
+	c.findOrphanedRuns()
 	c.planWaiting(c.waitingSteps(now), now, &out)
 	return out
 }
 
-// openOccurrences adds what is due.
+// openOccurrences adds the occurrences of open jobs that are due.
 func (c *Core) openOccurrences(now time.Duration, wall time.Time) {
 	for _, j := range c.open {
-		for j.next < j.Occurrences() {
+		for j.nextOccurrence < j.Occurrences() {
 			due := now
 			if j.Timed() {
-				if at := j.Schedule.Due(j.next); wall.Before(at) {
+				if at := j.Schedule.Due(j.nextOccurrence); wall.Before(at) {
 					break
 				}
 			} else {
@@ -91,14 +94,16 @@
 	}
 }
 
-type waiting struct {
+// waitingStep is a step with pending tasks and the rank of its job.
+type waitingStep struct {
 	step *step
 	rank joborder.Rank
 }
 
-// waitingSteps returns the steps with tasks that may start now.
-func (c *Core) waitingSteps(now time.Duration) []waiting {
-	var out []waiting
+// waitingSteps returns the steps with pending tasks whose dependencies are done. Steps of
+// restored jobs are included only once it is settled what earlier owners left running.
+func (c *Core) waitingSteps(now time.Duration) []waitingStep {
+	var out []waitingStep
 	settled := c.settled(now)
 	if settled {
 		c.resolvePresumed(now)
@@ -108,41 +113,41 @@
 			continue
 		}
 		var rank *joborder.Rank
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				if s.pending == 0 || !s.ready() {
 					continue
 				}
 				if s.spec.Requires != "" {
-					c.sought[s.spec.Requires] = now
+					c.labelWantedAt[s.spec.Requires] = now
 				}
 				if rank == nil {
-					r := joborder.RankOf(c.orderOf(j, o, now))
+					r := joborder.RankOf(c.rankInput(j, o, now))
 					rank = &r
 					o.tier = r.Tier
 				}
-				out = append(out, waiting{step: s, rank: *rank})
+				out = append(out, waitingStep{step: s, rank: *rank})
 			}
 		}
 	}
 	return out
 }
 
-// orderOf describes a job to the order.
-func (c *Core) orderOf(j *job, o *occurrence, now time.Duration) joborder.Job {
+// rankInput returns what the rank of a job's occurrence is computed from.
+func (c *Core) rankInput(j *job, o *occurrence, now time.Duration) joborder.Job {
 	out := joborder.Job{
 		Priority:    j.queue.Priority,
 		LongRunning: j.LongRunning(),
 		Started:     j.begun,
 		Age:         now - o.due,
 		TotalWork:   j.size,
-		MeanWork:    c.size(j.Queue).mean(),
-		OverShare:   j.beyond,
+		MeanWork:    c.queueSize(j.Queue).mean(),
+		OverShare:   j.overShare,
 	}
 	chains := make([]time.Duration, len(o.steps))
 	whole := make([]time.Duration, len(o.steps))
 	for i, s := range o.steps {
-		est := c.learned.estimate(s)
+		est := c.durationRatios.estimate(s)
 		left := len(s.tasks) - s.done
 		if left > 0 {
 			chains[i] = est
@@ -163,9 +168,9 @@
 	return out
 }
 
-// planWaiting places the waiting steps.
-func (c *Core) planWaiting(ws []waiting, now time.Duration, out *Orders) {
-	slices.SortStableFunc(ws, func(a, b waiting) int {
+// planWaiting adds start orders for the waiting steps, in the order of their rank.
+func (c *Core) planWaiting(ws []waitingStep, now time.Duration, out *Orders) {
+	slices.SortStableFunc(ws, func(a, b waitingStep) int {
 		if a.rank.Before(b.rank) {
 			return -1
 		}
@@ -174,7 +179,7 @@
 		}
 		return 0
 	})
-	c.held = false
+	c.startsDeferred = false
 	c.openAccounts(now)
 	defer c.closeAccounts()
 	workers := c.snapshots(now)
@@ -182,16 +187,16 @@
 		return
 	}
 	planner := taskplan.NewPlanner(workers)
-	if slices.ContainsFunc(ws, func(w waiting) bool { return w.step.suspects() > 0 }) {
+	if slices.ContainsFunc(ws, func(w waitingStep) bool { return w.step.suspects() > 0 }) {
 		planner.TrialWorkersLeft = c.trialCapacity(now)
 	}
 	for _, v := range ws {
-		if len(out.Starts) >= c.mayStart {
-			c.held = true
+		if len(out.Starts) >= c.startsLeft {
+			c.startsDeferred = true
 			break
 		}
-		// Steps that find no room, or none within their workspace's limit, are passed over
-		// without a look at their tasks: hundreds of them wait.
+		// Steps that fit on no worker, or not within their workspace's limit, are skipped
+		// before their tasks are examined: hundreds of them may wait.
 		if !planner.MayFit(v.step.spec) || v.step.exhausted(planner) {
 			continue
 		}
@@ -216,13 +221,14 @@
 	c.explain(ws, workers, now)
 }
 
-// explainEvery bounds the log lines about work that waits.
-const explainEvery = 1 * time.Second
+// explainInterval is the minimum time between two log lines about waiting work.
+const explainInterval = 1 * time.Second
 
-// explain logs what keeps the first waiting step from running.
-func (c *Core) explain(ws []waiting, workers []*taskplan.Worker, now time.Duration) {
-	i := slices.IndexFunc(ws, func(w waiting) bool { return w.step.pending > 0 })
-	if i < 0 || now < c.explained+explainEvery {
+// explain logs why the workers don't take the first waiting step, at most once in
+// explainInterval.
+func (c *Core) explain(ws []waitingStep, workers []*taskplan.Worker, now time.Duration) {
+	i := slices.IndexFunc(ws, func(w waitingStep) bool { return w.step.pending > 0 })
+	if i < 0 || now < c.explainedAt+explainInterval {
 		return
 	}
 	st := ws[i].step
@@ -230,25 +236,26 @@
 	if s == nil {
 		return
 	}
-	c.explained = now
-	c.log.Info("work waits", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
+	c.explainedAt = now
+	c.log.Info("work is waiting", "step", s.Ref.String(), "tasks", st.pending, "lasting", s.Step.LongRunning, "steps", len(ws),
 		"milli cpu", s.Step.Size.MilliCPU, "memory mb", s.Step.Size.MemoryMB, "workers", taskplan.CountRejections(workers, s))
 }
 
+// snapshots returns the workers by ID as the planner sees them, and updates busyWorkers.
 func (c *Core) snapshots(now time.Duration) []*taskplan.Worker {
 	ordered := c.ordered()
 	snaps := make([]taskplan.Worker, len(ordered))
 	out := make([]*taskplan.Worker, len(ordered))
-	c.busy = 0
-	doubt, hazards := c.roomInDoubt(now), c.anyHazardousKind(now)
+	c.busyWorkers = 0
+	doubt, hazards := c.capacityUncertain(now), c.anyHazardousKind(now)
 	for i, w := range ordered {
 		if len(w.tasks) > 0 {
-			c.busy++
+			c.busyWorkers++
 		}
 		w.snapshot(&snaps[i], now)
 		snap := &snaps[i]
 		snap.Closed = snap.Closed || doubt
-		snap.LabelInDemand = c.seeks(w.info.Labels, now)
+		snap.LabelInDemand = c.labelInDemand(w.info.Labels, now)
 		if hazards {
 			snap.HazardousJob = c.recentHazardousJob(w, now)
 		}
@@ -257,7 +264,8 @@
 	return out
 }
 
-// ordered returns the workers by ID. They are sorted as they come and go, not for each plan.
+// ordered returns the workers sorted by ID. They are sorted again only after one came or went,
+// not for each plan.
 func (c *Core) ordered() []*worker {
 	if c.sorted == nil {
 		c.sorted = slices.SortedFunc(maps.Values(c.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
@@ -265,45 +273,49 @@
 	return c.sorted
 }
 
-// soughtFor is how long room is kept for work that asks for a label after the last
-// of it waited: steps of a job follow each other within seconds.
-const soughtFor = 10 * time.Second
+// labelDemandWindow is how long workers with a label are kept for work that requires it, after
+// such work last waited: the steps of a job follow each other within seconds.
+const labelDemandWindow = 10 * time.Second
 
-// seeks reports whether work asked for one of the labels of late.
-func (c *Core) seeks(labels []string, now time.Duration) bool {
-	return len(c.sought) > 0 && slices.ContainsFunc(labels, func(label string) bool {
-		at, known := c.sought[label]
-		return known && now < at+soughtFor
+// labelInDemand reports whether a step that requires one of the labels has waited within
+// labelDemandWindow.
+func (c *Core) labelInDemand(labels []string, now time.Duration) bool {
+	return len(c.labelWantedAt) > 0 && slices.ContainsFunc(labels, func(label string) bool {
+		at, known := c.labelWantedAt[label]
+		return known && now < at+labelDemandWindow
 	})
 }
 
-// mayBegin reports whether the task may start at all now. While a later owner can
-// exist, a task that was started before is its business: it may have adopted the
-// run, or acknowledged its end. One that was never started it leaves alone until
-// it has fenced every worker.
-func (c *Core) mayBegin(t *task) bool {
+// startAllowed reports whether the task may be started at all now. While a later owner may
+// exist, a task that was started before, or whose job an earlier owner accepted, is left to that
+// later owner, which may have adopted the run or acknowledged its end. A task that was never
+// started may start: a later owner does not start it before it has fenced every worker. No task
+// starts while an orphaned run of it is to be stopped.
+func (c *Core) startAllowed(t *task) bool {
 	if !c.certain && (t.run > 0 || t.step.job.restored) {
 		return false
 	}
-	return !c.astray[t.ref]
+	return !c.orphaned[t.ref]
 }
 
-// findStrays notes of which tasks a run is still to be stopped somewhere.
-func (c *Core) findStrays() {
-	clear(c.astray)
+// findOrphanedRuns updates the set of tasks that have an orphaned run, which is still to be
+// stopped, on some worker.
+func (c *Core) findOrphanedRuns() {
+	clear(c.orphaned)
 	for _, w := range c.workers {
 		for ref := range w.orphanedRuns {
-			c.astray[ref] = true
+			c.orphaned[ref] = true
 		}
 	}
 }
 
-// isDue reports whether the task waits for a worker now.
+// isDue reports whether the task is pending and may start now.
 func (c *Core) isDue(t *task, now time.Duration) bool {
-	return t.state == taskPending && now >= t.notBefore && c.mayBegin(t)
+	return t.state == taskPending && now >= t.notBefore && c.startAllowed(t)
 }
 
-// planStep describes a step to the plan; nil where none of it may start yet.
+// planStep returns the step's tasks that may start now, as the planner takes them; nil if there
+// are none, or if the step is a gang and not all of its remaining tasks may start.
 func (c *Core) planStep(s *step, workers []*taskplan.Worker, now time.Duration) *taskplan.Step {
 	ps := &taskplan.Step{
 		Ref: s.ref(), Step: s.spec, OnWorker: make(map[work.WorkerID]int),
@@ -313,8 +325,8 @@
 		if c.isDue(t, now) && t.mayBeTried() {
 			ps.Tasks = append(ps.Tasks, taskplan.Task{Index: t.ref.Index, Avoid: t.avoided(c.workers), Suspect: t.suspect()})
 		}
-		if t.where != nil {
-			ps.OnWorker[t.where.info.ID]++
+		if t.worker != nil {
+			ps.OnWorker[t.worker.info.ID]++
 		}
 	}
 	if len(ps.Tasks) == 0 || s.spec.Gang && len(ps.Tasks) < len(s.tasks)-s.done {
--- a/internal/engine/retention_test.go
+++ b/internal/engine/retention_test.go
@@ -15,14 +15,14 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// The store grows with every job there ever was. Keys of jobs that ended long ago go;
-// those whose state may still be asked, whose request may still be repeated, or that
-// have not ended stay.
+// Guards against a store that grows with every job. Short keys of jobs that ended long ago must be
+// deleted. Keys of jobs that have not ended, whose state may still be queried or whose request may
+// still be repeated must stay.
 func TestShortKeysOfJobsThatEndedLongAgoAreDeleted(t *testing.T) {
 	ctx := context.Background()
 	store := memstore.New(clockwork.NewFakeClock())
 	const status = 2 * time.Minute
-	r := &Retention{Store: store, Clock: stillClock{}, Log: logr.Discard(), Status: status}
+	r := &Retention{Store: store, Clock: fixedClock{}, Log: logr.Discard(), StatusPeriod: status}
 	put := func(id string, state work.State, ended time.Time) {
 		ops, err := EndOps(work.JobID(id), JobStub{Cell: service, State: state, Ended: ended})
 		assert.NilError(t, err)
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -11,10 +11,10 @@
 func (e *Engine) send(ctx context.Context, o *Orders) {
 	for i := range o.Starts {
 		if s := e.session(o.Starts[i].Worker.ID); s != nil {
-			e.starts.Add(1)
+			e.unansweredStarts.Add(1)
 			s.runOrder(ctx, func() {
 				e.start(ctx, o.Starts[i])
-				e.starts.Add(-1)
+				e.unansweredStarts.Add(-1)
 			})
 		}
 	}
@@ -46,14 +46,14 @@
 func (e *Engine) start(ctx context.Context, o StartOrder) {
 	out, clock := OutcomeNotSent, time.Duration(0)
 	if e.ordersAllowed() && e.startSending(o) {
-		call, cancel := e.within(ctx, orderTimeout)
+		call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 		out, clock = e.Workers.Start(call, &o.Worker, o.Start)
 		cancel()
 	}
 	e.Metrics.start(out)
 	e.mu.Lock()
 	e.core.StartAnswered(o, out, clock, e.Clock.Now())
-	held := e.core.Held()
+	held := e.core.StartsDeferred()
 	e.mu.Unlock()
 	e.wake(o.Worker.ID)
 	if out != OutcomeOK || held {
@@ -73,7 +73,7 @@
 	if !e.ordersAllowed() {
 		return
 	}
-	call, cancel := e.within(ctx, orderTimeout)
+	call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Stop(call, &o.Worker, o.Task, o.Run, e.Term.Token())
 	e.Metrics.stop(out)
@@ -88,14 +88,14 @@
 	if !e.ordersAllowed() {
 		return
 	}
-	call, cancel := e.within(ctx, orderTimeout)
+	call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Pace(call, &o.Worker, o.Task, o.Run, o.Percent, e.Term.Token())
 	e.Log.Info("pace order sent", "task", o.Task.String(), "worker", o.Worker.ID, "percent", o.Percent, "outcome", out.String())
 	if out != OutcomeOK {
 		e.mu.Lock()
 		if t := e.core.find(o.Task); t != nil && t.run == o.Run {
-			t.pace, t.paceSent = -1, e.Clock.Now() // unknown, so it is set again
+			t.pace, t.paceSentAt = -1, e.Clock.Now() // unknown, so it is set again
 		}
 		e.mu.Unlock()
 	}
@@ -114,7 +114,7 @@
 		e.Log.Info("could not get advice", "step", o.Step.String(), "workers", len(o.Workers), "error", err.Error())
 	}
 	e.mu.Lock()
-	e.core.Advised(o.Step, tickets, validity, sent)
+	e.core.AdviceAnswered(o.Step, tickets, validity, sent)
 	e.mu.Unlock()
 	kick(e.planKick)
 }
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -26,12 +26,12 @@
 // vmsForTrials returns how many VMs suspects could use. Counted as a backlog, they would
 // request VMs that other pools need; while other work waits here, they wait.
 func (c *Core) vmsForTrials(now time.Duration) int {
-	if now < c.othersWaited+otherWorkHoldoff {
+	if now < c.othersWaitedAt+otherWorkHoldoff {
 		return 0
 	}
 	suspects := 0
 	for _, j := range c.open {
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				if s.pending > 0 && s.ready() && s.suspects() > 0 {
 					suspects++
@@ -44,16 +44,16 @@
 
 // recordOtherWaiting records whether any of the steps that waited before this plan still has
 // short tasks waiting that are not suspects.
-func (c *Core) recordOtherWaiting(ws []waiting, now time.Duration) {
-	if slices.ContainsFunc(ws, func(w waiting) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
-		c.othersWaited = now
+func (c *Core) recordOtherWaiting(ws []waitingStep, now time.Duration) {
+	if slices.ContainsFunc(ws, func(w waitingStep) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
+		c.othersWaitedAt = now
 	}
 }
 
 // trialCapacity returns on how many more workers suspects may be tried.
 func (c *Core) trialCapacity(now time.Duration) int {
 	idle := 0
-	if now >= c.othersWaited+otherWorkHoldoff {
+	if now >= c.othersWaitedAt+otherWorkHoldoff {
 		idle = c.idle(now)
 	}
 	inTrial := 0
@@ -89,9 +89,9 @@
 // recentHazardousJob returns the job whose tasks have just begun on the worker, if its kind
 // crashes many workers; empty if there is none.
 func (c *Core) recentHazardousJob(w *worker, now time.Duration) work.JobID {
-	spacing := c.onsets.JobSpacing()
+	spacing := c.timesToCrash.JobSpacing()
 	for _, t := range w.tasks {
-		settledIn := t.state == taskActive && now >= t.answered+spacing
+		settledIn := t.state == taskActive && now >= t.answeredAt+spacing
 		if !settledIn && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
 			return t.ref.Job
 		}
@@ -102,7 +102,7 @@
 // runsTrial reports whether a task for which of is true is on trial on the worker.
 func (w *worker) runsTrial(of func(*task) bool) bool {
 	for _, t := range w.tasks {
-		if of(t) && w.observedRunTime(t) < t.trialLasts {
+		if of(t) && w.observedRunTime(t) < t.trialDuration {
 			return true
 		}
 	}
@@ -117,7 +117,7 @@
 // onTrial reports whether it is stored, or on its way to the store, that the task may crash a
 // worker, and no run of it has shown otherwise since.
 func (t *task) onTrial() bool {
-	return t.trial != 0 && (t.where == nil || t.where.observedRunTime(t) < t.trialLasts)
+	return t.trial != 0 && (t.worker == nil || t.worker.observedRunTime(t) < t.trialDuration)
 }
 
 // requestTrials has it stored, for the suspects of the step that may start now, that their
@@ -136,7 +136,7 @@
 	j := t.step.job
 	j.evidence++
 	t.trial = j.evidence
-	c.touch(j)
+	c.markDirty(j)
 }
 
 // mayBeTried reports whether what is known of the task's crashes is stored as far as its next
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -59,7 +59,7 @@
 		vm, exists := f.vms[id]
 		if !o.reportedGone && (!exists || vm.State != work.VMUp || vm.Worker != o.incarnation) {
 			o.reportedGone = true
-			gone = append(gone, cellOrder{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderGone, Worker: o.incarnation}})
+			gone = append(gone, cellOrder{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderWorkerRemoved, Worker: o.incarnation}})
 		}
 		switch {
 		case !exists:
@@ -104,15 +104,15 @@
 	for cell, c := range f.cells {
 		for i := range c.Workers {
 			w := &c.Workers[i]
-			kind, order := engine.Open, engine.OrderOpen
+			kind, order := engine.CordonNone, engine.OrderUncordon
 			if f.dueWorkers[w.ID] {
-				kind, order = engine.Due, engine.OrderDue
+				kind, order = engine.CordonMaintenanceDue, engine.OrderMaintenanceDue
 			}
 			if w.Cordon.Kind == kind || wanted[w.ID] {
 				continue
 			}
 			foreign := w.Cordon.Token != f.Term.Token()
-			if w.Cordon.Kind == engine.Claimed && foreign && f.Clock.Now() < f.startedAt+orderExpiry {
+			if w.Cordon.Kind == engine.CordonClaimed && foreign && f.Clock.Now() < f.startedAt+orderExpiry {
 				continue
 			}
 			out = append(out, cellOrder{cell: cell, order: engine.CellOrder{Kind: order, Worker: w.ID}})
@@ -169,11 +169,11 @@
 		o.reportedGone = o.reportedGone || move
 		f.mu.Unlock()
 		if move && !f.isStandby(o.cell) {
-			f.send(ctx, []cellOrder{{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderGone, Worker: o.incarnation}}})
+			f.send(ctx, []cellOrder{{cell: o.cell, order: engine.CellOrder{Kind: engine.OrderWorkerRemoved, Worker: o.incarnation}}})
 		}
 	case engine.VMFenced:
 		f.Term.End("the platform knows a later owner")
-	case engine.VMBusy, engine.VMLater, engine.VMInvalid:
+	case engine.VMBusy, engine.VMRefused, engine.VMInvalid:
 		f.mu.Lock()
 		delete(f.orders, id)
 		f.mu.Unlock()
@@ -192,7 +192,7 @@
 		f.wg.Go(func() {
 			// Checked again right before the order is sent, since the claims took time.
 			if !f.Term.Certain() {
-				f.recordOutcome(context.Background(), id, orders[id], engine.VMLater)
+				f.recordOutcome(context.Background(), id, orders[id], engine.VMRefused)
 				return
 			}
 			do(id, orders[id])
--- a/internal/jobfront/front.go
+++ b/internal/jobfront/front.go
@@ -84,7 +84,7 @@
 func New(o Options) *Front { return &Front{Options: o, counts: countCache{m: make(map[string]count)}} }
 
 // Submit accepts a job. It returns nil if the job is stored; a *Refusal,
-// engine.ErrOtherWorkspace or engine.ErrBehind if it is not and will not be; ErrUncertain if the
+// engine.ErrOtherWorkspace or engine.ErrStaleConfig if it is not and will not be; ErrUncertain if the
 // caller should repeat the request.
 func (f *Front) Submit(ctx context.Context, j *work.Job, q engine.Queue) error {
 	err := f.callOwner(ctx, q.Service, func(ctx context.Context, o Owner, p ownerlink.Peer) error {
@@ -105,7 +105,7 @@
 // isFinal reports whether an owner's error ends the request without recourse to the store: the
 // job is another workspace's, or this entry VM's configuration is older than the owner's.
 func isFinal(err error) bool {
-	return errors.Is(err, engine.ErrOtherWorkspace) || errors.Is(err, engine.ErrBehind)
+	return errors.Is(err, engine.ErrOtherWorkspace) || errors.Is(err, engine.ErrStaleConfig)
 }
 
 // callOwner runs call for the cell's owner: with the engine o if the owner is this entry VM,
@@ -134,7 +134,7 @@
 	}
 	txn := infra.Txn{
 		If:   []infra.Cond{{Key: infra.WorkJobKey(string(j.ID))}},
-		Then: append(ops, infra.Put(infra.WorkInboxKey(q.Service, engine.NoteSubmit, string(j.ID)), nil)),
+		Then: append(ops, infra.Put(infra.WorkInboxKey(q.Service, engine.InboxSubmit, string(j.ID)), nil)),
 		Else: []infra.Op{infra.Read(infra.WorkJobKey(string(j.ID)))},
 	}
 	for {
@@ -194,7 +194,7 @@
 }
 
 // State returns the job's state as callers of the workspace may see it. q is the queue of the
-// request's route. The error is ErrUnknownJob, engine.ErrOtherWorkspace, engine.ErrBehind, or a
+// request's route. The error is ErrUnknownJob, engine.ErrOtherWorkspace, engine.ErrStaleConfig, or a
 // *Refusal.
 func (f *Front) State(ctx context.Context, id work.JobID, q engine.Queue, workspace work.WorkspaceName) (work.State, error) {
 	state, err := f.stateFromOwner(ctx, id, q.Service, workspace)
@@ -234,7 +234,7 @@
 // another workspace's job: callers must not learn which IDs other workspaces use.
 func (f *Front) readStubFor(ctx context.Context, id work.JobID, workspace work.WorkspaceName) (*engine.JobStub, infra.Revision, error) {
 	stub, rev, err := f.readStub(ctx, id)
-	if err == nil && !engine.Shows(stub.Workspace, workspace) {
+	if err == nil && !engine.MayAccess(stub.Workspace, workspace) {
 		f.Log.Info("request for another workspace's job", "job", id, "workspace", stub.Workspace, "by", workspace)
 		return nil, 0, ErrUnknownJob
 	}
@@ -306,7 +306,7 @@
 		}
 		res, err := f.runTxn(ctx, infra.Txn{
 			If:   []infra.Cond{{Key: infra.WorkJobKey(string(id)), ModRevision: rev}},
-			Then: append(ops, infra.Put(infra.WorkInboxKey(stub.Cell, engine.NoteCancel, string(id)), nil)),
+			Then: append(ops, infra.Put(infra.WorkInboxKey(stub.Cell, engine.InboxCancel, string(id)), nil)),
 		})
 		if err == nil && res.Succeeded {
 			return nil
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -64,7 +64,7 @@
 // a runnable goroutine waits for the processor, in microseconds; 0 while this entry VM owns
 // no cell.
 func (m *metrics) schedulingDelays() any {
-	return map[string]int64{"longest": m.delay.Behind().Microseconds(), "standing": m.delay.Standing().Microseconds()}
+	return map[string]int64{"longest": m.delay.MaxDelay().Microseconds(), "standing": m.delay.MinDelay().Microseconds()}
 }
 
 // latencyQuantiles returns the count and quantiles of callers' requests, in microseconds.
--- a/internal/node/registry_test.go
+++ b/internal/node/registry_test.go
@@ -118,7 +118,7 @@
 	assert.Equal(t, r.apply(born(`,"born":1000`)), true)
 	assert.Equal(t, r.apply(born(`,"born":1000`)), false)
 	assert.Equal(t, r.apply(born(`,"born":2000`)), true)
-	assert.Equal(t, r.list("a")[0].Life, work.Incarnation(2000))
+	assert.Equal(t, r.list("a")[0].Incarnation, work.Incarnation(2000))
 	assert.Equal(t, r.apply(born("")), true, "an entry without the incarnation that the worker registered before")
 	assert.Equal(t, r.list("a")[0].Unreadable, true)
 	assert.Equal(t, r.apply(born(`,"born":2000`)), true)
