--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -46,16 +46,16 @@
 	DefaultTimeout time.Duration
 	// MaxTimeout is the maximum timeout of a request. Longer ones are cut to it.
 	MaxTimeout time.Duration
-	// Inside is the maximum number of requests in flight at the entry VM, those
+	// MaxInFlight is the maximum number of requests in flight at the entry VM, those
 	// that wait for a slot included (503 above it).
-	Inside int
+	MaxInFlight int
 	// ConnectTimeout is the maximum time to connect to a target.
 	ConnectTimeout time.Duration
 }
 
 // DefaultLimits returns the default limits. They are sized for an entry VM with
 // 256 MB of memory: if all limits are reached at once, it holds BufferedBytes of
-// bodies and Inside headers, 64 MiB + 4096 x 32 KiB = 192 MiB.
+// bodies and MaxInFlight headers, 64 MiB + 4096 x 32 KiB = 192 MiB.
 func DefaultLimits() Limits {
 	return Limits{
 		HeaderBytes:     32 << 10,         // four times what browsers and load balancers send
@@ -71,7 +71,7 @@
 		WriteTimeout:    10 * time.Second, // longer than useful TCP retransmissions take, so the reader has stalled
 		DefaultTimeout:  30 * time.Second, // interactive users have given up by then
 		MaxTimeout:      15 * time.Minute, // the longest weighting run that is made as a request; longer work is submitted as a job
-		Inside:          4096,
+		MaxInFlight:     4096,
 		ConnectTimeout:  1 * time.Second, // zones are 1.5 ms apart; a lost SYN is retransmitted only after 1 s
 	}
 }
@@ -92,7 +92,7 @@
 	setDefault(&l.WriteTimeout, d.WriteTimeout)
 	setDefault(&l.DefaultTimeout, d.DefaultTimeout)
 	setDefault(&l.MaxTimeout, d.MaxTimeout)
-	setDefault(&l.Inside, d.Inside)
+	setDefault(&l.MaxInFlight, d.MaxInFlight)
 	setDefault(&l.ConnectTimeout, d.ConnectTimeout)
 	return l
 }
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -172,7 +172,7 @@
 // must be freed, none of their requests may run, and the next caller must be
 // served.
 func TestCallerDisconnectsWhileQueued(t *testing.T) {
-	s := newTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits.Inside = 20 })
+	s := newTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits.MaxInFlight = 20 })
 	s.publishSlots(1)
 	s.targets[0].SetFault(faketarget.Late, 1)
 	first := make(chan reply)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -128,7 +128,7 @@
 	if s.opts.View.Load().Declaration == nil {
 		return problemStarting()
 	}
-	switch s.admission.admit(s.limits.Inside) {
+	switch s.admission.admit(s.limits.MaxInFlight) {
 	case rejectedClosed:
 		return problemDraining()
 	case rejectedFull:
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -63,7 +63,7 @@
 	{"limits", "body-rate", "", false, expectsBytes + " a second", number(func(s *Settings) *int64 { return &s.Limits.BodyRate })},
 	{"limits", "write-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.WriteTimeout })},
 	{"limits", "max-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.MaxTimeout })},
-	{"limits", "inside", "", false, "a positive number of requests", number(func(s *Settings) *int { return &s.Limits.Inside })},
+	{"limits", "inside", "", false, "a positive number of requests", number(func(s *Settings) *int { return &s.Limits.MaxInFlight })},
 }
 
 // listener returns the keys that each of the three listeners has.
