--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -21,9 +21,9 @@
 	// most once (413 above it): it is read in full before the request is
 	// claimed, because the claim includes its digest.
 	OnceBodyBytes int64
-	// BufferedBytes is the maximum total size of all bodies that are read
+	// TotalBufferBytes is the maximum total size of all bodies that are read
 	// before their requests queue (503 above it).
-	BufferedBytes int64
+	TotalBufferBytes int64
 	// KeptAnswerBytes is the maximum size of a response body that is recorded
 	// under an Idempotency-Key; of a larger response only the status and header
 	// are recorded.
@@ -54,25 +54,25 @@
 }
 
 // DefaultLimits returns the default limits. They are sized for an entry VM with
-// 256 MB of memory: if all limits are reached at once, it holds BufferedBytes of
+// 256 MB of memory: if all limits are reached at once, it holds TotalBufferBytes of
 // bodies and MaxInFlight headers, 64 MiB + 4096 x 32 KiB = 192 MiB.
 func DefaultLimits() Limits {
 	return Limits{
-		HeaderBytes:     32 << 10,         // four times what browsers and load balancers send
-		BodyBytes:       64 << 20,         // a respondent file of a large panel, with margin
-		BufferBytes:     16 << 10,         // fits orders, queries and bookings
-		OnceBodyBytes:   1 << 20,          // an incentive batch of thousands of respondents
-		BufferedBytes:   64 << 20,         // a quarter of a small VM's memory
-		KeptAnswerBytes: 16 << 10,         // fits confirmations; a value in the store holds up to 1 MB
-		HeaderTimeout:   5 * time.Second,  // a header is one packet or a few
-		IdleTimeout:     75 * time.Second, // above the 60 s of common load balancers, so that they close first
-		BodyGrace:       5 * time.Second,  // one or two lost packets must not fail an upload
-		BodyRate:        4 << 10,          // a poor mobile link
-		WriteTimeout:    10 * time.Second, // longer than useful TCP retransmissions take, so the reader has stalled
-		DefaultTimeout:  30 * time.Second, // interactive users have given up by then
-		MaxTimeout:      15 * time.Minute, // the longest weighting run that is made as a request; longer work is submitted as a job
-		MaxInFlight:     4096,
-		ConnectTimeout:  1 * time.Second, // zones are 1.5 ms apart; a lost SYN is retransmitted only after 1 s
+		HeaderBytes:      32 << 10,         // four times what browsers and load balancers send
+		BodyBytes:        64 << 20,         // a respondent file of a large panel, with margin
+		BufferBytes:      16 << 10,         // fits orders, queries and bookings
+		OnceBodyBytes:    1 << 20,          // an incentive batch of thousands of respondents
+		TotalBufferBytes: 64 << 20,         // a quarter of a small VM's memory
+		KeptAnswerBytes:  16 << 10,         // fits confirmations; a value in the store holds up to 1 MB
+		HeaderTimeout:    5 * time.Second,  // a header is one packet or a few
+		IdleTimeout:      75 * time.Second, // above the 60 s of common load balancers, so that they close first
+		BodyGrace:        5 * time.Second,  // one or two lost packets must not fail an upload
+		BodyRate:         4 << 10,          // a poor mobile link
+		WriteTimeout:     10 * time.Second, // longer than useful TCP retransmissions take, so the reader has stalled
+		DefaultTimeout:   30 * time.Second, // interactive users have given up by then
+		MaxTimeout:       15 * time.Minute, // the longest weighting run that is made as a request; longer work is submitted as a job
+		MaxInFlight:      4096,
+		ConnectTimeout:   1 * time.Second, // zones are 1.5 ms apart; a lost SYN is retransmitted only after 1 s
 	}
 }
 
@@ -83,7 +83,7 @@
 	setDefault(&l.BodyBytes, d.BodyBytes)
 	setDefault(&l.BufferBytes, d.BufferBytes)
 	setDefault(&l.OnceBodyBytes, d.OnceBodyBytes)
-	setDefault(&l.BufferedBytes, d.BufferedBytes)
+	setDefault(&l.TotalBufferBytes, d.TotalBufferBytes)
 	setDefault(&l.KeptAnswerBytes, d.KeptAnswerBytes)
 	setDefault(&l.HeaderTimeout, d.HeaderTimeout)
 	setDefault(&l.IdleTimeout, d.IdleTimeout)
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -77,7 +77,7 @@
 // bounded. Beyond the bound callers must be told to retry, and the bytes must be
 // released afterwards.
 func TestBufferedBodiesAreBounded(t *testing.T) {
-	s := newIdleTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits = Limits{BufferedBytes: 100} })
+	s := newIdleTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits = Limits{TotalBufferBytes: 100} })
 	for i := range 3 {
 		r := s.do("POST", "/services/incentives/x", strings.Repeat("x", 101), HeaderKey, fmt.Sprint(i))
 		assert.Equal(t, r.status, 503)
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -31,7 +31,7 @@
 	atMostOnce := !c.service.Repeatable
 	prefetched := body.prefetchSize(atMostOnce)
 	defer s.prefetchedBytes.Add(-prefetched)
-	if s.prefetchedBytes.Add(prefetched) > s.limits.BufferedBytes {
+	if s.prefetchedBytes.Add(prefetched) > s.limits.TotalBufferBytes {
 		s.answer(w, r, problemOverload("the entry VM holds as much of bodies as it may", time.Second), true)
 		return
 	}
