--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -97,11 +97,11 @@
 }
 
 // readWithMinRate reads from the caller and enforces the minimum rate: after n
-// bytes have been read, the next read must end within BodyGrace + n/BodyRate of
+// bytes have been read, the next read must end within BodyGrace + n/MinBodyRate of
 // the start. Otherwise a caller that sends single bytes would hold a connection,
 // and with a large body a slot.
 func (b *requestBody) readWithMinRate(p []byte) (int, error) {
-	allowed := b.limits.BodyGrace + time.Duration(b.read)*time.Second/time.Duration(b.limits.BodyRate)
+	allowed := b.limits.BodyGrace + time.Duration(b.read)*time.Second/time.Duration(b.limits.MinBodyRate)
 	// The error is ignored: a writer without deadlines, such as
 	// httptest.ResponseRecorder, has no slow sender.
 	_ = b.rc.SetReadDeadline(b.start.Add(allowed))
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -32,11 +32,11 @@
 	HeaderTimeout time.Duration
 	// IdleTimeout is how long a caller's connection may be idle between requests.
 	IdleTimeout time.Duration
-	// BodyGrace and BodyRate (bytes per second) bound a slow sender: after
-	// BodyGrace, a body must arrive at BodyRate or faster on average (408 below
+	// BodyGrace and MinBodyRate (bytes per second) bound a slow sender: after
+	// BodyGrace, a body must arrive at MinBodyRate or faster on average (408 below
 	// it).
-	BodyGrace time.Duration
-	BodyRate  int64
+	BodyGrace   time.Duration
+	MinBodyRate int64
 	// WriteTimeout is the maximum time for one write of a response. Beyond it
 	// the connection is aborted, because a caller that does not read holds a
 	// slot.
@@ -67,7 +67,7 @@
 		HeaderTimeout:    5 * time.Second,  // a header is one packet or a few
 		IdleTimeout:      75 * time.Second, // above the 60 s of common load balancers, so that they close first
 		BodyGrace:        5 * time.Second,  // one or two lost packets must not fail an upload
-		BodyRate:         4 << 10,          // a poor mobile link
+		MinBodyRate:      4 << 10,          // a poor mobile link
 		WriteTimeout:     10 * time.Second, // longer than useful TCP retransmissions take, so the reader has stalled
 		DefaultTimeout:   30 * time.Second, // interactive users have given up by then
 		MaxTimeout:       15 * time.Minute, // the longest weighting run that is made as a request; longer work is submitted as a job
@@ -88,7 +88,7 @@
 	setDefault(&l.HeaderTimeout, d.HeaderTimeout)
 	setDefault(&l.IdleTimeout, d.IdleTimeout)
 	setDefault(&l.BodyGrace, d.BodyGrace)
-	setDefault(&l.BodyRate, d.BodyRate)
+	setDefault(&l.MinBodyRate, d.MinBodyRate)
 	setDefault(&l.WriteTimeout, d.WriteTimeout)
 	setDefault(&l.DefaultTimeout, d.DefaultTimeout)
 	setDefault(&l.MaxTimeout, d.MaxTimeout)
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -60,7 +60,7 @@
 	{"limits", "header-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.HeaderTimeout })},
 	{"limits", "idle-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.IdleTimeout })},
 	{"limits", "body-grace", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.BodyGrace })},
-	{"limits", "body-rate", "", false, expectsBytes + " a second", number(func(s *Settings) *int64 { return &s.Limits.BodyRate })},
+	{"limits", "body-rate", "", false, expectsBytes + " a second", number(func(s *Settings) *int64 { return &s.Limits.MinBodyRate })},
 	{"limits", "write-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.WriteTimeout })},
 	{"limits", "max-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.MaxTimeout })},
 	{"limits", "inside", "", false, "a positive number of requests", number(func(s *Settings) *int { return &s.Limits.MaxInFlight })},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -78,7 +78,7 @@
 	s, err := load(t, good+"[limits]\nbody-rate = 100\ninside = 7\nwrite-timeout = 3s\n")
 	assert.NilError(t, err)
 	want := entry.DefaultLimits()
-	want.BodyRate, want.MaxInFlight, want.WriteTimeout = 100, 7, 3*time.Second
+	want.MinBodyRate, want.MaxInFlight, want.WriteTimeout = 100, 7, 3*time.Second
 	assert.DeepEqual(t, s.Limits, want)
 	_, err = load(t, good+"[limits]\nbody-rate = -1\ninside = many\n")
 	assert.ErrorContains(t, err, `[limits] body-rate: given "-1"`)
