--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -12,11 +12,11 @@
 
 // Names of the headers that callers, entry VMs and targets exchange.
 const (
-	HeaderKey     = "Idempotency-Key"
-	HeaderCaller  = "Pumicestage-Caller"
-	HeaderTimeout = "Pumicestage-Timeout"
-	HeaderClass   = "Pumicestage-Class"
-	HeaderOutcome = "Pumicestage-Outcome"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderCaller         = "Pumicestage-Caller"
+	HeaderTimeout        = "Pumicestage-Timeout"
+	HeaderClass          = "Pumicestage-Class"
+	HeaderOutcome        = "Pumicestage-Outcome"
 )
 
 // Outcome tells a caller whether its request was run.
@@ -88,11 +88,11 @@
 // parseKey parses the Idempotency-Key. The IETF draft defines it as a structured
 // string in double quotes; bare tokens are in wide use and accepted as well.
 func (c *call) parseKey(h http.Header) *Problem {
-	values := h.Values(HeaderKey)
+	values := h.Values(HeaderIdempotencyKey)
 	if len(values) > 1 {
-		return problemBadHeader(HeaderKey, "must be given once")
+		return problemBadHeader(HeaderIdempotencyKey, "must be given once")
 	}
-	c.key = strings.TrimSpace(h.Get(HeaderKey))
+	c.key = strings.TrimSpace(h.Get(HeaderIdempotencyKey))
 	if len(c.key) >= 2 && c.key[0] == '"' && c.key[len(c.key)-1] == '"' {
 		c.key = c.key[1 : len(c.key)-1]
 	}
@@ -100,7 +100,7 @@
 		return problemKeyMissing(c.service.Name)
 	}
 	if len(c.key) > maxKeyLength {
-		return problemBadHeader(HeaderKey, "must be at most 255 bytes")
+		return problemBadHeader(HeaderIdempotencyKey, "must be at most 255 bytes")
 	}
 	return nil
 }
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -45,9 +45,9 @@
 			t.Run(service+"/"+tc.fault.String(), func(t *testing.T) {
 				s := newTestEnv(t, 1, faketarget.Options{}, nil)
 				path := "/services/" + service + "/x"
-				assert.Equal(t, s.do("POST", path, "b", HeaderKey, "before").outcome, Ran)
+				assert.Equal(t, s.do("POST", path, "b", HeaderIdempotencyKey, "before").outcome, Ran)
 				s.targets[0].SetFault(tc.fault, 1)
-				r := s.do("POST", path, "", HeaderKey, "k0", "X-Request", "first")
+				r := s.do("POST", path, "", HeaderIdempotencyKey, "k0", "X-Request", "first")
 				if tc.status == 0 {
 					assert.Assert(t, !r.complete(), "%d %q looks complete", r.status, r.body)
 				} else {
@@ -59,7 +59,7 @@
 				// A target that refused is probed before it is sent further requests.
 				waitFor(t, func() bool { return len(s.server.dispatch.usable()) == 1 })
 				for i := range 5 {
-					r := s.do("POST", path, "b", HeaderKey, fmt.Sprint("next", i), "X-Request", fmt.Sprint("next", i))
+					r := s.do("POST", path, "b", HeaderIdempotencyKey, fmt.Sprint("next", i), "X-Request", fmt.Sprint("next", i))
 					assert.NilError(t, r.err)
 					assert.Assert(t, strings.Contains(r.body, fmt.Sprintf("request=next%d ", i)), r.body)
 				}
@@ -98,7 +98,7 @@
 func TestLateResponse(t *testing.T) {
 	s := newTestEnv(t, 1, faketarget.Options{}, nil)
 	s.targets[0].SetFault(faketarget.Late, 2)
-	header := []string{HeaderKey, "k", HeaderTimeout, "50ms"}
+	header := []string{HeaderIdempotencyKey, "k", HeaderTimeout, "50ms"}
 	r := s.do("GET", "/services/tabulation/x", "", HeaderTimeout, "50ms")
 	assert.Equal(t, r.status, 504)
 	assert.Equal(t, r.outcome, Unknown)
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -79,11 +79,11 @@
 func TestBufferedBodiesAreBounded(t *testing.T) {
 	s := newIdleTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits = Limits{TotalBufferBytes: 100} })
 	for i := range 3 {
-		r := s.do("POST", "/services/incentives/x", strings.Repeat("x", 101), HeaderKey, fmt.Sprint(i))
+		r := s.do("POST", "/services/incentives/x", strings.Repeat("x", 101), HeaderIdempotencyKey, fmt.Sprint(i))
 		assert.Equal(t, r.status, 503)
 		assert.Equal(t, r.outcome, NotRun)
 		assert.Assert(t, r.header.Get("Retry-After") != "")
-		r = s.do("POST", "/services/incentives/x", strings.Repeat("x", 100), HeaderKey, fmt.Sprint("small", i))
+		r = s.do("POST", "/services/incentives/x", strings.Repeat("x", 100), HeaderIdempotencyKey, fmt.Sprint("small", i))
 		assert.Equal(t, r.outcome, Ran)
 	}
 }
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -42,13 +42,13 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newIdleTestEnv(t, 2, faketarget.Options{}, nil)
-			first := s.do("POST", "/services/incentives/a", "pay", HeaderKey, `"k"`, HeaderCaller, "firm")
+			first := s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, `"k"`, HeaderCaller, "firm")
 			assert.Equal(t, first.outcome, Ran)
 			s.waitUntilRecorded()
 			if tc.change != nil {
 				tc.change(s)
 			}
-			r := s.do("POST", "/services/incentives"+tc.path, tc.body, HeaderKey, "k", HeaderCaller, tc.caller)
+			r := s.do("POST", "/services/incentives"+tc.path, tc.body, HeaderIdempotencyKey, "k", HeaderCaller, tc.caller)
 			assert.Equal(t, r.status, tc.status, r.body)
 			assert.Equal(t, r.outcome, tc.outcome)
 			assert.Equal(t, s.runs("k"), tc.runs)
@@ -81,7 +81,7 @@
 	var wg sync.WaitGroup
 	replies := make(chan reply, 50)
 	for range 50 {
-		wg.Go(func() { replies <- s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k") })
+		wg.Go(func() { replies <- s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, "k") })
 	}
 	for range 49 {
 		r := nextReply(t, replies)
@@ -105,13 +105,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan reply)
 	go func() {
-		done <- s.doContext(ctx, "POST", "/services/incentives/a", strings.NewReader("pay"), HeaderKey, "k")
+		done <- s.doContext(ctx, "POST", "/services/incentives/a", strings.NewReader("pay"), HeaderIdempotencyKey, "k")
 	}()
 	waitFor(t, func() bool { return s.targets[0].Counts().Running == 1 })
 	cancel()
 	assert.Assert(t, (<-done).err != nil)
 	s.waitUntilRecorded()
-	r := s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k")
+	r := s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, "k")
 	assert.Equal(t, r.outcome, Ran)
 	c := s.targets[0].Counts()
 	assert.Equal(t, c.Runs["k"], 1)
@@ -123,13 +123,13 @@
 func TestNotRunReleasesTheClaim(t *testing.T) {
 	s := newIdleTestEnv(t, 1, faketarget.Options{}, nil)
 	s.targets[0].SetFault(faketarget.Refuse, 1)
-	r := s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k")
+	r := s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, "k")
 	assert.Equal(t, r.outcome, NotRun)
 	assert.Equal(t, r.status, 503)
 	assert.Assert(t, r.header.Get("Retry-After") != "")
 	s.waitUntilRecorded()
 	s.clock.Advance(probeWait)
-	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k").outcome, Ran)
+	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, "k").outcome, Ran)
 	assert.Equal(t, s.runs("k"), 1)
 }
 
@@ -139,21 +139,21 @@
 func TestExpiredClaimIsNotSent(t *testing.T) {
 	s := newIdleTestEnv(t, 1, faketarget.Options{}, nil)
 	s.claims.window = -time.Second
-	r := s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k")
+	r := s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, "k")
 	assert.Equal(t, r.outcome, NotRun)
 	assert.Equal(t, s.runs("k"), 0)
 	s.waitUntilRecorded()
 	s.claims.window = time.Hour
-	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k").outcome, Ran)
+	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, "k").outcome, Ran)
 }
 
 // A response that is too large to be recorded must be relayed in full; a repeat
 // must be told that the request ran.
 func TestLargeAnswerIsNotKept(t *testing.T) {
 	s := newIdleTestEnv(t, 1, faketarget.Options{}, func(o *Options) { o.Limits.KeptAnswerBytes = 10 })
-	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k").status, 200)
+	assert.Equal(t, s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, "k").status, 200)
 	s.waitUntilRecorded()
-	r := s.do("POST", "/services/incentives/a", "pay", HeaderKey, "k")
+	r := s.do("POST", "/services/incentives/a", "pay", HeaderIdempotencyKey, "k")
 	assert.Equal(t, r.status, 409)
 	assert.Equal(t, r.outcome, Ran)
 	assert.Equal(t, s.runs("k"), 1)
