--- a/internal/faketarget/fault.go
+++ b/internal/faketarget/fault.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Fault is a way to misbehave.
+// Fault is a way in which a target handles a request, most of them faulty.
 type Fault int8
 
-// The faults.
+// The faults. Echo and Chunked are correct behaviour that tests need on request.
 const (
 	None            Fault = iota
-	Refuse                // refuses before start
-	Late                  // answers after lateBy
-	Short                 // promises more bytes than it sends, then closes
-	ShortChunks           // ends a chunked answer without its last chunk
-	Unframed              // sends neither length nor chunks, and closes in the middle
-	Twice                 // answers twice on the same connection
-	BadFraming            // sends a chunk size that is none
-	BadStatus             // sends a line that is no status line
-	Reset                 // resets the connection without an answer
-	Silent                // closes the connection without an answer
-	Error                 // answers 500
-	Chunked               // answers rightly, in chunks
-	Echo                  // sends the body back as it comes
-	RefuseAfterBody       // refuses before start, having read the body
-	TwiceLate             // answers again when the next request comes on the connection
+	Refuse                // refuses the request before starting it, without reading the body
+	Late                  // responds after lateDelay
+	Short                 // declares a Content-Length beyond what it sends, then closes
+	ShortChunks           // ends a chunked response without the last chunk
+	Unframed              // sends neither Content-Length nor chunks, and closes in the middle
+	Twice                 // responds twice on the same connection
+	BadFraming            // sends an invalid chunk size
+	BadStatus             // sends an invalid status line
+	Reset                 // resets the connection without a response
+	Silent                // closes the connection without a response
+	Error                 // responds with status 500
+	Chunked               // responds correctly, in chunks
+	Echo                  // streams the request body back
+	RefuseAfterBody       // refuses the request before starting it, after reading the body
+	TwiceLate             // repeats its response when the next request arrives on the connection
 )
 
 // String returns the fault's name.
@@ -39,42 +39,43 @@
 	return names[f]
 }
 
-// lateBy is by how much a late answer is late.
-const lateBy = 300 * time.Millisecond
+// lateDelay is the delay of a response with the fault Late.
+const lateDelay = 300 * time.Millisecond
 
-// answer is what a target says: enough of the request that a test sees whose
-// answer it is.
-type answer struct {
+// response is the body of a target's response. It repeats enough of the request
+// for a test to see which request it belongs to.
+type response struct {
 	body string
 }
 
-func newAnswer(id string, r *http.Request) answer {
+func newResponse(id string, r *http.Request) response {
 	received, err := io.Copy(io.Discard, r.Body)
 	if err != nil {
 		received = -1
 	}
-	return answer{fmt.Sprintf("target=%s method=%s path=%s query=%s request=%s body=%d\n",
+	return response{fmt.Sprintf("target=%s method=%s path=%s query=%s request=%s body=%d\n",
 		id, r.Method, r.URL.EscapedPath(), r.URL.RawQuery, r.Header.Get("X-Request"), received)}
 }
 
-// answer answers the request as the fault says.
-func (f Fault) answer(w http.ResponseWriter, r *http.Request, a answer) how {
-	raw := f.raw(a)
+// respond sends the response as the fault requires, and returns how the request
+// ended.
+func (f Fault) respond(w http.ResponseWriter, r *http.Request, resp response) ending {
+	raw := f.raw(resp)
 	switch {
 	case f == Error:
-		http.Error(w, a.body, http.StatusInternalServerError)
-		return done
+		http.Error(w, resp.body, http.StatusInternalServerError)
+		return completed
 	case f == Chunked:
-		_, _ = io.WriteString(w, a.body)
-		_ = http.NewResponseController(w).Flush() // before the end: no length is known
-		_, _ = io.WriteString(w, strings.Repeat(a.body, 200))
-		return done
+		_, _ = io.WriteString(w, resp.body)
+		_ = http.NewResponseController(w).Flush() // flushed before the end, so that net/http cannot set a Content-Length
+		_, _ = io.WriteString(w, strings.Repeat(resp.body, 200))
+		return completed
 	case raw == nil && f != Reset && f != Silent:
-		_, err := io.WriteString(w, a.body)
+		_, err := io.WriteString(w, resp.body)
 		if err != nil {
 			return abandoned
 		}
-		return done
+		return completed
 	}
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -82,28 +83,28 @@
 	}
 	if f == TwiceLate {
 		go twiceLate(conn, raw)
-		return done
+		return completed
 	}
 	defer conn.Close()
 	if tcp, ok := conn.(*net.TCPConn); ok && f == Reset {
 		_ = tcp.SetLinger(0) // makes Close send a reset
 	}
 	_, _ = conn.Write(raw)
-	return done
+	return completed
 }
 
-// twiceLate answers, and takes the next bytes on the connection for a cue to
-// give the same answer again.
-func twiceLate(conn net.Conn, answer []byte) {
+// twiceLate sends the response, and sends it again when the next request arrives
+// on the connection.
+func twiceLate(conn net.Conn, resp []byte) {
 	defer conn.Close()
-	_, _ = conn.Write(answer)
+	_, _ = conn.Write(resp)
 	if n, _ := conn.Read(make([]byte, 1)); n > 0 {
-		_, _ = conn.Write(answer)
+		_, _ = conn.Write(resp)
 	}
 }
 
-// echo sends the body back piece by piece.
-func echo(w http.ResponseWriter, r *http.Request) how {
+// echo streams the request body back as it arrives.
+func echo(w http.ResponseWriter, r *http.Request) ending {
 	rc := http.NewResponseController(w)
 	if err := rc.EnableFullDuplex(); err != nil {
 		return abandoned
@@ -115,7 +116,7 @@
 			return abandoned
 		}
 		if err == io.EOF {
-			return done
+			return completed
 		}
 		if err != nil {
 			return abandoned
@@ -123,26 +124,27 @@
 	}
 }
 
-// raw returns the bytes of a misbehaving answer, nil where the fault has none.
-func (f Fault) raw(a answer) []byte {
+// raw returns the bytes of a faulty response, nil if the fault does not send raw
+// bytes.
+func (f Fault) raw(resp response) []byte {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
-	n := len(a.body)
+	n := len(resp.body)
 	switch f {
 	case Short:
-		return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, n+100, a.body)
+		return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, n+100, resp.body)
 	case ShortChunks:
-		return fmt.Appendf(nil, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", head, n, a.body)
+		return fmt.Appendf(nil, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", head, n, resp.body)
 	case Unframed:
-		return fmt.Appendf(nil, "%s\r\n%s", head, a.body[:n/2])
+		return fmt.Appendf(nil, "%s\r\n%s", head, resp.body[:n/2])
 	case TwiceLate:
-		return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, n, a.body)
+		return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, n, resp.body)
 	case Twice:
-		one := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, n, a.body)
-		return []byte(one + one)
+		single := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, n, resp.body)
+		return []byte(single + single)
 	case BadFraming:
-		return fmt.Appendf(nil, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\nzz\r\nbroken", head, n, a.body)
+		return fmt.Appendf(nil, "%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\nzz\r\nbroken", head, n, resp.body)
 	case BadStatus:
-		return []byte("HELLO there\r\n\r\n" + a.body)
+		return []byte("HELLO there\r\n\r\n" + resp.body)
 	}
 	return nil
 }
--- a/internal/faketarget/serving.go
+++ b/internal/faketarget/serving.go
@@ -1,6 +1,6 @@
 package faketarget
 
-// Serving reports whether the target is up and takes new work.
+// Serving reports whether the target is up and accepts new requests.
 func (t *Target) Serving() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/faketarget/target.go
+++ b/internal/faketarget/target.go
@@ -1,7 +1,7 @@
-// Package faketarget is a stand-in for a target: a plain HTTP server that
-// works on requests in slots, can be drained and rebooted, misbehaves on
-// order, and counts what happened to each request by itself, so that promises
-// are checked by what the target saw and not by the code under test.
+// Package faketarget provides a fake target for tests: a plain HTTP server with
+// a number of slots that can be drained and rebooted and injects faults. It
+// counts what happened to each request, so that tests check guarantees against
+// what the target observed and not against what the code under test reports.
 package faketarget
 
 import (
@@ -19,50 +19,52 @@
 	"github.com/pumicestage/pumicestage/internal/loopback"
 )
 
-// Options configure a Target.
+// Options configures a Target.
 type Options struct {
 	ID    string
-	Slots int // requests worked on at once; more are refused; 0 for 8
-	// ServiceTime returns how long a request takes; nil for no time at all.
+	Slots int // maximum number of concurrent requests, more are refused; 0 for 8
+	// ServiceTime returns how long a request takes; nil for no time.
 	ServiceTime func(r *http.Request) time.Duration
-	// IgnoreSlots takes requests beyond its slots as well, to see an overrun.
+	// IgnoreSlots accepts requests beyond Slots, so that a test can detect that
+	// too many were sent.
 	IgnoreSlots bool
-	// Address to listen at; empty for a free port on loopback.
+	// Address to listen on; empty for a free port on loopback.
 	Address string
 }
 
-// Counts is what a Target saw. Started = Finished + Cut + Abandoned + running.
+// Counts are a Target's counters. Started = Finished + Cut + Abandoned + Running.
 type Counts struct {
 	Started   int
-	Finished  int // answered as ordered
+	Finished  int // handled as configured, faulty responses included
 	Cut       int // in flight when the target was rebooted
-	Abandoned int // the other side closed its connection first
-	Refused   int // refused before start
+	Abandoned int // the client closed its connection first
+	Refused   int // refused before they started
 	Running   int
-	Peak      int            // most running at once
+	Peak      int            // maximum of Running so far
 	Runs      map[string]int // started requests per Idempotency-Key
-	LastStart time.Time      // of the latest request started
+	LastStart time.Time      // when the latest request started
 }
 
-// Target is one fake target.
+// Target is a fake target. It is safe for concurrent use.
 type Target struct {
 	opts Options
 
 	mu      sync.Mutex
 	counts  Counts
 	leaving bool
-	// saysLeaving is told by the health answer alone.
-	saysLeaving bool
-	fault       Fault
-	faults      int // requests the fault still applies to, -1 for all
-	slow        float64
-	server      *http.Server
-	address     string
-	boot        context.CancelCauseFunc
-	booted      context.Context
+	// reportsLeaving makes only the health response report leaving; requests are
+	// still accepted.
+	reportsLeaving bool
+	fault          Fault
+	faultsLeft     int // requests that the fault still applies to, negative for all
+	slowFactor     float64
+	server         *http.Server
+	address        string
+	cancelBoot     context.CancelCauseFunc
+	bootCtx        context.Context
 }
 
-// Start starts a Target.
+// Start returns a Target that is listening.
 func Start(o Options) (*Target, error) {
 	if o.Slots <= 0 {
 		o.Slots = 8
@@ -70,7 +72,7 @@
 	if o.Address == "" {
 		o.Address = loopback.Reserve()
 	}
-	t := &Target{opts: o, slow: 1}
+	t := &Target{opts: o, slowFactor: 1}
 	t.counts.Runs = make(map[string]int)
 	if err := t.Boot(); err != nil {
 		return nil, trace.Wrap(err)
@@ -78,17 +80,18 @@
 	return t, nil
 }
 
-// Address returns its host:port, the same after a reboot.
+// Address returns the target's host:port. A reboot does not change it.
 func (t *Target) Address() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.address
 }
 
-// errRebooted is the cause of requests that a reboot cut.
+// errRebooted is the cancellation cause of requests that Down interrupted.
 var errRebooted = errors.New("target rebooted")
 
-// Boot starts a target that is down. It takes work, leaving or not before.
+// Boot starts a target that is down, and does nothing if it is up. A target that
+// was drained before accepts requests again.
 func (t *Target) Boot() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,70 +107,72 @@
 		return trace.Wrap(err)
 	}
 	t.address = l.Addr().String()
-	t.leaving, t.saysLeaving = false, false
-	t.booted, t.boot = context.WithCancelCause(context.Background())
+	t.leaving, t.reportsLeaving = false, false
+	t.bootCtx, t.cancelBoot = context.WithCancelCause(context.Background())
 	t.server = &http.Server{Handler: http.HandlerFunc(t.serve), ReadHeaderTimeout: time.Minute}
 	srv := t.server
 	go func() { _ = srv.Serve(l) }() // returns when Down closes it
 	return nil
 }
 
-// Down stops the target at once. Requests in flight are cut, and counted so.
+// Down stops the target immediately. Requests in flight are interrupted, and
+// counted as such.
 func (t *Target) Down() {
 	t.mu.Lock()
-	srv, cancel := t.server, t.boot
+	srv, cancel := t.server, t.cancelBoot
 	t.server = nil
 	t.mu.Unlock()
 	if srv == nil {
 		return
 	}
 	cancel(errRebooted)
-	_ = srv.Close() // nothing to do about a listener that does not close
+	_ = srv.Close() // a listener that fails to close cannot be helped
 }
 
-// Reboot is Down and Boot.
+// Reboot calls Down and then Boot.
 func (t *Target) Reboot() error {
 	t.Down()
 	return trace.Wrap(t.Boot())
 }
 
-// Drain makes the target leave: its health answer says so and it refuses
-// requests. Those in flight finish.
+// Drain makes the target report leaving in its health response and refuse new
+// requests. Requests in flight finish.
 func (t *Target) Drain() { t.setLeaving(true) }
 
-// SayLeaving makes the health answer say that it leaves, while requests are
-// still taken.
+// SayLeaving makes the target report leaving in its health response, while it
+// still accepts requests.
 func (t *Target) SayLeaving() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.saysLeaving = true
+	t.reportsLeaving = true
 }
 
-// Undrain takes Drain back.
+// Undrain reverts Drain and SayLeaving.
 func (t *Target) Undrain() { t.setLeaving(false) }
 
 func (t *Target) setLeaving(leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leaving = leaving
-	t.saysLeaving = t.saysLeaving && leaving
+	t.reportsLeaving = t.reportsLeaving && leaving
 }
 
-// SetSlow makes requests take factor times their service time.
+// SetSlow makes requests that start from now on take factor times their service
+// time.
 func (t *Target) SetSlow(factor float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.slow = factor
+	t.slowFactor = factor
 }
 
-// SetFault makes the next n requests meet the fault; n < 0 for all.
+// SetFault applies the fault to the next n requests, to all if n < 0.
 func (t *Target) SetFault(f Fault, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fault, t.faults = f, n
+	t.fault, t.faultsLeft = f, n
 }
 
-// Counts returns a copy of what the target saw so far.
+// Counts returns a copy of the counters.
 func (t *Target) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,14 +184,15 @@
 	return c
 }
 
-// InFlight returns the requests it is working on, as a runner reports them.
+// InFlight returns the number of requests that are running, as a runner would
+// report it.
 func (t *Target) InFlight() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.counts.Running
 }
 
-// HealthPath is where a target tells its health.
+// HealthPath is the path of a target's health check.
 const HealthPath = "/healthz"
 
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
@@ -197,7 +203,7 @@
 	f, ok := t.start(r)
 	if !ok {
 		if f == RefuseAfterBody {
-			_, _ = io.Copy(io.Discard, r.Body) // refused whatever it is
+			_, _ = io.Copy(io.Discard, r.Body) // refused whether or not the body can be read
 		}
 		w.Header().Set("Pumicestage-Outcome", "not-run")
 		w.Header().Set("Retry-After", "1")
@@ -208,20 +214,20 @@
 		t.finish(echo(w, r))
 		return
 	}
-	a := newAnswer(t.opts.ID, r)
-	how := t.work(r, f)
-	if how == done {
-		how = f.answer(w, r, a)
+	resp := newResponse(t.opts.ID, r)
+	end := t.work(r, f)
+	if end == completed {
+		end = f.respond(w, r, resp)
 	}
-	t.finish(how)
-	if how != done {
+	t.finish(end)
+	if end != completed {
 		panic(http.ErrAbortHandler)
 	}
 }
 
 func (t *Target) serveHealth(w http.ResponseWriter) {
 	t.mu.Lock()
-	leaving := t.leaving || t.saysLeaving
+	leaving := t.leaving || t.reportsLeaving
 	t.mu.Unlock()
 	if leaving {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -231,7 +237,8 @@
 	_, _ = w.Write([]byte("ok"))
 }
 
-// start counts the request in, or refuses it.
+// start counts the request as started or refused. It returns the request's fault,
+// and false if the request is refused.
 func (t *Target) start(r *http.Request) (Fault, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -251,64 +258,68 @@
 	return f, true
 }
 
+// nextFault returns the fault of the next request and counts it down. The caller
+// holds mu.
 func (t *Target) nextFault() Fault {
-	if t.faults == 0 {
+	if t.faultsLeft == 0 {
 		return None
 	}
-	if t.faults > 0 {
-		t.faults--
+	if t.faultsLeft > 0 {
+		t.faultsLeft--
 	}
 	return t.fault
 }
 
-// how a request ended at the target.
-type how int8
+// ending is how a request ended at the target.
+type ending int8
 
 const (
-	done how = iota
-	cut
+	completed ending = iota
+	interrupted
 	abandoned
 )
 
-// work takes the service time.
-func (t *Target) work(r *http.Request, f Fault) how {
+// work waits for the request's service time, or until the target goes down or the
+// client disconnects.
+func (t *Target) work(r *http.Request, f Fault) ending {
 	d := time.Duration(0)
 	if t.opts.ServiceTime != nil {
 		d = t.opts.ServiceTime(r)
 	}
 	t.mu.Lock()
-	d = time.Duration(float64(d) * t.slow)
-	booted := t.booted
+	d = time.Duration(float64(d) * t.slowFactor)
+	booted := t.bootCtx
 	t.mu.Unlock()
 	if f == Late {
-		d += lateBy
+		d += lateDelay
 	}
 	if d <= 0 {
-		return done
+		return completed
 	}
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return done
+		return completed
 	case <-booted.Done():
-		return cut
+		return interrupted
 	case <-r.Context().Done():
 		if booted.Err() != nil {
-			return cut
+			return interrupted
 		}
 		return abandoned
 	}
 }
 
-func (t *Target) finish(h how) {
+// finish counts a started request by how it ended.
+func (t *Target) finish(h ending) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.Running--
 	switch h {
-	case done:
+	case completed:
 		t.counts.Finished++
-	case cut:
+	case interrupted:
 		t.counts.Cut++
 	default:
 		t.counts.Abandoned++
