--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -148,9 +148,9 @@
 		},
 		OnUndrain: t.Undrain,
 		OnStop: func() int {
-			before := t.Counts().Cut
+			before := t.Counts().Interrupted
 			t.Down()
-			return t.Counts().Cut - before
+			return t.Counts().Interrupted - before
 		},
 		OnStart: func() {
 			if err := t.Boot(); err != nil {
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -38,7 +38,7 @@
 	for _, t := range c.targets {
 		counts := t.Counts()
 		started += counts.Started
-		cut += counts.Cut
+		cut += counts.Interrupted
 		abandoned += counts.Abandoned
 	}
 	fmt.Fprintf(o.Out, "targets    %d requests started, %d cut, %d abandoned by an entry VM, %d keys run twice\n",
--- a/internal/dev/report.go
+++ b/internal/dev/report.go
@@ -68,7 +68,7 @@
 	r.sent, r.ran, r.notRun, r.unknown = t.Sent(), t.Ran.Load(), t.NotRun.Load(), t.Unknown.Load()
 	r.broken, r.wrong, r.refused = t.Broken.Load(), t.Wrong.Load(), t.Refused.Load()
 	for _, target := range c.targets {
-		r.cut += target.Counts().Cut
+		r.cut += target.Counts().Interrupted
 	}
 	r.doubleRuns = c.doubleRuns()
 	r.falseNotRuns = c.falseNotRuns(t)
--- a/internal/faketarget/target.go
+++ b/internal/faketarget/target.go
@@ -32,17 +32,17 @@
 	Address string
 }
 
-// Counts are a Target's counters. Started = Finished + Cut + Abandoned + Running.
+// Counts are a Target's counters. Started = Finished + Interrupted + Abandoned + Running.
 type Counts struct {
-	Started   int
-	Finished  int // handled as configured, faulty responses included
-	Cut       int // in flight when the target was rebooted
-	Abandoned int // the client closed its connection first
-	Refused   int // refused before they started
-	Running   int
-	Peak      int            // maximum of Running so far
-	Runs      map[string]int // started requests per Idempotency-Key
-	LastStart time.Time      // when the latest request started
+	Started     int
+	Finished    int // handled as configured, faulty responses included
+	Interrupted int // in flight when the target was rebooted
+	Abandoned   int // the client closed its connection first
+	Refused     int // refused before they started
+	Running     int
+	Peak        int            // maximum of Running so far
+	Runs        map[string]int // started requests per Idempotency-Key
+	LastStart   time.Time      // when the latest request started
 }
 
 // Target is a fake target. It is safe for concurrent use.
@@ -320,7 +320,7 @@
 	case completed:
 		t.counts.Finished++
 	case interrupted:
-		t.counts.Cut++
+		t.counts.Interrupted++
 	default:
 		t.counts.Abandoned++
 	}
