--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -74,7 +74,7 @@
 			})
 		}},
 		{"digest", func(_ *testEnv, l *fakeLoads) { l.set("v0") }},
-		{"health", func(s *testEnv, _ *fakeLoads) { s.targets[0].SayLeaving() }},
+		{"health", func(s *testEnv, _ *fakeLoads) { s.targets[0].ReportLeaving() }},
 		{"refusal", func(s *testEnv, _ *fakeLoads) { s.targets[0].Drain() }},
 	}
 	for _, way := range ways {
--- a/internal/faketarget/target.go
+++ b/internal/faketarget/target.go
@@ -139,9 +139,9 @@
 // requests. Requests in flight finish.
 func (t *Target) Drain() { t.setLeaving(true) }
 
-// SayLeaving makes the target report leaving in its health response, while it
+// ReportLeaving makes the target report leaving in its health response, while it
 // still accepts requests.
-func (t *Target) SayLeaving() {
+func (t *Target) ReportLeaving() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reportsLeaving = true
