--- a/internal/faketarget/target.go
+++ b/internal/faketarget/target.go
@@ -147,7 +147,7 @@
 	t.reportsLeaving = true
 }
 
-// Undrain reverts Drain and SayLeaving.
+// Undrain reverts Drain and ReportLeaving.
 func (t *Target) Undrain() { t.setLeaving(false) }
 
 func (t *Target) setLeaving(leaving bool) {
