--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -1,8 +1,8 @@
-// Package prober learns which VMs are healthy, for availability budgets and
-// waves. Each VM is asked by two entry VMs of its own zone, whoever they are at
-// the moment; the answers go to all entry VMs in their digests, as one bit a
-// VM. So the cost for an entry VM falls as there are more of them, and one lost
-// entry VM leaves no VM unseen.
+// Package prober determines which VMs are healthy, for availability budgets and
+// waves. Each VM is probed by two entry VMs of its zone, selected by rendezvous
+// hashing among those whose digests arrive; the results reach all entry VMs in digests, as one
+// bit per VM. The load of an entry VM therefore falls as entry VMs are added, and
+// the loss of one leaves no VM without a prober.
 package prober
 
 import (
@@ -19,93 +19,98 @@
 )
 
 const (
-	// askEvery is how often a VM is asked: a budget is then counted against
-	// what was so two seconds ago, a fraction of the time any stop takes.
-	askEvery = 2 * time.Second
-	// askTimeout is above any healthy answer and below askEvery, so that
-	// rounds do not pile up behind VMs that hang.
-	askTimeout = time.Second
-	// fresh is how long an answer counts: two rounds missed, with the digest's
-	// second. Then the VM is unknown, and a budget counts unknown as down.
-	fresh = 3*askEvery + time.Second
-	// askers is how many entry VMs of its zone ask a VM.
-	askers = 2
-	// maxBody is all that is read of an answer.
+	// probeInterval is the time between probes of a VM. Budgets are thus checked
+	// against a state up to two seconds old, a fraction of the time that stopping
+	// a VM takes.
+	probeInterval = 2 * time.Second
+	// probeTimeout is longer than any healthy VM takes to respond, and shorter
+	// than probeInterval, so that VMs that hang do not delay the next round.
+	probeTimeout = time.Second
+	// maxResultAge is how long a result is valid: it allows for two missed rounds
+	// and one second for the digest. After it the VM's health is unknown, which a
+	// budget counts as down.
+	maxResultAge = 3*probeInterval + time.Second
+	// probersPerVM is the number of entry VMs of its zone that probe a VM.
+	probersPerVM = 2
+	// maxBody is the maximum number of bytes read from a response.
 	maxBody = 64
-	// atOnce bounds the questions under way, so that VMs that hang cost a
-	// small entry VM no more than some connections.
-	atOnce = 32
+	// maxConcurrentProbes bounds the concurrent probes, so that VMs that hang
+	// occupy only a few connections of a small entry VM.
+	maxConcurrentProbes = 32
 )
 
-// Peers shows the digests of the entry VMs that are heard.
+// Peers provides the newest digests of the entry VMs from which digests arrive.
 type Peers interface {
 	PeerDigests() []peer.PeerDigest
 }
 
-// Options are what a Prober needs; all but Dial must be set.
+// Options configures a Prober. All fields but Dial are required.
 type Options struct {
 	Self  model.EntryID
 	Zone  model.ZoneName
 	View  *view.Holder
 	Peers Peers
-	// Dial is the way to VMs; nil for plain TCP.
+	// Dial opens connections to VMs; nil for plain TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Prober asks VMs for their health. It is safe for concurrent use.
+// Prober probes the health of VMs. It is safe for concurrent use.
 type Prober struct {
 	opts   Options
 	client *http.Client
 
-	mu    sync.Mutex
-	seen  map[model.VMID]answer
-	names names // of the VMs by zone, in the order of the bits
+	mu         sync.Mutex
+	results    map[model.VMID]probeResult
+	orderCache vmOrderCache
 }
 
-type answer struct {
+// probeResult is the result of this entry VM's latest probe of a VM.
+type probeResult struct {
 	healthy bool
 	at      time.Time
 }
 
-// New returns a Prober; nothing is asked before Run.
+// New returns a Prober. It probes nothing before Run is called.
 func New(o Options) *Prober {
 	transport := &http.Transport{DialContext: o.Dial, MaxIdleConnsPerHost: 1}
 	return &Prober{
-		opts:   o,
-		client: &http.Client{Transport: transport, Timeout: askTimeout},
-		seen:   make(map[model.VMID]answer),
+		opts:    o,
+		client:  &http.Client{Transport: transport, Timeout: probeTimeout},
+		results: make(map[model.VMID]probeResult),
 	}
 }
 
-// Health returns what is known of a VM: first hand, or by the digests of the
-// entry VMs that ask it.
+// Health returns the health of a VM, from this entry VM's own probes if there is
+// a valid result, otherwise from the digests of the entry VMs in the VM's zone.
 func (p *Prober) Health(id model.VMID) model.Health {
 	p.mu.Lock()
-	own, asked := p.seen[id]
+	own, known := p.results[id]
 	p.mu.Unlock()
-	if asked && time.Since(own.at) <= fresh {
+	if known && time.Since(own.at) <= maxResultAge {
 		return healthOf(own.healthy)
 	}
-	return p.heard(id)
+	return p.peersHealth(id)
 }
 
-// heard looks for the VM's bit in the digests of its zone's entry VMs. One
-// that says healthy is enough: the others may not ask this VM.
-func (p *Prober) heard(id model.VMID) model.Health {
+// peersHealth returns the VM's health according to the digests of the entry VMs in
+// its zone. One digest that reports it healthy is enough, because most entry VMs
+// do not probe this VM.
+func (p *Prober) peersHealth(id model.VMID) model.Health {
 	vm, known := p.opts.View.Load().VMs[id]
 	if !known {
 		return model.HealthUnknown
 	}
-	list := p.list(vm.Zone)
+	order := p.order(vm.Zone)
 	for _, d := range p.opts.Peers.PeerDigests() {
-		same := d.Zone == vm.Zone && d.Vitals.List == list.hash
-		if same && time.Since(d.Heard) <= fresh && d.Vitals.Healthy(list.index[id]) {
+		relevant := d.Zone == vm.Zone && d.Vitals.List == order.hash
+		if relevant && time.Since(d.Heard) <= maxResultAge && d.Vitals.Healthy(order.index[id]) {
 			return model.HealthHealthy
 		}
 	}
 	return model.HealthUnknown
 }
 
+// healthOf converts the result of a probe.
 func healthOf(healthy bool) model.Health {
 	if healthy {
 		return model.HealthHealthy
@@ -113,81 +118,83 @@
 	return model.HealthDown
 }
 
-// Fill sets what this entry VM tells its peers of the VMs it asks.
+// Fill sets the digest's Vitals to the health of the VMs that this entry VM
+// probes.
 func (p *Prober) Fill(d *peer.Digest) {
-	list := p.list(p.opts.Zone)
-	bits := make([]byte, (len(list.index)+7)/8)
+	order := p.order(p.opts.Zone)
+	bits := make([]byte, (len(order.index)+7)/8)
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, i := range list.index {
-		if a := p.seen[id]; a.healthy && now.Sub(a.at) <= fresh {
+	for id, i := range order.index {
+		if a := p.results[id]; a.healthy && now.Sub(a.at) <= maxResultAge {
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
-	d.Vitals = peer.Vitals{List: list.hash, Bits: bits}
+	d.Vitals = peer.Vitals{List: order.hash, Bits: bits}
 }
 
-// Run asks until ctx ends.
+// Run probes VMs every probeInterval until ctx is done.
 func (p *Prober) Run(ctx context.Context) {
 	defer p.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		began := time.Now()
-		p.round(ctx)
-		rest := time.NewTimer(askEvery - time.Since(began))
+		start := time.Now()
+		p.probeAll(ctx)
+		timer := time.NewTimer(probeInterval - time.Since(start))
 		select {
 		case <-ctx.Done():
-		case <-rest.C:
+		case <-timer.C:
 		}
-		rest.Stop()
+		timer.Stop()
 	}
 }
 
-// round asks every VM that is this entry VM's to ask.
-func (p *Prober) round(ctx context.Context) {
-	var asked sync.WaitGroup
-	slots := make(chan struct{}, atOnce)
-	for _, vm := range p.share() {
+// probeAll probes every VM that is assigned to this entry VM.
+func (p *Prober) probeAll(ctx context.Context) {
+	var probes sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentProbes)
+	for _, vm := range p.assignedVMs() {
 		slots <- struct{}{}
-		asked.Go(func() {
+		probes.Go(func() {
 			defer func() { <-slots }()
-			healthy := p.ask(ctx, vm.Address)
+			healthy := p.probe(ctx, vm.Address)
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.seen[vm.ID] = answer{healthy, time.Now()}
+			p.results[vm.ID] = probeResult{healthy, time.Now()}
 		})
 	}
-	asked.Wait()
-	p.forget()
+	probes.Wait()
+	p.dropOldResults()
 }
 
-// forget drops VMs that are gone or are another's to ask.
-func (p *Prober) forget() {
+// dropOldResults deletes the results of VMs that were removed or are now probed by
+// other entry VMs.
+func (p *Prober) dropOldResults() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, a := range p.seen {
-		if now.Sub(a.at) > 2*fresh {
-			delete(p.seen, id)
+	for id, a := range p.results {
+		if now.Sub(a.at) > 2*maxResultAge {
+			delete(p.results, id)
 		}
 	}
 }
 
-// share returns the VMs of the own zone that this entry VM asks.
-func (p *Prober) share() []view.VMRecord {
-	zone := p.entries()
-	var mine []view.VMRecord
+// assignedVMs returns the VMs of its own zone that this entry VM probes.
+func (p *Prober) assignedVMs() []view.VMRecord {
+	others := p.zonePeers()
+	var assigned []view.VMRecord
 	for _, vm := range p.opts.View.Load().VMs {
-		if vm.Zone == p.opts.Zone && asks(p.opts.Self, vm.ID, zone) {
-			mine = append(mine, vm)
+		if vm.Zone == p.opts.Zone && isAssigned(p.opts.Self, vm.ID, others) {
+			assigned = append(assigned, vm)
 		}
 	}
-	return mine
+	return assigned
 }
 
-// entries returns the entry VMs of the own zone that are heard, without this
-// one.
-func (p *Prober) entries() []model.EntryID {
+// zonePeers returns the other entry VMs of this entry VM's zone from which digests
+// arrive.
+func (p *Prober) zonePeers() []model.EntryID {
 	var ids []model.EntryID
 	for _, d := range p.opts.Peers.PeerDigests() {
 		if d.Zone == p.opts.Zone {
@@ -197,10 +204,11 @@
 	return ids
 }
 
-// asks reports whether self is among the VM's askers. Entry VMs that see
-// different peers may both think so, or fewer than two: the former costs a
-// question, the latter shows as an unknown VM until the peers are seen alike.
-func asks(self model.EntryID, vm model.VMID, others []model.EntryID) bool {
+// isAssigned reports whether self is one of the VM's probers, by rendezvous
+// hashing. Entry VMs that see different peers may disagree, so that more or fewer
+// than two of them probe the VM: the former costs extra probes, the latter makes
+// the VM's health unknown until they see the same peers.
+func isAssigned(self model.EntryID, vm model.VMID, others []model.EntryID) bool {
 	own := peer.Rendezvous(string(vm), self)
 	above := 0
 	for _, id := range others {
@@ -208,12 +216,12 @@
 			above++
 		}
 	}
-	return above < askers
+	return above < probersPerVM
 }
 
-// ask reports whether the VM's target answers that it works. One that is
-// leaving does not: a budget counts what takes new work.
-func (p *Prober) ask(ctx context.Context, address string) bool {
+// probe reports whether the VM's target is healthy. A target that is leaving
+// counts as unhealthy, because budgets count VMs that accept new requests.
+func (p *Prober) probe(ctx context.Context, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/healthz", nil)
 	if err != nil {
 		return false
@@ -223,6 +231,6 @@
 		return false
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // read to its end, the connection is kept
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // read to the end, so that the connection is reused
 	return resp.StatusCode == http.StatusOK
 }
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -14,13 +14,13 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// digests are the peers' newest.
-type digests []peer.PeerDigest
+// fakePeers implements Peers with fixed digests.
+type fakePeers []peer.PeerDigest
 
-func (d digests) PeerDigests() []peer.PeerDigest { return d }
+func (d fakePeers) PeerDigests() []peer.PeerDigest { return d }
 
-// holder returns a view of the VMs.
-func holder(vms ...model.VM) *view.Holder {
+// viewOf returns a view whose snapshot holds the VMs.
+func viewOf(vms ...model.VM) *view.Holder {
 	h := view.NewHolder()
 	s := &view.Snapshot{VMs: make(map[model.VMID]view.VMRecord)}
 	for _, vm := range vms {
@@ -30,7 +30,8 @@
 	return h
 }
 
-func at(zone model.ZoneName, ids ...model.VMID) []model.VM {
+// vmsIn returns VMs of the zone with the given IDs.
+func vmsIn(zone model.ZoneName, ids ...model.VMID) []model.VM {
 	var vms []model.VM
 	for _, id := range ids {
 		vms = append(vms, model.VM{ID: id, Zone: zone})
@@ -38,13 +39,13 @@
 	return vms
 }
 
-// A budget must not count a VM that nobody has seen healthy just now: not by
-// old digests, not by the bits of another list of VMs, in which the same place
-// means another VM, and not by a zone that does not ask it.
-func TestHealthByDigests(t *testing.T) {
-	vms := at("zb", "v1", "v2")
-	l := listOf([]model.VMID{"v1", "v2"})
-	up := peer.Vitals{List: l.hash, Bits: []byte{0b01}}
+// A budget must not count a VM that was not recently seen healthy. Old digests,
+// digests with another VM order, in which the same bit means another VM, and
+// digests from another zone must not make a VM healthy.
+func TestHealthFromDigests(t *testing.T) {
+	vms := vmsIn("zb", "v1", "v2")
+	order := orderOf([]model.VMID{"v1", "v2"})
+	up := peer.Vitals{List: order.hash, Bits: []byte{0b01}}
 	digest := func(zone model.ZoneName, v peer.Vitals, age time.Duration) peer.PeerDigest {
 		return peer.PeerDigest{Digest: peer.Digest{Entry: "e2", Zone: zone, Vitals: v}, Heard: time.Now().Add(-age)}
 	}
@@ -56,23 +57,24 @@
 	}{
 		{"seen healthy", digest("zb", up, 0), "v1", model.HealthHealthy},
 		{"not seen healthy", digest("zb", up, 0), "v2", model.HealthUnknown},
-		{"old digest", digest("zb", up, 2*fresh), "v1", model.HealthUnknown},
-		{"another list", digest("zb", peer.Vitals{List: 7, Bits: []byte{0b11}}, 0), "v1", model.HealthUnknown},
-		{"another zone's word", digest("zc", up, 0), "v1", model.HealthUnknown},
-		{"short bits", digest("zb", peer.Vitals{List: l.hash}, 0), "v1", model.HealthUnknown},
+		{"old digest", digest("zb", up, 2*maxResultAge), "v1", model.HealthUnknown},
+		{"another order", digest("zb", peer.Vitals{List: 7, Bits: []byte{0b11}}, 0), "v1", model.HealthUnknown},
+		{"digest of another zone", digest("zc", up, 0), "v1", model.HealthUnknown},
+		{"short bits", digest("zb", peer.Vitals{List: order.hash}, 0), "v1", model.HealthUnknown},
 		{"unknown VM", digest("zb", up, 0), "v9", model.HealthUnknown},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			p := New(Options{Self: "e1", Zone: "za", View: holder(vms...), Peers: digests{tc.digest}})
+			p := New(Options{Self: "e1", Zone: "za", View: viewOf(vms...), Peers: fakePeers{tc.digest}})
 			assert.Equal(t, p.Health(tc.vm), tc.want)
 		})
 	}
 }
 
-// A target says that it is leaving, another is gone: neither takes new work,
-// so a budget must not count them, and peers must not be told that they do.
-func TestRoundAsksTargets(t *testing.T) {
+// One target reports that it is leaving, another is down. Neither accepts new
+// requests, so both must count as down, and the digest for peers must not report
+// them as healthy.
+func TestProbesTargets(t *testing.T) {
 	targets := make(map[model.VMID]*faketarget.Target)
 	var vms []model.VM
 	for _, id := range []model.VMID{"gone", "leaving", "well"} {
@@ -84,9 +86,9 @@
 	}
 	targets["gone"].Down()
 	targets["leaving"].Drain()
-	p := New(Options{Self: "e1", Zone: "za", View: holder(vms...), Peers: digests{}})
+	p := New(Options{Self: "e1", Zone: "za", View: viewOf(vms...), Peers: fakePeers{}})
 
-	p.round(context.Background())
+	p.probeAll(context.Background())
 
 	assert.Equal(t, p.Health("well"), model.HealthHealthy)
 	assert.Equal(t, p.Health("leaving"), model.HealthDown)
@@ -96,59 +98,60 @@
 	assert.DeepEqual(t, d.Vitals.Bits, []byte{0b100})
 }
 
-// However many entry VMs a zone has, each VM has askers, so that none is
-// unknown for ever, and no more than two, so that the cost is shared.
-func TestEachVMHasTwoAskers(t *testing.T) {
+// Whatever the number of entry VMs in a zone, each VM must have a prober, or its
+// health would stay unknown, and no more than two, so that the load is shared.
+func TestEachVMHasTwoProbers(t *testing.T) {
 	for n := 1; n <= 8; n++ {
 		t.Run(fmt.Sprintf("%d entry VMs", n), func(t *testing.T) {
 			for i := range 200 {
 				vm := model.VMID(fmt.Sprintf("v%d", i))
-				assert.Equal(t, askersOf(vm, n), min(n, askers))
+				assert.Equal(t, countProbers(vm, n), min(n, probersPerVM))
 			}
 		})
 	}
 }
 
-func askersOf(vm model.VMID, n int) int {
+// countProbers returns how many of n entry VMs consider themselves probers of vm.
+func countProbers(vm model.VMID, n int) int {
 	var ids []model.EntryID
 	for i := range n {
 		ids = append(ids, model.EntryID(fmt.Sprintf("e%d", i)))
 	}
-	asking := 0
+	count := 0
 	for i, id := range ids {
 		others := append(append([]model.EntryID{}, ids[:i]...), ids[i+1:]...)
-		if asks(id, vm, others) {
-			asking++
+		if isAssigned(id, vm, others) {
+			count++
 		}
 	}
-	return asking
+	return count
 }
 
-// BenchmarkAsk is the cost of one health question, both sides of it.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkProbe measures one health probe, including the work of the target.
+func BenchmarkProbe(b *testing.B) {
 	target, err := faketarget.Start(faketarget.Options{ID: "v"})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer target.Down()
-	p := New(Options{Self: "e1", Zone: "za", View: holder(), Peers: digests{}})
+	p := New(Options{Self: "e1", Zone: "za", View: viewOf(), Peers: fakePeers{}})
 	b.ReportAllocs()
 	for b.Loop() {
-		if !p.ask(context.Background(), target.Address()) {
+		if !p.probe(context.Background(), target.Address()) {
 			b.Fatal("not healthy")
 		}
 	}
 }
 
-// BenchmarkFill is the cost of one digest's bits for 600 VMs of a zone.
+// BenchmarkFill measures computing the digest's bits for a zone of 600 VMs.
 func BenchmarkFill(b *testing.B) {
 	var ids []model.VMID
 	for i := range 600 {
 		ids = append(ids, model.VMID(fmt.Sprintf("v%04d", i)))
 	}
-	p := New(Options{Self: "e1", Zone: "za", View: holder(at("za", ids...)...), Peers: digests{}})
+	p := New(Options{Self: "e1", Zone: "za", View: viewOf(vmsIn("za", ids...)...), Peers: fakePeers{}})
 	for _, id := range ids {
-		p.seen[id] = answer{true, time.Now().Add(time.Hour)}
+		p.results[id] = probeResult{true, time.Now().Add(time.Hour)}
 	}
 	var d peer.Digest
 	b.ReportAllocs()
