--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -242,7 +242,7 @@
 // fillDigest sets what peers are told beside what the mesh knows itself.
 func (d *Daemon) fillDigest(dg *peer.Digest) {
 	d.entry.FillDigest(dg)
-	d.prober.Fill(dg)
+	d.prober.FillDigest(dg)
 }
 
 // soon reports whether a VM is about to be maintained.
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -1,8 +1,8 @@
 // Package prober determines which VMs are healthy, for availability budgets and
 // waves. Each VM is probed by two entry VMs of its zone, selected by rendezvous
-// hashing among those whose digests arrive; the results reach all entry VMs in digests, as one
-// bit per VM. The load of an entry VM therefore falls as entry VMs are added, and
-// the loss of one leaves no VM without a prober.
+// hashing among those whose digests arrive; the results reach all entry VMs in
+// digests, as one bit per VM. The load of an entry VM therefore falls as entry VMs
+// are added, and the loss of one leaves no VM without a prober.
 package prober
 
 import (
@@ -118,9 +118,9 @@
 	return model.HealthDown
 }
 
-// Fill sets the digest's Vitals to the health of the VMs that this entry VM
+// FillDigest sets the digest's Vitals to the health of the VMs that this entry VM
 // probes.
-func (p *Prober) Fill(d *peer.Digest) {
+func (p *Prober) FillDigest(d *peer.Digest) {
 	order := p.order(p.opts.Zone)
 	bits := make([]byte, (len(order.index)+7)/8)
 	now := time.Now()
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -94,7 +94,7 @@
 	assert.Equal(t, p.Health("leaving"), model.HealthDown)
 	assert.Equal(t, p.Health("gone"), model.HealthDown)
 	var d peer.Digest
-	p.Fill(&d)
+	p.FillDigest(&d)
 	assert.DeepEqual(t, d.Vitals.Bits, []byte{0b100})
 }
 
@@ -156,7 +156,7 @@
 	var d peer.Digest
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Fill(&d)
+		p.FillDigest(&d)
 	}
 	b.ReportMetric(float64(len(d.Vitals.Bits)), "bytes/digest")
 }
