--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -76,12 +76,14 @@
 	}
 }
 
+// isClosed reports whether close was called.
 func (a *admission) isClosed() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.closed
 }
 
+// inFlight returns the count of admitted requests and their background work.
 func (a *admission) inFlight() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -28,6 +28,7 @@
 	failed   atomic.Value // *bodyFailure: why reading the caller's body failed, errTooLarge included
 }
 
+// errTooLarge is returned if a streamed body exceeds BodyBytes.
 var errTooLarge = errors.New("request body exceeds the size limit")
 
 func newRequestBody(w http.ResponseWriter, r *http.Request, l Limits) *requestBody {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -210,18 +210,18 @@
 // the deadline passed, the caller disconnected or its body failed, and whether
 // bytes may have been sent.
 func (f *forwarder) resultWithoutResponse(e *exchange, sent bool, start time.Time) result {
-	late := errors.Is(context.Cause(e.sendCtx), errDeadline)
-	gone := e.sendCtx.Err() != nil && !late
+	timedOut := errors.Is(context.Cause(e.sendCtx), errDeadline)
+	callerGone := e.sendCtx.Err() != nil && !timedOut
 	switch {
 	case e.body.failure() != nil:
 		return f.newResult(dispatch.Abandoned, start, e.body.failure())
-	case gone && sent:
+	case callerGone && sent:
 		return f.newResult(dispatch.Abandoned, start, problemTargetFailed())
-	case gone:
+	case callerGone:
 		return f.newResult(dispatch.Abandoned, start, problemUnreachable())
-	case late && sent:
+	case timedOut && sent:
 		return f.newResult(dispatch.Failed, start, problemTimeout("the target did not answer in time", Unknown))
-	case late:
+	case timedOut:
 		return f.newResult(dispatch.Failed, start, problemTimeout("the target was not reached in time", NotRun))
 	case sent:
 		return f.newResult(dispatch.Failed, start, problemTargetFailed())
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -32,6 +32,7 @@
 
 func (m *metrics) outcome(o Outcome) { m.outcomes.Add(string(o), 1) }
 
+// problem counts a problem document by its type and outcome.
 func (m *metrics) problem(p *Problem) {
 	m.outcome(p.Outcome)
 	m.problems.Add(p.Type, 1)
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -129,6 +129,7 @@
 	delete(o.keys, key)
 }
 
+// errNoClaimStore is the cause if Options.Claims is nil.
 var errNoClaimStore = errors.New("no claim store is configured")
 
 // requestDigest returns a digest of the request's method, path, query and body,
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -146,6 +146,7 @@
 	return d.Service(name)
 }
 
+// notFound handles requests whose path is not below /services/.
 func (s *Server) notFound(w http.ResponseWriter, r *http.Request) {
 	s.answer(w, r, problemNoService(model.ServiceName(r.URL.Path)), r.ContentLength != 0)
 }
--- a/internal/entry/spareconn.go
+++ b/internal/entry/spareconn.go
@@ -25,6 +25,7 @@
 	closed  bool
 }
 
+// spareConn is an open connection that no request has used.
 type spareConn struct {
 	conn  net.Conn
 	timer *time.Timer // closes conn after maxSpareAge
--- a/internal/faketarget/target.go
+++ b/internal/faketarget/target.go
@@ -195,6 +195,7 @@
 // HealthPath is the path of a target's health check.
 const HealthPath = "/healthz"
 
+// serve handles the health check and all other requests.
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == HealthPath {
 		t.serveHealth(w)
