--- a/internal/engine/committer.go
+++ b/internal/engine/committer.go
@@ -112,7 +112,7 @@
 		call, cancel := context.WithTimeout(ctx, storeTimeout)
 		res, err := w.engine.Store.Txn(call, c.txn(b))
 		cancel()
-		w.engine.Metrics.txn(err)
+		w.engine.Metrics.countTxn(err)
 		if err != nil && ctx.Err() != nil {
 			b.mayBeStored = true
 			w.abandon(b)
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -180,8 +180,8 @@
 		return 0
 	})
 	c.startsDeferred = false
-	c.openAccounts(now)
-	defer c.closeAccounts()
+	c.beginPlanAccounting(now)
+	defer c.endPlanAccounting()
 	workers := c.snapshots(now)
 	if len(workers) == 0 {
 		return
@@ -197,7 +197,7 @@
 		}
 		// Steps that fit on no worker, or not within their workspace's limit, are skipped
 		// before their tasks are examined: hundreds of them may wait.
-		if !planner.MayFit(v.step.spec) || v.step.exhausted(planner) {
+		if !planner.MayFit(v.step.spec) || v.step.shareExhausted(planner) {
 			continue
 		}
 		c.requestTrials(v.step, now)
@@ -205,7 +205,7 @@
 		if s == nil {
 			continue
 		}
-		s.Tasks = s.Tasks[:v.step.allowed(len(s.Tasks), planner)]
+		s.Tasks = s.Tasks[:v.step.startableWithinLimit(len(s.Tasks), planner)]
 		if len(s.Tasks) == 0 {
 			continue
 		}
@@ -214,7 +214,7 @@
 		}
 		for _, p := range planner.Place(s) {
 			c.issueStart(p, now, out)
-			v.step.spend()
+			v.step.chargeStart()
 		}
 	}
 	c.recordOtherWaiting(ws, now)
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -33,7 +33,7 @@
 	ctx      context.Context           // electors run until it ends; nil before start is called
 	electing map[string]bool           // duties with an elector
 	engines  map[string]*engine.Engine // by cell
-	load     ownership.Load
+	load     ownership.DutyCounter
 	wg       sync.WaitGroup
 }
 
@@ -72,8 +72,8 @@
 	n := d.node
 	e := ownership.New(ownership.Options{
 		Duty: duty, Store: n.store, Directory: n.directory, Self: n.self, Weight: n.settings.weight(),
-		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Load: &d.load,
-		LeastTTL: n.settings.MinTTL, Own: own, HandOver: n.leases.handOver, Behind: n.delay.MaxDelay,
+		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Duties: &d.load,
+		MinTTL: n.settings.MinTTL, RunTerm: own, RevokeLater: n.leases.handOver, SchedulingDelay: n.delay.MaxDelay,
 	})
 	ctx := d.ctx
 	d.wg.Go(func() { e.Run(ctx) })
@@ -214,7 +214,7 @@
 
 func (d *duties) notifyCell(cell string, names []work.WorkspaceName) error {
 	if e := d.engine(cell); e != nil {
-		return e.LookAtLimits(names)
+		return e.RecheckLimits(names)
 	}
 	owner, known := d.cellOwner(cell)
 	if !known || owner.Entry == d.node.self.Entry {
@@ -222,7 +222,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	return d.node.link.LookAtLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
+	return d.node.link.RecheckLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
 }
 
 func (d *duties) cellOwner(cell string) (ownership.Record, bool) {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -42,9 +42,9 @@
 		expvar.Publish("stops", m.engine.Stops)
 		expvar.Publish("polls", m.engine.Polls)
 		expvar.Publish("store_txns", m.engine.Txns)
-		expvar.Publish("vm_orders", m.engine.VMs)
-		expvar.Publish("limit_shares", m.engine.Shares)
-		expvar.Publish("runs_lost", m.engine.Lost)
+		expvar.Publish("vm_orders", m.engine.VMOrders)
+		expvar.Publish("limit_shares", m.engine.ShareChanges)
+		expvar.Publish("runs_lost", m.engine.LostRuns)
 	})
 	return m
 }
