--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -163,7 +163,7 @@
 			}
 			assert.Assert(t, outcomes[tc.outcome] > 0, "%v", outcomes)
 			assert.Equal(t, outcomes[Unknown], 0)
-			assert.Equal(t, s.started(), outcomes[Ran], "a request reported as not-run was started")
+			assert.Equal(t, s.started(), outcomes[Ran], "targets must start exactly the requests that are reported as ran")
 		})
 	}
 }
