--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -230,19 +230,19 @@
 	})
 	d.maintenance = &maintenance{fleet: d.fleet}
 	d.jobs = jobs.New(jobs.Options{
-		Store:    d.store,
-		Machines: d.machines,
-		View:     d.view,
-		Self:     d.self.ID,
-		Soon:     d.soon,
-		Log:      d.log.WithName("jobs"),
+		Store:           d.store,
+		Machines:        d.machines,
+		View:            d.view,
+		Self:            d.self.ID,
+		MaintenanceSoon: d.soon,
+		Log:             d.log.WithName("jobs"),
 	})
 }
 
 // fillDigest sets what peers are told beside what the mesh knows itself.
 func (d *Daemon) fillDigest(dg *peer.Digest) {
 	d.entry.FillDigest(dg)
-	d.prober.Fill(dg)
+	d.prober.FillDigest(dg)
 }
 
 // soon reports whether a VM is about to be maintained.
