--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -307,9 +307,9 @@
 // steps without an image, per queue (see learnKey).
 type estimateRatios map[string]float64
 
-// learnWeight is the weight of the newest task in the moving averages of estimateRatios. Run times within one
-// queue differ from their estimates by half and more; with a weight of a tenth the average
-// follows a change within about thirty tasks, and a single outlier hardly moves it.
+// learnWeight is the weight of the newest task in the moving averages of estimateRatios. Run
+// times within one queue differ from their estimates by half and more; with a weight of a tenth
+// the average follows a change within about thirty tasks, and a single outlier hardly moves it.
 const learnWeight = 0.1
 
 // learnKey returns the key of estimateRatios that the step's tasks share: the image or the queue.
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -164,12 +164,14 @@
 type Queue struct {
 	Name        string
 	Service     string
-	Priority    int           // 0 comes first
-	MaxAttempts int           // failed runs of a task after which its job fails; 0: unlimited
-	Stretch     float64       // a job's objective is Stretch times the length of its critical path, plus Slack; below 1 counts as 1
-	Slack       time.Duration // see Stretch
-	Advised     bool          // starts need a ticket of the advisor
-	Open        bool          // callers need no key
+	Priority    int // 0 comes first
+	MaxAttempts int // failed runs of a task after which its job fails; 0: unlimited
+	// A job's objective is Stretch times the length of its critical path, plus Slack. A Stretch
+	// below 1 counts as 1.
+	Stretch float64
+	Slack   time.Duration
+	Advised bool // starts need a ticket of the advisor
+	Open    bool // callers need no key
 }
 
 // Service is the configuration of a service, which has a pool of VMs.
