--- a/internal/devjobs/run.go
+++ b/internal/devjobs/run.go
@@ -190,8 +190,8 @@
 		}
 	}
 	r.wave = time.Since(began)
-	r.done, r.twice = d.Platform.Witness.Done(), d.Platform.Witness.Twice()
-	r.over = d.Platform.Witness.Over()
+	r.done, r.twice = d.Platform.Recorder.Done(), d.Platform.Recorder.Twice()
+	r.over = d.Platform.Recorder.Over()
 	return r, nil
 }
 
