--- a/internal/devjobs/keyed.go
+++ b/internal/devjobs/keyed.go
@@ -41,7 +41,7 @@
 		caller.Key = exampleWorkspace.Keys[1]
 	}
 	job := standin.Job{ID: standin.JobID(firstKeyed + k.accepted), Spec: onceSpec, Tasks: onceTasks}
-	d.Platform.Recorder.Belongs(job.ID, exampleWorkspace.Name)
+	d.Platform.Recorder.SetWorkspace(job.ID, exampleWorkspace.Name)
 	if err := d.handInBy(ctx, &caller, job, k.accepted); err != nil {
 		return err
 	}
