--- a/internal/devjobs/run.go
+++ b/internal/devjobs/run.go
@@ -190,7 +190,7 @@
 		}
 	}
 	r.wave = time.Since(began)
-	r.done, r.twice = d.Platform.Recorder.Done(), d.Platform.Recorder.DuplicateRuns()
+	r.done, r.twice = d.Platform.Recorder.CompletedRuns(), d.Platform.Recorder.DuplicateRuns()
 	r.over = d.Platform.Recorder.LimitViolations()
 	return r, nil
 }
