--- a/internal/devjobs/deployment.go
+++ b/internal/devjobs/deployment.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if err := p.Declare(firstVersion, o.Services, o.Queues, o.Workspaces); err != nil {
+	if err := p.ConfigureWorkspaces(firstVersion, o.Services, o.Queues, o.Workspaces); err != nil {
 		p.Close()
 		return nil, trace.Wrap(err)
 	}
--- a/internal/devjobs/keyed.go
+++ b/internal/devjobs/keyed.go
@@ -53,7 +53,7 @@
 func (k *keyedPlay) revoke(ctx context.Context, d *Deployment) error {
 	later := exampleWorkspace
 	later.Keys = later.Keys[1:]
-	if err := d.Platform.Declare(revokedVersion, exampleServices, exampleQueues, []standin.Workspace{later}); err != nil {
+	if err := d.Platform.ConfigureWorkspaces(revokedVersion, exampleServices, exampleQueues, []standin.Workspace{later}); err != nil {
 		return trace.Wrap(err)
 	}
 	began := time.Now()
