--- a/internal/devjobs/run.go
+++ b/internal/devjobs/run.go
@@ -199,7 +199,7 @@
 // maintenance; the next begin under their IDs.
 func (d *Deployment) restartWorkers() error {
 	for vm := range onceRestarts {
-		if err := d.Platform.StartAgain(vm); err != nil {
+		if err := d.Platform.RestartWorker(vm); err != nil {
 			return trace.Wrap(err)
 		}
 	}
