--- a/internal/devjobs/run.go
+++ b/internal/devjobs/run.go
@@ -21,7 +21,7 @@
 	exampleKeyed    = standin.Caller{Host: example.Host, Prefix: "/checks/", Key: "key-1"}
 	exampleQueues   = []standin.Queue{
 		{Name: "weights", Host: example.Host, Prefix: example.Prefix, Service: "weighting", Attempts: 3},
-		{Name: "checks", Host: exampleKeyed.Host, Prefix: exampleKeyed.Prefix, Service: "weighting", Attempts: 3, Keyed: true},
+		{Name: "checks", Host: exampleKeyed.Host, Prefix: exampleKeyed.Prefix, Service: "weighting", Attempts: 3, RequiresKey: true},
 	}
 	exampleWorkspace = standin.Workspace{Name: "red", Keys: []string{exampleKeyed.Key, "key-2"}, Weight: 1, Tasks: 6}
 )
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -30,7 +30,7 @@
 )
 
 func declared(version int, w standin.Workspace) []byte {
-	raw, err := standin.Configuration(version, []standin.Service{{Name: "s"}}, []standin.Queue{{Name: "q", Service: "s", Keyed: true}}, []standin.Workspace{w})
+	raw, err := standin.Configuration(version, []standin.Service{{Name: "s"}}, []standin.Queue{{Name: "q", Service: "s", RequiresKey: true}}, []standin.Workspace{w})
 	if err != nil {
 		panic(err) // plain strings and numbers always encode
 	}
