--- a/internal/engine/inbox_test.go
+++ b/internal/engine/inbox_test.go
@@ -26,16 +26,18 @@
 func (f *fakeTerm) End(reason string)           { f.ended = reason }
 func (f *fakeTerm) Relieve()                    { f.ended = "relieved" }
 
-type stillClock struct{}
+// fixedClock is a clock that does not move.
+type fixedClock struct{}
 
-func (stillClock) Now() time.Duration { return time.Minute }
-func (stillClock) Wall() time.Time    { return epoch }
+func (fixedClock) Now() time.Duration { return time.Minute }
+func (fixedClock) Wall() time.Time    { return epoch }
 
+// newEngine returns an engine that counts as restored, and its store.
 func newEngine(t *testing.T, term Term) (*Engine, infra.Store) {
 	t.Helper()
 	store := memstore.New(clockwork.NewFakeClock())
 	e := New(Options{
-		Cell: service, Store: store, Clock: stillClock{}, Log: logr.Discard(), Term: term,
+		Cell: service, Store: store, Clock: fixedClock{}, Log: logr.Discard(), Term: term,
 		Registry: func() []WorkerInfo { return nil },
 		Declared: func() Declared { return Declared{} },
 	})
@@ -43,43 +45,46 @@
 	return e, store
 }
 
-// storeWithNote stores a job as an entry VM does that can't reach the owner.
-func storeWithNote(t *testing.T, store infra.Store, id work.JobID) string {
+// storeWithMessage stores a job and an inbox message, as an entry VM does that can't reach the
+// owner. It returns the message's key.
+func storeWithMessage(t *testing.T, store infra.Store, id work.JobID) string {
 	t.Helper()
 	ops, err := CreateOps(service, &work.Job{ID: id, Queue: queue, Steps: []work.Step{short(1)}}, Queue{Name: queue, Service: service})
 	assert.NilError(t, err)
-	note := infra.WorkInboxKey(service, NoteSubmit, string(id))
-	_, err = store.Txn(context.Background(), infra.Txn{Then: append(ops, infra.Put(note, nil))})
+	key := infra.WorkInboxKey(service, InboxSubmit, string(id))
+	_, err = store.Txn(context.Background(), infra.Txn{Then: append(ops, infra.Put(key, nil))})
 	assert.NilError(t, err)
-	return note
+	return key
 }
 
-func TestJobsThatEntryVMsStoredAreFoundByTheirNotes(t *testing.T) {
+// Guards against jobs that are accepted and never run: the owner must add jobs that entry VMs stored
+// without reaching it, and then delete their messages.
+func TestJobsThatEntryVMsStoredAreFoundByInboxMessages(t *testing.T) {
 	e, store := newEngine(t, &fakeTerm{certain: true})
-	note := storeWithNote(t, store, "j1")
-	assert.NilError(t, e.readNotes(context.Background(), []string{note}))
+	key := storeWithMessage(t, store, "j1")
+	assert.NilError(t, e.handleMessages(context.Background(), []string{key}))
 	assert.Assert(t, e.core.Known("j1"))
-	kv, _, err := store.Get(context.Background(), note)
+	kv, _, err := store.Get(context.Background(), key)
 	assert.NilError(t, err)
-	assert.Equal(t, kv.ModRevision, infra.Revision(0), "read notes are removed")
+	assert.Equal(t, kv.ModRevision, infra.Revision(0), "handled messages are deleted")
 }
 
-// A job runs twice as a cut heals. The owner inside it, whose lease had lapsed,
-// could read the store again for a moment, found a note, and started a job that
-// its successor had found by the same note.
-func TestAnOwnerThatIsNotCertainLeavesNotesToItsSuccessor(t *testing.T) {
+// Guards against a job that runs twice when a network partition heals: the partitioned owner, whose
+// lease had expired, could read the store again for a moment, found an inbox message and started a
+// job that its successor had started because of the same message.
+func TestAnOwnerThatIsNotCertainLeavesInboxMessagesToItsSuccessor(t *testing.T) {
 	term := &fakeTerm{}
 	e, store := newEngine(t, term)
-	note := storeWithNote(t, store, "j1")
-	assert.Assert(t, e.readNotes(context.Background(), []string{note}) != nil)
+	key := storeWithMessage(t, store, "j1")
+	assert.Assert(t, e.handleMessages(context.Background(), []string{key}) != nil)
 	assert.Assert(t, !e.core.Known("j1"))
-	kv, _, err := store.Get(context.Background(), note)
+	kv, _, err := store.Get(context.Background(), key)
 	assert.NilError(t, err)
-	assert.Assert(t, kv.ModRevision != 0, "the note is the successor's")
+	assert.Assert(t, kv.ModRevision != 0, "the message is left to the successor")
 }
 
-// A VM is maintained under running tasks. The owner of its cell had lost its lease
-// and answered the fleet's owner from old books, while its successor used the VM.
+// Guards against maintenance of a VM under running tasks: the owner of the VM's cell had lost its
+// lease and answered the fleet's owner from outdated state, while its successor used the VM.
 func TestAnOwnerThatIsNotCertainAnswersNothingToTheFleet(t *testing.T) {
 	term := &fakeTerm{certain: true}
 	e, _ := newEngine(t, term)
--- a/internal/engine/limits_test.go
+++ b/internal/engine/limits_test.go
@@ -28,7 +28,7 @@
 
 func (r *limitRig) limitedCore(token, tasks int64) *Core {
 	bounds := rigBounds
-	bounds.ConfigWithin = configWithin
+	bounds.MaxConfigDelay = configWithin
 	c := r.successorWithin(token, bounds)
 	r.limit(c, 2, tasks)
 	return c
@@ -36,7 +36,7 @@
 
 // limit declares a limit of so many tasks of short's size.
 func (r *limitRig) limit(c *Core, version, tasks int64) {
-	c.Declare(Declared{
+	c.Configure(Declared{
 		Version: version, Queues: c.declared.Queues,
 		Services:   map[string]Service{service: {Name: service}, otherCell: {Name: otherCell}},
 		Workspaces: map[work.WorkspaceName]workspace.Workspace{redName: {Name: redName, Limit: short(1).Size.Times(tasks)}},
@@ -53,7 +53,7 @@
 	var last workspace.Ledger
 	for _, claim := range claims {
 		r.rev++
-		r.core.Claimed(claim, r.rev)
+		r.core.ClaimStored(claim, r.rev)
 		last = claim.Ledger
 	}
 	return last
@@ -64,7 +64,7 @@
 	raw, err := json.Marshal(l)
 	assert.NilError(r.t, err)
 	r.rev++
-	c.LedgerRead(redName, raw, r.rev)
+	c.ApplyLedger(redName, raw, r.rev)
 }
 
 func (r *limitRig) account() *account { return r.core.limits.of(redName) }
@@ -84,7 +84,7 @@
 	assert.Equal(t, len(r.plan().Starts), 1, "what was left is there at once")
 	assert.Assert(t, r.account().ledger.UnmetNeeds[service] > 0, "the other cell is to lend")
 	r.ledger(r.core, workspace.Ledger{Allocated: map[string]workspace.Parts{service: 5500, otherCell: 0}})
-	r.now += reviewEvery
+	r.now += reviewInterval
 	r.store(r.core.Claims(r.now))
 	assert.Equal(t, len(r.plan().Starts), 5)
 	assert.Equal(t, len(r.plan().Starts), 0)
@@ -98,7 +98,7 @@
 	for range 5 {
 		r.acceptRed("j1", short(4))
 		r.plan()
-		r.now += reviewEvery
+		r.now += reviewInterval
 		assert.Equal(t, len(r.core.Claims(r.now)), 0)
 	}
 }
@@ -131,7 +131,7 @@
 	r.acceptRed("j1", short(12))
 	r.now += configWithin
 	assert.Equal(t, len(r.plan().Starts), 2, "a twentieth for each of two cells")
-	assert.Assert(t, r.core.usesShares(), "so that the configuration is read")
+	assert.Assert(t, r.core.exceedsProvisionalShare(), "so that the configuration is read")
 	r.core.Confirm(r.now)
 	assert.Equal(t, len(r.plan().Starts), 10)
 }
@@ -144,14 +144,14 @@
 	old := &JobRecord{Job: &work.Job{ID: "j0", Queue: queue, Workspace: redName, Steps: []work.Step{short(3)}, Accepted: r.wall}}
 	next := r.limitedCore(token+1, 8)
 	next.Restore(old, nil, r.now, r.wall)
-	next.Inherit(r.now + inheritedFor())
+	next.InheritLeases(r.now + inheritedLeaseTime())
 	next.SetFleet([]work.VM{vm("v1", "w1"), vm("v2", "w2")})
 	r.core = next
-	next.WorkerSeen(info("w1"))
+	next.WorkerRegistered(info("w1"))
 	r.worker("w2")
 	r.acceptRed("j1", short(4))
 	assert.Equal(t, len(r.plan().Starts), 0, "three may run on w1, and three are the cell's")
-	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
+	r.poll("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
 	assert.Equal(t, len(r.plan().Starts), 2, "one did")
 }
 
@@ -167,9 +167,9 @@
 	r.core.Cancel("j1", func(error) {})
 	r.acceptRed("j2", short(3))
 	assert.Equal(t, len(r.plan().Starts), 0)
-	r.look("w1", Listing{Running: []Run{run(o.Starts[0])}, Ended: []RunEnd{ended(1, o.Starts[1], work.Stopped), ended(2, o.Starts[2], work.Stopped)}})
+	r.poll("w1", Listing{Running: []Run{run(o.Starts[0])}, Ended: []RunEnd{ended(1, o.Starts[1], work.Stopped), ended(2, o.Starts[2], work.Stopped)}})
 	assert.Equal(t, len(r.plan().Starts), 2)
-	r.core.workers["w1"].strayed(o.Starts[1].Start.Task, 1)
+	r.core.workers["w1"].markOrphaned(o.Starts[1].Start.Task, 1)
 	r.core.openAccounts(r.now)
 	assert.Equal(t, r.account().left.MilliCPU, short(1).Size.MilliCPU*36/10-4*short(1).Size.MilliCPU)
 }
@@ -183,16 +183,16 @@
 	r.acceptRed("j1", short(3))
 	o := r.plan()
 	r.answer(o, OutcomeOK)
-	r.core.LookAtLimits([]work.WorkspaceName{redName})
+	r.core.MarkLedgersStale([]work.WorkspaceName{redName})
 	l := r.store(r.core.Claims(r.now))
 	assert.Assert(t, l.Allocated[service] >= 3000)
 	for i := range o.Starts {
-		r.look("w1", Listing{Ended: []RunEnd{ended(int64(i+1), o.Starts[i], work.Done)}})
+		r.poll("w1", Listing{Ended: []RunEnd{ended(int64(i+1), o.Starts[i], work.Done)}})
 	}
 	r.flush()
 	r.plan()
 	for range 3 {
-		r.now += reviewEvery
+		r.now += reviewInterval
 		l = r.store(r.core.Claims(r.now))
 	}
 	assert.Equal(t, l.Allocated[service], workspace.Parts(0))
@@ -207,9 +207,9 @@
 	r.ledger(r.core, workspace.Ledger{UnmetNeeds: map[string]workspace.Parts{otherCell: workspace.Whole}})
 	r.plan()
 	r.account().need = 0
-	r.core.WorkerSeen(info("w1"))
-	r.look("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
-	r.core.LookAtLimits([]work.WorkspaceName{redName})
+	r.core.WorkerRegistered(info("w1"))
+	r.poll("w1", Listing{Running: []Run{{Task: work.TaskRef{StepRef: work.StepRef{Job: "j0"}}, Run: 1}}})
+	r.core.MarkLedgersStale([]work.WorkspaceName{redName})
 	l := r.store(r.core.Claims(r.now))
 	assert.Equal(t, l.Allocated[service], workspace.Parts(1000))
 }
@@ -225,7 +225,7 @@
 	}
 	r.ledger(r.core, before)
 	r.plan()
-	r.core.LookAtLimits([]work.WorkspaceName{redName})
+	r.core.MarkLedgersStale([]work.WorkspaceName{redName})
 	lend := r.core.Claims(r.now)
 	assert.Equal(t, len(lend), 1)
 	assert.Equal(t, lend[0].Usable, workspace.Parts(0))
@@ -250,17 +250,17 @@
 	assert.Equal(t, len(claims), 1)
 	r.core.ClaimFailed(claims[0], true)
 	r.core.Cancel("j1", func(error) {})
-	for _, s := range r.core.jobs["j1"].live[0].steps {
+	for _, s := range r.core.jobs["j1"].liveOccurrences[0].steps {
 		for _, task := range s.tasks {
 			r.core.release(task)
 		}
 	}
 	r.plan()
-	r.now += reviewEvery
+	r.now += reviewInterval
 	var last []shareClaim
 	for range 10 {
 		r.plan()
-		r.now += reviewEvery
+		r.now += reviewInterval
 		if claims := r.core.Claims(r.now); len(claims) > 0 {
 			last = claims
 			r.store(claims)
@@ -313,7 +313,7 @@
 func TestALedgerThatCanNotBeReadChangesNothing(t *testing.T) {
 	r := newLimitRig(t, 10)
 	r.worker("w1")
-	r.core.LedgerRead(redName, []byte("{"), 5)
+	r.core.ApplyLedger(redName, []byte("{"), 5)
 	r.acceptRed("j1", short(4))
 	assert.Equal(t, len(r.plan().Starts), 4)
 	assert.Equal(t, len(r.core.Claims(r.now)), 0)
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -24,8 +24,8 @@
 }
 
 var outcomeNames = map[Outcome]string{
-	OutcomeUnknown: "unanswered", OutcomeOK: "ok", OutcomeFenced: "fenced", OutcomeOld: "old_run", OutcomeLate: "late",
-	OutcomeNoRoom: "no_room", OutcomeNoTicket: "no_ticket", OutcomeRefused: "refused", OutcomeOtherLife: "other_life",
+	OutcomeUnknown: "unanswered", OutcomeOK: "ok", OutcomeFenced: "fenced", OutcomeOldRun: "old_run", OutcomeLate: "late",
+	OutcomeNoCapacity: "no_room", OutcomeNoTicket: "no_ticket", OutcomeRefused: "refused", OutcomeOtherIncarnation: "other_life",
 	OutcomeNotSent: "not_sent",
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-func (m *Metrics) lost(cause loss) {
+func (m *Metrics) lost(cause lossCause) {
 	if m != nil {
 		m.Lost.Add(string(cause), 1)
 	}
--- a/internal/engine/leftover_test.go
+++ b/internal/engine/report_test.go
@@ -7,8 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// lateRig has a job that waits for room for so long that nobody has a use for it any more.
-func lateRig(t *testing.T) *rig {
+// rigWithLateJob returns a rig with a job that has waited for capacity until it is of no use any
+// more.
+func rigWithLateJob(t *testing.T) *rig {
 	b := newRig(t)
 	b.worker("w1")
 	b.core.workers["w1"].closedUntil = b.now + time.Hour
@@ -19,14 +20,15 @@
 	return b
 }
 
-// Jobs too late to be of use are told apart from those that VMs are to be drawn for.
-func TestAReportTellsWhatIsStillOfUse(t *testing.T) {
-	b := lateRig(t)
+// Backlog that is too late to be of use must be reported separately from the backlog for which VMs
+// are requested.
+func TestReportSeparatesBacklogThatIsTooLate(t *testing.T) {
+	b := rigWithLateJob(t)
 	b.accept("j2", short(2))
 	b.core.workers["w1"].closedUntil = b.now + time.Hour
 	b.plan()
 	r := b.core.report(b.now)
-	assert.Assert(t, r.Leftover > 0)
+	assert.Assert(t, r.ExpiredBacklog > 0)
 	assert.Assert(t, r.Backlog > 0)
-	assert.Assert(t, r.Waits())
+	assert.Assert(t, r.HasBacklog())
 }
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -9,21 +9,22 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// Connections to one worker: one for polls, which occupy theirs while they
-// wait, and some for orders. New connections are dear at one deployment.
-const orderSlots = 3
+// maxConcurrentOrders is the number of connections to one worker that orders may use. Polls
+// use one more, which they occupy while they wait. New connections are expensive in one
+// deployment.
+const maxConcurrentOrders = 3
 
-// session is the conversation with one worker.
+// session sends polls and orders to one worker.
 type session struct {
 	engine  *Engine
 	id      work.WorkerID
 	kick    chan struct{}
-	orders  chan struct{} // slots for orders in progress
+	orders  chan struct{} // semaphore of the orders in progress
 	started bool
 }
 
 func newSession(e *Engine, id work.WorkerID) *session {
-	return &session{engine: e, id: id, kick: make(chan struct{}, 1), orders: make(chan struct{}, orderSlots)}
+	return &session{engine: e, id: id, kick: make(chan struct{}, 1), orders: make(chan struct{}, maxConcurrentOrders)}
 }
 
 func (e *Engine) session(id work.WorkerID) *session {
@@ -32,8 +33,8 @@
 	return e.sessions[id]
 }
 
-// startSessions starts the poll loops of new workers. The engine's context is
-// the one of its term.
+// startSessions starts the poll loops of new workers. The engine's context lasts for this
+// owner's term.
 func (e *Engine) startSessions() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,14 +46,15 @@
 	}
 }
 
+// wake has the session of the worker check at once whether a poll is due.
 func (e *Engine) wake(id work.WorkerID) {
 	if s := e.session(id); s != nil {
 		kick(s.kick)
 	}
 }
 
-// do runs an order in one of the worker's slots.
-func (s *session) do(ctx context.Context, f func()) {
+// runOrder runs f in one of the worker's slots for orders.
+func (s *session) runOrder(ctx context.Context, f func()) {
 	s.engine.wg.Go(func() {
 		select {
 		case s.orders <- struct{}{}:
@@ -63,34 +65,34 @@
 	})
 }
 
-// Pauses between polls of a worker that does not answer. One that stays silent costs a
-// connection each time.
+// Pauses between polls of a worker that does not answer. Each poll of a silent worker costs a
+// connection.
 const (
-	failedPause     = 150 * time.Millisecond
-	mostFailedPause = 600 * time.Millisecond
+	initialMissedPause = 150 * time.Millisecond
+	maxMissedPause     = 600 * time.Millisecond
 )
 
-// pauseAfter is the pause after so many polls that a worker did not answer. The first is
-// repeated at once, as a single answer may be lost. A poll that says nothing of the worker,
-// as this owner was behind or might not poll, is followed by the usual pause: without one
-// the polls themselves would keep it behind.
-func pauseAfter(missed int, usual time.Duration) time.Duration {
+// pauseAfterMissed returns the pause after that many missed polls in a row. The first is
+// repeated at once, as a single answer may be lost. With none missed, the poll failed because
+// this owner was overloaded or not allowed to poll; the usual pause follows, as polls without
+// one would keep the owner overloaded.
+func pauseAfterMissed(missed int, usual time.Duration) time.Duration {
 	switch missed {
 	case 0:
 		return usual
 	case 1:
 		return 0
 	}
-	return min(mostFailedPause, failedPause<<min(missed-2, 4))
+	return min(maxMissedPause, initialMissedPause<<min(missed-2, 4))
 }
 
-// run polls the worker for as long as something is or may be there.
+// run polls the worker whenever a poll is due, until the worker is removed or ctx ends.
 func (s *session) run(ctx context.Context) {
 	e := s.engine
 	for ctx.Err() == nil {
 		e.mu.Lock()
-		e.authority()
-		info, h, due := e.core.HoldFor(s.id, e.Clock.Now())
+		e.updateAuthority()
+		info, h, due := e.core.NextPoll(s.id, e.Clock.Now())
 		_, exists := e.core.workers[s.id]
 		pause := e.core.pollPause()
 		if !exists {
@@ -105,18 +107,19 @@
 			continue
 		}
 		if !s.poll(ctx, &info, h) {
-			pause = pauseAfter(e.missed(s.id), pause)
+			pause = pauseAfterMissed(e.missedPolls(s.id), pause)
 		}
 		sleep.For(ctx, pause)
 	}
 }
 
-// idleEvery checks again whether there is something to do, should a wake-up
-// have been missed while orders were not allowed.
-const idleEvery = 1 * time.Second
+// idleCheckInterval is how often an idle session checks whether a poll is due, in case a
+// wake-up was missed while orders were not allowed.
+const idleCheckInterval = 1 * time.Second
 
+// idle waits until the session is woken, idleCheckInterval has passed or ctx ends.
 func (s *session) idle(ctx context.Context) {
-	t := time.NewTimer(idleEvery)
+	t := time.NewTimer(idleCheckInterval)
 	defer t.Stop()
 	select {
 	case <-s.kick:
@@ -125,42 +128,43 @@
 	}
 }
 
-// missed is how many polls of the worker were not answered since the last that was.
-func (e *Engine) missed(id work.WorkerID) int {
+// missedPolls returns how many polls of the worker were not answered since its last answer.
+func (e *Engine) missedPolls(id work.WorkerID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if w := e.core.workers[id]; w != nil {
-		return w.missed
+		return w.missedPolls
 	}
 	return 0
 }
 
+// poll sends one poll and records its outcome; it reports whether the worker answered.
 func (s *session) poll(ctx context.Context, info *WorkerInfo, h Hold) bool {
 	e := s.engine
-	if !e.allowed() {
+	if !e.ordersAllowed() {
 		return false
 	}
 	sent := e.Clock.Now()
-	call, cancel := e.within(ctx, h.Wait+pollTimeout)
+	call, cancel := e.withExtraTimeout(ctx, h.Wait+pollTimeout)
 	l, out := e.Workers.Hold(call, info, h)
 	cancel()
 	if ctx.Err() != nil {
 		return false
 	}
 	e.Metrics.poll(out)
-	behind := e.behind()
+	behind := e.maxSchedulingDelay()
 	e.mu.Lock()
 	switch {
 	case out == OutcomeOK:
-		e.core.HoldAnswered(s.id, h, l, sent, e.Clock.Now())
+		e.core.PollAnswered(s.id, h, l, sent, e.Clock.Now())
 	case overload.AnswerMayBeUnread(behind) && (out == OutcomeUnknown || out == OutcomeNotSent):
-		e.core.HoldUnread()
+		e.core.PollUnread()
 	default:
-		e.core.HoldFailed(s.id, out, e.Clock.Now())
+		e.core.PollFailed(s.id, out, e.Clock.Now())
 	}
 	e.mu.Unlock()
-	// An answer that came because its time was up brings nothing to plan on.
-	if out != OutcomeOK || len(l.Ended) > 0 || h.Wait <= pollSoon {
+	// An answer that came only because its wait was over gives no reason to plan.
+	if out != OutcomeOK || len(l.Ended) > 0 || h.Wait <= pollWaitMin {
 		kick(e.planKick)
 	}
 	return out == OutcomeOK
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -8,7 +8,7 @@
 	"github.com/pumicestage/pumicestage/policy/work"
 )
 
-// suspects counts the step's tasks that wait for a trial.
+// suspects counts the step's pending tasks that are suspected of crashing workers.
 func (s *step) suspects() int {
 	n := 0
 	for _, t := range s.tasks {
@@ -19,19 +19,19 @@
 	return n
 }
 
-// othersWaitedFor is for how long after other short work waited suspects get no more workers than
-// they always do: bursts come with pauses of a moment.
-const othersWaitedFor = 3 * time.Second
+// otherWorkHoldoff is how long after other short work waited suspects still get no extra
+// workers for trials: bursts have short pauses.
+const otherWorkHoldoff = 3 * time.Second
 
-// wantedForTrials is how many VMs suspects could use. As a backlog they would draw VMs that other
-// pools need; while other work waits here they wait.
-func (c *Core) wantedForTrials(now time.Duration) int {
-	if now < c.othersWaited+othersWaitedFor {
+// vmsForTrials returns how many VMs suspects could use. Counted as a backlog, they would
+// request VMs that other pools need; while other work waits here, they wait.
+func (c *Core) vmsForTrials(now time.Duration) int {
+	if now < c.othersWaitedAt+otherWorkHoldoff {
 		return 0
 	}
 	suspects := 0
 	for _, j := range c.open {
-		for _, o := range j.live {
+		for _, o := range j.liveOccurrences {
 			for _, s := range o.steps {
 				if s.pending > 0 && s.ready() && s.suspects() > 0 {
 					suspects++
@@ -42,30 +42,30 @@
 	return crashes.WorkersForSuspects(suspects)
 }
 
-// noteOthers notes whether, of the steps that waited before this plan, other short work than
-// suspects still does.
-func (c *Core) noteOthers(ws []waiting, now time.Duration) {
-	if slices.ContainsFunc(ws, func(w waiting) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
-		c.othersWaited = now
+// recordOtherWaiting records whether any of the steps that waited before this plan still has
+// short tasks waiting that are not suspects.
+func (c *Core) recordOtherWaiting(ws []waitingStep, now time.Duration) {
+	if slices.ContainsFunc(ws, func(w waitingStep) bool { return !w.step.spec.LongRunning && w.step.suspects() < w.step.pending }) {
+		c.othersWaitedAt = now
 	}
 }
 
-// trialRoom is on how many more workers suspects may be tried.
-func (c *Core) trialRoom(now time.Duration) int {
+// trialCapacity returns on how many more workers suspects may be tried.
+func (c *Core) trialCapacity(now time.Duration) int {
 	idle := 0
-	if now >= c.othersWaited+othersWaitedFor {
+	if now >= c.othersWaitedAt+otherWorkHoldoff {
 		idle = c.idle(now)
 	}
-	trying := 0
+	inTrial := 0
 	for _, w := range c.workers {
-		if w.tries((*task).suspect) {
-			trying++
+		if w.runsTrial((*task).suspect) {
+			inTrial++
 		}
 	}
-	return c.trials.Available(len(c.workers), idle, trying, now)
+	return c.trials.Available(len(c.workers), idle, inTrial, now)
 }
 
-// idle counts the workers that would take a task and have none.
+// idle counts the workers that have no task and would take one.
 func (c *Core) idle(now time.Duration) int {
 	n := 0
 	for _, w := range c.workers {
@@ -76,8 +76,8 @@
 	return n
 }
 
-// hazards reports whether jobs of any kind crash many workers now.
-func (c *Core) hazards(now time.Duration) bool {
+// anyHazardousKind reports whether jobs of some kind crash many workers now.
+func (c *Core) anyHazardousKind(now time.Duration) bool {
 	for _, k := range c.kinds {
 		if k.Hazardous(now) {
 			return true
@@ -86,57 +86,61 @@
 	return false
 }
 
-// freshOn is the job whose tasks have just begun on the worker, if its kind crashes many; empty
-// where none have.
-func (c *Core) freshOn(w *worker, now time.Duration) work.JobID {
-	spacing := c.onsets.JobSpacing()
+// recentHazardousJob returns the job whose tasks have just begun on the worker, if its kind
+// crashes many workers; empty if there is none.
+func (c *Core) recentHazardousJob(w *worker, now time.Duration) work.JobID {
+	spacing := c.timesToCrash.JobSpacing()
 	for _, t := range w.tasks {
-		begun := t.state == taskActive && now >= t.answered+spacing
-		if !begun && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
+		settledIn := t.state == taskActive && now >= t.answeredAt+spacing
+		if !settledIn && !t.step.spec.LongRunning && c.kindOf(t.step.job).Hazardous(now) {
 			return t.ref.Job
 		}
 	}
 	return ""
 }
 
-// tries reports whether one of those tasks is on trial there.
-func (w *worker) tries(of func(*task) bool) bool {
+// runsTrial reports whether a task for which of is true is on trial on the worker.
+func (w *worker) runsTrial(of func(*task) bool) bool {
 	for _, t := range w.tasks {
-		if of(t) && w.seenRunning(t) < t.trialLasts {
+		if of(t) && w.observedRunTime(t) < t.trialDuration {
 			return true
 		}
 	}
 	return false
 }
 
+// suspect reports whether the recorded crashes make the task a suspect. Suspects are tried:
+// they start on few workers at a time, and their worker takes no other task until they have
+// run long enough to be trusted.
 func (t *task) suspect() bool { return t.suspected }
 
-// onTrial reports whether it is on its way to the store, or stored, that the task may crash a
+// onTrial reports whether it is stored, or on its way to the store, that the task may crash a
 // worker, and no run of it has shown otherwise since.
 func (t *task) onTrial() bool {
-	return t.trial != 0 && (t.where == nil || t.where.seenRunning(t) < t.trialLasts)
+	return t.trial != 0 && (t.worker == nil || t.worker.observedRunTime(t) < t.trialDuration)
 }
 
-// askTrials has it stored, of the suspects of the step that may start now, that a start of
-// them may crash a worker. The owner may be lost beside that worker: were the crash known to
-// that owner alone, the task would be started once more by each.
-func (c *Core) askTrials(s *step, now time.Duration) {
+// requestTrials has it stored, for the suspects of the step that may start now, that their
+// start may crash a worker. The owner may be lost together with that worker: if that owner
+// alone knew of the crash, each successor would start the task once more.
+func (c *Core) requestTrials(s *step, now time.Duration) {
 	for _, t := range s.tasks {
 		if t.suspect() && t.trial == 0 && c.isDue(t, now) {
-			c.askTrial(t)
+			c.requestTrial(t)
 		}
 	}
 }
 
-func (c *Core) askTrial(t *task) {
+// requestTrial has it stored that the next start of the task may crash a worker.
+func (c *Core) requestTrial(t *task) {
 	j := t.step.job
 	j.evidence++
 	t.trial = j.evidence
-	c.touch(j)
+	c.markDirty(j)
 }
 
-// mayBeTried reports whether what is known of the task is stored as far as its next start
-// needs it.
+// mayBeTried reports whether what is known of the task's crashes is stored as far as its next
+// start requires.
 func (t *task) mayBeTried() bool {
 	return !t.suspect() || t.trial != 0 && t.step.job.evidenceStored >= t.trial
 }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -73,7 +73,7 @@
 	e := ownership.New(ownership.Options{
 		Duty: duty, Store: n.store, Directory: n.directory, Self: n.self, Weight: n.settings.weight(),
 		Clock: n.clock, Log: n.log.WithName("ownership"), Grace: engine.OwnerGrace, Load: &d.load,
-		LeastTTL: n.settings.MinTTL, Own: own, HandOver: n.leases.handOver, Behind: n.delay.Behind,
+		LeastTTL: n.settings.MinTTL, Own: own, HandOver: n.leases.handOver, Behind: n.delay.MaxDelay,
 	})
 	ctx := d.ctx
 	d.wg.Go(func() { e.Run(ctx) })
@@ -133,20 +133,20 @@
 		Clock:    n.clock,
 		Log:      n.log.WithName("engine").WithValues("cell", cell),
 		Bounds: engine.Bounds{
-			MaxHold: n.settings.MaxLease, PaceDelay: n.settings.PaceDelay, StopGrace: n.settings.StopGrace,
-			ConfigWithin: n.settings.ConfigWithin, RoomWithin: n.settings.MaxCapacityAge,
+			MaxLease: n.settings.MaxLease, PaceDelay: n.settings.PaceDelay, StopGrace: n.settings.StopGrace,
+			MaxConfigDelay: n.settings.ConfigWithin, MaxCapacityAge: n.settings.MaxCapacityAge,
 		},
-		Term:     t,
-		Listed:   n.registry.waitListed,
-		Registry: func() []engine.WorkerInfo { return n.registry.list(cell) },
-		Known:    n.registry.knownUntil,
-		Lookup:   n.registry.lookup,
-		Declared: n.operator.declared,
-		Configs:  n.operator, OwnerKey: infra.WorkOwnerKey(cellDuty(cell)),
-		TellCells: func(names []work.WorkspaceName) { d.notifyCells(cell, names) },
-		Metrics:   n.metrics.engine,
-		ListRate:  n.settings.ListRate,
-		Pressure:  n.delay, Successor: n.successor,
+		Term:               t,
+		WaitForRegistry:    n.registry.waitListed,
+		Registry:           func() []engine.WorkerInfo { return n.registry.list(cell) },
+		RegistryCompleteAt: n.registry.knownUntil,
+		Lookup:             n.registry.lookup,
+		Declared:           n.operator.declared,
+		Configs:            n.operator, OwnerKey: infra.WorkOwnerKey(cellDuty(cell)),
+		NotifyCells:     func(names []work.WorkspaceName) { d.notifyCells(cell, names) },
+		Metrics:         n.metrics.engine,
+		ListRate:        n.settings.ListRate,
+		SchedulingDelay: n.delay, Successor: n.successor,
 	})
 	d.setEngine(cell, e)
 	err := e.Run(ctx)
@@ -165,7 +165,7 @@
 // have expired, for one term.
 func (d *duties) ownFleet(ctx context.Context, t *ownership.Term) {
 	n := d.node
-	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), Status: n.settings.StatusRetention}
+	retention := &engine.Retention{Store: n.store, Clock: n.clock, Log: n.log.WithName("retention"), StatusPeriod: n.settings.StatusRetention}
 	var background sync.WaitGroup
 	background.Go(func() { retention.Run(ctx) })
 	defer background.Wait()
