--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -59,7 +59,7 @@
 func (c *Core) dropTasks(w *worker, cause lossCause, now time.Duration) {
 	for _, t := range w.tasks {
 		t.losses++
-		c.metrics.lost(cause)
+		c.metrics.countLostRun(cause)
 		c.log.V(1).Info("run lost", "task", t.ref.String(), "run", t.run, "worker", w.info.ID, "cause", cause,
 			"seen running for", w.observedRunTime(t).String(), "losses", t.losses)
 		if cause == lossLease {
