--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -1,10 +1,10 @@
-// Package jobsapi is the HTTP interface to jobs on the operator port:
+// Package jobsapi implements the HTTP API for jobs on the operator port:
 //
-//	POST   /v1/jobs              submit one or many
-//	GET    /v1/jobs              list, filtered by query parameters
-//	DELETE /v1/jobs              cancel those that the query parameters select
-//	GET    /v1/jobs/{id}         one job with what happened to it
-//	DELETE /v1/jobs/{id}         cancel one
+//	POST   /v1/jobs              submit one or more jobs
+//	GET    /v1/jobs              list jobs, filtered by query parameters
+//	DELETE /v1/jobs              cancel the jobs selected by query parameters
+//	GET    /v1/jobs/{id}         get one job with its history
+//	DELETE /v1/jobs/{id}         cancel one job
 //	PUT    /v1/jobs/{id}/outcome decide a job whose outcome is unknown
 //
 // Errors are RFC 9457 problem documents.
@@ -29,17 +29,17 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Prefix is the path under which the handler answers.
+// Prefix is the path prefix of all routes of the handler.
 const Prefix = "/v1/jobs"
 
 const (
-	// maxBody bounds a submit: 5,000 jobs of a kilobyte.
+	// maxBody bounds a request body in bytes: 5,000 jobs of one kilobyte.
 	maxBody = 5 << 20
-	// timeout ends a request whose writes the store does not take.
+	// timeout ends a request whose writes the store doesn't accept.
 	timeout = 30 * time.Second
 )
 
-// Options are what the handler works with; all are required but Log.
+// Options configures the handler. All fields but Log are required.
 type Options struct {
 	Jobs   *jobs.Jobs
 	Access access.Gate
@@ -51,7 +51,7 @@
 	Options
 }
 
-// New returns the handler.
+// New returns the handler of the API.
 func New(o Options) http.Handler {
 	h := &handler{o}
 	r := mux.NewRouter()
@@ -68,7 +68,8 @@
 
 func (h *handler) handle(r *mux.Router, method, path string, need access.Role, op operation) {
 	r.Methods(method).Path(path).HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		// A client that goes away does not stop half an order.
+		// A request is completed even if the client disconnects, so that no
+		// command is carried out only in part.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), timeout)
 		defer cancel()
 		who, err := h.Access.Admit(req, need)
@@ -82,7 +83,7 @@
 		}
 		var denied *access.Error
 		if errors.As(err, &denied) && method != http.MethodGet {
-			h.Trail.Note(audit.Entry{Who: who.Name, From: remote(req), What: method + " " + req.URL.Path, Result: audit.Refused, Detail: denied.Error()})
+			h.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(req), What: method + " " + req.URL.Path, Result: audit.Refused, Detail: denied.Error()})
 		}
 		p := problemOf(err)
 		h.Log.V(1).Info("request on jobs failed", "who", who.Name, "status", p.Status, "error", err.Error())
@@ -93,13 +94,14 @@
 func writeJSON(w http.ResponseWriter, status int, contentType string, body any) {
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client may be gone
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
 
-// note enters an order in the audit trail, in the background: a submit must
-// not wait for a second write while urgent work has 2.2 s to start.
-func (h *handler) note(r *http.Request, who access.Identity, change model.ChangeID, what, detail string, err error) {
-	e := audit.Entry{Who: who.Name, From: remote(r), Change: change, What: what, Detail: detail, Result: audit.Done}
+// recordAudit records a command and its result in the audit trail. The entry is
+// written in the background: a submit must not wait for a second write, because
+// urgent jobs must start within 2.2 s.
+func (h *handler) recordAudit(r *http.Request, who access.Identity, change model.ChangeID, what, detail string, err error) {
+	e := audit.Entry{Who: who.Name, From: remoteHost(r), Change: change, What: what, Detail: detail, Result: audit.Done}
 	var refusal *jobs.Refusal
 	switch {
 	case errors.As(err, &refusal):
@@ -110,7 +112,8 @@
 	h.Trail.Note(e)
 }
 
-func remote(r *http.Request) string {
+// remoteHost returns the client's address without its port.
+func remoteHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
@@ -120,12 +123,13 @@
 
 func count(n int) string { return strconv.Itoa(n) }
 
-// problemOf turns an error into a problem document.
+// problemOf converts an error to a problem document. An unrecognized error is
+// reported as unavailable.
 func problemOf(err error) api.Problem {
 	p := api.Problem{Status: http.StatusServiceUnavailable, Code: api.CodeUnavailable, Detail: err.Error()}
 	var denied *access.Error
 	var refusal *jobs.Refusal
-	var failed *jobs.Error
+	var platformErr *jobs.Error
 	switch {
 	case errors.As(err, &denied):
 		p.Status, p.Code = http.StatusUnauthorized, api.CodeUnauthorized
@@ -134,7 +138,7 @@
 		}
 	case errors.As(err, &refusal):
 		p.Status, p.Code = statusOf(refusal.Code)
-	case errors.As(err, &failed) && failed.Uncertain:
+	case errors.As(err, &platformErr) && platformErr.Uncertain:
 		p.Code = api.CodeUnknown
 	}
 	p.Title = http.StatusText(p.Status)
--- a/internal/jobs/jobsapi/operations.go
+++ b/internal/jobs/jobsapi/operations.go
@@ -18,8 +18,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Job is a job as submitted. Class is urgent, normal or deferrable; empty is
-// normal. RunTime is a Go duration.
+// Job is a job in a submit. Class is urgent, normal or deferrable; empty means
+// normal. RunTime is a Go duration such as 90s.
 type Job struct {
 	Team         model.TeamName `json:"team"`
 	Kind         string         `json:"kind"`
@@ -35,45 +35,45 @@
 	SpreadByRack bool           `json:"spreadByRack,omitempty"`
 }
 
-// SubmitRequest is the body of a submit. A repeat with the same Change adds
-// nothing and gets the same IDs.
+// SubmitRequest is the body of a submit. Change is its change ID: a repeat with
+// the same one adds nothing and returns the same job IDs.
 type SubmitRequest struct {
 	Change model.ChangeID `json:"change,omitempty"`
 	Jobs   []Job          `json:"jobs"`
 }
 
-// SubmitReply names the jobs in the order they were given.
+// SubmitReply has the IDs of the submitted jobs, in the order of the request.
 type SubmitReply struct {
 	Jobs []model.JobID `json:"jobs"`
 }
 
-// Status is where a job stands.
+// Status is the state of a job.
 type Status struct {
-	ID     model.JobID      `json:"id"`
-	Team   model.TeamName   `json:"team"`
-	Kind   string           `json:"kind"`
-	Class  string           `json:"class"`
-	State  jobs.State       `json:"state"`
-	VM     model.VMID       `json:"vm,omitempty"`
-	Since  time.Time        `json:"since"`
-	Reason string           `json:"reason,omitempty"`
-	Chain  []jobs.Happening `json:"chain,omitempty"` // of one job alone
+	ID      model.JobID         `json:"id"`
+	Team    model.TeamName      `json:"team"`
+	Kind    string              `json:"kind"`
+	Class   string              `json:"class"`
+	State   jobs.State          `json:"state"`
+	VM      model.VMID          `json:"vm,omitempty"`
+	Since   time.Time           `json:"since"`
+	Reason  string              `json:"reason,omitempty"`
+	History []jobs.HistoryEntry `json:"chain,omitempty"` // only in the reply for a single job
 }
 
-// ListReply is the answer to a list.
+// ListReply is the reply to a list.
 type ListReply struct {
 	Jobs []Status `json:"jobs"`
 }
 
-// CancelReply tells what became of each job.
+// CancelReply has the number of jobs cancelled and the refusals.
 type CancelReply struct {
 	Change    model.ChangeID `json:"change,omitempty"`
-	Cancelled int            `json:"cancelled"` // those that wait to stop included
-	Stopping  int            `json:"stopping"`
+	Cancelled int            `json:"cancelled"` // includes those in Stopping
+	Stopping  int            `json:"stopping"`  // cancelled once their task has stopped
 	Refused   []string       `json:"refused,omitempty"`
 }
 
-// OutcomeRequest decides a job whose outcome is unknown: ran, not-run or
+// OutcomeRequest decides the outcome of a job in state unknown: ran, not-run or
 // cancelled.
 type OutcomeRequest struct {
 	Outcome jobs.Verdict `json:"outcome"`
@@ -93,11 +93,11 @@
 		all[i] = job
 	}
 	ids, err := h.Jobs.Submit(ctx, req.Change, all)
-	h.note(r, who, req.Change, "submit "+count(len(all))+" jobs", firstOf(ids), err)
+	h.recordAudit(r, who, req.Change, "submit "+count(len(all))+" jobs", firstJobDetail(ids), err)
 	return SubmitReply{Jobs: ids}, err
 }
 
-func firstOf(ids []model.JobID) string {
+func firstJobDetail(ids []model.JobID) string {
 	if len(ids) == 0 {
 		return ""
 	}
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	s := status(&record)
-	s.Chain = record.Chain
+	s.History = record.History
 	return s, nil
 }
 
@@ -161,8 +161,9 @@
 	return reply, err
 }
 
-// cancelMany asks for a filter: a bare DELETE of all jobs is more often a slip
-// than meant.
+// cancelMany cancels the jobs that match the query parameters. It requires at
+// least one filter, because a DELETE of all jobs is more often a mistake than
+// intended.
 func (h *handler) cancelMany(ctx context.Context, r *http.Request, who access.Identity) (any, error) {
 	where, err := conditions(r.URL.Query())
 	if err != nil {
@@ -171,7 +172,7 @@
 	if len(where) == 0 {
 		return nil, invalid("query", "name what to cancel, such as team=panel")
 	}
-	ids, err := jobsport.Orders{Executor: h.Jobs}.Select(ctx, where)
+	ids, err := jobsport.CommandAdapter{Executor: h.Jobs}.Select(ctx, where)
 	if err != nil {
 		return nil, err
 	}
@@ -182,7 +183,7 @@
 	q := r.URL.Query()
 	change := model.ChangeID(q.Get("change"))
 	if change == "" {
-		change = h.Jobs.NewChange()
+		change = h.Jobs.NewChangeID()
 	}
 	all, err := h.Jobs.Cancel(ctx, change, q.Get("reason"), ids)
 	reply := CancelReply{Change: change}
@@ -197,7 +198,7 @@
 			reply.Cancelled++
 		}
 	}
-	h.note(r, who, change, "cancel "+count(len(ids))+" jobs", q.Get("reason"), err)
+	h.recordAudit(r, who, change, "cancel "+count(len(ids))+" jobs", q.Get("reason"), err)
 	return reply, err
 }
 
@@ -207,7 +208,7 @@
 		return nil, err
 	}
 	err := h.Jobs.Decide(ctx, idOf(r), req.Outcome, who.Name)
-	h.note(r, who, "", "decide job "+string(idOf(r)), string(req.Outcome), err)
+	h.recordAudit(r, who, "", "decide job "+string(idOf(r)), string(req.Outcome), err)
 	if err != nil {
 		return nil, err
 	}
@@ -226,23 +227,25 @@
 	return slices.DeleteFunc(records, func(r jobs.Record) bool { return !jobsport.Matches(&r, where) }), nil
 }
 
-// conditions turns the query into conditions of equality on the columns of
-// "show jobs". A misspelt one would otherwise select everything.
+// conditions converts the query parameters to equality conditions on the columns
+// of "show jobs". Unknown parameters are refused, because ignoring a misspelt
+// filter would select every job.
 func conditions(q url.Values) ([]lang.Condition, error) {
 	var where []lang.Condition
 	for name, values := range q {
 		if name == "change" || name == "reason" {
 			continue
 		}
-		if !slices.Contains(filters, name) || len(values) != 1 {
-			return nil, invalid("query."+name, fmt.Sprintf("want one value each of %v", filters))
+		if !slices.Contains(filterColumns, name) || len(values) != 1 {
+			return nil, invalid("query."+name, fmt.Sprintf("want one value each of %v", filterColumns))
 		}
 		where = append(where, lang.Condition{Field: name, Comparison: lang.Equal, Value: values[0]})
 	}
 	return where, nil
 }
 
-var filters = []string{"job", "team", "kind", "class", "state", "vm", "pool", "zone"}
+// filterColumns are the columns of "show jobs" that can be used as filters.
+var filterColumns = []string{"job", "team", "kind", "class", "state", "vm", "pool", "zone"}
 
 func idOf(r *http.Request) model.JobID { return model.JobID(mux.Vars(r)["id"]) }
 
--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -1,5 +1,5 @@
-// Package jobsport fits the executor of jobs to the orders and questions of
-// operators.
+// Package jobsport adapts the job executor to the interfaces that operators'
+// commands and queries use.
 package jobsport
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Orders is a command.Jobs.
-type Orders struct {
+// CommandAdapter implements command.BulkJobs on a jobs.Jobs.
+type CommandAdapter struct {
 	Executor *jobs.Jobs
 }
 
-var _ command.BulkJobs = Orders{}
+var _ command.BulkJobs = CommandAdapter{}
 
-// Cancel implements command.Jobs. A job's revision is that of its group, which
-// changes with its neighbours, so if-revision can't be met and is refused.
-func (o Orders) Cancel(ctx context.Context, job model.JobID, t command.Terms) (command.Effect, error) {
+// Cancel implements command.Jobs. A job has only the revision of its group, which
+// also changes with the other jobs of the group, so if-revision is refused.
+func (o CommandAdapter) Cancel(ctx context.Context, job model.JobID, t command.Terms) (command.Effect, error) {
 	effects, err := o.CancelAll(ctx, []model.JobID{job}, t)
 	if err != nil {
 		return command.Effect{}, err
@@ -33,14 +33,14 @@
 	return effects[0], nil
 }
 
-// CancelAll implements command.BulkJobs.
-func (o Orders) CancelAll(ctx context.Context, ids []model.JobID, t command.Terms) ([]command.Effect, error) {
+// CancelAll implements command.BulkJobs. It refuses if-revision as Cancel does.
+func (o CommandAdapter) CancelAll(ctx context.Context, ids []model.JobID, t command.Terms) ([]command.Effect, error) {
 	if t.IfRevision != 0 {
 		return nil, &command.Refusal{Code: command.CodeRevision, Detail: "jobs have no revision of their own"}
 	}
 	out, err := o.Executor.Cancel(ctx, t.Change, t.Reason, ids)
 	if err != nil {
-		return nil, Error(t.Change, err)
+		return nil, CommandError(t.Change, err)
 	}
 	effects := make([]command.Effect, len(out))
 	for i, c := range out {
@@ -60,12 +60,12 @@
 	return e
 }
 
-// Select implements command.Jobs. Ended jobs are left out: there is nothing to
-// cancel about them.
-func (o Orders) Select(ctx context.Context, where []lang.Condition) ([]model.JobID, error) {
+// Select implements command.Jobs. Ended jobs are left out, since they can't be
+// cancelled.
+func (o CommandAdapter) Select(ctx context.Context, where []lang.Condition) ([]model.JobID, error) {
 	records, err := o.Executor.List(ctx)
 	if err != nil {
-		return nil, Error("", err)
+		return nil, CommandError("", err)
 	}
 	var ids []model.JobID
 	for i := range records {
@@ -76,34 +76,36 @@
 	return ids, nil
 }
 
-// Matches reports whether the job fulfils all conditions.
+// Matches reports whether the job satisfies all conditions.
 func Matches(r *jobs.Record, where []lang.Condition) bool {
 	for _, c := range where {
-		if !holds(column(r, c.Field), c) {
+		if !compare(column(r, c.Field), c) {
 			return false
 		}
 	}
 	return true
 }
 
-// holds compares as text: what "show jobs" has are names and words.
-func holds(cell string, c lang.Condition) bool {
+// compare reports whether the value satisfies the condition. Values are compared
+// as text, because the columns of "show jobs" are names and words.
+func compare(value string, c lang.Condition) bool {
 	switch c.Comparison {
 	case lang.Equal:
-		return cell == c.Value
+		return value == c.Value
 	case lang.NotEqual:
-		return cell != c.Value
+		return value != c.Value
 	case lang.Less:
-		return cell < c.Value
+		return value < c.Value
 	case lang.LessOrEqual:
-		return cell <= c.Value
+		return value <= c.Value
 	case lang.Greater:
-		return cell > c.Value
+		return value > c.Value
 	}
-	return cell >= c.Value
+	return value >= c.Value
 }
 
-// column returns the cell that "show jobs" has under the name.
+// column returns the job's value in the named column of "show jobs", or "" for an
+// unknown column.
 func column(r *jobs.Record, name string) string {
 	switch name {
 	case "job":
@@ -128,15 +130,15 @@
 	return ""
 }
 
-// Questions is a query.Jobs.
-type Questions struct {
+// QueryAdapter implements query.Jobs on a jobs.Jobs.
+type QueryAdapter struct {
 	Executor *jobs.Jobs
 }
 
-var _ query.Jobs = Questions{}
+var _ query.Jobs = QueryAdapter{}
 
 // Jobs implements query.Jobs.
-func (q Questions) Jobs(ctx context.Context) ([]query.JobStatus, error) {
+func (q QueryAdapter) Jobs(ctx context.Context) ([]query.JobStatus, error) {
 	records, err := q.Executor.List(ctx)
 	if err != nil {
 		return nil, err
@@ -153,14 +155,16 @@
 	if r.State != jobs.Waiting && r.State != jobs.Unplaceable {
 		s.VM = r.VM
 	}
-	for _, h := range r.Chain {
+	for _, h := range r.History {
 		s.Chain = append(s.Chain, query.Reason{At: h.At, Text: h.Text})
 	}
 	return s
 }
 
-// Error turns an error of package jobs into one of package command.
-func Error(change model.ChangeID, err error) error {
+// CommandError converts an error of package jobs to one of package command: a
+// *command.Refusal for a *jobs.Refusal or a *jobs.Error that isn't Uncertain, and
+// a *command.UncertainError for anything else.
+func CommandError(change model.ChangeID, err error) error {
 	var refusal *jobs.Refusal
 	if errors.As(err, &refusal) {
 		return &command.Refusal{Code: command.Code(refusal.Code), Revision: refusal.Revision, Detail: refusal.Detail}
--- a/internal/jobs/machines_test.go
+++ b/internal/jobs/machines_test.go
@@ -9,20 +9,22 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// machines is one entry VM's way to the platform's machines, with faults.
-type machines struct {
+// faultyMachines is one entry VM's client of the platform's machines, with injected
+// faults.
+type faultyMachines struct {
 	*standin.Machines
-	// before is called before each start; a test pauses the entry VM in it, or
-	// lets others act first.
+	// before, if not nil, is called before each start. Tests use it to pause the
+	// entry VM or to let other entry VMs act first.
 	before func(t infra.Task)
-	// loseReplies and loseRequests make the next starts report KindUnknown
-	// with and without effect.
+	// loseReplies and loseRequests are how many of the next starts fail with
+	// KindUnknown, after taking effect and without taking effect respectively.
 	loseReplies, loseRequests int
 
-	mu sync.Mutex // guards the counts while starts go out side by side
+	mu sync.Mutex // guards loseReplies and loseRequests during concurrent starts
 }
 
-func (m *machines) draw(n *int) bool {
+// consume decrements n and reports whether it was above zero.
+func (m *faultyMachines) consume(n *int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if *n == 0 {
@@ -33,26 +35,25 @@
 }
 
 // StartTask implements infra.Machines.
-func (m *machines) StartTask(ctx context.Context, t infra.Task) error {
+func (m *faultyMachines) StartTask(ctx context.Context, t infra.Task) error {
 	if m.before != nil {
 		m.before(t)
 	}
-	if m.draw(&m.loseRequests) {
+	if m.consume(&m.loseRequests) {
 		return infra.Errorf("start task", infra.KindUnknown, "connection lost")
 	}
 	err := m.Machines.StartTask(ctx, t)
-	if err == nil && m.draw(&m.loseReplies) {
+	if err == nil && m.consume(&m.loseReplies) {
 		return infra.Errorf("start task", infra.KindUnknown, "reply lost")
 	}
 	return err
 }
 
-// slowStore lets the reply to the first transaction take longer than a start
-// may be late.
+// slowStore delays the reply to the first transaction by more than maxIntentAge.
 type slowStore struct {
 	infra.Store
-	world *world
-	slept bool
+	cluster *testCluster
+	slept   bool
 }
 
 // Txn implements infra.Store.
@@ -60,7 +61,7 @@
 	res, err := s.Store.Txn(ctx, txn)
 	if !s.slept {
 		s.slept = true
-		s.world.clock.Advance(sendWithin + time.Second)
+		s.cluster.clock.Advance(maxIntentAge + time.Second)
 	}
 	return res, err
 }
--- a/internal/jobs/write.go
+++ b/internal/jobs/write.go
@@ -11,33 +11,35 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// transition is one step of one job. Apply looks at the record as the store
-// has it and returns false where the transition no longer makes sense; it may
-// be called again on a newer record.
+// transition is one state change of one job. apply changes the record if the
+// transition is still valid for it, and returns false otherwise. It may be
+// called again on a newer record after a conflict. A nil apply is skipped.
 type transition struct {
 	job   model.JobID
 	apply func(r *Record) bool
 }
 
 const (
-	// maxTxnGroups and maxTxnBytes bound one write. The service refuses
-	// requests over 1.5 MB by default, and base64 adds a third.
+	// maxTxnGroups and maxTxnBytes bound one transaction. The store refuses
+	// requests over 1.5 MB by default, and base64 adds a third to the size.
 	maxTxnGroups = 48
 	maxTxnBytes  = 700 << 10
-	// writeTries bounds how often a write that lost against another is made
-	// anew; what is left is done by the next pass.
-	writeTries = 4
-	// limitedTries and limitedWait are how a write waits for the service's
-	// rate limit: three quarters of a second in all, within what urgent work
-	// may take to start.
-	limitedTries = 12
-	limitedWait  = 10 * time.Millisecond
-	limitedMost  = 80 * time.Millisecond
+	// maxWriteTries bounds how often a write that conflicts with another is
+	// tried. The next pass makes the transitions that remain.
+	maxWriteTries = 4
+	// A call that is refused by a rate limit is tried maxRateLimitTries times.
+	// The wait doubles from minRateLimitWait to maxRateLimitWait and adds up to
+	// three quarters of a second, which is within the time that urgent jobs have
+	// to start.
+	maxRateLimitTries = 12
+	minRateLimitWait  = 10 * time.Millisecond
+	maxRateLimitWait  = 80 * time.Millisecond
 )
 
-// write makes the changes, as many groups in one transaction as fit, and
-// returns the jobs whose change certainly took effect with their new records.
-// Jobs in one transaction share its fate; a conflict costs a new reading.
+// write applies the transitions, with as many groups per transaction as fit, and
+// returns the new records of the jobs whose change certainly took effect. All
+// jobs of a transaction succeed or fail together. After a conflict the changed
+// groups are read and the transaction is tried again.
 func (j *Jobs) write(ctx context.Context, changes []transition) (map[model.JobID]Record, error) {
 	byKey := make(map[string][]transition)
 	var keys []string
@@ -55,7 +57,7 @@
 	done := make(map[model.JobID]Record)
 	var errs []error
 	for len(keys) > 0 {
-		n, err := j.writeSome(ctx, keys, byKey, done)
+		n, err := j.writeBatch(ctx, keys, byKey, done)
 		if err != nil {
 			errs = append(errs, err)
 		}
@@ -64,33 +66,34 @@
 	return done, errors.Join(errs...)
 }
 
-// draft is a group about to be written.
+// draft is the new value of a group that is about to be written.
 type draft struct {
 	key     string
-	from    stored
+	from    storedGroup
 	next    *group
 	value   []byte
 	touched []model.JobID
 }
 
-// writeSome writes the first groups that fit into a transaction and returns
-// how many keys it has dealt with.
-func (j *Jobs) writeSome(ctx context.Context, keys []string, byKey map[string][]transition, done map[model.JobID]Record) (int, error) {
-	for range writeTries {
+// writeBatch writes as many groups from the start of keys as fit into a
+// transaction, adds the changed records to done, and returns how many keys it
+// has processed.
+func (j *Jobs) writeBatch(ctx context.Context, keys []string, byKey map[string][]transition, done map[model.JobID]Record) (int, error) {
+	for range maxWriteTries {
 		drafts, n, err := j.drafts(keys, byKey)
 		if err != nil || len(drafts) == 0 {
 			return n, err
 		}
 		res, err := j.commit(ctx, txnOf(drafts))
 		if infra.IsKind(err, infra.KindConflict) {
-			j.learnConflict(drafts, res)
+			j.adoptConflicting(drafts, res)
 			continue
 		}
 		if err != nil {
-			return n, fault("write jobs", "", err)
+			return n, wrapError("write jobs", "", err)
 		}
 		for _, d := range drafts {
-			j.mirror.put(d.key, stored{group: d.next, rev: res.Revision})
+			j.mirror.put(d.key, storedGroup{group: d.next, rev: res.Revision})
 			for _, id := range d.touched {
 				_, at, _ := keyOf(id)
 				done[id] = d.next.Jobs[at]
@@ -98,9 +101,11 @@
 		}
 		return n, nil
 	}
-	return min(maxTxnGroups, len(keys)), fault("write jobs", "", infra.Errorf("write", infra.KindConflict, "others write the same jobs"))
+	return min(maxTxnGroups, len(keys)), wrapError("write jobs", "", infra.Errorf("write", infra.KindConflict, "others write the same jobs"))
 }
 
+// drafts returns the new values of the first groups that fit into a transaction,
+// and how many keys they cover. Groups that no transition changes are left out.
 func (j *Jobs) drafts(keys []string, byKey map[string][]transition) ([]draft, int, error) {
 	var drafts []draft
 	bytes := 0
@@ -124,6 +129,8 @@
 	return drafts, len(keys), nil
 }
 
+// draft applies the transitions to a copy of the group. The draft has no touched
+// jobs if the mirror lacks the group or no transition applies.
 func (j *Jobs) draft(key string, changes []transition) (draft, error) {
 	from, ok := j.mirror.get(key)
 	if !ok {
@@ -142,12 +149,14 @@
 	d.next.Change = j.changeID()
 	value, err := json.Marshal(d.next)
 	if err != nil {
-		return d, fault("encode jobs", "", infra.Errorf("encode", infra.KindInvalid, "%w", err))
+		return d, wrapError("encode jobs", "", infra.Errorf("encode", infra.KindInvalid, "%w", err))
 	}
 	d.value = value
 	return d, nil
 }
 
+// txnOf returns the transaction that writes the drafts, conditional on the
+// revisions they were made from.
 func txnOf(drafts []draft) infra.Txn {
 	var txn infra.Txn
 	for _, d := range drafts {
@@ -157,8 +166,9 @@
 	return txn
 }
 
-// learnConflict takes the groups as they are now from a refused transaction.
-func (j *Jobs) learnConflict(drafts []draft, res infra.TxnResult) {
+// adoptConflicting updates the mirror with the current groups that a conflicting
+// transaction has read.
+func (j *Jobs) adoptConflicting(drafts []draft, res infra.TxnResult) {
 	for i, d := range drafts {
 		if i >= len(res.Reads) {
 			return
@@ -172,9 +182,9 @@
 	}
 }
 
-// commit is infra.Commit, patient with the service's rate limit.
+// commit is infra.Commit with repeats when the store's rate limit refuses it.
 func (j *Jobs) commit(ctx context.Context, txn infra.Txn) (res infra.TxnResult, err error) {
-	err = j.patient(ctx, func() error {
+	err = j.retryRateLimited(ctx, func() error {
 		j.counts.writes.Add(1)
 		res, err = infra.Commit(ctx, j.store, txn)
 		return err
@@ -182,13 +192,14 @@
 	return res, err
 }
 
-// patient repeats a call that is refused unread because of a rate. Where
-// others use the rate up, one try in a few is let in.
-func (j *Jobs) patient(ctx context.Context, call func() error) error {
-	wait := limitedWait
+// retryRateLimited repeats a call that a rate limit refuses without processing
+// it, with exponential backoff. Even while other clients use up the rate, about
+// one try in a few is admitted.
+func (j *Jobs) retryRateLimited(ctx context.Context, call func() error) error {
+	wait := minRateLimitWait
 	for try := 1; ; try++ {
 		err := call()
-		if !infra.IsKind(err, infra.KindRateLimited) || try == limitedTries {
+		if !infra.IsKind(err, infra.KindRateLimited) || try == maxRateLimitTries {
 			return err
 		}
 		j.counts.limited.Add(1)
@@ -197,6 +208,6 @@
 			return err
 		case <-j.clock.After(wait):
 		}
-		wait = min(2*wait, limitedMost)
+		wait = min(2*wait, maxRateLimitWait)
 	}
 }
