--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -50,7 +50,7 @@
 		out, clock = e.Workers.Start(call, &o.Worker, o.Start)
 		cancel()
 	}
-	e.Metrics.start(out)
+	e.Metrics.countStart(out)
 	e.mu.Lock()
 	e.core.StartAnswered(o, out, clock, e.Clock.Now())
 	held := e.core.StartsDeferred()
@@ -76,7 +76,7 @@
 	call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Stop(call, &o.Worker, o.Task, o.Run, e.Term.Token())
-	e.Metrics.stop(out)
+	e.Metrics.countStop(out)
 	e.mu.Lock()
 	e.core.StopAnswered(o, out, e.Clock.Now())
 	e.mu.Unlock()
@@ -91,7 +91,7 @@
 	call, cancel := e.withExtraTimeout(ctx, orderTimeout)
 	defer cancel()
 	out := e.Workers.Pace(call, &o.Worker, o.Task, o.Run, o.Percent, e.Term.Token())
-	e.Log.Info("pace order sent", "task", o.Task.String(), "worker", o.Worker.ID, "percent", o.Percent, "outcome", out.String())
+	e.Log.Info("pace", "task", o.Task.String(), "worker", o.Worker.ID, "percent", o.Percent, "outcome", out.String())
 	if out != OutcomeOK {
 		e.mu.Lock()
 		if t := e.core.find(o.Task); t != nil && t.run == o.Run {
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -27,6 +27,7 @@
 	return &session{engine: e, id: id, kick: make(chan struct{}, 1), orders: make(chan struct{}, maxConcurrentOrders)}
 }
 
+// session returns the session of the worker; nil if there is none.
 func (e *Engine) session(id work.WorkerID) *session {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -151,7 +152,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	e.Metrics.poll(out)
+	e.Metrics.countPoll(out)
 	behind := e.maxSchedulingDelay()
 	e.mu.Lock()
 	switch {
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -192,7 +192,7 @@
 	}
 	w.tasks[t.ref] = t
 	w.load.count(t.step, 1)
-	t.count(1)
+	t.addUsage(1)
 }
 
 // remove takes the task off the worker; it does nothing if the task is not there.
@@ -202,7 +202,7 @@
 	}
 	delete(w.tasks, t.ref)
 	w.load.count(t.step, -1)
-	t.count(-1)
+	t.addUsage(-1)
 }
 
 // snapshot writes the planner's description of the worker to out.
--- a/internal/jobs/mirror.go
+++ b/internal/jobs/mirror.go
@@ -10,46 +10,46 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// stored is a group with the revision of its key, for CAS.
-type stored struct {
+// storedGroup is a group with the revision of its key, for compare-and-swap.
+type storedGroup struct {
 	*group
 	rev infra.Revision
 }
 
-// mirror is what this entry VM knows of the jobs in the store. It may be
-// stale; every write is bound to the revision that it was made from. Groups in
-// it are never changed, only replaced.
+// mirror is this entry VM's local copy of the jobs in the store. It may be stale:
+// every write is conditional on the revision it was derived from. Its groups are
+// immutable; they are only replaced.
 type mirror struct {
 	store infra.Store
 
 	mu     sync.Mutex
-	groups map[string]stored
-	rev    infra.Revision // up to which groups are known
-	// watching is set while a watch keeps groups up to date, so that refresh
-	// need not read them all.
+	groups map[string]storedGroup
+	rev    infra.Revision // up to which all changes are included
+	// watching is set while a watch keeps groups up to date; refresh then reads
+	// nothing.
 	watching bool
 }
 
 func newMirror(s infra.Store) *mirror {
-	return &mirror{store: s, groups: make(map[string]stored)}
+	return &mirror{store: s, groups: make(map[string]storedGroup)}
 }
 
-// refresh brings the mirror up to date: from the watch where one runs, else by
-// reading everything. Only groups that changed are decoded.
+// refresh brings the mirror up to date by reading all groups, unless a watch
+// does. Only groups that have changed are decoded.
 func (m *mirror) refresh(ctx context.Context) error {
 	if m.isWatching() {
 		return nil
 	}
 	kvs, rev, err := m.store.Range(ctx, groupPrefix)
 	if err != nil {
-		return fault("read jobs", "", err)
+		return wrapError("read jobs", "", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if rev < m.rev {
-		return nil // an answer overtaken by a later write of ours
+		return nil // the reply is older than what the mirror has
 	}
-	next := make(map[string]stored, len(kvs))
+	next := make(map[string]storedGroup, len(kvs))
 	for _, kv := range kvs {
 		if old, ok := m.groups[kv.Key]; ok && old.rev >= kv.ModRevision {
 			next[kv.Key] = old
@@ -63,17 +63,17 @@
 	}
 	for key, g := range m.groups {
 		if _, ok := next[key]; !ok && g.rev > rev {
-			next[key] = g // written by us after the answer was made
+			next[key] = g // written by this entry VM after the read
 		}
 	}
 	m.groups, m.rev = next, rev
 	return nil
 }
 
-// follow starts a watch from what refresh has read, so that passes need not
-// read twenty thousand jobs each, and calls news after each change. It ends
-// with ctx.
-func (m *mirror) follow(ctx context.Context, news func()) error {
+// startWatch starts a watch after the revision that refresh has read, so that not
+// every pass has to read 20,000 jobs. It calls onChange after each batch of
+// changes and ends with ctx.
+func (m *mirror) startWatch(ctx context.Context, onChange func()) error {
 	if m.isWatching() {
 		return nil
 	}
@@ -82,20 +82,21 @@
 	m.mu.Unlock()
 	batches, err := m.store.Watch(ctx, groupPrefix, from)
 	if err != nil {
-		return fault("watch jobs", "", err)
+		return wrapError("watch jobs", "", err)
 	}
 	m.setWatching(true)
-	go m.takeAll(batches, news)
+	go m.applyBatches(batches, onChange)
 	return nil
 }
 
-func (m *mirror) takeAll(batches <-chan infra.WatchBatch, news func()) {
+// applyBatches applies the batches of a watch until it ends or fails.
+func (m *mirror) applyBatches(batches <-chan infra.WatchBatch, onChange func()) {
 	defer m.setWatching(false)
 	for batch := range batches {
-		if !m.take(batch) {
+		if !m.apply(batch) {
 			return
 		}
-		news()
+		onChange()
 	}
 }
 
@@ -111,9 +112,10 @@
 	m.watching = on
 }
 
-// take applies one batch; a watch that failed or can't be read is dropped, and
-// the next refresh reads everything.
-func (m *mirror) take(batch infra.WatchBatch) bool {
+// apply applies one batch of changes. It returns false if the watch has failed or
+// a group can't be decoded; the watch then ends and the next refresh reads all
+// groups.
+func (m *mirror) apply(batch infra.WatchBatch) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if batch.Err != nil {
@@ -139,8 +141,9 @@
 	return true
 }
 
-// put notes a group as it was read or written by this entry VM.
-func (m *mirror) put(key string, g stored) {
+// put stores a group that this entry VM has read or written, unless the mirror has
+// a newer revision.
+func (m *mirror) put(key string, g storedGroup) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.groups[key].rev < g.rev {
@@ -154,25 +157,26 @@
 	delete(m.groups, key)
 }
 
-func (m *mirror) get(key string) (stored, bool) {
+func (m *mirror) get(key string) (storedGroup, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	g, ok := m.groups[key]
 	return g, ok
 }
 
-// all returns every group by key. The groups are read-only.
-func (m *mirror) all() map[string]stored {
+// all returns all groups by key. Callers must not change the groups.
+func (m *mirror) all() map[string]storedGroup {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := make(map[string]stored, len(m.groups))
+	out := make(map[string]storedGroup, len(m.groups))
 	for k, g := range m.groups {
 		out[k] = g
 	}
 	return out
 }
 
-// find returns the job's record; false where the mirror has none.
+// find returns the job's record, or false if the mirror has none. Callers must not
+// change it.
 func (m *mirror) find(id model.JobID) (*Record, bool) {
 	key, at, ok := keyOf(id)
 	if !ok {
@@ -185,10 +189,11 @@
 	return &g.Jobs[at], true
 }
 
-func decode(kv infra.KV) (stored, error) {
+// decode decodes a stored group.
+func decode(kv infra.KV) (storedGroup, error) {
 	g := &group{}
 	if err := json.Unmarshal(kv.Value, g); err != nil {
-		return stored{}, fault("read "+strings.TrimPrefix(kv.Key, infra.Root), "", infra.Errorf("decode", infra.KindInvalid, "%w", err))
+		return storedGroup{}, wrapError("read "+strings.TrimPrefix(kv.Key, infra.Root), "", infra.Errorf("decode", infra.KindInvalid, "%w", err))
 	}
-	return stored{group: g, rev: kv.ModRevision}, nil
+	return storedGroup{group: g, rev: kv.ModRevision}, nil
 }
--- a/internal/jobs/observe.go
+++ b/internal/jobs/observe.go
@@ -12,38 +12,38 @@
 	"github.com/pumicestage/pumicestage/policy/quota"
 )
 
-// startGrace is how long an intent may stand without its task showing up
-// before others act on it: many times what a start takes, so that the writer
-// is dead or paused.
+// startGrace is how long an intent may exist without its task being listed
+// before other entry VMs act on it. It is many times the duration of a start, so
+// by then the writer of the intent has crashed or is paused.
 const startGrace = 30 * time.Second
 
-// observe compares each job with its task.
+// observe compares each job with its task and writes the transitions that follow.
 func (p *pass) observe(ctx context.Context) error {
 	var changes []transition
 	for _, r := range p.records {
 		task, listed := p.tasks[r.Attempt]
-		if r.State.Ended() || r.Attempt == "" || p.settled(r, task) {
+		if r.State.Ended() || r.Attempt == "" || p.attemptSettled(r, task) {
 			continue
 		}
-		if apply := p.next(r, task, listed); apply != nil {
-			changes = append(changes, bound(r, apply))
+		if apply := p.nextTransition(r, task, listed); apply != nil {
+			changes = append(changes, ifUnchanged(r, apply))
 		}
 	}
 	_, err := p.write(ctx, changes)
 	return err
 }
 
-// settled reports whether a job that waits has nothing to learn from its last
-// attempt. One that was given up and runs or succeeded after all, because its
-// start arrived late, is taken up again instead of being started once more.
-func (p *pass) settled(r *Record, task infra.Task) bool {
-	late := task.State == infra.TaskRunning || task.State == infra.TaskSucceeded
-	return (r.State == Waiting || r.State == Unplaceable) && !late
+// attemptSettled reports whether the last attempt of a waiting job needs no more
+// attention. An abandoned attempt whose start arrived late, so that its task
+// runs or has succeeded, is adopted again instead of starting the job once more.
+func (p *pass) attemptSettled(r *Record, task infra.Task) bool {
+	startedLate := task.State == infra.TaskRunning || task.State == infra.TaskSucceeded
+	return (r.State == Waiting || r.State == Unplaceable) && !startedLate
 }
 
-// bound lets a transition take effect only on the attempt and state it was
-// made for.
-func bound(seen *Record, apply func(r *Record)) transition {
+// ifUnchanged returns a transition that applies only while the record still has
+// the attempt and state that were observed.
+func ifUnchanged(seen *Record, apply func(r *Record)) transition {
 	attempt, state := seen.Attempt, seen.State
 	return transition{seen.ID, func(r *Record) bool {
 		if r.Attempt != attempt || r.State != state {
@@ -54,10 +54,11 @@
 	}}
 }
 
-// next returns the transition that the job's task calls for, or nil.
-func (p *pass) next(r *Record, task infra.Task, listed bool) func(r *Record) {
+// nextTransition returns the transition that follows from the state of the job's
+// task, or nil if there is none.
+func (p *pass) nextTransition(r *Record, task infra.Task, listed bool) func(r *Record) {
 	if !listed {
-		return p.missing(r)
+		return p.onTaskMissing(r)
 	}
 	switch task.State {
 	case infra.TaskRunning:
@@ -68,34 +69,37 @@
 	case infra.TaskSucceeded:
 		return func(r *Record) { r.enter(Succeeded, p.now, "") }
 	case infra.TaskFailed:
-		return p.failed(r, task.Reason)
+		return p.onTaskFailed(r, task.Reason)
 	case infra.TaskCheckpointed, infra.TaskStopped:
-		return p.stopped(r, task)
+		return p.onTaskStopped(r, task)
 	}
-	return p.lost(r, task.Reason)
+	return p.onAttemptLost(r, task.Reason)
 }
 
-// missing deals with a job whose task the platform does not know.
-func (p *pass) missing(r *Record) func(r *Record) {
+// onTaskMissing returns the transition of a job whose task the platform does not
+// list, or nil.
+func (p *pass) onTaskMissing(r *Record) func(r *Record) {
 	if r.State == Unknown {
 		return nil
 	}
 	if r.State == Running {
-		return p.lost(r, "the platform knows no such task any more")
+		return p.onAttemptLost(r, "the platform knows no such task any more")
 	}
-	_, mine := p.sent[r.Attempt]
+	_, sentHere := p.sent[r.Attempt]
 	switch {
-	case r.Owner == p.owner && !mine:
-		// The reply to the intent was lost, so no start was ever sent.
-		return func(r *Record) { r.giveUp(p.now, "not started: the intent was not certain") }
+	case r.Owner == p.owner && !sentHere:
+		// This process wrote the intent but got no reply to the write, so it
+		// never sent the start.
+		return func(r *Record) { r.abandonAttempt(p.now, "not started: the intent was not certain") }
 	case p.now.Sub(r.Since) < startGrace:
 		return nil
 	}
-	return p.lost(r, "its start was not answered")
+	return p.onAttemptLost(r, "its start was not answered")
 }
 
-// lost deals with an attempt of which it is not known whether it did its work.
-func (p *pass) lost(r *Record, why string) func(r *Record) {
+// onAttemptLost returns the transition of a job whose attempt ended without a
+// known outcome: it may or may not have done its work.
+func (p *pass) onAttemptLost(r *Record, why string) func(r *Record) {
 	if r.State == Unknown {
 		return nil
 	}
@@ -104,54 +108,56 @@
 			r.enter(Unknown, p.now, "it may have run: "+why+"; not repeatable, so an operator decides")
 		}
 	}
-	early := r.State == Running && p.now.Sub(r.Since) < earlyLoss
+	early := r.State == Running && p.now.Sub(r.Since) < earlyLossWindow
 	return func(r *Record) {
 		if early {
 			r.LostEarly++
 		}
-		if r.LostEarly >= mostLostEarly {
+		if r.LostEarly >= maxEarlyLosses {
 			r.enter(Failed, p.now, fmt.Sprintf("its worker was lost soon after it began, %d times: %s", r.LostEarly, why))
 			return
 		}
-		r.giveUp(p.now, why)
+		r.abandonAttempt(p.now, why)
 	}
 }
 
-// A job may crash whatever starts it. Started again without end it takes a pool down worker
-// by worker.
+// A job that crashes every worker it starts on would, if restarted without
+// limit, take down a pool worker by worker. It fails once its worker was lost
+// within earlyLossWindow of the start maxEarlyLosses times.
 const (
-	earlyLoss     = time.Minute
-	mostLostEarly = 5
+	earlyLossWindow = time.Minute
+	maxEarlyLosses  = 5
 )
 
-// stopped deals with an attempt that was ended by order. Work that is not
-// repeatable has begun, so it is not begun again.
-func (p *pass) stopped(r *Record, task infra.Task) func(r *Record) {
+// onTaskStopped returns the transition of a job whose task was stopped on request.
+// A job that is not repeatable has begun its work, so it fails instead of being
+// started again.
+func (p *pass) onTaskStopped(r *Record, task infra.Task) func(r *Record) {
 	if r.Repeatable || r.CancelBy != "" {
-		return func(r *Record) { r.giveUp(p.now, task.Reason) }
+		return func(r *Record) { r.abandonAttempt(p.now, task.Reason) }
 	}
 	return func(r *Record) { r.enter(Failed, p.now, "it was stopped and is not repeatable") }
 }
 
-// maxGrow bounds how often a job gets twice the memory: 16 times what was
-// thought is not an estimate that was off, it is a leak.
-const maxGrow = 4
+// maxMemoryDoublings bounds how often a job's memory is doubled. A job that
+// exceeds 16 times its estimate has a memory leak rather than a wrong estimate.
+const maxMemoryDoublings = 4
 
-// failed deals with an attempt that ended with a failure.
-func (p *pass) failed(r *Record, why string) func(r *Record) {
+// onTaskFailed returns the transition of a job whose task failed.
+func (p *pass) onTaskFailed(r *Record, why string) func(r *Record) {
 	switch {
 	case r.CancelBy != "":
-		return func(r *Record) { r.giveUp(p.now, why) }
+		return func(r *Record) { r.abandonAttempt(p.now, why) }
 	case !r.Repeatable:
 		return func(r *Record) { r.enter(Failed, p.now, why+"; not repeatable, so it is not tried again") }
-	case why == infra.ReasonMemoryGuard && r.Grow < maxGrow:
+	case why == infra.ReasonMemoryGuard && r.MemoryDoublings < maxMemoryDoublings:
 		p.learned.Sizes.ReportExceeded(r.Kind, r.ID, r.Size)
 		return func(r *Record) {
-			r.Grow++
-			r.LeastMB = 2 * r.Size.MemoryMB
-			r.giveUp(p.now, "it used more memory than it was given")
+			r.MemoryDoublings++
+			r.MinMemoryMB = 2 * r.Size.MemoryMB
+			r.abandonAttempt(p.now, "it used more memory than it was given")
 		}
-	case p.learned.hopeless(append(slices.Clone(r.FailedOn), r.VM)):
+	case p.learned.jobToBlame(append(slices.Clone(r.FailedOn), r.VM)):
 		return func(r *Record) {
 			r.addFailedOn(r.VM)
 			r.enter(Failed, p.now, "failed on several workers that other jobs run on: "+why)
@@ -159,7 +165,7 @@
 	}
 	return func(r *Record) {
 		r.addFailedOn(r.VM)
-		r.giveUp(p.now, why)
+		r.abandonAttempt(p.now, why)
 	}
 }
 
@@ -172,8 +178,8 @@
 	}
 }
 
-// stopOrphans stops tasks of attempts that were given up but started after
-// all, and tasks of jobs that are to be cancelled.
+// stopOrphans stops orphaned tasks, whose attempt was abandoned but started
+// nevertheless, and tasks of jobs that are being cancelled or have ended.
 func (p *pass) stopOrphans(ctx context.Context) error {
 	var errs []error
 	for _, t := range p.tasks {
@@ -185,16 +191,16 @@
 			continue
 		}
 		if !r.Repeatable && r.Attempt != t.Attempt {
-			p.log.Info("two attempts of a job that is not repeatable", "job", t.Job, "attempt", t.Attempt)
+			p.log.Info("job that is not repeatable has a running task of another attempt, stopping it", "job", t.Job, "attempt", t.Attempt)
 		}
-		errs = append(errs, fault("stop task", "", p.machines.StopTask(ctx, t.Attempt, false)))
+		errs = append(errs, wrapError("stop task", "", p.machines.StopTask(ctx, t.Attempt, false)))
 	}
 	return errors.Join(errs...)
 }
 
-// leave moves work off VMs that are leaving: it is stopped at a checkpoint
-// where it can be, and waited for where it can't.
-func (p *pass) leave(ctx context.Context) error {
+// evacuateLeaving stops preemptible tasks that can checkpoint on VMs that are
+// leaving; their jobs are placed elsewhere. All other tasks are left to finish.
+func (p *pass) evacuateLeaving(ctx context.Context) error {
 	var errs []error
 	snap := p.view.Load()
 	for _, r := range p.records {
@@ -202,13 +208,14 @@
 		if !ok || r.State != Running || vm.State != model.VMLeaving || !r.Checkpoints || !quota.Preemptible(&r.Job) {
 			continue
 		}
-		errs = append(errs, fault("stop task", "", p.machines.StopTask(ctx, r.Attempt, true)))
+		errs = append(errs, wrapError("stop task", "", p.machines.StopTask(ctx, r.Attempt, true)))
 	}
 	return errors.Join(errs...)
 }
 
-// renew extends the leases of running tasks.
-func (p *pass) renew(ctx context.Context) error {
+// renewTasks renews the leases of running tasks and drops the bookkeeping of
+// tasks that have ended.
+func (p *pass) renewTasks(ctx context.Context) error {
 	for attempt := range p.renewed {
 		if _, ok := p.tasks[attempt]; !ok {
 			delete(p.renewed, attempt)
@@ -222,15 +229,15 @@
 	return p.renewAll(ctx, p.dueForRenewal())
 }
 
-// renewMost bounds the renewals of one pass; at one pass a second it is enough
-// for 60,000 tasks.
-const renewMost = 1000
+// maxRenewals bounds the lease renewals of one pass. At one pass per second it
+// suffices for 60,000 tasks.
+const maxRenewals = 1000
 
 func (p *pass) dueForRenewal() []model.AttemptID {
 	var due []model.AttemptID
 	for _, r := range p.records {
 		_, listed := p.tasks[r.Attempt]
-		if listed && r.State == Running && p.now.Sub(p.renewed[r.Attempt]) >= renewTasks && len(due) < renewMost {
+		if listed && r.State == Running && p.now.Sub(p.renewed[r.Attempt]) >= taskRenewInterval && len(due) < maxRenewals {
 			due = append(due, r.Attempt)
 		}
 	}
@@ -239,11 +246,11 @@
 
 func (p *pass) renewAll(ctx context.Context, due []model.AttemptID) error {
 	errs := make([]error, len(due))
-	p.sideBySide(len(due), func(i int) { errs[i] = p.machines.RenewTask(ctx, due[i]) })
+	p.inParallel(len(due), func(i int) { errs[i] = p.machines.RenewTask(ctx, due[i]) })
 	for i, attempt := range due {
 		if errs[i] == nil || infra.IsKind(errs[i], infra.KindLeaseNotFound) {
 			p.renewed[attempt], errs[i] = p.now, nil
 		}
 	}
-	return fault("renew tasks", "", errors.Join(errs...))
+	return wrapError("renew tasks", "", errors.Join(errs...))
 }
