--- a/internal/infra/commit.go
+++ b/internal/infra/commit.go
@@ -5,52 +5,52 @@
 	"context"
 )
 
-// commitTries bounds how often Commit repeats a transaction whose reply was
-// lost. Each repeat is one call against the service's limits; a service that
+// maxCommitAttempts is how often Commit sends a transaction whose reply is
+// lost. Each attempt counts against the service's rate limits; a service that
 // loses this many replies in a row is treated as down.
-const commitTries = 3
+const maxCommitAttempts = 3
 
-// Commit runs a transaction and finds out what became of it where a reply is
-// lost. It returns
+// Commit runs a transaction, retries it if a reply is lost, and determines
+// whether it took effect. The error is
 //
-//   - nil where the transaction took effect. Superseded says that a key it
-//     wrote has changed since; Revision is that of its own write, fit for the
-//     next condition.
-//   - KindConflict where it did not take effect, because a condition does not
+//   - nil if the transaction took effect. Superseded reports that a key it
+//     wrote has changed since; Revision is that of its own write and can be
+//     used in the condition of a later transaction.
+//   - KindConflict if it did not take effect because a condition does not
 //     hold.
-//   - KindUnknown where neither is certain.
-//   - the error of Txn where the first copy was certainly not applied.
+//   - KindUnknown if neither is certain.
+//   - the error of Txn if the first attempt was certainly not applied.
 //
-// Without it a reply lost after the write took effect looks like a conflict on
-// retry: the winner would report "refused" to its operator, or do the step a
-// second time.
+// A plain retry would mistake its own write for a conflict if the reply was
+// lost after the write took effect: the writer would report "refused" to its
+// operator, or repeat the step.
 //
-// It asks of the transaction, else KindInvalid: a key that it writes is bound
-// by a condition, so that of all its copies, also one that arrives late, at
-// most one takes effect. And it asks of the caller: each value put bears the
-// change ID, so that a value read back proves whose write it was.
+// A condition must name a key that the transaction changes, else Commit
+// returns KindInvalid: only then does at most one of the copies sent take
+// effect, even if one arrives late. Each value written must contain the
+// caller's change ID, so that a value read back identifies its writer.
 //
-// A condition of absence is weaker than one on a revision: it holds again once
-// the key is deleted, and a copy that was held up until then would create the
-// key anew. Keys created through Commit therefore carry a lease, or are not
-// deleted before the service must have dropped what it holds.
+// A condition that a key is absent is weaker than one on a revision: it holds
+// again once the key is deleted, and a delayed copy would then recreate the
+// key. Keys created through Commit therefore carry a lease, or are deleted
+// only after the service must have discarded any delayed request.
 //
-// Else is replaced. On success Reads are those of Then, or empty where the
-// outcome was found out later; on KindConflict they are the keys that Then
-// writes, as they are now.
+// Commit overwrites txn.Else. On success Reads are those of Then, or empty if
+// the outcome was determined after a lost reply; on KindConflict they are the
+// current values of the keys that Then writes.
 func Commit(ctx context.Context, s Store, txn Txn) (TxnResult, error) {
-	if !bound(txn) {
+	if !writesConditionedKey(txn) {
 		return TxnResult{}, Errorf("commit", KindInvalid, "no written key is bound by a condition")
 	}
-	txn.Else = readBack(txn.Then)
+	txn.Else = readsOfWrittenKeys(txn.Then)
 	var lost error
-	for range commitTries {
+	for range maxCommitAttempts {
 		res, err := s.Txn(ctx, txn)
 		if err == nil && (res.Succeeded || lost == nil) {
-			return certain(res)
+			return definiteOutcome(res)
 		}
 		if err == nil {
-			return settle(ctx, s, txn, res)
+			return resolveLostReply(ctx, s, txn, res)
 		}
 		if !IsKind(err, KindUnknown) && lost == nil {
 			return TxnResult{}, err
@@ -63,11 +63,12 @@
 	return TxnResult{}, Errorf("commit", KindUnknown, "%w", lost)
 }
 
-// bound reports whether the first copy that takes effect keeps all others from
-// it: it must change a key that a condition names.
-func bound(txn Txn) bool {
+// writesConditionedKey reports whether the transaction changes a key that one
+// of its conditions names, so that the first copy applied makes the condition
+// of every other copy fail. Deleting a key that must be absent changes nothing.
+func writesConditionedKey(txn Txn) bool {
 	for _, op := range txn.Then {
-		cond, ok := condOn(txn, op.Key)
+		cond, ok := conditionFor(txn, op.Key)
 		if ok && (op.Kind == OpPut || op.Kind == OpDelete && cond.ModRevision != 0) {
 			return true
 		}
@@ -75,7 +76,8 @@
 	return false
 }
 
-func condOn(txn Txn, key string) (Cond, bool) {
+// conditionFor returns the transaction's condition on key, if it has one.
+func conditionFor(txn Txn, key string) (Cond, bool) {
 	for _, c := range txn.If {
 		if c.Key == key {
 			return c, true
@@ -84,7 +86,8 @@
 	return Cond{}, false
 }
 
-func readBack(then []Op) []Op {
+// readsOfWrittenKeys returns one read per write in then, in the same order.
+func readsOfWrittenKeys(then []Op) []Op {
 	var reads []Op
 	for _, op := range then {
 		if op.Kind != OpGet {
@@ -94,22 +97,23 @@
 	return reads
 }
 
-// certain is the outcome of a transaction none of whose copies was lost, or
-// whose last copy took effect.
-func certain(res TxnResult) (TxnResult, error) {
+// definiteOutcome converts a result that says by itself whether the
+// transaction took effect.
+func definiteOutcome(res TxnResult) (TxnResult, error) {
 	if res.Succeeded {
 		return res, nil
 	}
 	return res, Errorf("commit", KindConflict, "a condition does not hold")
 }
 
-// settle finds out whether an earlier copy took effect, of which no reply
-// came. res is the answer to a repeat whose conditions did not hold.
-func settle(ctx context.Context, s Store, txn Txn, res TxnResult) (TxnResult, error) {
-	if untouched(txn, res.Reads) {
-		return certain(res)
+// resolveLostReply determines whether an earlier attempt, whose reply was
+// lost, took effect. res is the reply to a later attempt whose conditions did
+// not hold.
+func resolveLostReply(ctx context.Context, s Store, txn Txn, res TxnResult) (TxnResult, error) {
+	if certainlyNotApplied(txn, res.Reads) {
+		return definiteOutcome(res)
 	}
-	at, proven := writtenAt(txn, res.Reads)
+	at, proven := revisionOfOwnValue(txn, res.Reads)
 	if !proven {
 		var err error
 		if at, err = searchHistory(ctx, s, txn, res.Reads); err != nil {
@@ -117,16 +121,17 @@
 		}
 	}
 	if at == 0 {
-		return certain(res)
+		return definiteOutcome(res)
 	}
 	return TxnResult{Succeeded: true, Revision: at, Superseded: changedSince(txn, res.Reads, at)}, nil
 }
 
-// untouched reports whether a key still is at the revision that the
-// transaction was bound to: then no copy took effect.
-func untouched(txn Txn, reads []KV) bool {
-	for i, op := range writes(txn.Then) {
-		cond, ok := condOn(txn, op.Key)
+// certainlyNotApplied reports whether a written key is still at the revision
+// that its condition names, which proves that no attempt took effect. reads
+// has one entry per write of the transaction, here and in the functions below.
+func certainlyNotApplied(txn Txn, reads []KV) bool {
+	for i, op := range writeOps(txn.Then) {
+		cond, ok := conditionFor(txn, op.Key)
 		if ok && cond.ModRevision != 0 && reads[i].ModRevision == cond.ModRevision {
 			return true
 		}
@@ -134,12 +139,13 @@
 	return false
 }
 
-// writtenAt looks for a value of ours among the keys read back. One is proof
-// enough, because a transaction applies whole; a value that stood there before
-// is told apart by its revision, which must be newer than every condition's.
-func writtenAt(txn Txn, reads []KV) (Revision, bool) {
-	newest := newestCond(txn)
-	for i, op := range writes(txn.Then) {
+// revisionOfOwnValue returns the revision of a key that holds the value which
+// the transaction wrote. One such key is proof, because a transaction is
+// atomic. An equal value from before the transaction is excluded: its revision
+// is not newer than those of the conditions and Since.
+func revisionOfOwnValue(txn Txn, reads []KV) (Revision, bool) {
+	newest := newestKnownRevision(txn)
+	for i, op := range writeOps(txn.Then) {
 		kv := reads[i]
 		if op.Kind == OpPut && kv.ModRevision > newest && bytes.Equal(kv.Value, op.Value) {
 			return kv.ModRevision, true
@@ -148,9 +154,10 @@
 	return 0, false
 }
 
-// changedSince reports whether a key that was written at a revision differs.
+// changedSince reports whether a key that the transaction wrote at revision at
+// has been changed by a later write.
 func changedSince(txn Txn, reads []KV, at Revision) bool {
-	for i, op := range writes(txn.Then) {
+	for i, op := range writeOps(txn.Then) {
 		gone := op.Kind == OpDelete && reads[i].ModRevision == 0
 		if !gone && reads[i].ModRevision != at {
 			return true
@@ -159,7 +166,9 @@
 	return false
 }
 
-func newestCond(txn Txn) Revision {
+// newestKnownRevision returns the newest store revision that the transaction
+// names, in Since or in a condition.
+func newestKnownRevision(txn Txn) Revision {
 	newest := txn.Since
 	for _, c := range txn.If {
 		newest = max(newest, c.ModRevision)
@@ -167,7 +176,8 @@
 	return newest
 }
 
-func writes(then []Op) []Op {
+// writeOps returns the operations of then that put or delete a key.
+func writeOps(then []Op) []Op {
 	var out []Op
 	for _, op := range then {
 		if op.Kind != OpGet {
--- a/internal/infra/errors.go
+++ b/internal/infra/errors.go
@@ -5,29 +5,32 @@
 	"fmt"
 )
 
-// Kind says what a failed call to the platform may have done.
+// Kind classifies a failed call to the platform by its cause and by whether a
+// write may have taken effect.
 type Kind int8
 
-// The kinds of Error. Only KindUnknown leaves it open whether a write took
-// effect; all others are certain that it did not.
+// The kinds of Error. After KindUnknown a write may or may not have taken
+// effect; after every other kind it certainly did not.
 const (
-	// KindUnavailable: the call was not sent or was refused unread.
+	// KindUnavailable: the call was not sent, or was rejected unprocessed.
 	KindUnavailable Kind = iota + 1
-	// KindUnknown: the call was sent and no reply came; a write may have
-	// taken effect and may still take effect later.
+	// KindUnknown: the call was sent and no reply arrived; a write may have
+	// taken effect already or may do so later.
 	KindUnknown
-	// KindRateLimited: refused unread because of the service's limits.
+	// KindRateLimited: rejected unprocessed because of the service's rate limits.
 	KindRateLimited
-	// KindTooLarge: a value is over the service's limit.
+	// KindTooLarge: a value is larger than the service accepts.
 	KindTooLarge
-	// KindLeaseNotFound: the lease has lapsed or was revoked.
+	// KindLeaseNotFound: the lease has expired or was revoked.
 	KindLeaseNotFound
-	// KindCompacted: the watched revision is no longer held.
+	// KindCompacted: the history from the requested revision on is no longer
+	// complete.
 	KindCompacted
-	// KindConflict: a condition did not hold (returned by helpers, not by Txn).
+	// KindConflict: a condition did not hold (returned by helpers such as
+	// Commit, not by Store.Txn).
 	KindConflict
-	// KindInvalid: the service could not make sense of the call or we not of
-	// its reply.
+	// KindInvalid: the service rejected the call as malformed, or its reply
+	// could not be parsed.
 	KindInvalid
 	// KindNotFound: the machine or task does not exist.
 	KindNotFound
@@ -39,14 +42,15 @@
 	KindConflict: "conflict", KindInvalid: "invalid", KindNotFound: "not found",
 }
 
-// String returns the kind as operators read it.
+// String returns the kind as printed for operators.
 func (k Kind) String() string { return kindNames[k] }
 
-// Error is the only error type that leaves this package's implementations.
+// Error is the only error type that implementations of Store and Machines
+// return.
 type Error struct {
-	Op   string // "txn", "get", "reboot", ...
+	Op   string // the call that failed: "txn", "get", "reboot", ...
 	Kind Kind
-	Err  error // the cause, may be nil
+	Err  error // the cause; may be nil
 }
 
 // Error implements error.
@@ -60,12 +64,12 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Errorf makes an *Error.
+// Errorf returns an *Error whose cause is formatted as by fmt.Errorf.
 func Errorf(op string, kind Kind, format string, args ...any) *Error {
 	return &Error{Op: op, Kind: kind, Err: fmt.Errorf(format, args...)}
 }
 
-// KindOf returns the Kind of err, or 0 if it is not a platform error.
+// KindOf returns the Kind of the *Error in err's chain, or 0 if there is none.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
@@ -74,5 +78,5 @@
 	return 0
 }
 
-// IsKind reports whether err is a platform error of the kind.
+// IsKind reports whether err's chain has an *Error of the given kind.
 func IsKind(err error, kind Kind) bool { return KindOf(err) == kind }
--- a/internal/infra/platform.go
+++ b/internal/infra/platform.go
@@ -1,6 +1,6 @@
-// Package infra is the port to the platform the users run: a key-value
-// service and the machines. Everything the system agrees on or keeps goes
-// through Store; every outside effect goes through Machines.
+// Package infra defines the interfaces to the platform that the users run: a
+// key-value service and the machines. All shared and persistent state goes
+// through Store; every external effect goes through Machines.
 package infra
 
 import (
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// Limits of one call that every implementation keeps, so that a caller finds
-// out in tests. A transaction over MaxTxnOps, the service's published default,
-// fails with KindInvalid, a value over MaxValueBytes with KindTooLarge.
+// Limits of one call. Every implementation enforces them, so that tests
+// detect a caller that exceeds them. A transaction over MaxTxnOps, the
+// service's published default, fails with KindInvalid, a value over
+// MaxValueBytes with KindTooLarge.
 const (
 	MaxTxnOps     = 128 // for If, Then and Else each
 	MaxValueBytes = 1 << 20
 )
 
-// Revision is the store's global version; it grows with every write and
-// serves as a fencing token. Zero in a Cond means "the key does not exist".
+// Revision is the version of the whole store. It increases with every write
+// and serves as a fencing token. Zero in a Cond means "the key does not exist".
 type Revision int64
 
-// LeaseID names a lease. Zero is no lease.
+// LeaseID identifies a lease. Zero means no lease.
 type LeaseID int64
 
-// KV is one key with its value and versions.
+// KV is a key with its value and the revisions of its creation and last write.
 type KV struct {
 	Key            string
 	Value          []byte
@@ -32,14 +33,14 @@
 	Lease          LeaseID
 }
 
-// Cond is one condition of a transaction: Key was last written at
-// ModRevision (0: Key does not exist).
+// Cond is a condition of a transaction: Key was last written at ModRevision
+// (0: Key does not exist).
 type Cond struct {
 	Key         string
 	ModRevision Revision
 }
 
-// OpKind says what an Op does.
+// OpKind is the type of an Op.
 type OpKind int8
 
 // The kinds of Op.
@@ -60,7 +61,8 @@
 // Put returns an Op that writes value under key.
 func Put(key string, value []byte) Op { return Op{Kind: OpPut, Key: key, Value: value} }
 
-// PutLeased returns an Op that writes value under key for as long as lease lives.
+// PutLeased returns an Op that writes value under key and attaches the key to
+// lease: the store deletes the key when the lease ends.
 func PutLeased(key string, value []byte, lease LeaseID) Op {
 	return Op{Kind: OpPut, Key: key, Value: value, Lease: lease}
 }
@@ -71,14 +73,15 @@
 // Read returns an Op that reads key.
 func Read(key string) Op { return Op{Kind: OpGet, Key: key} }
 
-// Txn applies Then where every condition of If holds, else Else, as one step.
+// Txn applies Then if every condition of If holds, otherwise Else, atomically.
 type Txn struct {
 	If   []Cond
 	Then []Op
 	Else []Op
 	// Since is any revision of the store that the caller saw before the
-	// transaction was first sent; 0 if none. Txn does not look at it; Commit
-	// does where all conditions are of absence, to know where to look from.
+	// transaction was first sent; 0 if none. Store.Txn ignores it. Commit
+	// searches the history from there if every condition is that a key is
+	// absent, and so names no revision.
 	Since Revision
 }
 
@@ -89,12 +92,12 @@
 	// Reads has one entry for each OpGet that was applied, in order; an
 	// absent key has ModRevision 0.
 	Reads []KV
-	// Superseded is set by Commit alone: the transaction took effect, and a
-	// key it wrote has changed since.
+	// Superseded is set only by Commit: the transaction took effect, and a
+	// key that it wrote has changed since.
 	Superseded bool
 }
 
-// EventKind says what happened to a key.
+// EventKind is the type of an Event.
 type EventKind int8
 
 // The kinds of Event.
@@ -103,43 +106,46 @@
 	EventDelete
 )
 
-// Event is one change seen by a watch.
+// Event is one change of a key that a watch delivers.
 type Event struct {
 	Kind EventKind
 	KV   KV // for EventDelete only Key and ModRevision are set
 }
 
-// WatchBatch carries the events of one store revision in order, or the error
+// WatchBatch holds the events of one store revision in order, or the error
 // that ended the watch. After an error the channel is closed.
 type WatchBatch struct {
 	Events   []Event
 	Revision Revision
 	Err      error
-	// More says that later events were there and found no room in the answer.
+	// More reports that later events exist that did not fit into the response.
 	More bool
-	// Age is how long ago, at most, the store held nothing later than what the watch has told
-	// with this batch, which may be without events; 0: not known.
+	// Age is an upper bound on how out of date the watch is after this batch, which may have
+	// no events: that long ago the store had no change that is not delivered yet. 0: unknown.
 	Age time.Duration
 }
 
-// Store is the platform's key-value service. Every call ends by the context's
-// deadline. Errors are *Error; see Kind for what may have happened.
+// Store is the platform's key-value service. Every call returns by the
+// context's deadline. Errors are *Error; their Kind says whether a write may
+// have taken effect.
 type Store interface {
 	// Get reads one key. An absent key has ModRevision 0 and no error. The
-	// Revision is the store's at the time of the read.
+	// Revision is that of the store at the time of the read.
 	Get(ctx context.Context, key string) (KV, Revision, error)
 	// Range reads every key with the prefix, sorted by key.
 	Range(ctx context.Context, prefix string) ([]KV, Revision, error)
 	// Txn runs a transaction; it is atomic and serializable.
 	Txn(ctx context.Context, txn Txn) (TxnResult, error)
-	// Grant makes a lease. Keys under it vanish when it lapses or is revoked.
+	// Grant creates a lease. Keys attached to it are deleted when it expires or
+	// is revoked.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease; KindLeaseNotFound where it has lapsed.
+	// KeepAlive renews a lease. It returns KindLeaseNotFound if the lease has
+	// expired.
 	KeepAlive(ctx context.Context, lease LeaseID) error
-	// Revoke ends a lease and its keys at once.
+	// Revoke ends a lease and deletes its keys at once.
 	Revoke(ctx context.Context, lease LeaseID) error
-	// Watch delivers every change under prefix from revision `from` on, in
-	// order, without gaps, until ctx ends. KindCompacted means the caller
-	// must read with Range and watch from there.
+	// Watch delivers every change of keys with the prefix from revision `from`
+	// on, in order and without gaps, until ctx ends. After KindCompacted the
+	// caller must read the keys with Range and watch from its revision.
 	Watch(ctx context.Context, prefix string, from Revision) (<-chan WatchBatch, error)
 }
--- a/internal/infra/values_test.go
+++ b/internal/infra/values_test.go
@@ -9,11 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestValuesComeBackAsWritten(t *testing.T) {
+// A value must decode to what was encoded, compressed or not, and encode to
+// the same bytes each time: Commit recognizes its own writes by their bytes.
+func TestEncodedValuesRoundTrip(t *testing.T) {
 	cases := []struct {
-		name   string
-		value  string
-		packed bool
+		name       string
+		value      string
+		compressed bool
 	}{
 		{"empty", "", false},
 		{"small stays readable", strings.Repeat("v", 1000), false},
@@ -29,17 +31,17 @@
 			assert.NilError(t, DecodeValue(stored, &back))
 			assert.Equal(t, back, tc.value)
 			assert.DeepEqual(t, stored, again)
-			assert.Equal(t, bytes.HasPrefix(stored, gzipMagic), tc.packed)
+			assert.Equal(t, bytes.HasPrefix(stored, gzipMagic), tc.compressed)
 		})
 	}
 }
 
-// A damaged or hostile value must be refused: an entry VM that unpacked it
-// without bound would be killed, and every other with it.
+// A damaged or malicious value must be refused: decompressing it without a
+// bound would exhaust the memory of every entry VM that reads it.
 func TestDecodeValueRefuses(t *testing.T) {
 	var bomb bytes.Buffer
 	w := gzip.NewWriter(&bomb)
-	_, err := w.Write(bytes.Repeat([]byte{' '}, maxUnpacked+1))
+	_, err := w.Write(bytes.Repeat([]byte{' '}, maxDecompressedBytes+1))
 	assert.NilError(t, err)
 	assert.NilError(t, w.Close())
 	cases := []struct {
