--- a/internal/infra/faulty/store.go
+++ b/internal/infra/faulty/store.go
@@ -1,5 +1,5 @@
-// Package faulty wraps the platform's interfaces with faults a test switches:
-// what one client of the platform sees when the service or the way to it fails.
+// Package faulty injects faults into a client's calls of an infra.Store, for
+// tests: what the client sees when the service or the connection to it fails.
 package faulty
 
 import (
@@ -10,69 +10,73 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// Store is one client's way to a infra.Store.
+// Store is one client's connection to an infra.Store. It is safe for concurrent
+// use.
 type Store struct {
 	inner infra.Store
 
-	mu         sync.Mutex
-	down       bool
-	loseNext   int
-	refuseNext int
-	before     func(op string, txn infra.Txn)
-	calls      Calls
-	cut        chan struct{} // closed when the way goes down, to end watches
+	mu             sync.Mutex
+	down           bool
+	repliesToLose  int
+	requestsToLose int
+	beforeWrite    func(op string, txn infra.Txn)
+	calls          Calls
+	disconnected   chan struct{} // closed by SetDown, to end watches
 }
 
-// Calls counts what went to the service.
+// Calls counts the calls made, failed ones included. Grant and Revoke count as
+// writes.
 type Calls struct {
 	Reads, Writes, KeepAlives, Watches int
 }
 
-// Wrap returns a Store that passes everything on until a fault is switched on.
+// Wrap returns a Store that passes every call to inner until a fault is set.
 func Wrap(inner infra.Store) *Store {
-	return &Store{inner: inner, cut: make(chan struct{})}
+	return &Store{inner: inner, disconnected: make(chan struct{})}
 }
 
 var _ infra.Store = (*Store)(nil)
 
-// SetDown makes every call fail unsent and ends running watches.
+// SetDown(true) makes every call fail with KindUnavailable, without reaching
+// the service, and ends open watches. SetDown(false) restores the connection.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if down && !s.down {
-		close(s.cut)
+		close(s.disconnected)
 	}
 	if !down && s.down {
-		s.cut = make(chan struct{})
+		s.disconnected = make(chan struct{})
 	}
 	s.down = down
 }
 
-// LoseReplies makes the next n writes take effect and then report
-// KindUnknown, as when the connection dies before the reply.
+// LoseReplies makes the next n writes take effect and then return KindUnknown,
+// as when the connection fails before the reply arrives.
 func (s *Store) LoseReplies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseNext = n
+	s.repliesToLose = n
 }
 
-// LoseRequests makes the next n writes report KindUnknown without effect, as
-// when the connection dies before the request arrives.
+// LoseRequests makes the next n writes return KindUnknown without effect, as
+// when the connection fails before the request arrives.
 func (s *Store) LoseRequests(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refuseNext = n
+	s.requestsToLose = n
 }
 
-// Before calls f before each write is passed on; a test blocks in it to pause
-// the client, or lets a rival write first.
+// Before sets a function that is called before each write is passed on. A test
+// can block in it to pause the client, or make another client write first. op
+// is "txn", "grant" or "revoke"; txn is empty but for "txn".
 func (s *Store) Before(f func(op string, txn infra.Txn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.before = f
+	s.beforeWrite = f
 }
 
-// Calls returns the counts so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +85,7 @@
 
 // Get implements infra.Store.
 func (s *Store) Get(ctx context.Context, key string) (infra.KV, infra.Revision, error) {
-	if err := s.read("get"); err != nil {
+	if err := s.checkRead("get"); err != nil {
 		return infra.KV{}, 0, err
 	}
 	return s.inner.Get(ctx, key)
@@ -89,7 +93,7 @@
 
 // Range implements infra.Store.
 func (s *Store) Range(ctx context.Context, prefix string) ([]infra.KV, infra.Revision, error) {
-	if err := s.read("range"); err != nil {
+	if err := s.checkRead("range"); err != nil {
 		return nil, 0, err
 	}
 	return s.inner.Range(ctx, prefix)
@@ -97,7 +101,7 @@
 
 // Txn implements infra.Store.
 func (s *Store) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
-	lose, err := s.write("txn", txn)
+	lose, err := s.checkWrite("txn", txn)
 	if err != nil {
 		return infra.TxnResult{}, err
 	}
@@ -110,7 +114,7 @@
 
 // Grant implements infra.Store.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (infra.LeaseID, error) {
-	lose, err := s.write("grant", infra.Txn{})
+	lose, err := s.checkWrite("grant", infra.Txn{})
 	if err != nil {
 		return 0, err
 	}
@@ -135,7 +139,7 @@
 
 // Revoke implements infra.Store.
 func (s *Store) Revoke(ctx context.Context, lease infra.LeaseID) error {
-	lose, err := s.write("revoke", infra.Txn{})
+	lose, err := s.checkWrite("revoke", infra.Txn{})
 	if err != nil {
 		return err
 	}
@@ -147,11 +151,11 @@
 }
 
 // Watch implements infra.Store. The watch ends with KindUnavailable when
-// the way goes down.
+// SetDown(true) is called.
 func (s *Store) Watch(ctx context.Context, prefix string, from infra.Revision) (<-chan infra.WatchBatch, error) {
 	s.mu.Lock()
 	s.calls.Watches++
-	down, cut := s.down, s.cut
+	down, disconnected := s.down, s.disconnected
 	s.mu.Unlock()
 	if down {
 		return nil, infra.Errorf("watch", infra.KindUnavailable, "service down")
@@ -163,18 +167,20 @@
 		return nil, err
 	}
 	out := make(chan infra.WatchBatch)
-	go relay(ctx, cancel, cut, in, out)
+	go relay(ctx, cancel, disconnected, in, out)
 	return out, nil
 }
 
-func relay(ctx context.Context, cancel func(), cut <-chan struct{}, in <-chan infra.WatchBatch, out chan<- infra.WatchBatch) {
+// relay copies batches from in to out until in is closed, ctx ends or
+// disconnected is closed; in the last case it sends KindUnavailable first.
+func relay(ctx context.Context, cancel func(), disconnected <-chan struct{}, in <-chan infra.WatchBatch, out chan<- infra.WatchBatch) {
 	defer close(out)
 	defer cancel()
 	lost := infra.WatchBatch{Err: infra.Errorf("watch", infra.KindUnavailable, "service down")}
 	for {
 		batch, ok := infra.WatchBatch{}, false
 		select {
-		case <-cut:
+		case <-disconnected:
 			batch = lost
 		case batch, ok = <-in:
 			if !ok {
@@ -192,7 +198,9 @@
 	}
 }
 
-func (s *Store) read(op string) error {
+// checkRead counts a read and returns the error of the fault that is set, if
+// any.
+func (s *Store) checkRead(op string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls.Reads++
@@ -202,10 +210,13 @@
 	return nil
 }
 
-func (s *Store) write(op string, txn infra.Txn) (lose bool, err error) {
+// checkWrite counts a write, calls beforeWrite, and returns the error of the
+// fault that is set, if any. If loseReply is set, the caller must pass the write
+// on and then report its reply as lost.
+func (s *Store) checkWrite(op string, txn infra.Txn) (loseReply bool, err error) {
 	s.mu.Lock()
 	s.calls.Writes++
-	before := s.before
+	before := s.beforeWrite
 	s.mu.Unlock()
 	if before != nil {
 		before(op, txn)
@@ -215,12 +226,12 @@
 	if s.down {
 		return false, infra.Errorf(op, infra.KindUnavailable, "service down")
 	}
-	if s.refuseNext > 0 {
-		s.refuseNext--
+	if s.requestsToLose > 0 {
+		s.requestsToLose--
 		return false, infra.Errorf(op, infra.KindUnknown, "connection lost")
 	}
-	if s.loseNext > 0 {
-		s.loseNext--
+	if s.repliesToLose > 0 {
+		s.repliesToLose--
 		return true, nil
 	}
 	return false, nil
--- a/internal/infra/memstore/memstore.go
+++ b/internal/infra/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is an in-memory infra.Store. It is the engine of the
-// platform's stand-in and the fake that tests use in place of the service.
+// Package memstore implements infra.Store in memory. The platform's stand-in
+// serves it, and tests use it as a fake of the key-value service.
 package memstore
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// MaxValueBytes is the largest value the service holds.
+// MaxValueBytes is the size in bytes of the largest value that Txn accepts.
 const MaxValueBytes = infra.MaxValueBytes
 
-// historyLimit is how many revisions a late watch can still be served from.
-// Older ones are compacted, as the real service does.
+// historyLimit is the number of revisions that are kept for watches that start
+// in the past. Older ones are compacted, as in the real service.
 const historyLimit = 10000
 
-// Store is a infra.Store in memory. It is safe for concurrent use.
+// Store is an infra.Store in memory. It is safe for concurrent use.
 type Store struct {
 	clock clockwork.Clock
 
@@ -42,7 +42,7 @@
 	keys    map[string]struct{}
 }
 
-// New returns an empty store whose leases lapse by clock.
+// New returns an empty store that takes the time of lease expiry from clock.
 func New(clock clockwork.Clock) *Store {
 	return &Store{
 		clock:     clock,
@@ -96,7 +96,7 @@
 	if err := s.validateLocked(txn); err != nil {
 		return infra.TxnResult{}, err
 	}
-	ok := s.holdsLocked(txn.If)
+	ok := s.conditionsHoldLocked(txn.If)
 	ops := txn.Then
 	if !ok {
 		ops = txn.Else
@@ -126,7 +126,7 @@
 	return err
 }
 
-// KeepAliveTTL is KeepAlive that also returns the lease's time to live.
+// KeepAliveTTL renews a lease like KeepAlive and returns its time to live.
 func (s *Store) KeepAliveTTL(ctx context.Context, id infra.LeaseID) (time.Duration, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, infra.Errorf("keepalive", infra.KindUnavailable, "%w", err)
@@ -153,34 +153,36 @@
 	if _, ok := s.leases[id]; !ok {
 		return infra.Errorf("revoke", infra.KindLeaseNotFound, "lease %d", id)
 	}
-	s.dropLeaseLocked(id)
+	s.deleteLeaseLocked(id)
 	return nil
 }
 
-// Tick lets leases lapse that are due by the clock. Every call does so too;
-// Tick is for watchers when nobody else calls.
+// Tick expires the leases whose time to live is over. Get, Range, Txn and the
+// lease calls do so too; Tick lets watches see the deletions when no such call
+// comes.
 func (s *Store) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
 }
 
-// Revision returns the store's revision.
+// Revision returns the store's current revision.
 func (s *Store) Revision() infra.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rev
 }
 
-// Compacted returns the newest revision that is no longer held.
+// Compacted returns the newest revision whose history has been discarded; 0 if
+// none has.
 func (s *Store) Compacted() infra.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.compacted
 }
 
-// Compact forgets history up to and including rev, so that older watches
-// fail with KindCompacted.
+// Compact discards the history up to and including rev, so that a watch from
+// rev or earlier fails with KindCompacted.
 func (s *Store) Compact(rev infra.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,7 +227,7 @@
 	return nil
 }
 
-func (s *Store) holdsLocked(conds []infra.Cond) bool {
+func (s *Store) conditionsHoldLocked(conds []infra.Cond) bool {
 	for _, c := range conds {
 		if s.keys[c.Key].ModRevision != c.ModRevision {
 			return false
@@ -234,7 +236,8 @@
 	return true
 }
 
-// applyLocked applies ops; all writes of one transaction share one revision.
+// applyLocked applies ops, publishes their events and returns the values read.
+// All writes of one transaction share one revision.
 func (s *Store) applyLocked(ops []infra.Op) []infra.KV {
 	next := s.rev + 1
 	var reads []infra.KV
@@ -282,19 +285,19 @@
 
 func (s *Store) expireLocked() {
 	now := s.clock.Now()
-	var due []infra.LeaseID
+	var expired []infra.LeaseID
 	for id, l := range s.leases {
 		if !l.expires.After(now) {
-			due = append(due, id)
+			expired = append(expired, id)
 		}
 	}
-	sort.Slice(due, func(i, j int) bool { return due[i] < due[j] })
-	for _, id := range due {
-		s.dropLeaseLocked(id)
+	sort.Slice(expired, func(i, j int) bool { return expired[i] < expired[j] })
+	for _, id := range expired {
+		s.deleteLeaseLocked(id)
 	}
 }
 
-func (s *Store) dropLeaseLocked(id infra.LeaseID) {
+func (s *Store) deleteLeaseLocked(id infra.LeaseID) {
 	next := s.rev + 1
 	var names []string
 	for k := range s.leases[id].keys {
--- a/internal/infra/memstore/memstore_test.go
+++ b/internal/infra/memstore/memstore_test.go
@@ -12,7 +12,9 @@
 	"github.com/pumicestage/pumicestage/internal/infra/faulty"
 )
 
-func TestLeasedKeyVanishesWhenLeaseLapses(t *testing.T) {
+// A key whose lease has expired must be gone, and the lease must not be
+// renewable: otherwise a failed entry VM would still appear to be live.
+func TestLeasedKeyIsDeletedWhenLeaseExpires(t *testing.T) {
 	ctx := context.Background()
 	clock := clockwork.NewFakeClock()
 	s := New(clock)
@@ -30,6 +32,8 @@
 	assert.Assert(t, infra.IsKind(err, infra.KindLeaseNotFound))
 }
 
+// A watch must deliver the changes from its revision on, those made before it
+// was opened included, and skip keys outside its prefix.
 func TestWatchDeliversFromRevisionWithoutGaps(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -52,8 +56,8 @@
 	assert.Equal(t, second.Events[0].KV.Key, "p/2")
 }
 
-// The operator's change took effect but its reply was lost. Without Commit
-// the retry would see its own write and report a conflict.
+// The transaction takes effect, but its reply is lost. A plain retry would see
+// its own write and report a conflict.
 func TestCommitFindsItsOwnWriteAfterLostReply(t *testing.T) {
 	ctx := context.Background()
 	s := faulty.Wrap(New(clockwork.NewFakeClock()))
@@ -69,9 +73,9 @@
 	assert.Assert(t, res.Succeeded)
 }
 
-// A rival wrote first: the loser must hear of a conflict, also where its own
-// reply was lost before.
-func TestCommitReportsConflictToTheLoser(t *testing.T) {
+// Another writer wrote the key first. The later one must get KindConflict,
+// even though its first request was lost and left the outcome open.
+func TestCommitReportsConflictAfterLostRequest(t *testing.T) {
 	ctx := context.Background()
 	inner := New(clockwork.NewFakeClock())
 	s := faulty.Wrap(inner)
--- a/internal/infra/memstore/watch.go
+++ b/internal/infra/memstore/watch.go
@@ -8,8 +8,8 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// watcher queues batches without bound, so that a slow reader never holds up
-// a writer.
+// watcher queues the batches of one watch. The queue is unbounded, so that a
+// slow reader does not block writers.
 type watcher struct {
 	prefix string
 	wake   chan struct{}
@@ -36,18 +36,18 @@
 	}
 	s.watchers[w] = struct{}{}
 	out := make(chan infra.WatchBatch)
-	go s.serve(ctx, w, out)
+	go s.deliver(ctx, w, out)
 	return out, nil
 }
 
-// Watches returns how many watches wait now.
+// Watches returns the number of open watches.
 func (s *Store) Watches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.watchers)
 }
 
-func (s *Store) serve(ctx context.Context, w *watcher, out chan<- infra.WatchBatch) {
+func (s *Store) deliver(ctx context.Context, w *watcher, out chan<- infra.WatchBatch) {
 	defer close(out)
 	defer func() {
 		s.mu.Lock()
--- a/internal/infra/paced/paced.go
+++ b/internal/infra/paced/paced.go
@@ -1,5 +1,6 @@
-// Package paced bounds what the platform's list of VMs costs: everything else
-// that is asked of the machines is small, the list grows with the fleet.
+// Package paced limits the rate at which the platform's list of VMs is
+// requested. The list grows with the fleet; the other replies of
+// infra.Machines are small.
 package paced
 
 import (
@@ -13,50 +14,53 @@
 )
 
 const (
-	// entryBytes is what one VM takes in the list over HTTP: 169,386 bytes for
-	// 3,600 VMs.
-	entryBytes = 47
-	// bytesPerSecond is what lists may take: a third of the 14 KB a second
-	// that control may spend on a node. 50 VMs may be listed twice a second,
-	// 3,600 every 34 s, which stays below the age at which waves hold.
-	bytesPerSecond = 5000
+	// bytesPerVM is the size of one VM's entry in the list over HTTP: the list
+	// of 3,600 VMs is 169,386 bytes.
+	bytesPerVM = 47
+	// listBytesPerSecond is the traffic that lists may use: a third of the 14 KB
+	// per second that control traffic may use on a node. It allows a list of 50
+	// VMs twice a second and one of 3,600 every 34 s, which is below the age of
+	// the list at which maintenance waves pause.
+	listBytesPerSecond = 5000
 )
 
-// Machines is a infra.Machines whose List is asked no more often than its
-// size allows; in between it gives the newest one. How old that is its AsOf
-// says. It is safe for concurrent use.
+// Machines is an infra.Machines whose List requests the list no more often than
+// its size allows and otherwise returns the last one received. The AsOf of the
+// list shows its age. Machines is safe for concurrent use.
 type Machines struct {
 	infra.Machines
 	clock clockwork.Clock
 
-	mu   sync.Mutex
-	list infra.MachineList
-	at   time.Time // when list was asked for; zero before the first
+	mu          sync.Mutex
+	newest      infra.MachineList
+	requestedAt time.Time // when newest was requested; zero if there is none
 }
 
-// New wraps the machines.
+// New returns a Machines that limits the rate of m's List by clock.
 func New(m infra.Machines, clock clockwork.Clock) *Machines {
 	return &Machines{Machines: m, clock: clock}
 }
 
-// List implements infra.Machines. Callers that come while one asks wait for
-// its answer. Where asking fails nothing is remembered.
+// List implements infra.Machines. Calls made during a request wait for its
+// result. A failed request returns its error and leaves the stored list as it
+// was, so that the next call may request again at once.
 func (m *Machines) List(ctx context.Context) (infra.MachineList, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.at.IsZero() && m.clock.Since(m.at) < period(len(m.list.Machines)) {
-		return m.list, nil
+	if !m.requestedAt.IsZero() && m.clock.Since(m.requestedAt) < minInterval(len(m.newest.Machines)) {
+		return m.newest, nil
 	}
 	at := m.clock.Now()
 	list, err := m.Machines.List(ctx)
 	if err != nil {
 		return infra.MachineList{}, err
 	}
-	m.list, m.at = list, at
+	m.newest, m.requestedAt = list, at
 	return list, nil
 }
 
-// period is the least time between two lists of so many VMs.
-func period(vms int) time.Duration {
-	return time.Duration(vms) * entryBytes * time.Second / bytesPerSecond
+// minInterval returns the least time between two requests if the list has that
+// many VMs.
+func minInterval(vms int) time.Duration {
+	return time.Duration(vms) * bytesPerVM * time.Second / listBytesPerSecond
 }
--- a/internal/infra/paced/paced_test.go
+++ b/internal/infra/paced/paced_test.go
@@ -12,34 +12,35 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// lister counts how often it is asked.
-type lister struct {
+// countingLister returns a list of the given length and counts the requests.
+type countingLister struct {
 	infra.Machines
 	vms   int
-	asked int
+	calls int
 	err   error
 }
 
-func (l *lister) List(context.Context) (infra.MachineList, error) {
-	l.asked++
+func (l *countingLister) List(context.Context) (infra.MachineList, error) {
+	l.calls++
 	return infra.MachineList{Machines: make([]infra.Machine, l.vms)}, l.err
 }
 
-// Reconciler and placer each ask every second. At 3,600 VMs the answers alone
-// would be 24 times what a node may spend on control.
-func TestListsAreAskedAsTheirSizeAllows(t *testing.T) {
+// The reconciler and the placer each request the list every second. Without a
+// limit, the replies for 3,600 VMs alone would be 24 times the control traffic
+// that a node may use.
+func TestListRequestsAreLimitedByListSize(t *testing.T) {
 	cases := []struct {
-		name string
-		vms  int
-		most int // in ten minutes of ten questions a second
+		name     string
+		vms      int
+		maxCalls int // in ten minutes, with ten calls per second
 	}{
-		{"today", 50, 1300},
-		{"the size to come", 3600, 18},
+		{"50 VMs", 50, 1300},
+		{"3600 VMs", 3600, 18},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			l := &lister{vms: tc.vms}
+			l := &countingLister{vms: tc.vms}
 			m := New(l, clock)
 			for range 6000 {
 				list, err := m.List(context.Background())
@@ -47,20 +48,20 @@
 				assert.Equal(t, len(list.Machines), tc.vms)
 				clock.Advance(100 * time.Millisecond)
 			}
-			assert.Assert(t, l.asked <= tc.most && l.asked*3 > tc.most, "asked %d times", l.asked)
+			assert.Assert(t, l.calls <= tc.maxCalls && l.calls*3 > tc.maxCalls, "the list was requested %d times", l.calls)
 		})
 	}
 }
 
-// The platform fails once: the old list must not be given as if it were the
-// answer, and the next question must be asked.
-func TestFailedListIsNotRemembered(t *testing.T) {
-	l := &lister{vms: 1, err: errors.New("down")}
+// A request fails once. List must return its error instead of an old list, and
+// the next call must request again.
+func TestFailedListIsNotCached(t *testing.T) {
+	l := &countingLister{vms: 1, err: errors.New("down")}
 	m := New(l, clockwork.NewFakeClock())
 	_, err := m.List(context.Background())
 	assert.ErrorContains(t, err, "down")
 	l.err = nil
 	_, err = m.List(context.Background())
 	assert.NilError(t, err)
-	assert.Equal(t, l.asked, 2)
+	assert.Equal(t, l.calls, 2)
 }
