--- a/internal/devjobs/deployment.go
+++ b/internal/devjobs/deployment.go
@@ -27,15 +27,15 @@
 	Workspaces []standin.Workspace
 	Entries    int       // entry VMs
 	Log        io.Writer // of all entry VMs; nil: none
-	// FixedPorts has the entry VMs listen where FirstCallerPort and FirstMetrics say,
+	// FixedPorts has the entry VMs listen where FirstCallerPort and FirstMetricsPort say,
 	// each next one a port higher, instead of anywhere.
 	FixedPorts bool
 }
 
 // Ports of the first entry VM with FixedPorts.
 const (
-	FirstCallerPort = 18280
-	FirstMetrics    = 19464
+	FirstCallerPort  = 18280
+	FirstMetricsPort = 19464
 )
 
 // firstVersion is of the configuration that a deployment starts with.
@@ -129,7 +129,7 @@
 
 func (d *Deployment) addresses(n int) (callers, metrics string) {
 	if d.options.FixedPorts {
-		return fixed(FirstCallerPort + n), fixed(FirstMetrics + n)
+		return fixed(FirstCallerPort + n), fixed(FirstMetricsPort + n)
 	}
 	return loopback.Reserve(), loopback.Reserve()
 }
--- a/internal/devjobs/run.go
+++ b/internal/devjobs/run.go
@@ -110,7 +110,7 @@
 		return trace.Wrap(err)
 	}
 	defer p.Close()
-	fmt.Fprintf(out, settingsExample, fixed(FirstCallerPort), fixed(exampleReady), fixed(FirstMetrics), examplePeers, examplePeers,
+	fmt.Fprintf(out, settingsExample, fixed(FirstCallerPort), fixed(exampleReady), fixed(FirstMetricsPort), examplePeers, examplePeers,
 		p.StoreAddress, p.VMAddress, p.AdvisorAddress, cpuShare, memoryMB, int(shutdown.Seconds()), maxLease.Milliseconds(), stopGrace.Milliseconds(), int(status.Seconds()), roomWithin.Milliseconds())
 	<-ctx.Done()
 	return nil
