--- a/internal/devjobs/run.go
+++ b/internal/devjobs/run.go
@@ -46,8 +46,8 @@
 	callerTries = 20
 )
 
-// ErrBroken: a promise did not hold.
-var ErrBroken = errors.New("devjobs: a promise broke")
+// ErrCheckFailed: a promise did not hold.
+var ErrCheckFailed = errors.New("devjobs: a promise broke")
 
 func exampleOptions(log io.Writer, fixed bool) Options {
 	return Options{Services: exampleServices, Queues: exampleQueues, Workspaces: []standin.Workspace{exampleWorkspace}, Entries: exampleEntries, Log: log, FixedPorts: fixed}
@@ -117,7 +117,7 @@
 }
 
 // Once runs a load on the example deployment, with a maintenance wave over all VMs and
-// the loss of an entry VM after the other meanwhile, and reports. ErrBroken: a job did
+// the loss of an entry VM after the other meanwhile, and reports. ErrCheckFailed: a job did
 // not complete, or something ran twice.
 func Once(ctx context.Context, out, log io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, oncePatience)
@@ -247,7 +247,7 @@
 	fmt.Fprintf(out, "maintenance wave      all %d VMs in %.1f s\n", exampleVMs(), r.wave.Seconds())
 	if r.completed != r.jobs || len(r.twice) > 0 || r.done < (r.jobs+r.keyed.accepted)*(onceTasks+1) ||
 		len(r.over) > 0 || r.keyed.servedAgain > 0 {
-		return ErrBroken
+		return ErrCheckFailed
 	}
 	return nil
 }
