--- a/internal/devjobs/deployment.go
+++ b/internal/devjobs/deployment.go
@@ -1,6 +1,6 @@
-// Package devjobs runs a whole deployment for jobs on loopback: the stand-in of the
-// users' platform and entry VMs on it, in one process. It is for trying things out
-// and for tests of the whole path; nothing of it runs in production.
+// Package devjobs runs a complete job deployment on loopback, in one process: the
+// stand-in of the users' platform and entry VMs that use it. It serves for trying out
+// the system and for end-to-end tests; none of it runs in production.
 package devjobs
 
 import (
@@ -19,44 +19,45 @@
 	"github.com/pumicestage/pumicestage/platform/standin"
 )
 
-// Options are what a Deployment is made of.
+// Options configure a Deployment.
 type Options struct {
 	Services []standin.Service
 	Queues   []standin.Queue
-	// Workspaces have keys and limits; nil: there are none, and no route asks for a key.
+	// Workspaces have keys and limits. If nil there are none, and no queue requires a key.
 	Workspaces []standin.Workspace
-	Entries    int       // entry VMs
-	Log        io.Writer // of all entry VMs; nil: none
-	// FixedPorts has the entry VMs listen where FirstCallerPort and FirstMetricsPort say,
-	// each next one a port higher, instead of anywhere.
+	Entries    int       // number of entry VMs at the start
+	Log        io.Writer // receives the logs of all entry VMs; nil: discarded
+	// FixedPorts makes the entry VMs listen on ports counted up from FirstCallerPort and
+	// FirstMetricsPort instead of on any free ports.
 	FixedPorts bool
 }
 
-// Ports of the first entry VM with FixedPorts.
+// Ports of the first entry VM if Options.FixedPorts is set.
 const (
 	FirstCallerPort  = 18280
 	FirstMetricsPort = 19464
 )
 
-// firstVersion is of the configuration that a deployment starts with.
-const firstVersion = 2
+// initialConfigVersion is the version of the configuration that a deployment starts with.
+const initialConfigVersion = 2
 
-// Bounds of the stand-in, which is quick.
+// Settings of the entry VMs. The timeouts are short, because the stand-in responds fast.
 const (
-	shutdown  = 1 * time.Second
-	maxLease  = 10 * time.Second
-	stopGrace = 400 * time.Millisecond
-	// roomWithin is how old what workers say of their room may be where they don't guard it.
-	roomWithin = 3 * time.Second
-	status     = 2 * time.Minute
-	memoryMB   = 256
-	cpuShare   = 0.4 // with it a free duty is taken within a quarter of a second
+	shutdownTimeout = 1 * time.Second
+	maxLease        = 10 * time.Second
+	stopGrace       = 400 * time.Millisecond
+	// maxCapacityAge is the maximum age of the free capacity that workers last reported,
+	// for workers that do not reject overload themselves.
+	maxCapacityAge  = 3 * time.Second
+	statusRetention = 2 * time.Minute
+	memoryMB        = 256
+	cpuShare        = 0.4 // with this share an entry VM takes a duty without an owner within 250 ms
 )
 
 // Deployment is a running platform with its entry VMs.
 type Deployment struct {
 	Platform *standin.Platform
-	Entries  []*Entry // those that were not stopped
+	Entries  []*Entry // the running ones, oldest first
 
 	options Options
 	started int
@@ -65,15 +66,16 @@
 // Entry is one entry VM.
 type Entry struct {
 	Name    string
-	Callers string // host:port of callers
-	Metrics string // host:port of counters and explanations
+	Callers string // host:port that callers connect to
+	Metrics string // host:port that serves metrics and explanations of jobs
 
 	stop context.CancelFunc
 	done chan struct{}
-	err  error // of its run; to be read once done
+	err  error // result of the entry VM's Run; valid once done is closed
 }
 
-// Start starts the platform and the entry VMs. Close ends them, also after an error.
+// Start starts the platform and o.Entries entry VMs. The caller must Close the
+// deployment; after an error everything has been stopped already.
 func Start(o Options) (*Deployment, error) {
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -82,7 +84,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if err := p.ConfigureWorkspaces(firstVersion, o.Services, o.Queues, o.Workspaces); err != nil {
+	if err := p.ConfigureWorkspaces(initialConfigVersion, o.Services, o.Queues, o.Workspaces); err != nil {
 		p.Close()
 		return nil, trace.Wrap(err)
 	}
@@ -95,7 +97,7 @@
 	return d, nil
 }
 
-// StartEntry adds an entry VM.
+// StartEntry starts another entry VM.
 func (d *Deployment) StartEntry() error {
 	n := d.started
 	d.started++
@@ -112,7 +114,7 @@
 	vm, err := node.New(&node.Settings{
 		Name: e.Name, Zone: "z1", Address: host, Callers: callers, Ready: loopback.Reserve(), Metrics: metrics, Peers: [2]int{port, port},
 		Store: d.Platform.StoreAddress, VMs: d.Platform.VMAddress, Advisor: d.Platform.AdvisorAddress, MemoryMB: memoryMB, CPUShare: cpuShare,
-		ShutdownTimeout: shutdown, MaxLease: maxLease, StopGrace: stopGrace, MaxCapacityAge: roomWithin, StatusRetention: status, ConfigWithin: standin.ConfigWithin,
+		ShutdownTimeout: shutdownTimeout, MaxLease: maxLease, StopGrace: stopGrace, MaxCapacityAge: maxCapacityAge, StatusRetention: statusRetention, ConfigWithin: standin.ConfigWithin,
 	}, d.options.Log)
 	if err != nil {
 		return trace.Wrap(err)
@@ -129,34 +131,36 @@
 
 func (d *Deployment) addresses(n int) (callers, metrics string) {
 	if d.options.FixedPorts {
-		return fixed(FirstCallerPort + n), fixed(FirstMetricsPort + n)
+		return loopbackAddress(FirstCallerPort + n), loopbackAddress(FirstMetricsPort + n)
 	}
 	return loopback.Reserve(), loopback.Reserve()
 }
 
-func fixed(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
+func loopbackAddress(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// StopFirst shuts the first entry VM down gracefully and returns once it has ended.
+// StopFirst shuts down the oldest running entry VM gracefully, waits until it has ended
+// and returns the error of its run.
 func (d *Deployment) StopFirst() error {
 	e := d.Entries[0]
 	d.Entries = d.Entries[1:]
-	return e.end()
+	return e.stopAndWait()
 }
 
-func (e *Entry) end() error {
+func (e *Entry) stopAndWait() error {
 	e.stop()
 	<-e.done
 	return e.err
 }
 
-// Close ends everything.
+// Close stops the entry VMs and then the platform, and returns the joined errors of the
+// entry VMs' runs.
 func (d *Deployment) Close() error {
 	for _, e := range d.Entries {
 		e.stop()
 	}
 	var errs []error
 	for _, e := range d.Entries {
-		errs = append(errs, e.end())
+		errs = append(errs, e.stopAndWait())
 	}
 	d.Platform.Close()
 	return errors.Join(errs...)
--- a/internal/devjobs/run_test.go
+++ b/internal/devjobs/run_test.go
@@ -14,8 +14,9 @@
 	"github.com/pumicestage/pumicestage/internal/node"
 )
 
-// What a newcomer runs first keeps its promises: every job completes and nothing runs
-// twice, through a wave over all VMs and the shutdown of two entry VMs.
+// The example that a new user runs first must hold its guarantees: every job completes
+// and no task runs twice, despite a maintenance wave over all VMs, the shutdown of two
+// entry VMs and the restart of workers.
 func TestTheExampleKeepsItsPromises(t *testing.T) {
 	var out bytes.Buffer
 	assert.NilError(t, Once(context.Background(), &out, io.Discard))
@@ -24,8 +25,9 @@
 	}
 }
 
-// The settings that the stand-in prints are whole: an entry daemon takes them.
-func TestTheSettingsForAnEntryDaemonAreWhole(t *testing.T) {
+// An entry daemon must be able to load the settings that ServePlatform prints: a setting
+// that the template lacks would fail here.
+func TestPrintedEntryDaemonSettingsLoad(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	var out bytes.Buffer
