--- a/cmd/pumicestaged/main.go
+++ b/cmd/pumicestaged/main.go
@@ -1,4 +1,5 @@
-// Command pumicestaged is the entry daemon: one on each entry VM, all alike.
+// Command pumicestaged is the entry daemon. One instance runs on each entry VM; all
+// instances have the same role.
 package main
 
 import (
@@ -45,14 +46,14 @@
 	if *check {
 		return
 	}
-	if err := run(s); err != nil {
+	if err := runDaemon(s); err != nil {
 		fmt.Fprintln(os.Stderr, "pumicestaged:", err)
 		os.Exit(exitFailed)
 	}
 }
 
-// runNode serves on the users' platform, which names the settings file by an
-// environment variable. It returns the exit status.
+// runNode runs an entry VM on the users' platform, which passes the path of the settings
+// file in the environment variable platform.SettingsEnv. It returns the exit status.
 func runNode(file string, check bool) int {
 	if file == "" {
 		fmt.Fprintf(os.Stderr, "pumicestaged: no settings: give --config or set %s\n", platform.SettingsEnv)
@@ -88,22 +89,25 @@
 	return 0
 }
 
-func run(s *settings.Settings) error {
+// runDaemon runs a daemon that is configured by a settings file of --config until it
+// receives a signal to stop.
+func runDaemon(s *settings.Settings) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	d, err := daemon.New(daemon.Options{Settings: s, Log: daemon.NewLogger(os.Stderr, s)})
 	if err != nil {
 		return err
 	}
-	go killOnSecond(ctx, d)
+	go killOnSecondSignal(ctx, d)
 	return d.Run(ctx)
 }
 
-// killOnSecond ends the daemon at once on a second signal.
-func killOnSecond(ctx context.Context, d *daemon.Daemon) {
+// killOnSecondSignal waits until ctx, which ends with the first signal, is done, and kills
+// the daemon at once on a second signal.
+func killOnSecondSignal(ctx context.Context, d *daemon.Daemon) {
 	<-ctx.Done()
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGTERM, syscall.SIGINT)
-	<-again
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	<-signals
 	d.Kill()
 }
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback gives listeners of tests and local deployments addresses that nobody
-// else on the machine takes between their choice and their use.
+// Package loopback provides listen addresses for tests and local deployments that no
+// other program on the machine takes between their reservation and their use.
 package loopback
 
 import (
@@ -10,46 +10,50 @@
 )
 
 const (
-	// firstNet to firstNet+63 are the second bytes of the addresses given out. Programs
-	// that mean loopback use 127.0.0.1, also as the source of their connections.
-	firstNet = 64
-	// maxPID is above every process ID of Linux.
-	maxPID = 1 << 22
-	// Ports given out. Each process counts through them on an address of its own.
+	// minSecondByte is the least second byte of the addresses that IP returns; the greatest
+	// is 63 more. This keeps them apart from 127.0.0.1, which other programs use for
+	// loopback, also as the source address of their connections.
+	minSecondByte = 64
+	// pidLimit is above every process ID on Linux.
+	pidLimit = 1 << 22
+	// firstPort and lastPort bound the ports that Reserve returns. Each process goes through
+	// them in order, on its own IP address.
 	firstPort = 20000
 	lastPort  = 60000
 )
 
-// IP returns the loopback address of this process, which no other living process has.
+// IP returns the loopback address of this process, which is derived from the process ID,
+// so that no two running processes share one.
 //
-// A port chosen on 127.0.0.1 and released again, to be listened on by a daemon that is yet
-// to start, is taken now and then: the kernel gives it to an outgoing connection, and the
-// daemon can't start for as long as that lasts. Outgoing connections come from 127.0.0.1,
-// so that none has an address of this one.
+// It avoids a race on 127.0.0.1: between the choice of a free port there and the start of
+// the daemon that is to listen on it, the kernel may assign the port to an outgoing
+// connection, and the daemon can't listen for as long as the connection lasts. Outgoing
+// loopback connections have the source address 127.0.0.1, and so never occupy a port of
+// the address that IP returns.
 func IP() string {
-	pid := os.Getpid() % maxPID
-	return net.IPv4(127, byte(firstNet+pid>>16), byte(pid>>8), byte(pid)).String()
+	pid := os.Getpid() % pidLimit
+	return net.IPv4(127, byte(minSecondByte+pid>>16), byte(pid>>8), byte(pid)).String()
 }
 
 var (
-	mu   sync.Mutex
-	next = firstPort
+	mu       sync.Mutex
+	nextPort = firstPort
 )
 
-// Reserve returns host:port on which nothing listens. No other call of this process returns
-// it, and no other process listens there.
+// Reserve returns a host:port on IP's address on which nothing listens. No other process
+// uses that address, and this process returns a port again only after all others.
 func Reserve() string {
 	mu.Lock()
 	defer mu.Unlock()
 	for {
-		address := net.JoinHostPort(IP(), strconv.Itoa(next))
-		next++
-		if next > lastPort {
-			next = firstPort
+		address := net.JoinHostPort(IP(), strconv.Itoa(nextPort))
+		nextPort++
+		if nextPort > lastPort {
+			nextPort = firstPort
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			continue // left by an ended process of the same ID
+			continue // still in use since an earlier process with the same ID
 		}
 		l.Close()
 		return address
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A daemon that is killed and started again can't listen for the rest of a test: while it
-// was down the kernel had given its port to somebody's outgoing connection. Here that
-// connection is made on purpose, from the very port that was reserved.
+// A daemon that is killed and restarted must be able to listen on its port again. It could
+// not if the kernel had assigned the port to an outgoing connection while the daemon was
+// down. The test makes such a connection, from the number of the reserved port.
 func TestAnOutgoingConnectionDoesNotTakeAReservedPort(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -25,8 +25,9 @@
 	assert.NilError(t, l.Close())
 }
 
-// dialFromReserved connects from the port of a reserved address and 127.0.0.1, where calls to
-// loopback come from. Another program may have that very end, as nothing keeps it from it.
+// dialFromReserved reserves an address and connects to server from the same port number on
+// 127.0.0.1, the source address of loopback connections. It retries with another reserved
+// port if a different program already uses that one on 127.0.0.1, which nothing prevents.
 func dialFromReserved(t *testing.T, server string) (*net.TCPAddr, net.Conn) {
 	t.Helper()
 	for {
@@ -42,6 +43,7 @@
 	}
 }
 
+// Two daemons of one test must not be given the same address.
 func TestNoAddressIsReservedTwice(t *testing.T) {
 	given := make(map[string]bool)
 	for range 100 {
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep holds the pause that ends early with its context.
+// Package sleep provides a pause that ends early when its context is done.
 package sleep
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d or until ctx is done. It reports whether all of d went by.
+// For waits until d has passed or ctx is done, whichever comes first. It reports
+// whether d has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/sleep/sleep_test.go
+++ b/internal/sleep/sleep_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A process that is told to stop hangs until its longest pause is over.
+// For must return at once when its context is done: otherwise a process that is
+// told to stop would hang until its longest pause is over.
 func TestForEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
