--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -10,13 +10,13 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Holder answers for the newest snapshot of a view.
-type Holder struct {
+// Resolver answers for the newest snapshot of a view.
+type Resolver struct {
 	View *view.Holder
 }
 
 // In returns the VMs of the scope in the newest snapshot, sorted.
-func (h Holder) In(s lang.Scope) []model.VMID { return In(h.View.Load(), s) }
+func (h Resolver) In(s lang.Scope) []model.VMID { return In(h.View.Load(), s) }
 
 // In returns the VMs that the scope means in the snapshot, sorted.
 func In(s *view.Snapshot, sc lang.Scope) []model.VMID {
