--- a/internal/query/whatif.go
+++ b/internal/query/whatif.go
@@ -70,7 +70,7 @@
 }
 
 func scoped(s *view.Snapshot, sc lang.Scope) ([]model.VMID, error) {
-	vms := scope.In(s, sc)
+	vms := scope.Resolve(s, sc)
 	if len(vms) == 0 {
 		return nil, notFound("no VM in %s %s", sc.Subject, sc.Name)
 	}
--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -16,10 +16,10 @@
 }
 
 // In returns the VMs of the scope in the newest snapshot, sorted.
-func (h Resolver) In(s lang.Scope) []model.VMID { return In(h.View.Load(), s) }
+func (h Resolver) In(s lang.Scope) []model.VMID { return Resolve(h.View.Load(), s) }
 
-// In returns the VMs that the scope means in the snapshot, sorted.
-func In(s *view.Snapshot, sc lang.Scope) []model.VMID {
+// Resolve returns the VMs that the scope means in the snapshot, sorted.
+func Resolve(s *view.Snapshot, sc lang.Scope) []model.VMID {
 	var found []model.VMID
 	for id, vm := range s.VMs {
 		if has(sc, vm) {
