--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -27,23 +27,23 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// fleet is entry VMs on loopback sockets with real clocks.
-type fleet struct {
+// benchFleet runs entry VMs on loopback sockets with the real clock.
+type benchFleet struct {
 	store *memstore.Store
-	nodes []*live
+	nodes []*benchNode
 	stop  func()
 }
 
-type live struct {
+type benchNode struct {
 	relay    *Relay
 	registry *Registry
 	mesh     *peer.Mesh
 	view     *view.Holder
-	way      *faulty.Store
+	store    *faulty.Store
 }
 
-func startFleet(tb testing.TB, zones, perZone int, loads []peer.TargetLoad) *fleet {
-	f := &fleet{store: memstore.New(clockwork.NewRealClock())}
+func startFleet(tb testing.TB, zones, perZone int, loads []peer.TargetLoad) *benchFleet {
+	f := &benchFleet{store: memstore.New(clockwork.NewRealClock())}
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	f.stop = func() { cancel(); tasks.Wait() }
@@ -54,13 +54,13 @@
 		self := view.EntryRecord{
 			ID: model.EntryID(fmt.Sprint("entry-", i)), Zone: zoneName(i / perZone), Peer: ln.Addr().String(), Incarnation: 1,
 		}
-		n := &live{view: view.NewHolder(), way: faulty.Wrap(f.store)}
+		n := &benchNode{view: view.NewHolder(), store: faulty.Wrap(f.store)}
 		n.mesh = peer.New(peer.Options{
 			Self: self, Seeds: seeds, View: n.view, Listener: ln,
 			Fill:     func(d *peer.Digest) { d.Loads = loads },
 			Watching: func() bool { return n.relay.Watching() }, Log: logr.Discard(),
 		})
-		opts := Options{Self: self, Store: n.way, View: n.view, Peers: n.mesh, Log: logr.Discard()}
+		opts := Options{Self: self, Store: n.store, View: n.view, Peers: n.mesh, Log: logr.Discard()}
 		n.relay, n.registry = New(opts), NewRegistry(opts)
 		seeds = append(seeds, self.Peer)
 		f.nodes = append(f.nodes, n)
@@ -70,7 +70,7 @@
 	return f
 }
 
-func (f *fleet) put(tb testing.TB, ops ...infra.Op) infra.Revision {
+func (f *benchFleet) put(tb testing.TB, ops ...infra.Op) infra.Revision {
 	res, err := f.store.Txn(context.Background(), infra.Txn{Then: ops})
 	assert.NilError(tb, err)
 	return res.Revision
@@ -90,7 +90,7 @@
 	return model.VMDecl{ID: vm.ID, Zone: vm.Zone, Rack: vm.Rack, Pool: vm.Pool, Address: vm.Address, Capacity: vm.Capacity}
 }
 
-// fullVM is a VM's record as it stands during a wave.
+// fullVM returns a VM record with all fields that are set during a wave.
 func fullVM(i int) model.VM {
 	return model.VM{
 		ID: model.VMID(fmt.Sprintf("worker-%04d", i)), Zone: zoneName(i % 6), Rack: model.RackName(fmt.Sprintf("rack-%03d", i/4)),
@@ -105,18 +105,18 @@
 	return infra.Put(infra.VMKey(fullVM(i).ID), raw)
 }
 
-func (f *fleet) await(tb testing.TB, ok func() bool) time.Duration {
+func (f *benchFleet) await(tb testing.TB, ok func() bool) time.Duration {
 	started := time.Now()
 	for !ok() {
 		if time.Since(started) > 30*time.Second {
-			tb.Fatal("not in force within 30 s")
+			tb.Fatal("condition not met within 30 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(started)
 }
 
-func (f *fleet) views(generation uint64) bool {
+func (f *benchFleet) views(generation uint64) bool {
 	for _, n := range f.nodes {
 		if n.view.Load().Generation() < generation {
 			return false
@@ -125,8 +125,8 @@
 	return true
 }
 
-// BenchmarkInForce is the time from the CAS of a declaration until all entry
-// VMs have it in force, and until the registry of one of them says so.
+// BenchmarkInForce measures the time from the write of a declaration until all
+// entry VMs have applied it, and until the registry of one of them reports so.
 func BenchmarkInForce(b *testing.B) {
 	for _, size := range []struct{ zones, perZone, vms int }{{4, 2, 50}, {6, 4, 50}, {4, 2, 3600}, {6, 8, 3600}} {
 		b.Run(fmt.Sprintf("entries=%d/vms=%d", size.zones*size.perZone, size.vms), func(b *testing.B) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// BenchmarkPeerLink is what the links of one entry VM carry each second, and
-// what its control costs the platform, by zones, entry VMs and busy targets.
+// BenchmarkPeerLink measures the traffic per second on the peer links of one
+// entry VM, and the calls to the platform, by zones, entry VMs and busy targets.
 func BenchmarkPeerLink(b *testing.B) {
 	for _, size := range []struct{ zones, perZone, targets int }{{4, 2, 0}, {4, 2, 13}, {4, 2, 50}, {6, 4, 50}, {6, 8, 50}} {
 		b.Run(fmt.Sprintf("zones=%d/entries=%d/targets=%d", size.zones, size.zones*size.perZone, size.targets), func(b *testing.B) {
@@ -203,10 +203,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func (f *fleet) calls() faulty.Calls {
+func (f *benchFleet) calls() faulty.Calls {
 	var sum faulty.Calls
 	for _, n := range f.nodes {
-		c := n.way.Calls()
+		c := n.store.Calls()
 		sum.Reads += c.Reads
 		sum.Writes += c.Writes
 		sum.KeepAlives += c.KeepAlives
@@ -214,8 +214,8 @@
 	return sum
 }
 
-// BenchmarkApplyVMChange is what one change of a VM costs an entry VM, by the
-// number of VMs in its view.
+// BenchmarkApplyVMChange measures the cost of merging one change of a VM, by
+// the number of VMs in the view.
 func BenchmarkApplyVMChange(b *testing.B) {
 	for _, vms := range []int{50, 900, 3600} {
 		b.Run(fmt.Sprint("vms=", vms), func(b *testing.B) {
@@ -226,24 +226,25 @@
 			for b.Loop() {
 				rev++
 				r := recordOf(infra.KV{Key: infra.VMKey(fullVM(7).ID), Value: vmOp(7).Value, ModRevision: rev})
-				s.merge(update{fromStore: true, Puts: []record{r}, Is: versions{Revision: rev}}, time.Time{})
+				s.merge(update{fromStore: true, Puts: []record{r}, Versions: versions{Revision: rev}}, time.Time{})
 			}
 		})
 	}
 }
 
 func fullView(vms int) update {
-	u := update{Full: true, Is: versions{Revision: infra.Revision(vms), Generation: 1}}
+	u := update{Full: true, Versions: versions{Revision: infra.Revision(vms), Generation: 1}}
 	for i := range vms {
 		op := vmOp(i)
-		u.Puts = append(u.Puts, record{Key: op.Key, Value: op.Value, Mod: infra.Revision(i + 1)})
+		u.Puts = append(u.Puts, record{Key: op.Key, Value: op.Value, ModRevision: infra.Revision(i + 1)})
 	}
 	config := declarationOp(1, vms)
-	u.Config = &record{Key: config.Key, Value: config.Value, Mod: 1}
+	u.Config = &record{Key: config.Key, Value: config.Value, ModRevision: 1}
 	return u
 }
 
-// BenchmarkWholeView is what a whole view takes on the wire and to take in.
+// BenchmarkWholeView measures the size of a complete view on the wire and the
+// time to decode and merge it.
 func BenchmarkWholeView(b *testing.B) {
 	for _, vms := range []int{50, 900, 3600} {
 		b.Run(fmt.Sprint("vms=", vms), func(b *testing.B) {
@@ -264,7 +265,8 @@
 	}
 }
 
-// compressedSize is what a frame of the body takes on the wire.
+// compressedSize returns the size in bytes of the body, compressed as in a
+// frame between peers.
 func compressedSize(b *testing.B, body []byte) int {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -275,8 +277,8 @@
 	return out.Len()
 }
 
-// BenchmarkViewMemory is the memory one view takes, with the stored bytes it
-// was made of.
+// BenchmarkViewMemory measures the memory used by one view, including the
+// stored bytes that it was decoded from.
 func BenchmarkViewMemory(b *testing.B) {
 	for _, vms := range []int{50, 900, 3600} {
 		b.Run(fmt.Sprint("vms=", vms), func(b *testing.B) {
--- a/internal/relay/checks_test.go
+++ b/internal/relay/checks_test.go
@@ -13,7 +13,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// checkFinal compares a view with the store, once all is quiet and healed.
+// checkFinal compares a view with the store after all failures are repaired and
+// writes have stopped.
 func (c *cluster) checkFinal(n *node) {
 	kvs, _, err := c.store.Range(c.t.Context(), infra.VMPrefix)
 	assert.NilError(c.t, err)
@@ -25,22 +26,22 @@
 		same = same && s.VMs[vm.ID].Revision == kv.ModRevision
 	}
 	assert.Check(c.t, same, "%s: %d VMs in the view at %d, %d in the store", n.id, len(s.VMs), s.Revision, len(kvs))
-	assert.Check(c.t, n.age() < soon, "%s: view is %v old", n.id, n.age())
+	assert.Check(c.t, n.age() < maxPropagationTime, "%s: view is %v old", n.id, n.age())
 }
 
-// check compares each published view with the one before and with what was
-// written: nothing steps back, a revision stands for every VM's write up to
-// it, and AsOf for everything written before it.
-func (c *cluster) check(ctx context.Context, n *node) {
+// checkSnapshots compares each published view with the previous one and with
+// the accepted writes: nothing goes backwards, a view of a revision holds all
+// writes of VMs up to it, and a view holds everything written before its AsOf.
+func (c *cluster) checkSnapshots(ctx context.Context, n *node) {
 	old := n.view.Load()
 	for ctx.Err() == nil {
 		changed := n.view.Changed()
 		s := n.view.Load()
-		if g := s.Generation(); g > 0 && n.first.Load() == 0 {
-			n.first.Store(g)
+		if g := s.Generation(); g > 0 && n.firstGeneration.Load() == 0 {
+			n.firstGeneration.Store(g)
 		}
-		c.checkStep(n, old, s)
-		c.checkClaims(n, s)
+		c.checkMonotonic(n, old, s)
+		c.checkFreshness(n, s)
 		old = s
 		select {
 		case <-changed:
@@ -49,19 +50,19 @@
 	}
 }
 
-func (c *cluster) revert(n *node, format string, args ...any) {
+func (c *cluster) reportViolation(n *node, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.revertLocked(n, format, args...)
+	c.reportViolationLocked(n, format, args...)
 }
 
-func (c *cluster) revertLocked(n *node, format string, args ...any) {
-	c.reverts = append(c.reverts, string(n.id)+": "+fmt.Sprintf(format, args...))
+func (c *cluster) reportViolationLocked(n *node, format string, args ...any) {
+	c.violations = append(c.violations, string(n.id)+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *cluster) checkStep(n *node, old, s *view.Snapshot) {
+func (c *cluster) checkMonotonic(n *node, old, s *view.Snapshot) {
 	if s.Revision < old.Revision || s.Generation() < old.Generation() || s.AsOf.Before(old.AsOf) {
-		c.revert(n, "stepped back from %d/%d to %d/%d", old.Revision, old.Generation(), s.Revision, s.Generation())
+		c.reportViolation(n, "revision/generation went back from %d/%d to %d/%d", old.Revision, old.Generation(), s.Revision, s.Generation())
 	}
 	c.mu.Lock()
 	restored, removed := c.restored, maps.Clone(c.removed)
@@ -71,27 +72,27 @@
 	}
 	for id, vm := range old.VMs {
 		if s.VMs[id].Revision < vm.Revision && !removed[id] {
-			c.revert(n, "VM %s stepped back from %d to %d", id, vm.Revision, s.VMs[id].Revision)
+			c.reportViolation(n, "VM %s went back from revision %d to %d", id, vm.Revision, s.VMs[id].Revision)
 		}
 	}
 }
 
-func (c *cluster) checkClaims(n *node, s *view.Snapshot) {
+func (c *cluster) checkFreshness(n *node, s *view.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range c.writes {
-		known := w.at.Before(s.AsOf)
-		if w.generation > 0 && known && s.Generation() < w.generation {
-			c.revertLocked(n, "as of %v without generation %d", s.AsOf, w.generation)
+		covered := w.at.Before(s.AsOf)
+		if w.generation > 0 && covered && s.Generation() < w.generation {
+			c.reportViolationLocked(n, "view as of %v lacks generation %d", s.AsOf, w.generation)
 		}
 		if w.vm == "" || c.removed[w.vm] || s.VMs[w.vm].Revision >= w.revision {
 			continue
 		}
-		if known {
-			c.revertLocked(n, "as of %v without VM %s at %d of %v", s.AsOf, w.vm, w.revision, w.at)
+		if covered {
+			c.reportViolationLocked(n, "view as of %v lacks VM %s at revision %d, written at %v", s.AsOf, w.vm, w.revision, w.at)
 		}
 		if w.revision <= s.Revision && !c.restored {
-			c.revertLocked(n, "revision %d without VM %s at %d", s.Revision, w.vm, w.revision)
+			c.reportViolationLocked(n, "view at revision %d lacks VM %s at revision %d", s.Revision, w.vm, w.revision)
 		}
 	}
 }
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -25,100 +25,101 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// cluster is a platform's store, a network of zones, and entry VMs. It keeps
-// what was written when, and checks each view any entry VM ever publishes
-// against it.
+// cluster simulates a platform's store, a network of zones, and entry VMs. It
+// records every accepted write and checks each published view of every entry
+// VM against them.
 type cluster struct {
 	t       *testing.T
 	network *peertest.Network
-	store   *swappable
-
-	mu      sync.Mutex
-	writes  []written
-	reverts []string
-	nodes   []*node
-	// restored: the store's VMs are as the backup had them, and views follow
-	// once the store has passed them; only declarations never step back.
+	store   *restorableStore
+
+	mu         sync.Mutex
+	writes     []acceptedWrite
+	violations []string
+	nodes      []*node
+	// restored is set once the store was restored from a backup. Its VMs are
+	// then those of the backup, and views follow once the store's revision has
+	// passed theirs; only declarations must still never go backwards.
 	restored bool
-	removed  map[model.VMID]bool // VMs that were ever removed
+	removed  map[model.VMID]bool // VMs that were removed at any time
 }
 
-// written is one accepted write of a declaration or a VM.
-type written struct {
+// acceptedWrite is a write of a declaration or of a VM that the store accepted.
+type acceptedWrite struct {
 	at         time.Time
 	revision   infra.Revision
 	generation uint64     // of a declaration
 	vm         model.VMID // or of this VM
 }
 
-// swappable is a store that can be restored from a backup.
-type swappable struct {
+// restorableStore is a store whose contents can be replaced by a backup.
+type restorableStore struct {
 	mu sync.Mutex
 	infra.Store
 }
 
-func (s *swappable) now() infra.Store {
+func (s *restorableStore) current() infra.Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Store
 }
 
-func (s *swappable) Get(ctx context.Context, key string) (infra.KV, infra.Revision, error) {
-	return s.now().Get(ctx, key)
+func (s *restorableStore) Get(ctx context.Context, key string) (infra.KV, infra.Revision, error) {
+	return s.current().Get(ctx, key)
 }
 
-func (s *swappable) Range(ctx context.Context, prefix string) ([]infra.KV, infra.Revision, error) {
-	return s.now().Range(ctx, prefix)
+func (s *restorableStore) Range(ctx context.Context, prefix string) ([]infra.KV, infra.Revision, error) {
+	return s.current().Range(ctx, prefix)
 }
 
-func (s *swappable) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
-	return s.now().Txn(ctx, txn)
+func (s *restorableStore) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
+	return s.current().Txn(ctx, txn)
 }
 
-func (s *swappable) Grant(ctx context.Context, ttl time.Duration) (infra.LeaseID, error) {
-	return s.now().Grant(ctx, ttl)
+func (s *restorableStore) Grant(ctx context.Context, ttl time.Duration) (infra.LeaseID, error) {
+	return s.current().Grant(ctx, ttl)
 }
 
-func (s *swappable) KeepAlive(ctx context.Context, id infra.LeaseID) error {
-	return s.now().KeepAlive(ctx, id)
+func (s *restorableStore) KeepAlive(ctx context.Context, id infra.LeaseID) error {
+	return s.current().KeepAlive(ctx, id)
 }
 
-func (s *swappable) Watch(ctx context.Context, prefix string, from infra.Revision) (<-chan infra.WatchBatch, error) {
-	return s.now().Watch(ctx, prefix, from)
+func (s *restorableStore) Watch(ctx context.Context, prefix string, from infra.Revision) (<-chan infra.WatchBatch, error) {
+	return s.current().Watch(ctx, prefix, from)
 }
 
-// node is one entry VM.
+// node is a simulated entry VM.
 type node struct {
 	*Relay
-	id       model.EntryID
-	zone     model.ZoneName
-	way      *way
-	mesh     *peer.Mesh
-	registry *Registry
-	view     *view.Holder
-	first    atomic.Uint64 // the first generation it had in force
-	stop     func()
-}
-
-// way is one entry VM's way to the store; its watches can be made to deliver
-// nothing, or late.
-type way struct {
+	id              model.EntryID
+	zone            model.ZoneName
+	link            *storeLink
+	mesh            *peer.Mesh
+	registry        *Registry
+	view            *view.Holder
+	firstGeneration atomic.Uint64 // the first generation that it applied
+	stop            func()
+}
+
+// storeLink is an entry VM's connection to the store. Its watches can be made
+// to deliver nothing, or late.
+type storeLink struct {
 	*faulty.Store
 
-	mu    sync.Mutex
-	down  bool
-	mute  bool
-	delay time.Duration
+	mu     sync.Mutex
+	down   bool
+	silent bool
+	delay  time.Duration
 }
 
-func (w *way) set(mute bool, delay time.Duration) {
+func (w *storeLink) setDelivery(silent bool, delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mute, w.delay = mute, delay
+	w.silent, w.delay = silent, delay
 }
 
 // Watch implements infra.Store.
-func (w *way) Watch(ctx context.Context, prefix string, from infra.Revision) (<-chan infra.WatchBatch, error) {
+func (w *storeLink) Watch(ctx context.Context, prefix string, from infra.Revision) (<-chan infra.WatchBatch, error) {
 	in, err := w.Store.Watch(ctx, prefix, from)
 	if err != nil {
 		return nil, err
@@ -126,13 +127,13 @@
 	out := make(chan infra.WatchBatch, 10000)
 	go func() {
 		defer close(out)
-		dead := false
+		discarding := false
 		for b := range in {
 			w.mu.Lock()
-			mute, delay := w.mute, w.delay
+			silent, delay := w.silent, w.delay
 			w.mu.Unlock()
-			dead = dead || mute && b.Err == nil
-			if dead {
+			discarding = discarding || silent && b.Err == nil
+			if discarding {
 				continue // as over a half-open connection
 			}
 			if delay > 0 {
@@ -147,11 +148,11 @@
 	return out, nil
 }
 
-// run plays a scenario on zones of two entry VMs each, in fake time, and fails
-// for every view that stepped back or claimed to be newer than it was.
-func run(t *testing.T, zones int, play func(c *cluster)) {
+// runScenario runs a scenario in fake time on zones of two entry VMs each. The
+// test fails if any view went backwards or claimed to be newer than it was.
+func runScenario(t *testing.T, zones int, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, network: peertest.New(), store: &swappable{Store: memstore.New(clockwork.NewRealClock())}, removed: make(map[model.VMID]bool)}
+		c := &cluster{t: t, network: peertest.New(), store: &restorableStore{Store: memstore.New(clockwork.NewRealClock())}, removed: make(map[model.VMID]bool)}
 		c.apply(1)
 		for z := range zones {
 			for i := range 2 {
@@ -162,21 +163,21 @@
 		ctx, endTraffic := context.WithCancel(t.Context())
 		var traffic sync.WaitGroup
 		traffic.Go(func() { c.traffic(ctx) })
-		play(c)
+		scenario(c)
 		endTraffic()
 		traffic.Wait()
-		time.Sleep(3 * soon)
+		time.Sleep(3 * maxPropagationTime)
 		for _, n := range c.nodes {
 			c.checkFinal(n)
 			n.stop()
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		assert.Equal(t, len(c.reverts), 0, "%v", c.reverts)
+		assert.Equal(t, len(c.violations), 0, "%v", c.violations)
 	})
 }
 
-// traffic changes some VMs twice a second, and now and then removes one.
+// traffic writes a VM twice a second; every tenth time it removes one instead.
 func (c *cluster) traffic(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		id := model.VMID(fmt.Sprint("t", i%7))
@@ -191,7 +192,7 @@
 
 func (c *cluster) removeVM(id model.VMID) {
 	c.mu.Lock()
-	var kept []written
+	var kept []acceptedWrite
 	for _, w := range c.writes {
 		if w.vm != id {
 			kept = append(kept, w)
@@ -206,14 +207,14 @@
 
 func zoneName(z int) model.ZoneName { return model.ZoneName(fmt.Sprintf("z%d", z)) }
 
-// start runs an entry VM that knows the others as seeds.
+// start starts an entry VM with all others as its seeds.
 func (c *cluster) start(id string, zone model.ZoneName) *node {
-	w := &way{Store: faulty.Wrap(c.store)}
+	w := &storeLink{Store: faulty.Wrap(c.store)}
 	return c.startOn(w, id, zone)
 }
 
-func (c *cluster) startOn(w *way, id string, zone model.ZoneName) *node {
-	n := &node{id: model.EntryID(id), zone: zone, way: w, view: view.NewHolder()}
+func (c *cluster) startOn(w *storeLink, id string, zone model.ZoneName) *node {
+	n := &node{id: model.EntryID(id), zone: zone, link: w, view: view.NewHolder()}
 	self := view.EntryRecord{ID: n.id, Zone: zone, Peer: id, Incarnation: uint64(time.Now().UnixNano())}
 	var seeds []string
 	for _, other := range c.nodes {
@@ -231,7 +232,7 @@
 	var ended sync.WaitGroup
 	ended.Go(func() { assert.Check(c.t, n.mesh.Run(ctx)) })
 	ended.Go(func() { n.Relay.Run(ctx) })
-	ended.Go(func() { c.check(ctx, n) })
+	ended.Go(func() { c.checkSnapshots(ctx, n) })
 	n.stop = func() { cancel(); ended.Wait() }
 	c.nodes = append(c.nodes, n)
 	return n
@@ -239,19 +240,20 @@
 
 func (c *cluster) restart(n *node) *node {
 	c.stop(n)
-	return c.startOn(n.way, string(n.id), n.zone)
+	return c.startOn(n.link, string(n.id), n.zone)
 }
 
-// apply writes a declaration as an operator does and returns its revision.
+// apply writes a declaration, as an operator's apply does, and returns its
+// revision.
 func (c *cluster) apply(generation uint64) infra.Revision {
-	return c.write(infra.ConfigKey, model.Declaration{Generation: generation}, written{generation: generation})
+	return c.write(infra.ConfigKey, model.Declaration{Generation: generation}, acceptedWrite{generation: generation})
 }
 
 func (c *cluster) putVM(id model.VMID, reason string) infra.Revision {
-	return c.write(infra.VMKey(id), model.VM{ID: id, Reason: reason}, written{vm: id})
+	return c.write(infra.VMKey(id), model.VM{ID: id, Reason: reason}, acceptedWrite{vm: id})
 }
 
-func (c *cluster) write(key string, v any, w written) infra.Revision {
+func (c *cluster) write(key string, v any, w acceptedWrite) infra.Revision {
 	raw, err := json.Marshal(v)
 	assert.Check(c.t, err)
 	res, err := c.store.Txn(context.Background(), infra.Txn{Then: []infra.Op{infra.Put(key, raw)}})
@@ -263,7 +265,7 @@
 	return res.Revision
 }
 
-// inForce reports whether every node has the generation.
+// inForce reports whether all nodes have applied the generation or a later one.
 func (c *cluster) inForce(generation uint64, nodes ...*node) bool {
 	for _, n := range nodes {
 		if n.view.Load().Generation() < generation {
@@ -283,7 +285,8 @@
 	return in
 }
 
-// cutOff parts a zone from every other and from the platform.
+// cutOff disconnects a zone from all others and from the platform, or
+// reconnects it.
 func (c *cluster) cutOff(z, zones int, cut bool) {
 	for other := range zones {
 		switch {
@@ -295,39 +298,39 @@
 		}
 	}
 	for _, n := range c.zone(z) {
-		n.way.SetDown(cut)
+		n.link.SetDown(cut)
 	}
 }
 
-// restoreOlder puts a store that holds generation 1 and little else in the
-// place of the platform's, as a restore from an old backup does.
+// restoreOlder replaces the platform's store by one that holds only generation
+// 1, as a restore from an old backup does.
 func (c *cluster) restoreOlder() *memstore.Store {
 	backup := memstore.New(clockwork.NewRealClock())
 	c.mu.Lock()
 	c.restored = true
-	c.writes = nil // revisions mean something else from now on
+	c.writes = nil // their revisions are not those of the restored store
 	c.mu.Unlock()
 	c.store.mu.Lock()
 	c.store.Store = backup
 	c.store.mu.Unlock()
 	c.apply(1)
 	c.mu.Lock()
-	c.writes = nil // generation 1 is not accepted by anyone
+	c.writes = nil // no entry VM accepts generation 1
 	c.mu.Unlock()
 	for _, n := range c.nodes {
-		n.way.breakOff()
+		n.link.interruptWatches()
 	}
 	return backup
 }
 
 func (c *cluster) setDown(down bool) {
 	for _, n := range c.nodes {
-		n.way.SetDown(down)
+		n.link.SetDown(down)
 	}
 }
 
-// breakOff ends running watches.
-func (w *way) breakOff() {
+// interruptWatches ends the running watches.
+func (w *storeLink) interruptWatches() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.down {
@@ -336,15 +339,15 @@
 	}
 }
 
-// SetDown cuts the way or restores it.
-func (w *way) SetDown(down bool) {
+// SetDown interrupts the connection to the store or restores it.
+func (w *storeLink) SetDown(down bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.down = down
 	w.Store.SetDown(down)
 }
 
-// stop ends an entry VM for good.
+// stop stops an entry VM and removes it from the cluster.
 func (c *cluster) stop(n *node) {
 	n.stop()
 	c.nodes = slices.DeleteFunc(slices.Clone(c.nodes), func(o *node) bool { return o == n })
--- a/internal/relay/register.go
+++ b/internal/relay/register.go
@@ -13,30 +13,30 @@
 	"github.com/pumicestage/pumicestage/internal/view"
 )
 
-var errSuperseded = errors.New("relay: superseded by a later run of this entry VM")
+var errSuperseded = errors.New("relay: superseded by a newer incarnation of this entry VM")
 
 const (
-	// registrationTTL is how long a dead or cut-off entry VM stays
-	// registered: until then acknowledgements are waited for, and the
-	// claims it held count as running.
+	// registrationTTL is how long a crashed or partitioned entry VM stays
+	// registered. Until it expires, changes wait for that entry VM's
+	// acknowledgement, and its claims count as running.
 	registrationTTL = 10 * time.Second
-	// keepAliveEvery leaves three attempts within registrationTTL, each with
-	// its timeout.
-	keepAliveEvery = 3 * time.Second
-	// registerRetry is the wait after a failed attempt.
-	registerRetry = time.Second
+	// keepAliveInterval is the time between renewals of the lease. It allows
+	// three attempts within registrationTTL, timeouts included.
+	keepAliveInterval = 3 * time.Second
+	// registerRetryDelay is the wait after a failed renewal or registration.
+	registerRetryDelay = time.Second
 )
 
-// keepRegistered holds this entry VM's record in the store under a lease
-// until ctx ends, then takes it away.
+// keepRegistered keeps this entry VM's record in the store under a lease until
+// ctx ends, then revokes the lease.
 func (r *Relay) keepRegistered(ctx context.Context) {
 	var lease infra.LeaseID
 	for ctx.Err() == nil {
 		err := r.renew(ctx, &lease)
-		wait := keepAliveEvery
+		wait := keepAliveInterval
 		if err != nil {
-			r.opts.Log.V(1).Info("registration not renewed", "cause", err)
-			wait = registerRetry
+			r.opts.Log.V(1).Info("cannot renew the registration of this entry VM", "cause", err)
+			wait = registerRetryDelay
 		}
 		sleep.For(ctx, wait)
 	}
@@ -44,24 +44,25 @@
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
 		if err := r.opts.Store.Revoke(ctx, lease); err != nil {
-			r.opts.Log.V(1).Info("registration not revoked; it lapses", "cause", err)
+			r.opts.Log.V(1).Info("cannot revoke the registration of this entry VM; it expires with its lease", "cause", err)
 		}
 	}
 }
 
-// renew keeps the lease alive, or registers where there is none, it lapsed, or
-// an earlier run has written over this one's record.
+// renew keeps the lease alive. It registers anew, under a new lease, if there
+// is none, it expired, or an older incarnation has overwritten the record. It
+// returns errSuperseded if a newer incarnation is registered.
 func (r *Relay) renew(ctx context.Context, lease *infra.LeaseID) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if *lease != 0 && !r.displaced() {
+	if *lease != 0 && !r.overwritten() {
 		err := r.opts.Store.KeepAlive(ctx, *lease)
 		if !infra.IsKind(err, infra.KindLeaseNotFound) {
 			return trace.Wrap(err)
 		}
 	}
 	*lease = 0
-	over, err := r.mayReplace(ctx)
+	revision, err := r.replaceableRevision(ctx)
 	if err != nil {
 		return err
 	}
@@ -74,35 +75,37 @@
 		return trace.Wrap(err)
 	}
 	res, err := r.opts.Store.Txn(ctx, infra.Txn{
-		If:   []infra.Cond{{Key: infra.EntryKey(r.opts.Self.ID), ModRevision: over}},
+		If:   []infra.Cond{{Key: infra.EntryKey(r.opts.Self.ID), ModRevision: revision}},
 		Then: []infra.Op{infra.PutLeased(infra.EntryKey(r.opts.Self.ID), value, granted)},
 	})
-	// A lost reply leaves the key under the new lease or none at all; the
-	// next attempt writes it again under another.
+	// If the reply is lost, the key may or may not have been written under
+	// the new lease; the next attempt writes it again under another lease.
 	if err == nil && res.Succeeded {
 		*lease = granted
 	}
 	return trace.Wrap(err)
 }
 
-// mayReplace returns the revision of the record that stands under this entry
-// VM's ID, or an error where a later run wrote it. A daemon that was replaced
-// while it was paused would otherwise register over its successor, and
-// acknowledgements would be waited for that nobody can give.
-func (r *Relay) mayReplace(ctx context.Context) (infra.Revision, error) {
+// replaceableRevision returns the revision of the record stored under this
+// entry VM's ID (0 if there is none), or errSuperseded if a newer incarnation
+// wrote it. Without this check, a daemon that was replaced while it was paused
+// would overwrite its successor's record, and changes would wait for an
+// acknowledgement that nobody can give.
+func (r *Relay) replaceableRevision(ctx context.Context) (infra.Revision, error) {
 	kv, _, err := r.opts.Store.Get(ctx, infra.EntryKey(r.opts.Self.ID))
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
 	var found view.EntryRecord
 	if kv.ModRevision != 0 && json.Unmarshal(kv.Value, &found) == nil && found.Incarnation > r.opts.Self.Incarnation {
-		return 0, trace.Wrap(errSuperseded, "%s is registered by a later run", r.opts.Self.ID)
+		return 0, trace.Wrap(errSuperseded, "entry VM %s is registered with a newer incarnation", r.opts.Self.ID)
 	}
 	return kv.ModRevision, nil
 }
 
-// displaced reports whether the view shows an earlier run under this ID.
-func (r *Relay) displaced() bool {
+// overwritten reports whether the view shows an older incarnation registered
+// under this entry VM's ID.
+func (r *Relay) overwritten() bool {
 	for _, e := range r.opts.View.Load().Entries {
 		if e.ID == r.opts.Self.ID {
 			return e.Incarnation < r.opts.Self.Incarnation
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -17,19 +17,21 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// ErrStoreBehind means that the store is older than what entry VMs have
-// accepted, as after a restore from a backup: its revisions say nothing about
-// what was acknowledged.
+// ErrStoreBehind means that the store's revision is lower than one that entry
+// VMs have accepted, as after a restore from a backup. The revisions of such a
+// store can't be compared with those that were acknowledged.
 var ErrStoreBehind = errors.New("relay: the store is older than the accepted view")
 
-// registeredFor is how long one reading of the registrations serves. A wave
-// that waits for acknowledgements asks some times a second.
-const registeredFor = time.Second
+// registrationCacheTTL is how long the registrations read from the store are
+// reused. A wave that waits for acknowledgements queries them several times a
+// second.
+const registrationCacheTTL = time.Second
 
-// Registry answers which live entry VMs have what in force. Live are those
-// registered in the store, and those heard of late though their registration
-// lapsed: one that lost the platform goes on sending requests. What each has,
-// its digests say. It is safe for concurrent use.
+// Registry tells which live entry VMs have applied a revision or a declaration.
+// An entry VM counts as live if it is registered in the store, or if its
+// registration expired but it still sends digests: one that has lost contact
+// with the platform goes on forwarding requests. What each has applied is
+// taken from its digests. Registry is safe for concurrent use.
 type Registry struct {
 	self  view.EntryRecord
 	store infra.Store
@@ -38,38 +40,44 @@
 
 	mu      sync.Mutex
 	entries []view.EntryRecord
-	read    time.Time
+	readAt  time.Time
 }
 
-// NewRegistry returns a Registry; it takes the same options as the Relay.
+// NewRegistry returns a Registry. It takes the options of the Relay but uses
+// only Self, Store, View and Peers.
 func NewRegistry(opts Options) *Registry {
 	return &Registry{self: opts.Self, store: opts.Store, view: opts.View, peers: opts.Peers}
 }
 
-// Missing returns the live entry VMs that have not acknowledged everything up
-// to since, sorted. It costs at most one read a second.
+// Missing returns the live entry VMs, sorted by ID, that have not acknowledged
+// all revisions up to since. It reads the store at most once a second. It
+// returns ErrStoreBehind if the store is older than what was accepted.
 func (g *Registry) Missing(ctx context.Context, since infra.Revision) ([]model.EntryID, error) {
-	_, missing, err := g.split(ctx, func(rev infra.Revision, _ uint64) bool { return rev >= since })
+	_, missing, err := g.partition(ctx, func(rev infra.Revision, _ uint64) bool { return rev >= since })
 	return missing, err
 }
 
-// InForce returns the live entry VMs that have the declaration of the
-// generation, or a later one, in force, and those not known to.
+// InForce returns the live entry VMs that have applied the declaration of the
+// generation or a later one, and those that are not known to have; both are
+// sorted by ID. It returns ErrStoreBehind if the store is older than what was
+// accepted.
 func (g *Registry) InForce(ctx context.Context, generation uint64) (have, missing []model.EntryID, err error) {
-	return g.split(ctx, func(_ infra.Revision, gen uint64) bool { return gen >= generation })
+	return g.partition(ctx, func(_ infra.Revision, gen uint64) bool { return gen >= generation })
 }
 
-func (g *Registry) split(ctx context.Context, ok func(infra.Revision, uint64) bool) (have, missing []model.EntryID, err error) {
+// partition divides the live entry VMs by whether what they acknowledged
+// satisfies the condition.
+func (g *Registry) partition(ctx context.Context, satisfied func(infra.Revision, uint64) bool) (have, missing []model.EntryID, err error) {
 	entries, err := g.registered(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	said := make(map[model.EntryID]peer.Status)
+	statuses := make(map[model.EntryID]peer.Status)
 	for _, p := range g.peers.Peers() {
-		said[p.Entry] = p
+		statuses[p.Entry] = p
 	}
-	for _, e := range withHeard(entries, said) {
-		if g.has(e, said, ok) {
+	for _, e := range withUnregisteredPeers(entries, statuses) {
+		if g.acknowledged(e, statuses, satisfied) {
 			have = append(have, e.ID)
 		} else {
 			missing = append(missing, e.ID)
@@ -78,10 +86,11 @@
 	return have, missing, nil
 }
 
-// withHeard adds the live peers that are not registered, and sorts by ID.
-func withHeard(registered []view.EntryRecord, said map[model.EntryID]peer.Status) []view.EntryRecord {
+// withUnregisteredPeers returns the registered entry VMs together with the
+// live peers that are not registered, sorted by ID.
+func withUnregisteredPeers(registered []view.EntryRecord, statuses map[model.EntryID]peer.Status) []view.EntryRecord {
 	all := slices.Clone(registered)
-	for id, p := range said {
+	for id, p := range statuses {
 		known := slices.ContainsFunc(registered, func(e view.EntryRecord) bool { return e.ID == id })
 		if p.Live && !known {
 			all = append(all, view.EntryRecord{ID: id, Zone: p.Zone, Incarnation: p.Incarnation})
@@ -91,23 +100,26 @@
 	return all
 }
 
-func (g *Registry) has(e view.EntryRecord, said map[model.EntryID]peer.Status, ok func(infra.Revision, uint64) bool) bool {
+// acknowledged reports whether what the entry VM has acknowledged satisfies the
+// condition.
+func (g *Registry) acknowledged(e view.EntryRecord, statuses map[model.EntryID]peer.Status, satisfied func(infra.Revision, uint64) bool) bool {
 	if e.ID == g.self.ID && e.Incarnation == g.self.Incarnation {
 		v := g.view.Load()
-		return ok(v.Revision, v.Generation())
+		return satisfied(v.Revision, v.Generation())
 	}
-	// Views never step back within a run, so that an old digest of the same
-	// run acknowledges for good. An earlier run's says nothing.
-	p, heard := said[e.ID]
-	return heard && p.Incarnation == e.Incarnation && ok(p.Revision, p.Generation)
+	// Views never go backwards within an incarnation, so an old digest of the
+	// same incarnation remains valid. A digest of an older incarnation doesn't
+	// count.
+	p, known := statuses[e.ID]
+	return known && p.Incarnation == e.Incarnation && satisfied(p.Revision, p.Generation)
 }
 
-// registered returns the registrations, read anew where the last reading is
-// too old.
+// registered returns the registered entry VMs, read again from the store if the
+// cached ones are older than registrationCacheTTL.
 func (g *Registry) registered(ctx context.Context) ([]view.EntryRecord, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.read.IsZero() || time.Since(g.read) >= registeredFor {
+	if g.readAt.IsZero() || time.Since(g.readAt) >= registrationCacheTTL {
 		if err := g.readLocked(ctx); err != nil {
 			return nil, err
 		}
@@ -133,13 +145,14 @@
 		}
 		entries = append(entries, e)
 	}
-	g.entries, g.read = entries, started
+	g.entries, g.readAt = entries, started
 	return nil
 }
 
-// highestAccepted returns the highest revision any entry VM has said to have.
-// A store that answers with a lower one has been restored: every old digest
-// would then count as an acknowledgement of what is yet to be written.
+// highestAccepted returns the highest revision that any entry VM has reported.
+// A store that answers with a lower one has been restored from a backup: old
+// digests would then count as acknowledgements of revisions that are yet to be
+// written.
 func (g *Registry) highestAccepted() infra.Revision {
 	highest := g.view.Load().Revision
 	for _, p := range g.peers.Peers() {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,8 +1,9 @@
 // Package relay keeps this entry VM's view of the fleet current. One or two
-// entry VMs a zone hold the platform's watches and pass changes on to the
-// others, so that calls to the platform grow with zones and not with entry
-// VMs. Nothing is elected: two relays at once do no harm, and where all fall
-// silent each entry VM asks the platform itself.
+// entry VMs of each zone, the relays, hold watches on the platform's store and
+// forward changes to the others, so the load on the platform grows with the
+// number of zones rather than of entry VMs. There is no leader election:
+// several relays at once are harmless, and if all relays of a zone fail, each
+// entry VM watches the store itself.
 package relay
 
 import (
@@ -21,51 +22,55 @@
 )
 
 const (
-	// decideEvery is how often the role and the source of the view are
-	// decided anew.
-	decideEvery = 250 * time.Millisecond
-	// pollEvery is how often a relay is asked whether it is still current. A
-	// view's age is known to this; changes come at once without asking.
-	pollEvery = time.Second
-	// beaconEvery is how often a relay proves that its watch is current, by
-	// a write it then sees come back. Two relays in each of 6 zones make 6
-	// writes a second of it.
-	beaconEvery = 2 * time.Second
-	// relayCurrent is the age from which a relay no longer counts as
-	// current: two beacons and a call's timeout missing.
-	relayCurrent = 2*beaconEvery + callTimeout
-	// takeOver is how long an entry VM that is not among the first of its
-	// zone sees too few of them relay before it does so itself; each rank
-	// waits a little longer, so that a platform that returns is not read by
-	// all at once.
-	takeOver        = time.Second
-	takeOverPerRank = time.Second
-	// keepWatch is how long a watch is held on after the role is gone; a
-	// peer that comes and goes then moves no watches.
-	keepWatch = 5 * time.Second
-	// resumeWithin is the age up to which a view is carried on from its
-	// revision; an older one is read anew. A store that was restored to an
-	// older state and has since passed the view's revision would otherwise
-	// go unnoticed, and what it changed on the way would never be seen. No
-	// restore is done, and overtaken, in this time.
-	resumeWithin = 30 * time.Second
-	// startGrace is how long a starting daemon waits for peers before it
-	// believes the store: a store restored to an older state would give it a
-	// declaration that was replaced long ago.
-	startGrace = 2 * time.Second
+	// roleCheckInterval is how often an entry VM decides whether to act as a
+	// relay and where to get its view from.
+	roleCheckInterval = 250 * time.Millisecond
+	// pollInterval is how often an entry VM polls a relay to learn whether its
+	// view is still current. It limits how precisely the age of a view is
+	// known; changes are pushed without waiting for a poll.
+	pollInterval = time.Second
+	// beaconInterval is how often a relay checks that its watch is current, by
+	// writing a beacon that must come back over the watch. With two relays in
+	// each of 6 zones that makes 6 writes a second.
+	beaconInterval = 2 * time.Second
+	// maxRelayAge is the age of its view from which a relay no longer counts
+	// as current: two missed beacons and the timeout of one call.
+	maxRelayAge = 2*beaconInterval + callTimeout
+	// takeoverDelay is how long an entry VM that doesn't rank among the first
+	// RelaysPerZone of its zone must see too few current relays before it
+	// becomes one itself. takeoverDelayPerRank is added for each entry VM that
+	// ranks before it, so that not all read the store at once when the
+	// platform recovers.
+	takeoverDelay        = time.Second
+	takeoverDelayPerRank = time.Second
+	// watchReleaseDelay is how long an entry VM keeps its watches after it is
+	// no longer needed as a relay, so that a flapping peer doesn't make
+	// watches move.
+	watchReleaseDelay = 5 * time.Second
+	// maxResumeAge is the age up to which a watch resumes from the view's
+	// revision; for an older view, all VMs are read again. Otherwise a store
+	// that was restored from a backup, and whose revision has since passed the
+	// view's, would go unnoticed, and the changes made in between would never
+	// be seen. A restore can't complete and pass the view's revision within
+	// this time.
+	maxResumeAge = 30 * time.Second
+	// startupPeerTimeout is how long a starting daemon waits for a declaration
+	// from peers before it reads the store: a store restored from a backup
+	// would return a declaration that was replaced long ago.
+	startupPeerTimeout = 2 * time.Second
 	// callTimeout bounds each call to the platform, which answers in
 	// milliseconds.
 	callTimeout = 2 * time.Second
 )
 
-// Peers is what the relay needs of the peer mesh.
+// Peers is the part of the peer mesh that the relay uses.
 type Peers interface {
 	Peers() []peer.Status
 	Send(to model.EntryID, k peer.Kind, msg any) bool
 	Handle(k peer.Kind, h peer.Handler)
 }
 
-// Options are what a Relay needs; all but Log must be set.
+// Options configures a Relay. All fields except Log are required.
 type Options struct {
 	Self  view.EntryRecord
 	Store infra.Store
@@ -79,30 +84,30 @@
 	opts  Options
 	state *state
 	subs  *subscribers
-	polls *polls
+	polls *pendingPolls
 
-	watching atomic.Bool // the source is open
-	behind   atomic.Bool // the store is older than what was accepted
-	tasks    sync.WaitGroup
+	watching    atomic.Bool // this entry VM holds watches on the store
+	storeBehind atomic.Bool // the store is older than the accepted view
+	tasks       sync.WaitGroup
 }
 
-// New returns a Relay and sets its handlers on the peers, so call it before
-// their Run.
+// New returns a Relay and registers its message handlers with the peers. It
+// must be called before the peer mesh runs.
 func New(opts Options) *Relay {
-	r := &Relay{opts: opts, state: newState(opts.View, opts.Log), subs: newSubscribers(), polls: newPolls()}
-	opts.Peers.Handle(peer.KindViewPoll, r.onPoll)
-	opts.Peers.Handle(peer.KindView, r.onView)
+	r := &Relay{opts: opts, state: newState(opts.View, opts.Log), subs: newSubscribers(), polls: newPendingPolls()}
+	opts.Peers.Handle(peer.KindViewPoll, r.handlePoll)
+	opts.Peers.Handle(peer.KindView, r.handleUpdate)
 	return r
 }
 
-// Watching reports whether this entry VM holds the platform's watch; peers
-// are told so in digests.
+// Watching reports whether this entry VM holds watches on the platform's store.
+// Digests carry it to peers.
 func (r *Relay) Watching() bool { return r.watching.Load() }
 
 // StoreBehind reports whether the platform's store is older than the view
 // accepted here, as after a restore from a backup. Planned stops must wait
-// until it is not.
-func (r *Relay) StoreBehind() bool { return r.behind.Load() }
+// until the store has passed that view.
+func (r *Relay) StoreBehind() bool { return r.storeBehind.Load() }
 
 // Run keeps the view current and this entry VM registered until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
@@ -113,34 +118,36 @@
 	r.tasks.Wait()
 }
 
-// superviseSource opens the platform's watch while this entry VM should hold
-// it.
+// superviseSource opens watches on the platform's store while this entry VM
+// should act as a relay, and closes them watchReleaseDelay after it no longer
+// should.
 func (r *Relay) superviseSource(ctx context.Context) {
 	r.awaitPeers(ctx)
 	var close func()
-	var short, unwantedSince time.Time
+	var tooFewSince, unwantedSince time.Time
 	for ctx.Err() == nil {
 		now := time.Now()
 		switch {
-		case r.mayWatch(&short, now):
+		case r.shouldWatch(&tooFewSince, now):
 			unwantedSince = time.Time{}
 			if close == nil {
 				close = r.openSource(ctx)
 			}
 		case close != nil && unwantedSince.IsZero():
 			unwantedSince = now
-		case close != nil && now.Sub(unwantedSince) >= keepWatch:
+		case close != nil && now.Sub(unwantedSince) >= watchReleaseDelay:
 			close()
 			close = nil
 		}
-		sleep.For(ctx, decideEvery)
+		sleep.For(ctx, roleCheckInterval)
 	}
 	if close != nil {
 		close()
 	}
 }
 
-// openSource starts a source and returns what ends it and waits for its end.
+// openSource starts a storeSource and returns a function that stops it and
+// waits until it has ended.
 func (r *Relay) openSource(ctx context.Context) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -155,30 +162,34 @@
 	}
 }
 
-// awaitPeers gives peers the chance to say what was accepted, before the
-// store is believed.
+// awaitPeers waits, for at most startupPeerTimeout, until peers have sent a
+// declaration.
 func (r *Relay) awaitPeers(ctx context.Context) {
-	until := time.Now().Add(startGrace)
+	until := time.Now().Add(startupPeerTimeout)
 	for ctx.Err() == nil && time.Now().Before(until) && r.state.versions().Generation == 0 {
-		sleep.For(ctx, decideEvery/5)
+		sleep.For(ctx, roleCheckInterval/5)
 	}
 }
 
-// mayWatch reports whether this entry VM's turn has come to hold the watch:
-// fewer than RelaysPerZone that come before it do so, for long enough.
-func (r *Relay) mayWatch(short *time.Time, now time.Time) bool {
+// shouldWatch reports whether this entry VM should hold watches: fewer than
+// RelaysPerZone of the entry VMs that rank before it are current relays. Unless
+// it ranks among the first RelaysPerZone or already watches, that must have
+// lasted for its takeover delay. tooFewSince records since when there have been
+// too few; zero if there are enough.
+func (r *Relay) shouldWatch(tooFewSince *time.Time, now time.Time) bool {
 	n, relaying := rank(r.opts.Self.ID, r.opts.Self.Zone, r.opts.Peers.Peers())
 	if relaying >= RelaysPerZone {
-		*short = time.Time{}
+		*tooFewSince = time.Time{}
 		return false
 	}
 	if n < RelaysPerZone || r.Watching() {
 		return true
 	}
-	if short.IsZero() {
-		*short = now
+	if tooFewSince.IsZero() {
+		*tooFewSince = now
 	}
-	return now.Sub(*short) >= takeOver+time.Duration(n)*takeOverPerRank
+	return now.Sub(*tooFewSince) >= takeoverDelay+time.Duration(n)*takeoverDelayPerRank
 }
 
+// age returns the time since the view was last known to be current.
 func (r *Relay) age() time.Duration { return time.Since(r.opts.View.Load().AsOf) }
--- a/internal/relay/selection.go
+++ b/internal/relay/selection.go
@@ -9,12 +9,13 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// RelaysPerZone entry VMs of a zone hold the platform's watches. One is
-// enough; the second makes the loss of the first cost nothing.
+// RelaysPerZone is how many entry VMs of each zone act as relays, that is, hold
+// watches on the platform's store. One is enough; with a second, the loss of
+// one relay interrupts nothing.
 const RelaysPerZone = 2
 
-// rank returns how many live entry VMs of the zone come before self as relay,
-// and how many of those relay and are current.
+// rank returns how many live entry VMs of the zone precede self in the
+// rendezvous order of relays, and how many of those are current relays.
 func rank(self model.EntryID, zone model.ZoneName, peers []peer.Status) (before, relaying int) {
 	mine := peer.Rendezvous(string(zone), self)
 	for _, p := range peers {
@@ -22,30 +23,31 @@
 			continue
 		}
 		before++
-		if relays(p) {
+		if isCurrentRelay(p) {
 			relaying++
 		}
 	}
 	return before, relaying
 }
 
-// relays reports whether a peer holds the platform's watch and is current.
-func relays(p peer.Status) bool {
-	return p.Watching && ageOf(p) < relayCurrent
+// isCurrentRelay reports whether a peer holds watches on the platform's store
+// and its view is younger than maxRelayAge.
+func isCurrentRelay(p peer.Status) bool {
+	return p.Watching && ageOf(p) < maxRelayAge
 }
 
-// source picks the peer to ask for a newer view, and false where none has one.
-// A relay of the own zone that is current comes first. Otherwise (the platform
-// is down, the zone is cut off, or this daemon has just started) it is the
-// live peer with the newest view, of whichever zone.
-func source(self model.EntryID, zone model.ZoneName, have versions, age time.Duration, peers []peer.Status) (model.EntryID, bool) {
+// selectSource returns the peer to poll for a newer view, or false if no live
+// peer has one. It prefers a current relay of the own zone. If there is none
+// (the platform is down, the zone is partitioned, or this daemon has just
+// started), it returns the live peer of any zone with the newest view.
+func selectSource(self model.EntryID, zone model.ZoneName, have versions, age time.Duration, peers []peer.Status) (model.EntryID, bool) {
 	var current, newer []peer.Status
 	for _, p := range peers {
 		switch {
 		case !p.Live || p.Entry == self:
-		case p.Zone == zone && relays(p) && p.Generation >= have.Generation && p.Revision >= have.Revision:
+		case p.Zone == zone && isCurrentRelay(p) && p.Generation >= have.Generation && p.Revision >= have.Revision:
 			current = append(current, p)
-		case p.Generation > have.Generation || p.Revision > have.Revision || ageOf(p)+pollEvery < age:
+		case p.Generation > have.Generation || p.Revision > have.Revision || ageOf(p)+pollInterval < age:
 			newer = append(newer, p)
 		}
 	}
--- a/internal/relay/source.go
+++ b/internal/relay/source.go
@@ -16,96 +16,103 @@
 )
 
 const (
-	// beaconLost is when a beacon that was written but has not come back by
-	// the watch proves that the watch is dead, though its connection is not.
-	beaconLost = 2 * beaconEvery
-	// mergeEvery is the shortest time between two changes of the VMs in the
-	// view. Each copies the map of all VMs (0.8 ms at 3,600 of them), which a
-	// zone that falls over would otherwise ask for hundreds of times a second.
-	mergeEvery = 50 * time.Millisecond
-	// reopenMin and reopenMax bound the jittered wait between attempts to
-	// open the source.
-	reopenMin = 250 * time.Millisecond
-	reopenMax = 4 * time.Second
+	// beaconTimeout is how long after it was written a beacon must have come
+	// back over the watch. Otherwise the watch counts as dead, even if its
+	// connection is still open.
+	beaconTimeout = 2 * beaconInterval
+	// minMergeInterval is the minimum time between two changes of the VMs in
+	// the view. Each change copies the map of all VMs (0.8 ms for 3,600 VMs),
+	// and the failure of a zone would otherwise cause hundreds of them a
+	// second.
+	minMergeInterval = 50 * time.Millisecond
+	// minReopenDelay and maxReopenDelay bound the jittered backoff between
+	// attempts to open the watches.
+	minReopenDelay = 250 * time.Millisecond
+	maxReopenDelay = 4 * time.Second
 )
 
 var (
 	errStoreBehind = errors.New("relay: the store is older than the accepted view")
-	errWatchEnded  = errors.New("relay: watch ended")
-	errWatchDead   = errors.New("relay: watch delivers nothing")
+	errWatchEnded  = errors.New("relay: watch on the store ended")
+	errWatchDead   = errors.New("relay: watch on the store delivers no beacons")
 )
 
-// beacon is the value of infra.ViewBeaconKey.
+// beacon is the JSON value of infra.ViewBeaconKey. It identifies the relay that
+// wrote it, so that each relay recognizes its own.
 type beacon struct {
 	Entry model.EntryID
 	Nonce uint64
 }
 
-// storeSource feeds the state from the platform's store: it reads what is
-// missing, watches, and proves by beacons that the watch is current.
+// storeSource feeds the state from the platform's store: it reads what the
+// state lacks, watches for changes, and writes beacons to check that the watch
+// is current.
 type storeSource struct {
 	relay *Relay
 	store infra.Store
 
-	nonce   uint64
-	pending map[uint64]time.Time // beacons written and not yet seen, by when they were sent
+	nonce          uint64
+	pendingBeacons map[uint64]time.Time // when each beacon that has not come back was sent, by nonce
 
-	configMod infra.Revision // of the declaration's key when last seen in the store
-	configGen uint64         // its generation
-	reread    bool           // the VMs must be read anew
+	configRevision   infra.Revision // revision of the declaration's key when last read from the store
+	configGeneration uint64         // generation of that declaration
+	mustReread       bool           // all VMs must be read again
 
-	gathered update    // changes of VMs not merged yet
-	proven   time.Time // when the newest beacon among them was sent
+	collected     update    // changes of VMs that are not merged yet
+	collectedAsOf time.Time // when the newest beacon received with them was sent
 }
 
 func newStoreSource(r *Relay) *storeSource {
 	return &storeSource{
 		relay: r, store: r.opts.Store,
-		nonce: rand.Uint64(), pending: make(map[uint64]time.Time),
+		nonce: rand.Uint64(), pendingBeacons: make(map[uint64]time.Time),
 	}
 }
 
-// run feeds the state until ctx ends, opening anew after failures.
+// run feeds the state until ctx ends and reopens the watches after failures.
 func (s *storeSource) run(ctx context.Context) {
 	defer s.relay.watching.Store(false)
-	wait := reopenMin
+	wait := minReopenDelay
 	for ctx.Err() == nil {
 		started := time.Now()
-		err := s.follow(ctx)
+		err := s.watchUntilFailure(ctx)
 		s.relay.watching.Store(false)
 		if ctx.Err() != nil {
 			return
 		}
-		s.noteEnd(err)
-		if time.Since(started) > reopenMax {
-			wait = reopenMin
+		s.recordFailure(err)
+		if time.Since(started) > maxReopenDelay {
+			wait = minReopenDelay
 		}
 		sleep.For(ctx, wait/2+rand.N(wait/2))
-		wait = min(2*wait, reopenMax)
+		wait = min(2*wait, maxReopenDelay)
 	}
 }
 
-func (s *storeSource) noteEnd(err error) {
+// recordFailure logs why the watches ended and determines whether the VMs must
+// be read again.
+func (s *storeSource) recordFailure(err error) {
 	behind := errors.Is(err, errStoreBehind)
-	if behind && !s.relay.behind.Swap(true) {
-		s.relay.opts.Log.Error(err, "planned stops wait until the store has passed the accepted view")
+	if behind && !s.relay.storeBehind.Swap(true) {
+		s.relay.opts.Log.Error(err, "platform store is older than the accepted view; planned stops wait until it has passed that view")
 	}
 	if behind || infra.IsKind(err, infra.KindCompacted) {
-		s.reread = true
+		s.mustReread = true
 	}
-	s.relay.opts.Log.V(1).Info("platform watch ended", "cause", err)
+	s.relay.opts.Log.V(1).Info("watch on the platform store ended", "cause", err)
 }
 
-// follow opens the watches and feeds the state until one of them ends.
-func (s *storeSource) follow(ctx context.Context) error {
+// watchUntilFailure opens the watches and feeds the state until one of them
+// fails.
+func (s *storeSource) watchUntilFailure(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	clear(s.pending)
+	clear(s.pendingBeacons)
 	at, err := s.sendBeacon(ctx)
 	if err != nil {
 		return err
 	}
-	s.relay.behind.Store(false)
+	s.relay.storeBehind.Store(false)
 	w, err := s.open(ctx, at)
 	if err != nil {
 		return err
@@ -114,12 +121,12 @@
 	return s.feed(ctx, w)
 }
 
-// watches are the three streams a view is made of.
+// watches holds the watches on the three parts of a view.
 type watches struct {
 	vms, entries, config <-chan infra.WatchBatch
 }
 
-// open reads what the state lacks and watches from there on. at is the
+// open reads what the state lacks and opens watches from there on. at is the
 // revision up to which the declaration is known.
 func (s *storeSource) open(ctx context.Context, at infra.Revision) (watches, error) {
 	var w watches
@@ -141,10 +148,11 @@
 	return w, trace.Wrap(err)
 }
 
-// readVMs reads all VMs if the state has none or cannot be carried on from its
-// revision, and returns the revision the state then has.
+// readVMs reads all VMs if the state has none or can't resume from its
+// revision, and returns the state's revision afterwards. It returns
+// errStoreBehind if the store is older than the state.
 func (s *storeSource) readVMs(ctx context.Context, at infra.Revision) (infra.Revision, error) {
-	if has := s.relay.state.versions().Revision; has > 0 && !s.reread && s.relay.age() < resumeWithin {
+	if has := s.relay.state.versions().Revision; has > 0 && !s.mustReread && s.relay.age() < maxResumeAge {
 		return has, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -156,16 +164,17 @@
 	if rev < s.relay.state.versions().Revision {
 		return 0, trace.Wrap(errStoreBehind)
 	}
-	s.reread = false
-	var proven time.Time
+	s.mustReread = false
+	var asOf time.Time
 	if rev >= at {
-		proven = s.pending[s.nonce] // the beacon at `at`: all before it was read
+		asOf = s.pendingBeacons[s.nonce] // the beacon was written at `at`, so the read includes everything before it
 	}
 	is := versions{Revision: rev, Lineage: rand.Uint64(), Generation: s.relay.state.versions().Generation}
-	s.relay.state.merge(update{Full: true, Puts: recordsOf(kvs), Is: is}, proven)
+	s.relay.state.merge(update{Full: true, Puts: recordsOf(kvs), Versions: is}, asOf)
 	return max(rev, s.relay.state.versions().Revision), nil
 }
 
+// readEntries reads the list of entry VMs and returns the revision of the read.
 func (s *storeSource) readEntries(ctx context.Context) (infra.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -173,34 +182,36 @@
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	s.relay.state.merge(update{HasEntries: true, Entries: recordsOf(kvs), Is: versions{Entries: rev}}, time.Time{})
+	s.relay.state.merge(update{HasEntries: true, Entries: recordsOf(kvs), Versions: versions{Entries: rev}}, time.Time{})
 	return rev, nil
 }
 
+// feed merges what the watches deliver and writes beacons until a watch or a
+// beacon fails.
 func (s *storeSource) feed(ctx context.Context, w watches) error {
-	tick := time.NewTicker(beaconEvery)
+	tick := time.NewTicker(beaconInterval)
 	defer tick.Stop()
-	merge := time.NewTimer(mergeEvery)
+	merge := time.NewTimer(minMergeInterval)
 	defer merge.Stop()
 	var merged time.Time
-	s.gathered, s.proven = update{}, time.Time{}
+	s.collected, s.collectedAsOf = update{}, time.Time{}
 	for {
 		var err error
 		select {
 		case b, ok := <-w.vms:
-			first := s.gathered.Is.Revision == 0
-			if err = s.take(b, ok, s.gatherVMs); err == nil && first {
-				merge.Reset(max(time.Millisecond, mergeEvery-time.Since(merged)))
+			first := s.collected.Versions.Revision == 0
+			if err = s.handleBatch(b, ok, s.collectVMs); err == nil && first {
+				merge.Reset(max(time.Millisecond, minMergeInterval-time.Since(merged)))
 			}
 		case <-merge.C:
-			s.mergeGathered()
+			s.mergeCollected()
 			merged = time.Now()
 		case b, ok := <-w.entries:
-			err = s.take(b, ok, s.takeEntries)
+			err = s.handleBatch(b, ok, s.handleEntries)
 		case b, ok := <-w.config:
-			err = s.take(b, ok, s.takeConfig)
+			err = s.handleBatch(b, ok, s.handleConfig)
 		case <-tick.C:
-			err = s.beat(ctx)
+			err = s.checkBeacons(ctx)
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
@@ -210,7 +221,8 @@
 	}
 }
 
-func (s *storeSource) take(b infra.WatchBatch, ok bool, f func(infra.WatchBatch)) error {
+// handleBatch passes a batch of a watch to f, or returns why the watch ended.
+func (s *storeSource) handleBatch(b infra.WatchBatch, ok bool, f func(infra.WatchBatch)) error {
 	if !ok {
 		return errWatchEnded
 	}
@@ -221,10 +233,11 @@
 	return nil
 }
 
-// beat writes a beacon, and ends the watch where an earlier one got lost.
-func (s *storeSource) beat(ctx context.Context) error {
-	for _, sent := range s.pending {
-		if time.Since(sent) > beaconLost {
+// checkBeacons writes a new beacon. It returns errWatchDead, which ends the
+// watches, if an earlier one has not come back within beaconTimeout.
+func (s *storeSource) checkBeacons(ctx context.Context) error {
+	for _, sent := range s.pendingBeacons {
+		if time.Since(sent) > beaconTimeout {
 			return errWatchDead
 		}
 	}
@@ -232,13 +245,16 @@
 	if err == nil || errors.Is(err, errStoreBehind) {
 		return err
 	}
-	// The watch may well live on while writes fail; the view's age tells.
-	s.relay.opts.Log.V(1).Info("beacon not written", "cause", err)
+	// The watch may still work while writes fail; the view's age shows how
+	// long no beacon has come back.
+	s.relay.opts.Log.V(1).Info("cannot write a beacon to the platform store", "cause", err)
 	return nil
 }
 
-// sendBeacon writes the beacon, and in the same transaction makes sure that
-// the declaration known here is the store's. It returns the store's revision.
+// sendBeacon writes a beacon and checks in the same transaction that the store
+// still holds the declaration last read from it; if not, it merges the store's
+// declaration, or repairs the store if that is older. It returns the store's
+// revision, or errStoreBehind if that is lower than the state's.
 func (s *storeSource) sendBeacon(ctx context.Context) (infra.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -250,7 +266,7 @@
 	put := infra.Put(infra.ViewBeaconKey, value)
 	sent := time.Now()
 	res, err := s.store.Txn(ctx, infra.Txn{
-		If:   []infra.Cond{{Key: infra.ConfigKey, ModRevision: s.configMod}},
+		If:   []infra.Cond{{Key: infra.ConfigKey, ModRevision: s.configRevision}},
 		Then: []infra.Op{put},
 		Else: []infra.Op{put, infra.Read(infra.ConfigKey)},
 	})
@@ -258,21 +274,23 @@
 		return 0, trace.Wrap(err)
 	}
 	if !res.Succeeded && len(res.Reads) == 1 {
-		s.noteConfig(res.Reads[0])
+		s.recordConfig(res.Reads[0])
 		s.repairConfig(ctx)
 	}
 	if res.Revision < s.relay.state.versions().Revision {
 		return 0, trace.Wrap(errStoreBehind)
 	}
-	s.pending[s.nonce] = sent
+	s.pendingBeacons[s.nonce] = sent
 	return res.Revision, nil
 }
 
-func (s *storeSource) noteConfig(kv infra.KV) {
-	if kv.ModRevision < s.configMod && kv.ModRevision > 0 {
-		s.relay.opts.Log.Info("the store holds an older declaration than before", "revision", kv.ModRevision, "before", s.configMod)
+// recordConfig merges the declaration read from the store, and records its
+// revision and generation; both are 0 if the store holds none.
+func (s *storeSource) recordConfig(kv infra.KV) {
+	if kv.ModRevision < s.configRevision && kv.ModRevision > 0 {
+		s.relay.opts.Log.Info("platform store holds an older declaration than before", "revision", kv.ModRevision, "before", s.configRevision)
 	}
-	s.configMod, s.configGen = kv.ModRevision, 0
+	s.configRevision, s.configGeneration = kv.ModRevision, 0
 	if kv.ModRevision == 0 {
 		return
 	}
@@ -280,87 +298,92 @@
 	s.relay.state.merge(update{Config: &r}, time.Time{})
 	var head struct{ Generation uint64 }
 	if err := infra.DecodeValue(kv.Value, &head); err == nil {
-		s.configGen = head.Generation
+		s.configGeneration = head.Generation
 	}
 }
 
-// repairConfig puts the accepted declaration back where the store holds an
-// older one, as after a restore from a backup: an entry VM that starts without
-// peers would otherwise bring the older one back in force. The CAS on the
-// older one's revision makes it harmless where an operator was faster.
+// repairConfig writes the accepted declaration back if the store holds one of
+// an older generation, as after a restore from a backup. Otherwise an entry VM
+// that starts without peers would apply the older one again. The write is
+// conditional on the older one's revision, so it doesn't overwrite what an
+// operator has applied in the meantime.
 func (s *storeSource) repairConfig(ctx context.Context) {
 	accepted, generation := s.relay.state.acceptedConfig()
-	if generation <= s.configGen {
+	if generation <= s.configGeneration {
 		return
 	}
 	res, err := s.store.Txn(ctx, infra.Txn{
-		If:   []infra.Cond{{Key: infra.ConfigKey, ModRevision: s.configMod}},
+		If:   []infra.Cond{{Key: infra.ConfigKey, ModRevision: s.configRevision}},
 		Then: []infra.Op{infra.Put(infra.ConfigKey, accepted.Value)},
 	})
-	s.relay.opts.Log.Info("put the accepted declaration back into the store",
-		"generation", generation, "found", s.configGen, "done", err == nil && res.Succeeded)
+	s.relay.opts.Log.Info("wrote the accepted declaration back to the platform store, which held an older one",
+		"generation", generation, "found", s.configGeneration, "done", err == nil && res.Succeeded)
 	if err == nil && res.Succeeded {
-		s.configMod, s.configGen = res.Revision, generation
+		s.configRevision, s.configGeneration = res.Revision, generation
 	}
 }
 
-// gatherVMs adds a batch to the changes that are merged together.
-func (s *storeSource) gatherVMs(b infra.WatchBatch) {
-	s.gathered.fromStore = true
-	s.gathered.Is.Revision = b.Revision
+// collectVMs adds a batch of the watch on VMs and beacons to the changes that
+// are merged together.
+func (s *storeSource) collectVMs(b infra.WatchBatch) {
+	s.collected.fromStore = true
+	s.collected.Versions.Revision = b.Revision
 	for _, e := range b.Events {
 		switch {
 		case e.KV.Key == infra.ViewBeaconKey:
-			if sent := s.seen(e.KV); !sent.IsZero() {
-				s.proven = sent
+			if sent := s.confirmBeacon(e.KV); !sent.IsZero() {
+				s.collectedAsOf = sent
 			}
 		case !strings.HasPrefix(e.KV.Key, infra.VMPrefix):
 		case e.Kind == infra.EventPut:
-			s.gathered.Puts = append(s.gathered.Puts, recordOf(e.KV))
+			s.collected.Puts = append(s.collected.Puts, recordOf(e.KV))
 		default:
-			s.gathered.Gone = append(s.gathered.Gone, recordOf(e.KV))
+			s.collected.Deletes = append(s.collected.Deletes, recordOf(e.KV))
 		}
 	}
 }
 
-func (s *storeSource) mergeGathered() {
-	if s.gathered.Is.Revision == 0 {
+// mergeCollected merges the collected changes of VMs into the state.
+func (s *storeSource) mergeCollected() {
+	if s.collected.Versions.Revision == 0 {
 		return
 	}
-	s.gathered.Is.Generation = s.relay.state.versions().Generation
-	s.relay.state.merge(s.gathered, s.proven)
-	s.gathered, s.proven = update{}, time.Time{}
+	s.collected.Versions.Generation = s.relay.state.versions().Generation
+	s.relay.state.merge(s.collected, s.collectedAsOf)
+	s.collected, s.collectedAsOf = update{}, time.Time{}
 }
 
-// seen returns when the beacon was sent if it is this source's own. Then
-// everything before it has been delivered, and the view was current then.
-func (s *storeSource) seen(kv infra.KV) time.Time {
+// confirmBeacon handles a beacon that came back over the watch. If this source
+// sent it, it returns when: the watch has delivered everything written before,
+// so the view was current at that time. Otherwise it returns the zero time.
+// Beacons up to the returned one are no longer pending.
+func (s *storeSource) confirmBeacon(kv infra.KV) time.Time {
 	var b beacon
 	if err := json.Unmarshal(kv.Value, &b); err != nil || b.Entry != s.relay.opts.Self.ID {
 		return time.Time{}
 	}
-	sent := s.pending[b.Nonce]
-	for nonce := range s.pending {
+	sent := s.pendingBeacons[b.Nonce]
+	for nonce := range s.pendingBeacons {
 		if nonce <= b.Nonce {
-			delete(s.pending, nonce)
+			delete(s.pendingBeacons, nonce)
 		}
 	}
 	return sent
 }
 
-func (s *storeSource) takeEntries(b infra.WatchBatch) {
+func (s *storeSource) handleEntries(b infra.WatchBatch) {
 	s.relay.state.mergeEntryEvents(b)
 }
 
-func (s *storeSource) takeConfig(b infra.WatchBatch) {
+func (s *storeSource) handleConfig(b infra.WatchBatch) {
 	for _, e := range b.Events {
 		if e.KV.Key != infra.ConfigKey {
 			continue
 		}
 		if e.Kind == infra.EventDelete {
-			s.noteConfig(infra.KV{Key: e.KV.Key})
+			s.recordConfig(infra.KV{Key: e.KV.Key})
 		} else {
-			s.noteConfig(e.KV)
+			s.recordConfig(e.KV)
 		}
 	}
 }
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -15,23 +15,23 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// goneLimit is how many deletions of VMs are kept to make deltas of. A peer
-// that missed more gets the whole view.
-const goneLimit = 1024
+// maxTombstones is how many deletions of VMs are kept for deltas. A peer that
+// has missed more gets the complete view.
+const maxTombstones = 1024
 
-// state is the view with the stored bytes it was made of. It is the only
-// place that decides whether something newer may replace something older.
+// state is the view together with the stored bytes that it was decoded from.
+// Only state decides whether an update may replace what the view holds.
 type state struct {
 	holder *view.Holder
 	log    logr.Logger
 
-	mu        sync.Mutex
-	vms       map[string]record
-	gone      []record       // in order of revision
-	goneFloor infra.Revision // deletions up to here may be missing from gone
-	config    record
-	entries   []record
-	has       versions
+	mu             sync.Mutex
+	vms            map[string]record
+	tombstones     []record       // deleted VMs in order of revision
+	tombstoneFloor infra.Revision // deletions up to this revision may be missing from tombstones
+	config         record
+	entries        []record
+	current        versions
 }
 
 func newState(holder *view.Holder, log logr.Logger) *state {
@@ -41,15 +41,16 @@
 func (s *state) versions() versions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.has
+	return s.current
 }
 
-// merge takes in what is newer of u and reports whether anything was. asOf is
-// when u was known to be current; zero if not known.
+// merge applies those parts of u that are newer than the view and reports
+// whether there were any. asOf is when u was known to be current, zero if
+// that is unknown.
 //
-// Each part is replaced only by a higher version of it, whoever sent it: a
-// lagging relay, a peer back from a cut, or a store restored to an older state
-// would otherwise take an accepted configuration back.
+// A part is replaced only by a higher version, whoever sent it. Otherwise a
+// lagging relay, a peer that reconnects after a partition, or a store restored
+// from a backup would revert an accepted configuration.
 func (s *state) merge(u update, asOf time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +59,7 @@
 	changed := s.mergeConfig(u, &next)
 	changed = s.mergeEntries(u, &next) || changed
 	changed = s.mergeVMs(u, &next) || changed
-	// What was current then is current here only if all of it is here.
+	// The view was current at asOf only if it holds all that u describes.
 	if s.covers(u) && asOf.After(old.AsOf) {
 		next.AsOf = asOf
 	}
@@ -68,12 +69,16 @@
 	return changed
 }
 
+// covers reports whether the view holds exactly the VMs and the declaration
+// that u describes.
 func (s *state) covers(u update) bool {
-	return s.has.Revision == u.Is.Revision && s.has.Generation == u.Is.Generation && s.descends(u)
+	return s.current.Revision == u.Versions.Revision && s.current.Generation == u.Versions.Generation && s.sameLineage(u)
 }
 
-func (s *state) descends(u update) bool {
-	return u.fromStore || u.Is.Lineage == s.has.Lineage
+// sameLineage reports whether u is based on the same full read of the store as
+// the view. That always holds for changes from the own watch.
+func (s *state) sameLineage(u update) bool {
+	return u.fromStore || u.Versions.Lineage == s.current.Lineage
 }
 
 func (s *state) mergeConfig(u update, next *view.Snapshot) bool {
@@ -82,29 +87,29 @@
 	}
 	decl := new(model.Declaration)
 	if err := infra.DecodeValue(u.Config.Value, decl); err != nil {
-		s.log.Error(err, "declaration not readable, keeping the one in force", "revision", u.Config.Mod)
+		s.log.Error(err, "cannot decode declaration, keeping the current one", "revision", u.Config.ModRevision)
 		return false
 	}
-	if decl.Generation <= s.has.Generation {
+	if decl.Generation <= s.current.Generation {
 		return false
 	}
 	s.config = *u.Config
-	s.has.Generation = decl.Generation
+	s.current.Generation = decl.Generation
 	next.Declaration = decl
 	return true
 }
 
 func (s *state) mergeEntries(u update, next *view.Snapshot) bool {
-	if !u.HasEntries || u.Is.Entries <= s.has.Entries {
+	if !u.HasEntries || u.Versions.Entries <= s.current.Entries {
 		return false
 	}
 	s.entries = u.Entries
-	s.has.Entries = u.Is.Entries
+	s.current.Entries = u.Versions.Entries
 	next.Entries = s.decodeEntries(u.Entries)
 	return true
 }
 
-// mergeEntryEvents takes in one batch of the watch of entry VMs.
+// mergeEntryEvents applies one batch of the watch on entry VMs.
 func (s *state) mergeEntryEvents(b infra.WatchBatch) {
 	s.mu.Lock()
 	entries := make(map[string]record, len(s.entries))
@@ -119,27 +124,29 @@
 			delete(entries, e.KV.Key)
 		}
 	}
-	u := update{HasEntries: true, Is: versions{Entries: b.Revision}}
+	u := update{HasEntries: true, Versions: versions{Entries: b.Revision}}
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
 		u.Entries = append(u.Entries, entries[key])
 	}
 	s.merge(u, time.Time{})
 }
 
-// acceptedConfig returns the declaration in force as stored, and its
-// generation.
+// acceptedConfig returns the record of the accepted declaration and its
+// generation; the generation is 0 if there is none.
 func (s *state) acceptedConfig() (record, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.config, s.has.Generation
+	return s.config, s.current.Generation
 }
 
+// decodeEntries decodes the records of entry VMs and skips those that are not
+// valid.
 func (s *state) decodeEntries(records []record) []view.EntryRecord {
 	entries := make([]view.EntryRecord, 0, len(records))
 	for _, r := range records {
 		var e view.EntryRecord
 		if err := json.Unmarshal(r.Value, &e); err != nil {
-			s.log.Error(err, "entry record not readable", "key", r.Key)
+			s.log.Error(err, "cannot decode entry record, skipping it", "key", r.Key)
 			continue
 		}
 		entries = append(entries, e)
@@ -148,21 +155,21 @@
 }
 
 func (s *state) mergeVMs(u update, next *view.Snapshot) bool {
-	if u.Is.Revision <= s.has.Revision {
+	if u.Versions.Revision <= s.current.Revision {
 		return false
 	}
-	follows := u.fromStore || u.From <= s.has.Revision && s.descends(u)
-	if !u.Full && !follows {
-		return false // a gap; the next poll asks from here on
+	continues := u.fromStore || u.Base <= s.current.Revision && s.sameLineage(u)
+	if !u.Full && !continues {
+		return false // changes are missing in between; the next poll requests them
 	}
-	s.has.Revision = u.Is.Revision
-	next.Revision = u.Is.Revision
+	s.current.Revision = u.Versions.Revision
+	next.Revision = u.Versions.Revision
 	if u.Full {
-		s.has.Lineage = u.Is.Lineage
+		s.current.Lineage = u.Versions.Lineage
 		next.VMs = s.replaceVMs(u)
 		return true
 	}
-	if len(u.Puts)+len(u.Gone) == 0 {
+	if len(u.Puts)+len(u.Deletes) == 0 {
 		return true
 	}
 	next.VMs = maps.Clone(next.VMs)
@@ -172,15 +179,15 @@
 	for _, r := range u.Puts {
 		s.putVM(r, next.VMs)
 	}
-	for _, r := range u.Gone {
-		s.dropVM(r, next.VMs)
+	for _, r := range u.Deletes {
+		s.deleteVM(r, next.VMs)
 	}
 	return true
 }
 
 func (s *state) replaceVMs(u update) map[model.VMID]view.VMRecord {
 	s.vms = make(map[string]record, len(u.Puts))
-	s.gone, s.goneFloor = nil, u.Is.Revision
+	s.tombstones, s.tombstoneFloor = nil, u.Versions.Revision
 	vms := make(map[model.VMID]view.VMRecord, len(u.Puts))
 	for _, r := range u.Puts {
 		s.putVM(r, vms)
@@ -189,68 +196,72 @@
 }
 
 func (s *state) putVM(r record, vms map[model.VMID]view.VMRecord) {
-	if r.Mod <= s.vms[r.Key].Mod {
+	if r.ModRevision <= s.vms[r.Key].ModRevision {
 		return
 	}
 	var vm model.VM
 	if err := json.Unmarshal(r.Value, &vm); err != nil {
-		s.log.Error(err, "VM record not readable, keeping the last one", "key", r.Key, "revision", r.Mod)
+		s.log.Error(err, "cannot decode VM record, keeping the previous one", "key", r.Key, "revision", r.ModRevision)
 		return
 	}
 	s.vms[r.Key] = r
-	vms[vm.ID] = view.VMRecord{VM: vm, Revision: r.Mod}
+	vms[vm.ID] = view.VMRecord{VM: vm, Revision: r.ModRevision}
 }
 
-func (s *state) dropVM(r record, vms map[model.VMID]view.VMRecord) {
-	if r.Mod <= s.vms[r.Key].Mod {
+func (s *state) deleteVM(r record, vms map[model.VMID]view.VMRecord) {
+	if r.ModRevision <= s.vms[r.Key].ModRevision {
 		return
 	}
 	delete(s.vms, r.Key)
 	delete(vms, model.VMID(strings.TrimPrefix(r.Key, infra.VMPrefix)))
-	s.gone = append(s.gone, r)
-	if over := len(s.gone) - goneLimit; over > 0 {
-		s.goneFloor = s.gone[over-1].Mod
-		s.gone = slices.Clone(s.gone[over:])
+	s.tombstones = append(s.tombstones, r)
+	if excess := len(s.tombstones) - maxTombstones; excess > 0 {
+		s.tombstoneFloor = s.tombstones[excess-1].ModRevision
+		s.tombstones = slices.Clone(s.tombstones[excess:])
 	}
 }
 
-// since returns what a peer that has `have` lacks of this view.
-func (s *state) since(have versions) update {
+// deltaFor returns the update that brings a peer from the versions in have to
+// this view.
+func (s *state) deltaFor(have versions) update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u := update{Is: s.has, AgeMillis: millis(time.Since(s.holder.Load().AsOf))}
-	if s.has.Generation > have.Generation {
-		config := s.config // a copy: it is encoded after the lock is let go
+	u := update{Versions: s.current, AgeMillis: millis(time.Since(s.holder.Load().AsOf))}
+	if s.current.Generation > have.Generation {
+		config := s.config // copied, because it is encoded after the lock is released
 		u.Config = &config
 	}
-	if s.has.Entries > have.Entries {
+	if s.current.Entries > have.Entries {
 		u.HasEntries, u.Entries = true, s.entries
 	}
-	if s.has.Revision > have.Revision {
-		s.vmsSince(have, &u)
+	if s.current.Revision > have.Revision {
+		s.addVMDelta(have, &u)
 	}
 	return u
 }
 
-func (s *state) vmsSince(have versions, u *update) {
+// addVMDelta adds the changes of VMs after have to u. It adds all VMs if the
+// deletions needed are no longer kept or the lineage differs.
+func (s *state) addVMDelta(have versions, u *update) {
 	from := have.Revision
-	u.Full = from == 0 || from < s.goneFloor || have.Lineage != s.has.Lineage
-	u.From = from
+	u.Full = from == 0 || from < s.tombstoneFloor || have.Lineage != s.current.Lineage
+	u.Base = from
 	for _, r := range s.vms {
-		if u.Full || r.Mod > from {
+		if u.Full || r.ModRevision > from {
 			u.Puts = append(u.Puts, r)
 		}
 	}
 	if u.Full {
 		return
 	}
-	for _, r := range s.gone {
-		if r.Mod > from {
-			u.Gone = append(u.Gone, r)
+	for _, r := range s.tombstones {
+		if r.ModRevision > from {
+			u.Deletes = append(u.Deletes, r)
 		}
 	}
 }
 
+// millis returns d in milliseconds, limited to the range of uint32.
 func millis(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), int64(^uint32(0))))
 }
