--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon puts one entry VM together: three listeners and the parts
-// behind them. It wires and orders start and stop; it decides nothing.
+// Package daemon assembles the process of one entry VM: three listeners and the
+// components that serve them. It wires the components and orders start and
+// shutdown; all decisions are made in the components.
 package daemon
 
 import (
@@ -32,22 +33,25 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// DialFunc opens a connection; tests put cuts between zones behind it.
+// DialFunc opens a connection. Tests replace it to simulate network partitions
+// between zones.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options are what a Daemon is made of beside its settings.
+// Options configures a Daemon. Settings is required; a zero Log discards.
 type Options struct {
 	Settings *settings.Settings
 	Log      logr.Logger
-	// Dial is the way to peers, targets and the platform; nil for plain TCP.
+	// Dial opens connections to peers, targets and the platform; nil means
+	// plain TCP.
 	Dial DialFunc
-	// Store replaces the platform's store; nil for the one in the settings.
+	// Store replaces the platform's store; nil means the one in the settings.
 	Store infra.Store
-	// FleetEvery is the reconciler's period while there is work; 0 for its own.
+	// FleetEvery is the interval between the reconciler's passes while there is
+	// work; 0 means its default.
 	FleetEvery time.Duration
 }
 
-// Daemon is one entry VM.
+// Daemon is the process of one entry VM, with its listeners and components.
 type Daemon struct {
 	settings *settings.Settings
 	log      logr.Logger
@@ -73,12 +77,14 @@
 	maintenance     *maintenance
 	operatorHandler http.Handler
 
-	ready  atomic.Bool
-	killed chan struct{}
-	once   sync.Once
+	ready    atomic.Bool
+	killed   chan struct{}
+	killOnce sync.Once
 }
 
-// New opens the listeners and wires the parts; nothing runs before Run.
+// New opens the listeners and wires the components; nothing runs before Run. It
+// returns an error if an address can't be bound, or if certificates or tokens
+// can't be loaded.
 func New(o Options) (*Daemon, error) {
 	d := &Daemon{settings: o.Settings, log: o.Log, view: view.NewHolder(), killed: make(chan struct{})}
 	if err := d.listen(); err != nil {
@@ -88,9 +94,9 @@
 	d.self = view.EntryRecord{
 		ID:          o.Settings.ID,
 		Zone:        o.Settings.Zone,
-		Peer:        advertised(o.Settings.Peers, d.peers),
-		Caller:      advertised(o.Settings.Callers, d.callers),
-		Operator:    advertised(o.Settings.Operators, d.operators),
+		Peer:        advertisedAddress(o.Settings.Peers, d.peers),
+		Caller:      advertisedAddress(o.Settings.Callers, d.callers),
+		Operator:    advertisedAddress(o.Settings.Operators, d.operators),
 		Incarnation: incarnation(),
 	}
 	if err := d.secureListeners(); err != nil {
@@ -121,10 +127,10 @@
 }
 
 func (d *Daemon) secureListeners() (err error) {
-	if d.callers, err = secure(d.callers, d.settings.Callers, d.log.WithName("tls")); err != nil {
+	if d.callers, err = listenTLS(d.callers, d.settings.Callers, d.log.WithName("tls")); err != nil {
 		return err
 	}
-	d.operators, err = secure(d.operators, d.settings.Operators, d.log.WithName("tls"))
+	d.operators, err = listenTLS(d.operators, d.settings.Operators, d.log.WithName("tls"))
 	return err
 }
 
@@ -156,8 +162,8 @@
 	d.machines = paced.New(machines, clockwork.NewRealClock())
 }
 
-// wire puts the parts together. They are tied by functions that are called only
-// once all of them stand.
+// wire creates the components. They refer to each other by functions, which are
+// called only after all components exist.
 func (d *Daemon) wire(o Options) error {
 	if err := d.wirePeers(o); err != nil {
 		return err
@@ -167,7 +173,8 @@
 	return nil
 }
 
-// wirePeers makes the links to other entry VMs and what keeps the view by them.
+// wirePeers creates the peer mesh, and the relay and registry that use it to
+// keep the view current.
 func (d *Daemon) wirePeers(o Options) error {
 	server, client, err := peerTLS(d.settings.Peers, d.log.WithName("tls"))
 	if err != nil {
@@ -192,7 +199,7 @@
 	return nil
 }
 
-// wireRequests makes the callers' path.
+// wireRequests creates the components that serve callers' requests.
 func (d *Daemon) wireRequests(o Options) {
 	d.claims = claim.NewLedger(claim.Options{
 		Store:    d.store,
@@ -215,7 +222,8 @@
 	})
 }
 
-// wireFleet makes what moves, maintains and uses VMs.
+// wireFleet creates the components that assign and maintain VMs and run jobs on
+// them.
 func (d *Daemon) wireFleet(o Options) {
 	d.prober = prober.New(prober.Options{Self: d.self.ID, Zone: d.self.Zone, View: d.view, Peers: d.mesh, Dial: o.Dial})
 	d.fleet = fleet.New(fleet.Options{
@@ -234,23 +242,24 @@
 		Machines: d.machines,
 		View:     d.view,
 		Self:     d.self.ID,
-		Soon:     d.soon,
+		Soon:     d.maintenancePending,
 		Log:      d.log.WithName("jobs"),
 	})
 }
 
-// fillDigest sets what peers are told beside what the mesh knows itself.
+// fillDigest sets the fields of the digest that the mesh doesn't set itself.
 func (d *Daemon) fillDigest(dg *peer.Digest) {
 	d.entry.FillDigest(dg)
 	d.prober.FillDigest(dg)
 }
 
-// soon reports whether a VM is about to be maintained.
-func (d *Daemon) soon(id model.VMID) bool {
+// maintenancePending reports whether a running wave has yet to maintain the VM.
+func (d *Daemon) maintenancePending(id model.VMID) bool {
 	vm, known := d.view.Load().VMs[id]
-	return known && d.maintenance.soon(&vm.VM)
+	return known && d.maintenance.isPending(&vm.VM)
 }
 
+// liveEntries returns the IDs of this entry VM and of its live peers.
 func (d *Daemon) liveEntries() []model.EntryID {
 	ids := []model.EntryID{d.self.ID}
 	for _, p := range d.mesh.Peers() {
@@ -261,26 +270,28 @@
 	return ids
 }
 
-// Self returns this entry VM's record, with the addresses it listens at.
+// Self returns this entry VM's record, with its advertised addresses.
 func (d *Daemon) Self() view.EntryRecord { return d.self }
 
-// View returns what this entry VM knows of the fleet.
+// View returns the holder of this entry VM's view of the fleet.
 func (d *Daemon) View() *view.Holder { return d.view }
 
-// Ready reports whether this entry VM takes new requests: it has a
-// configuration in force and is not leaving.
+// Ready reports whether this entry VM accepts new requests: it has applied a
+// configuration and is not shutting down.
 func (d *Daemon) Ready() bool {
 	return d.ready.Load() && d.view.Load().Generation() > 0
 }
 
-// Run serves until ctx ends, then leaves gracefully: not ready, no new
-// requests, those in flight finish, and what it holds is handed over.
+// Run serves until ctx ends, then shuts down gracefully: it reports not ready,
+// refuses new requests, lets those in flight finish, and releases what it
+// holds to other entry VMs. It returns an error if a listener fails or if
+// requests are still in flight at the end of the drain timeout.
 func (d *Daemon) Run(ctx context.Context) error {
-	d.warnExposed()
+	d.warnInsecureListeners()
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	var parts sync.WaitGroup
-	d.startParts(background, &parts)
+	var components sync.WaitGroup
+	d.startComponents(background, &components)
 	callers := d.callerServer()
 	operators := &http.Server{Handler: d.operatorHandler, ReadHeaderTimeout: d.settings.Limits.HeaderTimeout}
 	failed := make(chan error, 2)
@@ -292,55 +303,59 @@
 	var err error
 	select {
 	case <-ctx.Done():
-		err = d.leave(callers)
-		d.flushTrail()
+		err = d.shutDown(callers)
+		d.flushAuditTrail()
 	case <-d.killed:
 	case err = <-failed:
 	}
 	stop()
-	parts.Wait()
+	components.Wait()
 	operators.Close()
 	callers.Close()
 	return trace.Wrap(err)
 }
 
-// Kill ends Run at once, with nothing handed over: what an operator gets who
-// cannot wait for requests in flight.
-func (d *Daemon) Kill() { d.once.Do(func() { close(d.killed) }) }
-
-func (d *Daemon) startParts(ctx context.Context, parts *sync.WaitGroup) {
-	parts.Go(func() { d.report("peer", d.mesh.Run(ctx)) })
-	parts.Go(func() { d.relay.Run(ctx) })
-	parts.Go(func() { d.claims.Run(ctx) })
-	parts.Go(func() { d.report("entry", d.entry.Run(ctx)) })
-	parts.Go(func() { d.prober.Run(ctx) })
-	parts.Go(func() { d.report("fleet", d.fleet.Run(ctx)) })
-	parts.Go(func() { d.wakeFleet(ctx) })
-	parts.Go(func() { d.maintenance.run(ctx) })
-	parts.Go(func() { d.report("jobs", d.jobs.Run(ctx)) })
-	parts.Go(func() { d.port.Observer.Run(ctx) })
+// Kill ends Run at once: requests in flight are cut off and nothing is handed
+// over. It is for operators who can't wait for a graceful shutdown.
+func (d *Daemon) Kill() { d.killOnce.Do(func() { close(d.killed) }) }
+
+func (d *Daemon) startComponents(ctx context.Context, components *sync.WaitGroup) {
+	components.Go(func() { d.logFailure("peer", d.mesh.Run(ctx)) })
+	components.Go(func() { d.relay.Run(ctx) })
+	components.Go(func() { d.claims.Run(ctx) })
+	components.Go(func() { d.logFailure("entry", d.entry.Run(ctx)) })
+	components.Go(func() { d.prober.Run(ctx) })
+	components.Go(func() { d.logFailure("fleet", d.fleet.Run(ctx)) })
+	components.Go(func() { d.wakeFleet(ctx) })
+	components.Go(func() { d.maintenance.run(ctx) })
+	components.Go(func() { d.logFailure("jobs", d.jobs.Run(ctx)) })
+	components.Go(func() { d.port.Observer.Run(ctx) })
 }
 
-func (d *Daemon) report(part string, err error) {
+// logFailure logs why a component ended, unless its context was canceled.
+func (d *Daemon) logFailure(component string, err error) {
 	if err != nil && !errors.Is(err, context.Canceled) {
-		d.log.Error(err, "part ended", "part", part)
+		d.log.Error(err, "component failed", "part", component)
 	}
 }
 
-// incarnation tells this run of the daemon from earlier ones under its ID. It
-// grows from run to run: peers and the store take the record with the highest
-// for the one that runs, and would shut a successor with a lower one out until
-// the lease of the earlier run has lapsed.
+// incarnation returns a number that distinguishes this run of the daemon from
+// earlier ones under the same ID. It must increase with each run: peers and the
+// store treat the record with the highest incarnation as the running one, and
+// would reject a successor with a lower one until the lease of the earlier run
+// expires.
 func incarnation() uint64 { return uint64(time.Now().UnixNano()) }
 
-// Fleet returns the commands and questions on waves and VMs.
+// Fleet returns the component with the commands and queries for waves and VMs.
 func (d *Daemon) Fleet() *fleet.Fleet { return d.fleet }
 
-// Registry answers which entry VMs have what in force.
+// Registry returns the registry that tells which entry VMs have applied a
+// revision or declaration.
 func (d *Daemon) Registry() *relay.Registry { return d.registry }
 
-// Jobs returns the commands and questions on jobs.
+// Jobs returns the component with the commands and queries for jobs.
 func (d *Daemon) Jobs() *jobs.Jobs { return d.jobs }
 
-// PeerTraffic returns what went over the peer connections since the start.
+// PeerTraffic returns the bytes and frames sent and received over the peer
+// connections since the start.
 func (d *Daemon) PeerTraffic() peer.Traffic { return d.mesh.Traffic() }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -7,8 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// An entry VM is lost and replaced under its ID. Peers and the store go by the
-// higher incarnation, so the successor's has to be higher each time.
+// An entry VM is lost and replaced under the same ID. Peers and the store
+// accept only the higher incarnation, so each run's must be higher than the
+// one before.
 func TestIncarnationsGrow(t *testing.T) {
 	last := incarnation()
 	for range 20 {
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// idlePlatformConns is how many connections to the platform are kept: as
-	// many as calls are usually in flight at once.
+	// idlePlatformConns is how many idle connections to each platform host are
+	// kept: as many as calls are usually in flight at the same time.
 	idlePlatformConns = 16
-	// idlePlatformTimeout closes connections that bursts left behind.
+	// idlePlatformTimeout is how long a connection may be idle; it closes
+	// connections that remain after a burst.
 	idlePlatformTimeout = 30 * time.Second
 )
 
@@ -36,9 +37,9 @@
 	return func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) }
 }
 
-// advertised returns the address others use; a port left to the system is
-// taken from the listener.
-func advertised(l settings.Listener, on net.Listener) string {
+// advertisedAddress returns the address under which others reach the listener.
+// If its port is 0, the port that the system chose replaces it.
+func advertisedAddress(l settings.Listener, on net.Listener) string {
 	host, port, err := net.SplitHostPort(l.Advertise)
 	if err != nil || port != "0" {
 		return l.Advertise
@@ -51,13 +52,13 @@
 	r := mux.NewRouter().UseEncodedPath().SkipClean(true)
 	d.addProbes(r)
 	r.PathPrefix("/").Handler(d.entry)
-	srv := &http.Server{Handler: d.closeWhenLeaving(r)}
+	srv := &http.Server{Handler: d.closeConnectionsOnShutdown(r)}
 	d.settings.Limits.Apply(srv)
 	return srv
 }
 
-// addProbes adds what the platform's balancer asks: alive, and ready for
-// requests.
+// addProbes adds the liveness and readiness endpoints that the platform's load
+// balancer queries.
 func (d *Daemon) addProbes(r *mux.Router) {
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	r.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -69,21 +70,21 @@
 	})
 }
 
-// viewVars tells how current this entry VM's view is.
+// viewVars are the metrics of this entry VM's view.
 type viewVars struct {
 	Generation uint64
 	Revision   int64
 	AgeSeconds float64
 	Watching   bool
-	// StoreBehind: the platform's store is older than what is in force, as
-	// after a restore from a backup.
+	// StoreBehind is set while the platform's store is older than the accepted
+	// view, as after a restore from a backup.
 	StoreBehind bool
 	VMs         int
 	Entries     int
 }
 
-// vars serves this daemon's metrics in the form of expvar. They are not
-// published globally: several daemons may run in one process.
+// vars serves this daemon's metrics in expvar format. They are not published
+// in the global expvar registry because several daemons may run in one process.
 func (d *Daemon) vars(w http.ResponseWriter, _ *http.Request) {
 	s := d.view.Load()
 	view := viewVars{
--- a/internal/daemon/maintenance.go
+++ b/internal/daemon/maintenance.go
@@ -10,20 +10,20 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// soonEvery is how often the running waves are looked at for the placement of
-// jobs: a wave takes minutes, and a read every ten seconds from each entry VM
-// is nothing to the platform.
-const soonEvery = 10 * time.Second
+// waveRefreshInterval is how often the running waves are read for the placement
+// of jobs. A wave takes minutes, and a read every ten seconds from each entry
+// VM is a negligible load on the platform.
+const waveRefreshInterval = 10 * time.Second
 
-// maintenance tells which VMs a running wave has yet to visit. A job placed on
-// one would be moved or waited for within the wave.
+// maintenance tells which VMs a running wave has yet to visit. The wave would
+// have to move a job placed on such a VM, or wait for it.
 type maintenance struct {
-	fleet *fleet.Fleet
-	runs  atomic.Pointer[[]fleet.WaveRecord]
+	fleet        *fleet.Fleet
+	runningWaves atomic.Pointer[[]fleet.WaveRecord]
 }
 
-// run follows the running waves until ctx ends. Where they can't be read the
-// last ones stay: a wrong guess costs a job a move, no more.
+// run reads the running waves periodically until ctx ends. If they can't be
+// read, the last known ones are kept: at worst, a job is moved once more.
 func (m *maintenance) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if statuses, err := m.fleet.WaveStatuses(ctx); err == nil {
@@ -33,19 +33,20 @@
 					running = append(running, s.Record)
 				}
 			}
-			m.runs.Store(&running)
+			m.runningWaves.Store(&running)
 		}
-		sleep.For(ctx, soonEvery)
+		sleep.For(ctx, waveRefreshInterval)
 	}
 }
 
-// soon reports whether a running wave has yet to visit the VM.
-func (m *maintenance) soon(vm *model.VM) bool {
-	runs := m.runs.Load()
-	if runs == nil {
+// isPending reports whether a running wave has yet to visit the VM; false until
+// the waves have been read once.
+func (m *maintenance) isPending(vm *model.VM) bool {
+	waves := m.runningWaves.Load()
+	if waves == nil {
 		return false
 	}
-	for _, w := range *runs {
+	for _, w := range *waves {
 		for _, pool := range w.Pools {
 			if pool == vm.Pool && vm.Run != w.Run {
 				return true
--- a/internal/daemon/maintenance_test.go
+++ b/internal/daemon/maintenance_test.go
@@ -9,7 +9,9 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-func TestSoonIsWhatARunningWaveHasYetToVisit(t *testing.T) {
+// A VM counts as pending only if it is in a pool of a running wave and this run
+// of the wave has not visited it.
+func TestMaintenancePendingUntilVisitedByRunningWave(t *testing.T) {
 	running := []fleet.WaveRecord{{Name: "spring", Run: "run-2", Pools: []model.PoolName{"weighting"}}}
 	cases := []struct {
 		name string
@@ -24,9 +26,9 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			m := &maintenance{}
-			assert.Assert(t, !m.soon(&tc.vm), "before the first look")
-			m.runs.Store(&running)
-			assert.Equal(t, m.soon(&tc.vm), tc.want)
+			assert.Assert(t, !m.isPending(&tc.vm), "before the waves have been read")
+			m.runningWaves.Store(&running)
+			assert.Equal(t, m.isPending(&tc.vm), tc.want)
 		})
 	}
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -14,8 +14,9 @@
 	"github.com/pumicestage/pumicestage/internal/operator/wiring"
 )
 
-// gate returns who may do what at the operator port.
-func (d *Daemon) gate() (access.Gate, error) {
+// accessGate returns the access control of the operator port. Without a tokens
+// file, everybody is allowed everything.
+func (d *Daemon) accessGate() (access.Gate, error) {
 	if d.settings.TokensFile == "" {
 		return access.Open{NameHeader: api.HeaderOperator}, nil
 	}
@@ -23,8 +24,9 @@
 	return tokens, trace.Wrap(err)
 }
 
-// warnExposed says loudly what a listener off loopback lacks.
-func (d *Daemon) warnExposed() {
+// warnInsecureListeners logs an error for each listener that is reachable from
+// beyond loopback without TLS, and for such an operator port without tokens.
+func (d *Daemon) warnInsecureListeners() {
 	for _, l := range []struct {
 		name    string
 		address string
@@ -35,17 +37,17 @@
 		{"peers", d.settings.Peers.Listen, d.settings.Peers.TLS()},
 	} {
 		if !l.tls && access.Exposed(l.address) {
-			d.log.Error(nil, "LISTENER WITHOUT TLS is reachable from beyond this VM", "listener", l.name, "address", l.address)
+			d.log.Error(nil, "LISTENER WITHOUT TLS is reachable from other hosts", "listener", l.name, "address", l.address)
 		}
 	}
 	if d.settings.TokensFile == "" && access.Exposed(d.settings.Operators.Listen) {
-		d.log.Error(nil, "OPERATOR PORT WITHOUT TOKENS: whoever reaches it may do everything", "address", d.settings.Operators.Listen)
+		d.log.Error(nil, "OPERATOR PORT WITHOUT TOKENS: anyone who can connect to it may run every command", "address", d.settings.Operators.Listen)
 	}
 }
 
-// wireOperators puts the operator port together.
+// wireOperators creates the operator API and its HTTP handler.
 func (d *Daemon) wireOperators() error {
-	gate, err := d.gate()
+	gate, err := d.accessGate()
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -10,17 +10,20 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// notice is how long a leaving entry VM goes on taking requests after it has
-// said on /readyz that it is not ready. Balancers ask every second or so;
-// without the notice those that have not asked yet would meet a closed port.
-const notice = 2 * time.Second
+// notReadyPeriod is how long an entry VM that shuts down still accepts requests
+// after /readyz reports it as not ready. Load balancers query /readyz about
+// once a second; without this period, those that have not yet queried it would
+// send requests to a closed port.
+const notReadyPeriod = 2 * time.Second
 
-// leave lets requests in flight finish. Connections that are kept alive are
-// told to close with their next answer during the notice: closing them at once
-// would race with a request already on its way, which its caller would see cut.
-func (d *Daemon) leave(callers *http.Server) error {
+// shutDown lets requests in flight finish. During notReadyPeriod, the next
+// response on each keep-alive connection asks the caller to close it. Closing
+// idle connections at once would race with a request already in transit, which
+// would then fail for its caller. It returns an error if requests are still in
+// flight at the end of the drain timeout.
+func (d *Daemon) shutDown(callers *http.Server) error {
 	d.ready.Store(false)
-	d.log.Info("leaving")
+	d.log.Info("shutting down")
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Drain)
 	defer cancel()
 	go func() {
@@ -30,19 +33,20 @@
 		case <-ctx.Done():
 		}
 	}()
-	sleep.For(ctx, notice)
+	sleep.For(ctx, notReadyPeriod)
 	if err := d.entry.Drain(ctx); err != nil {
 		return trace.Wrap(err, "requests still in flight after %s", d.settings.Drain)
 	}
 	if err := callers.Shutdown(ctx); err != nil {
 		return trace.Wrap(err)
 	}
-	d.log.Info("left, nothing in flight")
+	d.log.Info("shut down, no requests in flight")
 	return nil
 }
 
-// closeWhenLeaving tells callers to open their next connection elsewhere.
-func (d *Daemon) closeWhenLeaving(next http.Handler) http.Handler {
+// closeConnectionsOnShutdown asks callers to close their connection while this
+// entry VM is not ready, so that they open the next one to another entry VM.
+func (d *Daemon) closeConnectionsOnShutdown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !d.ready.Load() {
 			w.Header().Set("Connection", "close")
@@ -51,14 +55,15 @@
 	})
 }
 
-// flushLimit bounds how long a leaving daemon waits for the audit trail: the
-// platform may be down.
-const flushLimit = 3 * time.Second
+// auditFlushTimeout bounds how long shutdown waits until the audit trail is
+// written: the platform may be down.
+const auditFlushTimeout = 3 * time.Second
 
-func (d *Daemon) flushTrail() {
-	ctx, cancel := context.WithTimeout(context.Background(), flushLimit)
+// flushAuditTrail writes the audit entries that are not stored yet.
+func (d *Daemon) flushAuditTrail() {
+	ctx, cancel := context.WithTimeout(context.Background(), auditFlushTimeout)
 	defer cancel()
 	if err := d.port.Trail.Flush(ctx); err != nil {
-		d.log.Error(err, "audit entries not all written")
+		d.log.Error(err, "cannot write all audit entries before shutdown")
 	}
 }
--- a/internal/daemon/tls.go
+++ b/internal/daemon/tls.go
@@ -12,11 +12,12 @@
 	"github.com/pumicestage/pumicestage/internal/settings"
 )
 
-// peersName is the name that the certificates of all entry VMs bear towards
-// each other: they come and go and talk by address.
-const peersName = "pumicestage-peer"
+// peerServerName is the DNS name in the peer certificates of all entry VMs.
+// They share one name because entry VMs come and go and connect by address.
+const peerServerName = "pumicestage-peer"
 
-// certificates returns what a listener's settings name, nil for plain TCP.
+// certificates loads the certificates named in a listener's settings. It
+// returns nil if the listener uses plain TCP.
 func certificates(l settings.Listener, log logr.Logger) (*access.Certificates, error) {
 	if !l.TLS() {
 		return nil, nil
@@ -26,8 +27,9 @@
 	return c, trace.Wrap(err)
 }
 
-// secure puts TLS on a listener where its settings ask for it.
-func secure(on net.Listener, l settings.Listener, log logr.Logger) (net.Listener, error) {
+// listenTLS wraps a listener with TLS if its settings name certificates, and
+// returns it unchanged otherwise.
+func listenTLS(on net.Listener, l settings.Listener, log logr.Logger) (net.Listener, error) {
 	c, err := certificates(l, log)
 	if err != nil || c == nil {
 		return on, err
@@ -35,11 +37,12 @@
 	return tls.NewListener(on, c.Server()), nil
 }
 
-// peerTLS returns both sides of the peers' mutual TLS, nil for plain TCP.
+// peerTLS returns the server and client configurations for mutual TLS between
+// peers; both are nil if peers use plain TCP.
 func peerTLS(l settings.Listener, log logr.Logger) (server *tls.Config, client func() *tls.Config, err error) {
 	c, err := certificates(l, log)
 	if err != nil || c == nil {
 		return nil, nil, err
 	}
-	return c.Server(), func() *tls.Config { return c.Client(peersName) }, nil
+	return c.Server(), func() *tls.Config { return c.Client(peerServerName) }, nil
 }
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -28,18 +28,19 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// material is one self-signed certificate for every listener, as files.
-type material struct {
+// testCertificate is a self-signed certificate, stored in files, that all
+// listeners of a test share.
+type testCertificate struct {
 	listener settings.Listener
 	pool     *x509.CertPool
 }
 
-func newMaterial(t *testing.T) material {
+func newTestCertificate(t *testing.T) testCertificate {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
 	template := &x509.Certificate{
-		SerialNumber: big.NewInt(1), DNSNames: []string{peersName}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+		SerialNumber: big.NewInt(1), DNSNames: []string{peerServerName}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -54,10 +55,10 @@
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(cert)
 	const anyPort = "127.0.0.1:0"
-	return material{settings.Listener{Listen: anyPort, Advertise: anyPort, Cert: certFile, Key: keyFile}, pool}
+	return testCertificate{settings.Listener{Listen: anyPort, Advertise: anyPort, Cert: certFile, Key: keyFile}, pool}
 }
 
-func (m material) start(t *testing.T, store *memstore.Store, id model.EntryID, seeds []string, tokens string) *Daemon {
+func (m testCertificate) start(t *testing.T, store *memstore.Store, id model.EntryID, seeds []string, tokens string) *Daemon {
 	t.Helper()
 	peers := m.listener
 	peers.CA = m.listener.Cert
@@ -79,11 +80,11 @@
 	return d
 }
 
-// With certificates and tokens set, an eavesdropper's plain connection, an
-// operator without a token, and one with too small a role get nothing, while
-// peers still hear each other.
+// With certificates and tokens configured, a connection without TLS, an
+// operator without a token and one with an insufficient role must be refused,
+// while peers still connect to each other.
 func TestListenersWithTLSAndTokens(t *testing.T) {
-	m := newMaterial(t)
+	m := newTestCertificate(t)
 	token, hash := access.NewToken()
 	tokens := filepath.Join(t.TempDir(), "tokens.ini")
 	assert.NilError(t, os.WriteFile(tokens, []byte("[operator eva]\nrole = view\nhash = "+hash+"\n"), 0o600))
@@ -91,9 +92,9 @@
 	first := m.start(t, store, "e1", nil, tokens)
 	second := m.start(t, store, "e2", []string{first.Self().Peer}, tokens)
 
-	heard := func() bool { return len(first.liveEntries()) == 2 && len(second.liveEntries()) == 2 }
-	for deadline := time.Now().Add(30 * time.Second); !heard(); time.Sleep(10 * time.Millisecond) {
-		assert.Assert(t, time.Now().Before(deadline), "peers did not hear each other")
+	connected := func() bool { return len(first.liveEntries()) == 2 && len(second.liveEntries()) == 2 }
+	for deadline := time.Now().Add(30 * time.Second); !connected(); time.Sleep(10 * time.Millisecond) {
+		assert.Assert(t, time.Now().Before(deadline), "peers did not connect to each other")
 	}
 	secure := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: m.pool}}}
 	cases := []struct {
@@ -108,7 +109,7 @@
 		{"plain connection", http.DefaultClient, "http", token, http.MethodGet, "/v1/status", http.StatusBadRequest},
 		{"no token", secure, "https", "", http.MethodGet, "/v1/status", http.StatusUnauthorized},
 		{"token", secure, "https", token, http.MethodGet, "/v1/status", http.StatusOK},
-		{"role too small", secure, "https", token, http.MethodPost, "/v1/do", http.StatusForbidden},
+		{"insufficient role", secure, "https", token, http.MethodPost, "/v1/do", http.StatusForbidden},
 		{"jobs without token", secure, "https", "", http.MethodGet, "/v1/jobs", http.StatusUnauthorized},
 	}
 	for _, tc := range cases {
--- a/internal/daemon/wakeup.go
+++ b/internal/daemon/wakeup.go
@@ -7,14 +7,14 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// wakeSpacing bounds how often new declarations wake the reconciler, should
-// they follow each other without end.
-const wakeSpacing = 250 * time.Millisecond
+// minWakeInterval is the minimum time between two wake-ups of the reconciler,
+// in case new declarations arrive continuously.
+const minWakeInterval = 250 * time.Millisecond
 
-// wakeFleet lets the reconciler pass as soon as a new declaration is in force:
-// at rest it would else look for newly declared VMs some seconds later. Other
-// changes of the view need no waking: while there is work it passes every
-// second, and a step of a VM takes minutes.
+// wakeFleet triggers a pass of the reconciler as soon as a new declaration is
+// applied; an idle reconciler would otherwise find newly declared VMs only some
+// seconds later. Other changes of the view need no wake-up: while there is work
+// the reconciler runs every second, and one step of a VM takes minutes.
 func (d *Daemon) wakeFleet(ctx context.Context) {
 	var generation uint64
 	for ctx.Err() == nil {
@@ -23,7 +23,7 @@
 			generation = g
 			d.fleet.Wake()
 		}
-		sleep.For(ctx, wakeSpacing)
+		sleep.For(ctx, minWakeInterval)
 		select {
 		case <-ctx.Done():
 		case <-changed:
