--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,6 +1,7 @@
-// Package view holds what this entry VM knows of the fleet: an immutable
-// snapshot that may be stale and never steps back. Decisions that must be
-// right are CAS in the store; a view only tells what to try.
+// Package view holds this entry VM's view of the fleet: an immutable snapshot
+// that may be stale but never goes backwards. Decisions that must be correct
+// are made by compare-and-swap (CAS) in the store; a view only tells which to
+// attempt.
 package view
 
 import (
@@ -12,7 +13,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// VMRecord is a VM with the revision of its key, for CAS and for fencing.
+// VMRecord is a VM with the revision of its key in the store, which is used for
+// CAS and for fencing.
 type VMRecord struct {
 	model.VM
 	Revision infra.Revision
@@ -25,22 +27,24 @@
 	Peer     string // host:port of its peer listener
 	Caller   string // host:port of its caller listener
 	Operator string // host:port of its operator listener
-	// Incarnation tells runs of the daemon under one ID apart: a restarted
-	// one has acknowledged nothing and holds no claims of the earlier one. It
-	// grows from run to run: the time of the start, in nanoseconds.
+	// Incarnation distinguishes runs of the daemon under one ID: a restarted
+	// daemon has acknowledged nothing and holds no claims of the run before.
+	// It is the start time in Unix nanoseconds and increases with each run.
 	Incarnation uint64
 }
 
-// Snapshot is one consistent view. It and all it points to are read-only.
+// Snapshot is one consistent view of the fleet. It and everything that it
+// points to are read-only.
 type Snapshot struct {
-	Revision    infra.Revision // of the store, up to which VMs and Entries are known
-	AsOf        time.Time      // when this was last known to be current
-	Declaration *model.Declaration
+	Revision    infra.Revision     // store revision up to which VMs and Entries are known
+	AsOf        time.Time          // when the snapshot was last known to be current; zero if never
+	Declaration *model.Declaration // nil before the first
 	VMs         map[model.VMID]VMRecord
 	Entries     []EntryRecord
 }
 
-// Generation returns the declaration's generation, 0 before the first.
+// Generation returns the declaration's generation, 0 before the first
+// declaration.
 func (s *Snapshot) Generation() uint64 {
 	if s.Declaration == nil {
 		return 0
@@ -48,7 +52,7 @@
 	return s.Declaration.Generation
 }
 
-// Holder hands out the newest snapshot. It is safe for concurrent use.
+// Holder holds the newest snapshot. It is safe for concurrent use.
 type Holder struct {
 	current atomic.Pointer[Snapshot]
 
@@ -73,9 +77,9 @@
 	return h.changed
 }
 
-// Publish makes next the newest snapshot and reports whether it did. A
-// snapshot of an older revision or generation is refused: after a heal a
-// lagging relay would otherwise take an accepted configuration back.
+// Publish makes next the newest snapshot and reports whether it did. It refuses
+// a snapshot of a lower revision or generation: otherwise a lagging relay
+// could revert an accepted configuration after a network partition heals.
 func (h *Holder) Publish(next *Snapshot) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
