--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -1,5 +1,6 @@
-// Package scope finds the VMs that a scope of the language means. Orders and
-// the questions before them share it, so that both are about the same VMs.
+// Package scope resolves scopes of the operators' language (a VM, a rack or a
+// zone) to VMs. Commands and what-if queries share it, so that both apply to
+// the same VMs.
 package scope
 
 import (
@@ -10,19 +11,19 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Resolver answers for the newest snapshot of a view.
+// Resolver resolves scopes in the newest snapshot of a view.
 type Resolver struct {
 	View *view.Holder
 }
 
-// In returns the VMs of the scope in the newest snapshot, sorted.
+// In returns the IDs of the VMs in the scope as of the newest snapshot, sorted.
 func (h Resolver) In(s lang.Scope) []model.VMID { return Resolve(h.View.Load(), s) }
 
-// Resolve returns the VMs that the scope means in the snapshot, sorted.
+// Resolve returns the IDs of the VMs in the scope as of the snapshot, sorted.
 func Resolve(s *view.Snapshot, sc lang.Scope) []model.VMID {
 	var found []model.VMID
 	for id, vm := range s.VMs {
-		if has(sc, vm) {
+		if contains(sc, vm) {
 			found = append(found, id)
 		}
 	}
@@ -30,7 +31,9 @@
 	return found
 }
 
-func has(sc lang.Scope, vm view.VMRecord) bool {
+// contains reports whether the VM is in the scope; false for a subject other
+// than a VM, rack or zone.
+func contains(sc lang.Scope, vm view.VMRecord) bool {
 	switch sc.Subject {
 	case lang.SubjectVM:
 		return string(vm.ID) == sc.Name
