--- a/internal/relay/failure_test.go
+++ b/internal/relay/failure_test.go
@@ -242,7 +242,7 @@
 // backup. Other writers advance its revision past that of the views before any
 // entry VM reaches it, so the revision doesn't show the restore. The views
 // must follow the store nevertheless.
-func TestRestoredStorePassedUnnoticed(t *testing.T) {
+func TestViewsFollowRestoredStoreWithHigherRevision(t *testing.T) {
 	runScenario(t, 2, func(c *cluster) {
 		c.apply(2)
 		for range 50 {
--- a/internal/relay/state_test.go
+++ b/internal/relay/state_test.go
@@ -142,7 +142,7 @@
 
 // A relay's answer is delayed in transit for 30 s. The view is then 30 s older
 // than the answer states, and must not look fresh.
-func TestViewHeldUpOnTheWay(t *testing.T) {
+func TestViewAgeIncludesTransitDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakePeers{statuses: []peer.Status{status("b", "z", peer.Digest{Watching: true, Revision: 9, Generation: 2})}}
 		r := New(Options{Self: view.EntryRecord{ID: "a", Zone: "z"}, View: view.NewHolder(), Peers: f, Log: logr.Discard()})
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestSourceOfTheView(t *testing.T) {
+func TestSelectSource(t *testing.T) {
 	have := versions{Revision: 50, Generation: 3}
 	relay := status("r", "z", peer.Digest{Watching: true, Revision: 50, Generation: 3})
 	staleRelay := status("r", "z", peer.Digest{Watching: true, Revision: 50, Generation: 3, AgeMillis: millis(maxRelayAge)})
@@ -239,7 +239,7 @@
 // An entry VM is replaced under the same ID while it is paused, and then
 // resumes. Its successor must stay registered, and must overwrite a record of
 // the older incarnation.
-func TestRegistrationOfTheLaterRunStands(t *testing.T) {
+func TestNewerIncarnationKeepsRegistration(t *testing.T) {
 	store := memstore.New(clockwork.NewRealClock())
 	join := func(incarnation uint64) *Relay {
 		self := view.EntryRecord{ID: "e", Incarnation: incarnation}
