--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -37,7 +37,8 @@
 	wg       sync.WaitGroup
 }
 
-// start makes this entry VM stand for election to duties until ctx ends.
+// start makes this entry VM a candidate, until ctx ends, for the ownership of the fleet and of the
+// cells of the configuration's services.
 func (d *duties) start(ctx context.Context) {
 	d.mu.Lock()
 	d.ctx = ctx
@@ -86,6 +87,8 @@
 	return d.engines[cell]
 }
 
+// owner returns the cell's engine as an ownerlink.Owner while this entry VM owns the cell,
+// otherwise a nil interface, which a nil *engine.Engine would not be.
 func (d *duties) owner(cell string) ownerlink.Owner {
 	if e := d.engine(cell); e != nil {
 		return e
@@ -93,6 +96,7 @@
 	return nil
 }
 
+// setEngine records the engine of a cell that this entry VM owns; nil removes it.
 func (d *duties) setEngine(cell string, e *engine.Engine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,6 +107,7 @@
 	d.engines[cell] = e
 }
 
+// registryChanged makes all engines read the registered workers again.
 func (d *duties) registryChanged() {
 	d.mu.Lock()
 	engines := make([]*engine.Engine, 0, len(d.engines))
@@ -225,6 +230,7 @@
 	return d.node.link.RecheckLimits(ctx, ownerlink.Peer{Cell: cell, Address: owner.Address}, names)
 }
 
+// cellOwner returns the cell's owner as last read from the store, or false if none is known.
 func (d *duties) cellOwner(cell string) (ownership.Record, bool) {
 	return d.node.directory.Owner(cellDuty(cell))
 }
--- a/internal/node/logs.go
+++ b/internal/node/logs.go
@@ -105,6 +105,7 @@
 	limits *messageLimits
 }
 
+// messageLimits holds a rate limit for each log message (the text without attributes).
 type messageLimits struct {
 	mu        sync.Mutex
 	byMessage map[string]*messageLimit
@@ -112,7 +113,7 @@
 
 type messageLimit struct {
 	limit      *rate.Limiter
-	suppressed int
+	suppressed int // lines suppressed since the last one that passed
 }
 
 func newRateLimitedHandler(h slog.Handler) *rateLimitedHandler {
@@ -131,6 +132,9 @@
 	return b.Handler.Handle(ctx, r)
 }
 
+// admit reports whether a line with the message may be written now. If it may, suppressed is how
+// many lines with this message were suppressed since the last one that was written; otherwise it
+// is 0.
 func (l *messageLimits) admit(message string, now time.Time) (pass bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -55,12 +55,14 @@
 	values map[string]string // as written in the file, by section.key
 }
 
-// settingField is one key of the settings file; set returns false if the text is not valid.
+// settingField is one key of the settings file.
 type settingField struct {
 	section, key string
 	required     bool
 	expects      string
-	set          func(s *Settings, text string) bool
+	// set parses the text and stores the value in s. It returns false if the text is invalid; s
+	// must not be used then.
+	set func(s *Settings, text string) bool
 }
 
 const (
@@ -159,6 +161,7 @@
 	return out
 }
 
+// text returns a settingField.set that stores the text as it is.
 func text(field func(*Settings) *string) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		*field(s) = t
@@ -166,6 +169,7 @@
 	}
 }
 
+// address returns a settingField.set that accepts host:port.
 func address(field func(*Settings) *string) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		*field(s) = t
@@ -174,6 +178,7 @@
 	}
 }
 
+// port returns a settingField.set that accepts a port number from 1 to 65535.
 func port(field func(*Settings) *int) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseUint(t, 10, 16)
@@ -182,6 +187,8 @@
 	}
 }
 
+// positiveInt returns a settingField.set that accepts a number of at least 1, of which it drops
+// the fraction.
 func positiveInt(field func(*Settings) *int) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseFloat(t, 64)
@@ -190,6 +197,7 @@
 	}
 }
 
+// toggle returns a settingField.set that accepts what strconv.ParseBool does.
 func toggle(field func(*Settings) *bool) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		on, err := strconv.ParseBool(t)
@@ -198,6 +206,7 @@
 	}
 }
 
+// positiveFloat returns a settingField.set that accepts a number above 0.
 func positiveFloat(field func(*Settings) *float64) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseFloat(t, 64)
@@ -219,6 +228,8 @@
 	return s.CPUShare * min(1, s.LinkMbps/fullWeightLinkMbps)
 }
 
+// duration returns a settingField.set that accepts a number of the unit that is not negative;
+// fractions are allowed.
 func duration(unit time.Duration, field func(*Settings) *time.Duration) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseFloat(t, 64)
