--- a/internal/fleetowner/fleet.go
+++ b/internal/fleetowner/fleet.go
@@ -111,7 +111,9 @@
 	}
 }
 
-// Run runs passes until ctx ends, and waits for the orders that are being sent.
+// Run repeats a reconciliation pass (see pass) until ctx ends: it compares the state of the fleet
+// with the ordered waves and the cells' needs, and sends orders. Then it waits for the calls of
+// orders that are in flight.
 func (f *Fleet) Run(ctx context.Context) {
 	f.startedAt = f.Clock.Now()
 	defer f.wg.Wait()
@@ -144,7 +146,7 @@
 	return false
 }
 
-// pass reads the state of the fleet once and acts on it. Between two reads of the list of VMs
+// pass is one reconciliation pass: it reads the state of the fleet once and acts on it. Between two reads of the list of VMs
 // it relies on the last list and on its own orders since then. An outdated list does no harm,
 // as cells refuse to cordon a worker that is in use.
 func (f *Fleet) pass(ctx context.Context) {
--- a/internal/fleetowner/fleet_test.go
+++ b/internal/fleetowner/fleet_test.go
@@ -284,7 +284,7 @@
 	r.pass(f)
 	r.pass(f)
 	assert.Equal(t, len(r.calls), 0)
-	assert.Equal(t, len(r.orders), 0, "no cell is asked to close a worker either")
+	assert.Equal(t, len(r.orders), 0, "no cell is asked to cordon a worker either")
 }
 
 // A long-running task was moved to a VM that the same wave maintained next, and had to move
@@ -310,9 +310,9 @@
 	assert.DeepEqual(t, r.orders, []engine.CellOrder{{Kind: engine.OrderUncordon, Worker: "w-v1"}})
 }
 
-// Workers stayed closed for good after an owner of the fleet was lost. The next owner must open
-// those that were draining at once, and those that were claimed when the orders of the earlier
-// owner certainly have no more effect.
+// Workers stayed cordoned for good after an owner of the fleet was lost. The next owner must
+// uncordon those that were draining at once, and those that were claimed when the orders of the
+// earlier owner certainly have no more effect.
 func TestCordonsOfAnEarlierOwnerAreRemoved(t *testing.T) {
 	r := newFixture()
 	r.addVM("v1", "a")
--- a/internal/fleetowner/moves.go
+++ b/internal/fleetowner/moves.go
@@ -127,6 +127,7 @@
 	LabelBacklog int    `json:"backlog bound to labels"`
 }
 
+// summaries returns a summary of each pool, in the same order, for a log line.
 func summaries(state []pools.Pool) []summary {
 	out := make([]summary, 0, len(state))
 	for _, p := range state {
--- a/internal/fleetowner/orders.go
+++ b/internal/fleetowner/orders.go
@@ -84,10 +84,10 @@
 	return slices.DeleteFunc(orders, func(o cellOrder) bool { return f.isStandby(o.cell) })
 }
 
-// cordonUpdates returns orders that open workers whose cordon has no reason any more: their
+// cordonUpdates returns orders that uncordon workers whose cordon has no reason any more: their
 // order was dropped, or an earlier owner of the fleet cordoned them. Claims of an earlier owner
 // stay until its orders certainly have no more effect. Workers whose VMs a wave has yet to
-// maintain are marked as due instead of being opened.
+// maintain are marked as due instead of being uncordoned.
 func (f *Fleet) cordonUpdates() []cellOrder {
 	wanted := make(map[work.WorkerID]bool)
 	for _, r := range f.waves {
@@ -121,9 +121,10 @@
 	return out
 }
 
-// claim asks the cells of the VMs to close their workers, and adds an order for each VM whose
-// worker was closed. It returns these orders by VM; a VM that is in use, reserved, not up or
-// under another order is left out. VMs of standby pools need no claim.
+// claim asks the cells' owners to cordon the workers of the VMs (engine.OrderClaim), and records
+// an order for each VM whose worker was cordoned. It returns these orders by VM; they are not sent
+// yet. A VM that is in use, reserved, not up or under another order is left out. VMs of standby
+// pools have no cell and need no claim.
 func (f *Fleet) claim(ctx context.Context, ids []string, newOrder func(vm work.VM) *vmOrder) map[string]*vmOrder {
 	var claims []cellOrder
 	var candidates []work.VM
