--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -152,8 +152,9 @@
 	assert.Equal(t, r.direct.count(), forwarding.MinWorkers-1)
 }
 
-// Jobs wait while workers are free because the owner spends its share of a core on calls.
-// The owner of a large cell must forward its calls, and get their results unchanged.
+// Guards against jobs that wait while workers are free, because an owner whose VM has only a
+// fraction of a core spends it on calls to workers. The owner of a large cell must forward its
+// calls, and get their results unchanged.
 func TestCallsOfALargeCellAreForwarded(t *testing.T) {
 	r := newFixture(t)
 	i := r.growCell()
