--- a/internal/engine/contract/contract.go
+++ b/internal/engine/contract/contract.go
@@ -251,9 +251,11 @@
 // Advisor is an implementation of engine.Advisor under test.
 type Advisor struct {
 	Client      engine.Advisor
-	Unreachable engine.Advisor // the implementation with a service that refuses connections
-	Workers     []work.WorkerID
-	Approves    func(step work.StepRef, worker work.WorkerID) bool
+	Unreachable engine.Advisor  // the implementation with a service that refuses connections
+	Workers     []work.WorkerID // candidates that Client is asked about
+	// Approves reports whether the service behind Client issues a ticket for the step on the
+	// worker.
+	Approves func(step work.StepRef, worker work.WorkerID) bool
 }
 
 // RunAdvisor tests an implementation of engine.Advisor.
