--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -255,8 +255,8 @@
 	cancel  context.CancelFunc
 
 	mu           sync.Mutex
-	certainUntil time.Duration // no other owner can exist before
-	allowedUntil time.Duration // orders may be given before
+	certainUntil time.Duration // on Options.Clock: no other owner can exist before
+	allowedUntil time.Duration // on Options.Clock: orders may be given before
 	endReason    string        // empty until the term has ended
 	handedOver   bool          // the term was ended by HandOver
 }
@@ -264,8 +264,8 @@
 // Token returns the fencing token of the term's orders.
 func (t *Term) Token() int64 { return t.token }
 
-// AllowedUntil returns the time until which orders may be given without another check; 0 once
-// the term has ended.
+// AllowedUntil returns the time, on Options.Clock, until which orders may be given without another
+// check; 0 once the term has ended.
 func (t *Term) AllowedUntil() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
