--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -62,7 +62,7 @@
 
 // Guards against two owners that give orders. An entry VM that was suspended for seconds believes that it
 // has a lease that has long expired. Orders may go on beyond the lease only after a renewal has failed.
-func TestAThawedOwnerGivesNoOrdersBeforeItHasAskedTheStore(t *testing.T) {
+func TestAResumedOwnerGivesNoOrdersBeforeItHasContactedTheStore(t *testing.T) {
 	clock := &testClock{now: time.Minute}
 	e := newElector(t, memstore.New(clockwork.NewFakeClock()), clock, "e1")
 	term, err := e.acquire(context.Background())
@@ -79,7 +79,7 @@
 
 // While the store is unavailable the leases of running tasks must be renewed, so orders go on, but only for
 // the grace period: a new owner must be able to rely on an end of its predecessor's orders.
-func TestOrdersGoOnWhileTheStoreIsAwayForTheGraceAlone(t *testing.T) {
+func TestOrdersGoOnOnlyForTheGracePeriodWhileTheStoreIsUnavailable(t *testing.T) {
 	clock := &testClock{now: time.Minute}
 	e := newElector(t, memstore.New(clockwork.NewFakeClock()), clock, "e1")
 	term, err := e.acquire(context.Background())
@@ -114,7 +114,7 @@
 
 // Guards against one VM that acquires all duties when the service starts: its electors waited at the same
 // time, each with the delay of a VM without duties.
-func TestAVMThatTookADutyMeanwhileStandsBehindForTheNext(t *testing.T) {
+func TestAVMThatAcquiredADutyMeanwhileWaitsLongerForTheNext(t *testing.T) {
 	store := memstore.New(clockwork.NewFakeClock())
 	clock := &testClock{now: time.Minute}
 	e := newElector(t, store, clock, "e1")
@@ -130,7 +130,7 @@
 }
 
 // Guards against small VMs that acquire duties beyond their capacity, and then lose leases under load.
-func TestSmallVMsStandBehindStrongOnes(t *testing.T) {
+func TestVMsOfSmallerWeightWaitLongerToAcquireADuty(t *testing.T) {
 	clock := &testClock{}
 	for _, entry := range []string{"e1", "e2", "e3", "e4", "e5"} {
 		strong := newElector(t, nil, clock, "s"+entry)
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestTheDirectoryNeverStepsBack(t *testing.T) {
+func TestTheDirectoryIgnoresEventsOfEarlierRevisions(t *testing.T) {
 	d := &Directory{Log: logr.Discard()}
 	key := infra.WorkOwnerKey("cell/a")
 	put := func(entry string, rev infra.Revision) {
@@ -238,7 +238,7 @@
 // Guards against a VM of 0.2 cores that becomes the owner of a large service. It waits for seconds before it
 // tries, as it should, but meanwhile the duty was acquired and given up again. Its delay for the earlier vacancy
 // must not put it before the larger VMs, which have just begun to wait.
-func TestALineIsForOneVacancyOnly(t *testing.T) {
+func TestADelayCountsForOneVacancyOnly(t *testing.T) {
 	ctx := context.Background()
 	store := memstore.New(clockwork.NewFakeClock())
 	clock := &testClock{now: time.Minute}
