--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -84,8 +84,9 @@
 // new.
 const tickInterval = 50 * time.Millisecond
 
-// Run follows the view and probes the health of targets until ctx is done. It
-// returns ctx's error.
+// Run dispatches queued requests whenever the fleet's state (Options.View) changes
+// and at every tickInterval, and probes the health of targets, until ctx is done.
+// It returns ctx's error.
 func (s *Server) Run(ctx context.Context) error {
 	ticker := s.clock.NewTicker(tickInterval)
 	defer ticker.Stop()
