--- a/internal/prober/order.go
+++ b/internal/prober/order.go
@@ -41,7 +41,7 @@
 	return p.orderCache.orders[zone]
 }
 
-// ordersOf computes the order of each zone's VMs.
+// ordersOf assigns each zone's VMs to the bits of the zone's digests, by their IDs.
 func ordersOf(snap *view.Snapshot) map[model.ZoneName]vmOrder {
 	ids := make(map[model.ZoneName][]model.VMID)
 	for id, vm := range snap.VMs {
@@ -54,7 +54,7 @@
 	return orders
 }
 
-// orderOf computes the order of the VMs. It sorts ids.
+// orderOf assigns the VMs to bits in the order of their IDs. It sorts ids.
 func orderOf(ids []model.VMID) vmOrder {
 	slices.Sort(ids)
 	h := fnv.New64a()
