--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -18,9 +18,9 @@
 	rng       *rand.Rand
 	job       jobGenerator
 	submitted int
-	// afterStep is called after each pass. A baseline resets the learned state in
-	// it.
-	afterStep func(n *testEntry)
+	// afterPass is called after each reconciliation pass of an entry VM. Benchmarks
+	// that compare with a run without failure history clear n.learned.Blame in it.
+	afterPass func(n *testEntry)
 }
 
 // loadResult holds the results of a load.
@@ -53,7 +53,7 @@
 			if err := n.Step(l.ctx()); err != nil {
 				l.t.Fatal(err)
 			}
-			l.afterStep(n)
+			l.afterPass(n)
 		}
 		tasks, _ := l.platform.Machines.Tasks(l.ctx())
 		byVM := make(map[model.VMID]model.Resources)
@@ -154,7 +154,7 @@
 	for _, name := range []string{"learned", "trust-declaration"} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				l := &load{testCluster: newTestCluster(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, afterStep: func(*testEntry) {}}
+				l := &load{testCluster: newTestCluster(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, afterPass: func(*testEntry) {}}
 				if name != "learned" {
 					l.job = withOwnKind(job) // a kind with a single job has no usage history
 				}
@@ -200,7 +200,7 @@
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(2, 2)), job: job, afterStep: c.each}
+				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(2, 2)), job: job, afterPass: c.each}
 				for i := range 4 {
 					l.platform.Machines.SetWorkerFails(model.VMID(fmt.Sprintf("v%04d", 50*i+7)), true)
 				}
@@ -215,6 +215,9 @@
 	}
 }
 
+// wronglyQuarantined returns how many workers the first entry VM has in quarantine,
+// or is to probe with a job. Every 50th worker from the 7th on is not counted, as
+// these fail every task in BenchmarkBadWorkers.
 func wronglyQuarantined(l *load) int {
 	n := 0
 	for vm := range l.entries[0].learned.Blame.Workers {
@@ -244,7 +247,7 @@
 					}
 					return j, standin.Behaviour{Size: j.Declared, RunTime: time.Duration(30+rng.IntN(60)) * time.Second}
 				}
-				l.afterStep = func(*testEntry) { maxWrong = max(maxWrong, wronglyQuarantined(l)) }
+				l.afterPass = func(*testEntry) { maxWrong = max(maxWrong, wronglyQuarantined(l)) }
 				got := l.simulate(6*time.Minute, 1500)
 				b.ReportMetric(float64(maxWrong), "wrongly-quarantined")
 				b.ReportMetric(float64(got.states[Failed]), "jobs-stopped")
--- a/internal/jobs/keys.go
+++ b/internal/jobs/keys.go
@@ -10,9 +10,13 @@
 )
 
 const (
+	// groupPrefix holds one key per group of jobs.
 	groupPrefix = infra.JobPrefix + "g/"
-	learnedKey  = infra.JobPrefix + "learned"
-	leaseKey    = infra.ShardPrefix + "jobs"
+	// learnedKey holds the learnedState: the usage of job kinds and the failures of
+	// workers.
+	learnedKey = infra.JobPrefix + "learned"
+	// leaseKey names the lease holder: the entry VM that does the passes.
+	leaseKey = infra.ShardPrefix + "jobs"
 
 	// groupSize is how many jobs share a key. A record has at most about 6 KB and
 	// usually 700 bytes, so a group stays below 400 KB, and one write of a group
--- a/internal/jobs/race_test.go
+++ b/internal/jobs/race_test.go
@@ -37,7 +37,9 @@
 	n.machines.before = func(infra.Task) { s.interleave(n) }
 }
 
-// interleave simulates what happens while n waits for the store or the platform.
+// interleave simulates what happens while n waits for the store or the platform. At
+// random, time passes, another entry VM does a pass, a job is cancelled, replies and
+// requests of n are lost, and a worker fails or recovers.
 func (s *raceSimulation) interleave(n *testEntry) {
 	if s.faultsOff || s.depth > maxNesting {
 		return
