--- a/internal/infra/keys.go
+++ b/internal/infra/keys.go
@@ -55,7 +55,8 @@
 	// WorkOwnerPrefix holds one leased key per duty: a cell, or the fleet. Its
 	// revision is the fencing token of all its owner's orders.
 	WorkOwnerPrefix = Root + "work/owner/"
-	// WorkJobPrefix holds one short key per job, for ever: an ID is one job.
+	// WorkJobPrefix holds one key per job, the job key. It prevents a second job with
+	// the same ID, and is deleted some time after the job has ended.
 	WorkJobPrefix = Root + "work/jobs/"
 	// WorkWavePrefix holds what is done of maintenance waves.
 	WorkWavePrefix = Root + "work/waves/"
