--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -65,6 +65,8 @@
 	}
 }
 
+// startElectorLocked starts an elector for the duty unless it has one. own runs during each term and
+// returns when its context ends. The calling function holds mu.
 func (d *duties) startElectorLocked(duty string, own func(context.Context, *ownership.Term)) {
 	if d.electing[duty] {
 		return
@@ -217,6 +219,9 @@
 	}
 }
 
+// notifyCell tells one cell's owner, which may be this entry VM, to read the limit ledgers again. It
+// returns engine.ErrNotReady if no owner is known, or if this entry VM is the owner and has no
+// engine for the cell.
 func (d *duties) notifyCell(cell string, names []work.WorkspaceName) error {
 	if e := d.engine(cell); e != nil {
 		return e.RecheckLimits(names)
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -79,6 +79,7 @@
 	expectsMbps    = "a number of megabits a second above 0"
 )
 
+// settingFields are all keys that a settings file may have.
 var settingFields = []settingField{
 	{"entry", "name", true, expectsText, text(func(s *Settings) *string { return &s.Name })},
 	{"entry", "zone", true, expectsText, text(func(s *Settings) *string { return &s.Zone })},
@@ -145,6 +146,7 @@
 	return s, nil
 }
 
+// unknownKeys returns a mistake for each key of the file that is not in settingFields.
 func unknownKeys(f *ini.File) []settings.Mistake {
 	known := make(map[string]bool)
 	for _, fd := range settingFields {
