--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -77,6 +77,8 @@
 	d.put(ev.KV)
 }
 
+// put records the owner that the duty's key names, unless that revision
+// of the key or a later one is known.
 func (d *Directory) put(kv infra.KV) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,6 +86,7 @@
 	d.notifyLocked()
 }
 
+// putLocked is put for functions that hold mu. It wakes nobody who waits for a change.
 func (d *Directory) putLocked(kv infra.KV) {
 	var r Record
 	if err := json.Unmarshal(kv.Value, &r); err != nil || r.Entry == "" {
@@ -117,6 +120,7 @@
 	d.notifyLocked()
 }
 
+// notifyLocked wakes all that wait for a change of the directory.
 func (d *Directory) notifyLocked() {
 	if d.changed != nil {
 		close(d.changed)
@@ -124,6 +128,7 @@
 	}
 }
 
+// countVacancyLocked records that the duty has become free.
 func (d *Directory) countVacancyLocked(duty string) {
 	if d.vacancies == nil {
 		d.vacancies = make(map[string]int)
