--- a/internal/fleetowner/fleet.go
+++ b/internal/fleetowner/fleet.go
@@ -146,9 +146,9 @@
 	return false
 }
 
-// pass is one reconciliation pass: it reads the state of the fleet once and acts on it. Between two reads of the list of VMs
-// it relies on the last list and on its own orders since then. An outdated list does no harm,
-// as cells refuse to cordon a worker that is in use.
+// pass is one reconciliation pass: it reads the state of the fleet once and acts on it. Between
+// two reads of the list of VMs it relies on the last list and on its own orders since then. An
+// outdated list does no harm, as cells refuse to cordon a worker that is in use.
 func (f *Fleet) pass(ctx context.Context) {
 	f.syncCells(ctx, nil)
 	now := f.Clock.Now()
