--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -59,8 +59,8 @@
 		Mesh:   d.mesh,
 		Acks:   d.registry,
 		Health: d.prober.Health,
-		Jobs:   jobsport.Orders{Executor: d.jobs},
-		Asked:  jobsport.Questions{Executor: d.jobs},
+		Jobs:   jobsport.CommandAdapter{Executor: d.jobs},
+		Asked:  jobsport.QueryAdapter{Executor: d.jobs},
 		Access: gate,
 		Log:    d.log.WithName("operator"),
 	})
--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -12,31 +12,33 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// load keeps jobs waiting on a world and counts what becomes of them.
+// load keeps a number of jobs waiting in a test cluster and counts their outcomes.
 type load struct {
-	*world
+	*testCluster
 	rng       *rand.Rand
-	job       drawJob
+	job       jobGenerator
 	submitted int
-	// each is called after each step; a baseline takes its knowledge away in it.
-	each func(n *node)
+	// afterPass is called after each reconciliation pass of an entry VM. Benchmarks
+	// that compare with a run without failure history clear n.learned.Blame in it.
+	afterPass func(n *testEntry)
 }
 
-// tally is what a load came to.
-type benchTally struct {
-	real     float64 // share of the workers' processors that tasks really used
-	memory   float64 // share of their memory
-	excess   float64 // processors wanted beyond what the workers have, as a share of those
-	failures map[string]int
-	states   map[State]int
-	starts   int
-	twice    int // jobs that may not be repeated and were started more than once
-	lost     int // jobs that are in no state at all
+// loadResult holds the results of a load.
+type loadResult struct {
+	usedCPU      float64 // mean share of the workers' processors used by tasks
+	usedMemory   float64 // mean share of the workers' memory used by tasks
+	excessCPU    float64 // processors demanded beyond the workers' capacity, as a share of that capacity
+	failures     map[string]int
+	states       map[State]int
+	starts       int
+	startedTwice int // jobs that are not repeatable and were started more than once
+	missingJobs  int // submitted jobs without a record
 }
 
-// play runs for a time and keeps so many jobs waiting.
-func (l *load) play(d time.Duration, waiting int) benchTally {
-	var out benchTally
+// simulate runs the cluster for d and tops up the waiting jobs to the given number
+// every 5 seconds. Usage is averaged over the second half.
+func (l *load) simulate(d time.Duration, waiting int) loadResult {
+	var out loadResult
 	out.failures = make(map[string]int)
 	out.states = make(map[State]int)
 	seen := make(map[model.AttemptID]bool)
@@ -47,11 +49,11 @@
 			l.refill(waiting, behaviours)
 		}
 		l.clock.Advance(time.Second)
-		for _, n := range l.nodes {
+		for _, n := range l.entries {
 			if err := n.Step(l.ctx()); err != nil {
 				l.t.Fatal(err)
 			}
-			l.each(n)
+			l.afterPass(n)
 		}
 		tasks, _ := l.platform.Machines.Tasks(l.ctx())
 		byVM := make(map[model.VMID]model.Resources)
@@ -66,22 +68,22 @@
 		}
 		if second > int(d/time.Second)/2 {
 			used, excess := inUse(byVM)
-			out.excess += float64(excess) / float64(workerSize.MilliCPU*int64(len(l.snap.VMs)))
-			out.real += float64(used.MilliCPU) / float64(workerSize.MilliCPU*int64(len(l.snap.VMs)))
-			out.memory += float64(used.MemoryMB) / float64(workerSize.MemoryMB*int64(len(l.snap.VMs)))
+			out.excessCPU += float64(excess) / float64(workerSize.MilliCPU*int64(len(l.snap.VMs)))
+			out.usedCPU += float64(used.MilliCPU) / float64(workerSize.MilliCPU*int64(len(l.snap.VMs)))
+			out.usedMemory += float64(used.MemoryMB) / float64(workerSize.MemoryMB*int64(len(l.snap.VMs)))
 			samples++
 		}
 	}
-	out.real /= float64(samples)
-	out.memory /= float64(samples)
-	out.excess /= float64(samples)
+	out.usedCPU /= float64(samples)
+	out.usedMemory /= float64(samples)
+	out.excessCPU /= float64(samples)
 	l.count(&out)
 	return out
 }
 
-// inUse counts a worker on which tasks want more processors than it has as
-// fully used, and returns what they want beyond. Such tasks would be slowed by
-// as much, which the stand-in doesn't play.
+// inUse returns the resources in use on all workers, each bounded by the worker's
+// capacity, and the milli-CPUs demanded beyond it. Real tasks would be slowed by
+// that excess; the stand-in doesn't simulate it.
 func inUse(byVM map[model.VMID]model.Resources) (sum model.Resources, excess int64) {
 	for _, used := range byVM {
 		excess += max(used.MilliCPU-workerSize.MilliCPU, 0)
@@ -93,45 +95,46 @@
 }
 
 func (l *load) refill(waiting int, behaviours map[model.JobID]standin.Behaviour) {
-	all, _ := l.nodes[0].List(l.ctx())
+	all, _ := l.entries[0].List(l.ctx())
 	for _, r := range all {
 		if r.State == Waiting {
 			waiting--
 		}
 	}
 	var jobs []model.Job
-	var how []standin.Behaviour
+	var newBehaviours []standin.Behaviour
 	for range max(waiting, 0) {
 		job, b := l.job(l.rng, l.submitted+len(jobs))
-		jobs, how = append(jobs, job), append(how, b)
+		jobs, newBehaviours = append(jobs, job), append(newBehaviours, b)
 	}
 	if len(jobs) == 0 {
 		return
 	}
 	for i, id := range l.submit(jobs...) {
-		l.behave(id, how[i])
-		behaviours[id] = how[i]
+		l.behave(id, newBehaviours[i])
+		behaviours[id] = newBehaviours[i]
 	}
 	l.submitted += len(jobs)
 }
 
-func (l *load) count(out *benchTally) {
-	all, _ := l.nodes[0].List(l.ctx())
+func (l *load) count(out *loadResult) {
+	all, _ := l.entries[0].List(l.ctx())
 	for _, r := range all {
 		out.states[r.State]++
 	}
-	out.lost = l.submitted - len(all)
+	out.missingJobs = l.submitted - len(all)
 	tally := l.platform.Machines.Tally()
 	for _, r := range all {
 		out.starts += tally.Starts[r.ID]
 		if !r.Repeatable && tally.Starts[r.ID] > 1 {
-			out.twice++
+			out.startedTwice++
 		}
 	}
 }
 
-// BenchmarkSizesOff has 20 kinds of job of which 6 were declared wrong by four
-// times, half of them too large. Usage reports are ten seconds apart.
+// BenchmarkSizesOff runs 20 kinds of jobs, of which 3 declare four times and 3 a
+// quarter of the resources that they use. Usage is reported every 10 seconds. It
+// compares sizes learned per kind with the declared sizes.
 func BenchmarkSizesOff(b *testing.B) {
 	job := func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
 		kind := rng.IntN(20)
@@ -144,22 +147,22 @@
 		declared := model.Resources{MilliCPU: int64(float64(real.MilliCPU) * factor), MemoryMB: int64(float64(real.MemoryMB) * factor)}
 		spread := 0.85 + 0.3*rng.Float64()
 		real.MilliCPU, real.MemoryMB = int64(float64(real.MilliCPU)*spread), int64(float64(real.MemoryMB)*spread)
-		j := small()
+		j := smallJob()
 		j.Kind, j.Declared = fmt.Sprintf("k%d", kind), declared
 		return j, standin.Behaviour{Size: real, RunTime: time.Duration(60+rng.IntN(60)) * time.Second}
 	}
 	for _, name := range []string{"learned", "trust-declaration"} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				l := &load{world: newWorld(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, each: func(*node) {}}
+				l := &load{testCluster: newTestCluster(b, 60, 1), rng: rand.New(rand.NewPCG(1, 1)), job: job, afterPass: func(*testEntry) {}}
 				if name != "learned" {
-					l.job = alone(job) // nothing is learned of a kind of one job
+					l.job = withOwnKind(job) // a kind with a single job has no usage history
 				}
 				l.platform.Machines.SetUsageEvery(10 * time.Second)
-				got := l.play(20*time.Minute, 150)
-				b.ReportMetric(100*got.real, "cpu%")
-				b.ReportMetric(100*got.memory, "mem%")
-				b.ReportMetric(100*got.excess, "cpu-excess%")
+				got := l.simulate(20*time.Minute, 150)
+				b.ReportMetric(100*got.usedCPU, "cpu%")
+				b.ReportMetric(100*got.usedMemory, "mem%")
+				b.ReportMetric(100*got.excessCPU, "cpu-excess%")
 				b.ReportMetric(float64(got.failures[infra.ReasonMemoryGuard]), "memory-stops")
 				b.ReportMetric(float64(got.states[Succeeded]), "succeeded")
 			}
@@ -167,10 +170,10 @@
 	}
 }
 
-type drawJob func(rng *rand.Rand, n int) (model.Job, standin.Behaviour)
+type jobGenerator func(rng *rand.Rand, n int) (model.Job, standin.Behaviour)
 
-// alone gives each job a kind of its own.
-func alone(job drawJob) drawJob {
+// withOwnKind returns a generator that gives each job a kind of its own.
+func withOwnKind(job jobGenerator) jobGenerator {
 	return func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
 		j, behaviour := job(rng, n)
 		j.Kind = fmt.Sprint(j.Kind, "-", n)
@@ -178,43 +181,47 @@
 	}
 }
 
-// BenchmarkBadWorkers has 4 of 200 workers fail everything at once. What is
-// lost are starts that fail on them and jobs that end as failed.
+// BenchmarkBadWorkers runs jobs on 200 workers of which 4 fail every task
+// immediately, with and without the failure history of workers. It reports the
+// failed starts and the jobs that end as failed.
 func BenchmarkBadWorkers(b *testing.B) {
 	job := func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
-		j := small()
+		j := smallJob()
 		j.Kind = fmt.Sprintf("k%d", rng.IntN(20))
 		j.Repeatable = rng.IntN(10) != 0
 		return j, standin.Behaviour{Size: j.Declared, RunTime: time.Duration(30+rng.IntN(60)) * time.Second}
 	}
 	for _, c := range []struct {
 		name string
-		each func(*node)
+		each func(*testEntry)
 	}{
-		{"blame", func(*node) {}},
-		{"no-blame", func(n *node) { n.learned.Blame = blame.NewBook() }},
+		{"blame", func(*testEntry) {}},
+		{"no-blame", func(n *testEntry) { n.learned.Blame = blame.NewBook() }},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				l := &load{world: newWorld(b, 200, 1), rng: rand.New(rand.NewPCG(2, 2)), job: job, each: c.each}
+				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(2, 2)), job: job, afterPass: c.each}
 				for i := range 4 {
 					l.platform.Machines.SetWorkerFails(model.VMID(fmt.Sprintf("v%04d", 50*i+7)), true)
 				}
-				got := l.play(5*time.Minute, 200)
+				got := l.simulate(5*time.Minute, 200)
 				b.ReportMetric(float64(got.failures["the worker failed it"]), "failed-starts")
 				b.ReportMetric(float64(got.states[Failed]), "jobs-failed")
 				b.ReportMetric(float64(got.states[Succeeded]), "succeeded")
-				b.ReportMetric(float64(wronglyBanned(l)), "wrongly-quarantined")
-				b.ReportMetric(float64(got.twice), "started-twice")
+				b.ReportMetric(float64(wronglyQuarantined(l)), "wrongly-quarantined")
+				b.ReportMetric(float64(got.startedTwice), "started-twice")
 			}
 		})
 	}
 }
 
-func wronglyBanned(l *load) int {
+// wronglyQuarantined returns how many workers the first entry VM has in quarantine,
+// or is to probe with a job. Every 50th worker from the 7th on is not counted, as
+// these fail every task in BenchmarkBadWorkers.
+func wronglyQuarantined(l *load) int {
 	n := 0
-	for vm := range l.nodes[0].learned.Blame.Workers {
-		closed, probe := l.nodes[0].learned.Blame.WorkerStatus(vm, l.clock.Now())
+	for vm := range l.entries[0].learned.Blame.Workers {
+		closed, probe := l.entries[0].learned.Blame.WorkerStatus(vm, l.clock.Now())
 		var i int
 		_, _ = fmt.Sscanf(string(vm), "v%d", &i)
 		if (closed != "" || probe) && i%50 != 7 {
@@ -224,25 +231,25 @@
 	return n
 }
 
-// BenchmarkPoisonedKind submits 1,000 jobs that always fail, at once or late,
-// among good ones.
+// BenchmarkPoisonedKind submits 1,000 jobs that always fail, early or late, among
+// jobs that succeed. It reports the workers that are quarantined wrongly.
 func BenchmarkPoisonedKind(b *testing.B) {
 	for _, after := range []time.Duration{time.Second, 25 * time.Second} {
 		b.Run("after-"+after.String(), func(b *testing.B) {
 			for b.Loop() {
-				banned := 0
-				l := &load{world: newWorld(b, 200, 1), rng: rand.New(rand.NewPCG(3, 3))}
+				maxWrong := 0
+				l := &load{testCluster: newTestCluster(b, 200, 1), rng: rand.New(rand.NewPCG(3, 3))}
 				l.job = func(rng *rand.Rand, n int) (model.Job, standin.Behaviour) {
-					j := small()
+					j := smallJob()
 					if n >= 500 && n < 1500 {
 						j.Kind = "poisoned"
 						return j, standin.Behaviour{Size: j.Declared, RunTime: after, Fails: true}
 					}
 					return j, standin.Behaviour{Size: j.Declared, RunTime: time.Duration(30+rng.IntN(60)) * time.Second}
 				}
-				l.each = func(*node) { banned = max(banned, wronglyBanned(l)) }
-				got := l.play(6*time.Minute, 1500)
-				b.ReportMetric(float64(banned), "wrongly-quarantined")
+				l.afterPass = func(*testEntry) { maxWrong = max(maxWrong, wronglyQuarantined(l)) }
+				got := l.simulate(6*time.Minute, 1500)
+				b.ReportMetric(float64(maxWrong), "wrongly-quarantined")
 				b.ReportMetric(float64(got.states[Failed]), "jobs-stopped")
 				b.ReportMetric(float64(got.failures["the job failed"])/1000, "starts/poisoned-job")
 			}
@@ -250,16 +257,17 @@
 	}
 }
 
-// BenchmarkScale submits 20,000 jobs to 3,600 workers, of which three quarters
-// fit at once, loses a reply in each second, and runs until all are over.
+// BenchmarkScale submits 20,000 jobs to 3,600 workers, which can run three quarters
+// of them concurrently, loses a reply of the store and of the platform in every
+// pass, and runs until all jobs have ended.
 func BenchmarkScale(b *testing.B) {
 	for b.Loop() {
-		w := newWorld(b, 3600, 1)
-		n := w.nodes[0]
-		job := small()
+		w := newTestCluster(b, 3600, 1)
+		n := w.entries[0]
+		job := smallJob()
 		job.Declared.MilliCPU = 2000
 		for part := range 4 {
-			all := many(5000, job)
+			all := copiesOf(5000, job)
 			for i := range all {
 				all[i].Repeatable = i%2 == 0
 				all[i].Team = model.TeamName(fmt.Sprint("t", i%82))
@@ -275,22 +283,22 @@
 		begun, submits := time.Now(), n.Counts().Writes
 		used, passes := w.drain(n)
 		counts := n.Counts()
-		l := &load{world: w, submitted: 20000}
-		var got benchTally
+		l := &load{testCluster: w, submitted: 20000}
+		var got loadResult
 		got.states = make(map[State]int)
 		l.count(&got)
 		b.ReportMetric(time.Since(begun).Seconds()/float64(passes), "s/pass")
 		b.ReportMetric(float64(counts.Writes-submits)/20000, "writes/placement")
 		b.ReportMetric(float64(submits), "submit-writes")
 		b.ReportMetric(100*used, "cpu%-while-waiting")
-		b.ReportMetric(float64(got.lost+20000-got.states[Succeeded]), "lost")
-		b.ReportMetric(float64(got.twice), "started-twice")
+		b.ReportMetric(float64(got.missingJobs+20000-got.states[Succeeded]), "lost")
+		b.ReportMetric(float64(got.startedTwice), "started-twice")
 	}
 }
 
-// drain passes until no job is left, and returns the mean share of processors
-// set aside while jobs waited.
-func (w *world) drain(n *node) (used float64, passes int) {
+// drain does passes until all jobs have ended, at most 200. It returns the mean
+// share of processors reserved while jobs waited, and the number of passes.
+func (w *testCluster) drain(n *testEntry) (used float64, passes int) {
 	samples := 0
 	for passes = 1; passes < 200; passes++ {
 		w.clock.Advance(time.Second)
@@ -298,7 +306,7 @@
 		n.machines.loseReplies = 1
 		n.machines.mu.Unlock()
 		n.store.LoseReplies(1)
-		_ = n.Step(w.ctx()) // a lost reply is found out about by the next
+		_ = n.Step(w.ctx()) // the next pass recovers from a lost reply
 		all, _ := n.List(w.ctx())
 		var waiting, left int
 		var cpu int64
@@ -306,14 +314,14 @@
 			switch {
 			case all[i].State == Waiting:
 				waiting++
-			case all[i].State.holds():
+			case all[i].State.holdsCapacity():
 				cpu += all[i].Size.MilliCPU
 			}
 			if !all[i].State.Ended() {
 				left++
 			}
 		}
-		if waiting > 0 && passes > 20000/placeMost {
+		if waiting > 0 && passes > 20000/maxPlacements {
 			used += float64(cpu) / float64(workerSize.MilliCPU*int64(len(w.snap.VMs)))
 			samples++
 		}
--- a/internal/jobs/race_test.go
+++ b/internal/jobs/race_test.go
@@ -13,45 +13,48 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// schedule plays one run of entry VMs that place at the same time. At each
-// write and each start another entry VM may do a whole pass in between, time
-// may pass, a worker die, or a cancel arrive; replies and requests get lost.
-type schedule struct {
-	*world
-	rng    *rand.Rand
-	inside map[*node]bool
-	ids    []model.JobID
-	once   map[model.JobID]bool // those that are not repeatable
-	depth  int
-	calm   bool // no more faults
+// raceSimulation simulates entry VMs that place jobs concurrently. Before each
+// write and each start, another entry VM may do a whole pass, time may pass, a
+// worker may fail or recover, a job may be cancelled, and replies and requests may
+// be lost.
+type raceSimulation struct {
+	*testCluster
+	rng           *rand.Rand
+	inPass        map[*testEntry]bool
+	ids           []model.JobID
+	nonRepeatable map[model.JobID]bool // whether a job is not repeatable
+	depth         int
+	faultsOff     bool // no more faults are injected
 }
 
-// deepest is how many entry VMs may be held up inside each other.
-const deepest = 2
+// maxNesting bounds how many passes may be nested in each other.
+const maxNesting = 2
 
-func (s *schedule) chance(percent int) bool { return !s.calm && s.rng.IntN(100) < percent }
+func (s *raceSimulation) chance(percent int) bool { return !s.faultsOff && s.rng.IntN(100) < percent }
 
-func (s *schedule) hook(n *node) {
-	n.store.Before(func(string, infra.Txn) { s.between(n) })
-	n.machines.before = func(infra.Task) { s.between(n) }
+func (s *raceSimulation) installHooks(n *testEntry) {
+	n.store.Before(func(string, infra.Txn) { s.interleave(n) })
+	n.machines.before = func(infra.Task) { s.interleave(n) }
 }
 
-// between is what happens while n waits for the platform.
-func (s *schedule) between(n *node) {
-	if s.calm || s.depth > deepest {
+// interleave simulates what happens while n waits for the store or the platform. At
+// random, time passes, another entry VM does a pass, a job is cancelled, replies and
+// requests of n are lost, and a worker fails or recovers.
+func (s *raceSimulation) interleave(n *testEntry) {
+	if s.faultsOff || s.depth > maxNesting {
 		return
 	}
 	s.depth++
 	defer func() { s.depth-- }()
 	if s.chance(10) {
-		s.clock.Advance([]time.Duration{time.Second, sendWithin + time.Second, startGrace, taskTTL + time.Second}[s.rng.IntN(4)])
+		s.clock.Advance([]time.Duration{time.Second, maxIntentAge + time.Second, startGrace, taskTTL + time.Second}[s.rng.IntN(4)])
 	}
 	if s.chance(20) {
-		s.stepOne(s.nodes[s.rng.IntN(len(s.nodes))])
+		s.stepOne(s.entries[s.rng.IntN(len(s.entries))])
 	}
 	if s.chance(8) && len(s.ids) > 0 {
 		id := s.ids[s.rng.IntN(len(s.ids))]
-		_, _ = s.nodes[s.rng.IntN(len(s.nodes))].Cancel(s.ctx(), model.ChangeID(fmt.Sprint("cancel-", id)), "", []model.JobID{id})
+		_, _ = s.entries[s.rng.IntN(len(s.entries))].Cancel(s.ctx(), model.ChangeID(fmt.Sprint("cancel-", id)), "", []model.JobID{id})
 	}
 	if s.chance(6) {
 		n.store.LoseReplies(1)
@@ -59,16 +62,16 @@
 	if s.chance(4) {
 		n.store.LoseRequests(1)
 	}
-	s.faultMachines(n)
+	s.injectMachineFaults(n)
 }
 
-func (s *schedule) faultMachines(n *node) {
+func (s *raceSimulation) injectMachineFaults(n *testEntry) {
 	n.machines.mu.Lock()
 	if s.chance(8) {
-		n.machines.loseReplies = 1 + s.rng.IntN(startTries)
+		n.machines.loseReplies = 1 + s.rng.IntN(maxStartTries)
 	}
 	if s.chance(4) {
-		n.machines.loseRequests = 1 + s.rng.IntN(startTries)
+		n.machines.loseRequests = 1 + s.rng.IntN(maxStartTries)
 	}
 	n.machines.mu.Unlock()
 	vm := model.VMID(fmt.Sprintf("v%04d", s.rng.IntN(len(s.snap.VMs))))
@@ -79,19 +82,20 @@
 	}
 }
 
-// stepOne does a pass at an entry VM that is not in the middle of one.
-func (s *schedule) stepOne(n *node) {
-	if s.inside[n] {
+// stepOne does a pass on an entry VM unless it is in the middle of one.
+func (s *raceSimulation) stepOne(n *testEntry) {
+	if s.inPass[n] {
 		return
 	}
-	s.inside[n] = true
-	defer delete(s.inside, n)
-	_ = n.Step(s.ctx()) // lost replies and conflicts are part of the play
-	s.check()
+	s.inPass[n] = true
+	defer delete(s.inPass, n)
+	_ = n.Step(s.ctx()) // lost replies and conflicts are expected
+	s.checkInvariants()
 }
 
-// check holds at every moment.
-func (s *schedule) check() {
+// checkInvariants checks what must hold at any time: no worker runs more than its
+// capacity, and no job that is not repeatable is started twice.
+func (s *raceSimulation) checkInvariants() {
 	s.t.Helper()
 	tasks, err := s.platform.Machines.Tasks(s.ctx())
 	assert.NilError(s.t, err)
@@ -105,8 +109,8 @@
 		assert.Assert(s.t, u.Fits(s.snap.VMs[vm].Capacity), "VM %s runs more than it has", vm)
 	}
 	starts := s.platform.Machines.Tally().Starts
-	for id, once := range s.once {
-		if !once {
+	for id, nonRepeatable := range s.nonRepeatable {
+		if !nonRepeatable {
 			continue
 		}
 		assert.Assert(s.t, starts[id] <= 1, "job %s is not repeatable and was started %d times", id, starts[id])
@@ -114,36 +118,36 @@
 }
 
 func TestConcurrentPlacers(t *testing.T) {
-	// Three entry VMs place the same jobs at once while the platform loses
-	// replies, workers die and operators cancel. The caller sees each job that
-	// is not repeatable started at most once, no worker is given more than it
-	// has, and once the faults end every job is over or shown as unknown: none
-	// is lost and none runs without a record.
+	// Three entry VMs place the same jobs concurrently while the platform loses
+	// replies, workers fail and operators cancel jobs. No job that is not
+	// repeatable may be started twice, and no worker may run more than its
+	// capacity. After the faults, every job must have ended or be in state
+	// Unknown: none is lost and no task runs without a record.
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			s := &schedule{world: newWorld(t, 6, 3), rng: rand.New(rand.NewPCG(seed, 7)), inside: make(map[*node]bool), once: make(map[model.JobID]bool)}
-			for _, n := range s.nodes {
+			s := &raceSimulation{testCluster: newTestCluster(t, 6, 3), rng: rand.New(rand.NewPCG(seed, 7)), inPass: make(map[*testEntry]bool), nonRepeatable: make(map[model.JobID]bool)}
+			for _, n := range s.entries {
 				n.parallel = 1
-				s.hook(n)
+				s.installHooks(n)
 			}
 			for round := range 12 {
 				if round%3 == 0 {
 					s.submitMix()
 				}
 				s.clock.Advance(time.Second)
-				for _, n := range s.nodes {
+				for _, n := range s.entries {
 					s.stepOne(n)
 				}
 			}
-			s.calmDown()
-			s.settled()
+			s.endFaults()
+			s.checkFinalState()
 		})
 	}
 }
 
-func (s *schedule) submitMix() {
+func (s *raceSimulation) submitMix() {
 	for range 4 {
-		all := []model.Job{once(), small(), once()}
+		all := []model.Job{nonRepeatableJob(), smallJob(), nonRepeatableJob()}
 		all[0].Class = model.ClassUrgent
 		all[1].Class, all[1].Checkpoints = model.ClassDeferrable, true
 		change := model.ChangeID(fmt.Sprint("c", len(s.ids)))
@@ -151,22 +155,22 @@
 			id := jobID(change, i)
 			s.behave(id, standin.Behaviour{RunTime: time.Duration(1+s.rng.IntN(40)) * time.Second, Fails: s.rng.IntN(8) == 0})
 			s.ids = append(s.ids, id)
-			s.once[id] = !all[i].Repeatable
+			s.nonRepeatable[id] = !all[i].Repeatable
 		}
-		n := s.nodes[s.rng.IntN(len(s.nodes))]
+		n := s.entries[s.rng.IntN(len(s.entries))]
 		if s.chance(30) {
 			n.store.LoseReplies(1)
 		}
-		s.depth = deepest + 1 // nothing in between: the write is not this goroutine's
+		s.depth = maxNesting + 1 // disables interleave: Submit writes in another goroutine
 		_, err := n.Submit(s.ctx(), change, all)
 		s.depth = 0
 		assert.NilError(s.t, err)
 	}
 }
 
-func (s *schedule) calmDown() {
-	s.calm = true
-	for _, n := range s.nodes {
+func (s *raceSimulation) endFaults() {
+	s.faultsOff = true
+	for _, n := range s.entries {
 		n.store.LoseReplies(0)
 		n.store.LoseRequests(0)
 		n.machines.loseReplies, n.machines.loseRequests = 0, 0
@@ -180,10 +184,12 @@
 	}
 }
 
-// settled holds once the faults are over.
-func (s *schedule) settled() {
-	s.check()
-	all, err := s.nodes[0].List(s.ctx())
+// checkFinalState checks what must hold after the faults: every job is recorded
+// and has ended or is in state Unknown, and every running task belongs to the
+// current attempt of a running job.
+func (s *raceSimulation) checkFinalState() {
+	s.checkInvariants()
+	all, err := s.entries[0].List(s.ctx())
 	assert.NilError(s.t, err)
 	known := make(map[model.JobID]Record)
 	for _, r := range all {
@@ -193,7 +199,7 @@
 	for _, id := range s.ids {
 		r, ok := known[id]
 		assert.Assert(s.t, ok, "job %s is lost", id)
-		assert.Assert(s.t, r.State.Ended() || r.State == Unknown && !r.Repeatable, "job %s is %s: %v", id, r.State, r.Chain)
+		assert.Assert(s.t, r.State.Ended() || r.State == Unknown && !r.Repeatable, "job %s is %s: %v", id, r.State, r.History)
 		if r.State == Succeeded {
 			assert.Assert(s.t, finished[id] > 0, "job %s is called succeeded and never finished", id)
 		}
--- a/internal/jobs/submit.go
+++ b/internal/jobs/submit.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	maxName  = 128  // bytes of a job's team, kind, pool or zone
-	maxBatch = 5000 // jobs in one submit
+	maxNameBytes  = 128  // bytes of a job's team, kind, pool or zone
+	maxSubmitJobs = 5000 // jobs in one submit
 )
 
-// Submit stores the jobs and returns their IDs, in order. The change ID makes
-// it idempotent: a repeat returns the same IDs and adds nothing. Fields ID and
-// SubmittedAt are set here. Errors are *Refusal and *Error; after one that is
-// Uncertain, and after one of a large batch that isn't, a repeat under the
-// same change ID goes on where it stopped.
+// Submit stores the jobs and returns their IDs, in order. It sets the fields ID
+// and SubmittedAt. The change ID makes it idempotent: a repeat returns the same
+// IDs and adds nothing; an empty one is replaced by a new ID. Errors are *Refusal
+// or *Error. After an *Error that is Uncertain, or any *Error for a batch of more
+// than one group, some jobs may be stored, and a repeat under the same change ID
+// stores the rest.
 func (j *Jobs) Submit(ctx context.Context, change model.ChangeID, all []model.Job) ([]model.JobID, error) {
 	if change == "" {
 		change = j.changeID()
 	}
-	if err := j.check(change, all); err != nil {
+	if err := j.validate(change, all); err != nil {
 		return nil, err
 	}
 	ids := make([]model.JobID, len(all))
@@ -45,20 +46,22 @@
 		}
 		parts = append(parts, part)
 	}
-	if err := j.submits.add(ctx, j, parts); err != nil {
+	if err := j.batcher.add(ctx, j, parts); err != nil {
 		return nil, err
 	}
-	j.rescue.add(ids, all, j.clock.Now())
+	j.urgent.add(ids, all, j.clock.Now())
 	j.Wake()
 	return ids, nil
 }
 
-func (j *Jobs) check(change model.ChangeID, all []model.Job) error {
-	if !plain(string(change)) {
+// validate returns a *Refusal if the change ID, the number of jobs or a job is
+// invalid.
+func (j *Jobs) validate(change model.ChangeID, all []model.Job) error {
+	if !validChangeID(string(change)) {
 		return &Refusal{Code: CodeInvalid, Field: "change", Detail: "want 1 to 64 of a-z, A-Z, 0-9, '-' and '_'"}
 	}
-	if len(all) == 0 || len(all) > maxBatch {
-		return &Refusal{Code: CodeInvalid, Field: "jobs", Detail: fmt.Sprintf("%d jobs, 1 to %d may be submitted at once", len(all), maxBatch)}
+	if len(all) == 0 || len(all) > maxSubmitJobs {
+		return &Refusal{Code: CodeInvalid, Field: "jobs", Detail: fmt.Sprintf("%d jobs, 1 to %d may be submitted at once", len(all), maxSubmitJobs)}
 	}
 	teams := make(map[model.TeamName]bool)
 	if d := j.view.Load().Declaration; d != nil {
@@ -67,20 +70,22 @@
 		}
 	}
 	for i := range all {
-		if field, detail := fieldFault(&all[i], teams); field != "" {
+		if field, detail := invalidField(&all[i], teams); field != "" {
 			return &Refusal{Code: CodeInvalid, Field: fmt.Sprintf("jobs[%d].%s", i, field), Detail: detail}
 		}
 	}
 	return nil
 }
 
-func fieldFault(job *model.Job, teams map[model.TeamName]bool) (field, detail string) {
+// invalidField returns the first invalid field of the job and what is wrong with
+// it, or "" if the job is valid. An empty teams admits every team.
+func invalidField(job *model.Job, teams map[model.TeamName]bool) (field, detail string) {
 	names := []struct{ field, value string }{
 		{"team", string(job.Team)}, {"kind", job.Kind}, {"pool", string(job.Pool)}, {"zone", string(job.Zone)},
 	}
 	for _, n := range names {
-		if len(n.value) > maxName {
-			return n.field, fmt.Sprintf("longer than %d bytes", maxName)
+		if len(n.value) > maxNameBytes {
+			return n.field, fmt.Sprintf("longer than %d bytes", maxNameBytes)
 		}
 	}
 	switch d := job.Declared; {
@@ -98,7 +103,7 @@
 	return "", ""
 }
 
-func plain(s string) bool {
+func validChangeID(s string) bool {
 	if s == "" || len(s) > 64 {
 		return false
 	}
@@ -111,37 +116,39 @@
 	return true
 }
 
-// submits gathers the groups that callers submit at the same time into shared
-// transactions: whoever comes while one is under way goes with the next.
-type submits struct {
-	mu      sync.Mutex
-	waiting []*submission
-	busy    bool
+// submitBatcher combines groups that callers submit concurrently into shared
+// transactions: groups that arrive during a transaction are part of the next one.
+type submitBatcher struct {
+	mu       sync.Mutex
+	queue    []*submission
+	flushing bool
 }
 
+// submission is a new group that waits to be written.
 type submission struct {
 	key   string
 	group *group
-	value []byte
-	done  chan error
+	value []byte     // group, encoded
+	done  chan error // receives the result of the write
 }
 
 func newSubmission(key string, g *group) (*submission, error) {
 	value, err := json.Marshal(g)
 	if err != nil {
-		return nil, fault("encode jobs", g.Change, infra.Errorf("encode", infra.KindInvalid, "%w", err))
+		return nil, wrapError("encode jobs", g.Change, infra.Errorf("encode", infra.KindInvalid, "%w", err))
 	}
 	return &submission{key, g, value, make(chan error, 1)}, nil
 }
 
-// add writes the parts with whatever else waits, and returns the first error.
-func (s *submits) add(ctx context.Context, j *Jobs, parts []*submission) error {
+// add queues the parts for writing, waits for all of them, and returns the first
+// error. If ctx ends first it is not known whether the parts are written.
+func (s *submitBatcher) add(ctx context.Context, j *Jobs, parts []*submission) error {
 	s.mu.Lock()
-	s.waiting = append(s.waiting, parts...)
-	lead := !s.busy
-	s.busy = true
+	s.queue = append(s.queue, parts...)
+	startFlush := !s.flushing
+	s.flushing = true
 	s.mu.Unlock()
-	if lead {
+	if startFlush {
 		go s.flush(context.WithoutCancel(ctx), j)
 	}
 	for _, part := range parts {
@@ -151,14 +158,14 @@
 				return err
 			}
 		case <-ctx.Done():
-			return fault("submit", part.group.Change, infra.Errorf("submit", infra.KindUnknown, "%w", ctx.Err()))
+			return wrapError("submit", part.group.Change, infra.Errorf("submit", infra.KindUnknown, "%w", ctx.Err()))
 		}
 	}
 	return nil
 }
 
-// flush writes until nobody waits.
-func (s *submits) flush(ctx context.Context, j *Jobs) {
+// flush writes batches until the queue is empty.
+func (s *submitBatcher) flush(ctx context.Context, j *Jobs) {
 	for {
 		batch := s.take()
 		if len(batch) == 0 {
@@ -168,25 +175,28 @@
 	}
 }
 
-func (s *submits) take() []*submission {
+// take removes and returns as many groups from the queue as fit into a transaction.
+// If there are none, the next add starts a new flush.
+func (s *submitBatcher) take() []*submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, bytes := 0, 0
-	for n < len(s.waiting) && n < maxTxnGroups && (n == 0 || bytes+len(s.waiting[n].value) <= maxTxnBytes) {
-		bytes += len(s.waiting[n].value)
+	for n < len(s.queue) && n < maxTxnGroups && (n == 0 || bytes+len(s.queue[n].value) <= maxTxnBytes) {
+		bytes += len(s.queue[n].value)
 		n++
 	}
-	batch := s.waiting[:n:n]
-	s.waiting = s.waiting[n:]
-	s.busy = n > 0
+	batch := s.queue[:n:n]
+	s.queue = s.queue[n:]
+	s.flushing = n > 0
 	return batch
 }
 
-// submitTimeout bounds one write of submitted jobs with its repeats.
+// submitTimeout bounds one write of submitted jobs, repeats included.
 const submitTimeout = 5 * time.Second
 
-// create writes new groups in one transaction. Where one of them is there
-// already each is tried by itself, so that one repeat does not fail the rest.
+// create writes new groups in one transaction. If one of them exists already,
+// each is written in a transaction of its own, so that a repeated submit doesn't
+// fail the others.
 func (j *Jobs) create(ctx context.Context, batch []*submission) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -199,7 +209,7 @@
 	switch {
 	case err == nil:
 		for _, s := range batch {
-			j.mirror.put(s.key, stored{group: s.group, rev: res.Revision})
+			j.mirror.put(s.key, storedGroup{group: s.group, rev: res.Revision})
 			s.done <- nil
 		}
 	case infra.IsKind(err, infra.KindConflict) && len(batch) > 1:
@@ -207,27 +217,28 @@
 			j.create(ctx, []*submission{s})
 		}
 	case infra.IsKind(err, infra.KindConflict):
-		batch[0].done <- j.repeated(batch[0], res)
+		batch[0].done <- j.resolveRepeat(batch[0], res)
 	default:
 		for _, s := range batch {
-			s.done <- fault("submit", s.group.Change, err)
+			s.done <- wrapError("submit", s.group.Change, err)
 		}
 	}
 }
 
-// repeated accepts a group that is there already if it is of the same jobs.
-func (j *Jobs) repeated(s *submission, res infra.TxnResult) error {
+// resolveRepeat returns nil if the group that is already stored has the same jobs,
+// and a *Refusal with CodeConflict otherwise.
+func (j *Jobs) resolveRepeat(s *submission, res infra.TxnResult) error {
 	if len(res.Reads) == 0 {
-		return fault("submit", s.group.Change, infra.Errorf("submit", infra.KindUnknown, "not read back"))
+		return wrapError("submit", s.group.Change, infra.Errorf("submit", infra.KindUnknown, "not read back"))
 	}
-	there, err := decode(res.Reads[0])
+	existing, err := decode(res.Reads[0])
 	if err != nil {
 		return err
 	}
-	j.mirror.put(s.key, there)
-	same := len(there.Jobs) == len(s.group.Jobs)
-	for i := 0; same && i < len(there.Jobs); i++ {
-		a, b := there.Jobs[i].Job, s.group.Jobs[i].Job
+	j.mirror.put(s.key, existing)
+	same := len(existing.Jobs) == len(s.group.Jobs)
+	for i := 0; same && i < len(existing.Jobs); i++ {
+		a, b := existing.Jobs[i].Job, s.group.Jobs[i].Job
 		a.SubmittedAt = b.SubmittedAt
 		same = a == b
 	}
