--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -46,9 +46,9 @@
 	Dial DialFunc
 	// Store replaces the platform's store; nil means the one in the settings.
 	Store infra.Store
-	// FleetEvery is the interval between the reconciler's passes while there is
+	// FleetPassInterval is the interval between the reconciler's passes while there is
 	// work; 0 means its default.
-	FleetEvery time.Duration
+	FleetPassInterval time.Duration
 }
 
 // Daemon is the process of one entry VM, with its listeners and components.
@@ -234,7 +234,7 @@
 		Health:       d.prober.Health,
 		Log:          d.log.WithName("fleet"),
 		Self:         d.self.ID,
-		PassInterval: o.FleetEvery,
+		PassInterval: o.FleetPassInterval,
 	})
 	d.maintenance = &maintenance{fleet: d.fleet}
 	d.jobs = jobs.New(jobs.Options{
--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -180,7 +180,7 @@
 func (c *cluster) startEntry(ctx context.Context, n int, zone model.ZoneName, seeds []string) (*entryVM, error) {
 	s := c.settings(n, zone, seeds)
 	w := newWire(c.platform.Network.Dialer(string(zone)))
-	d, err := daemon.New(daemon.Options{Settings: s, Log: c.log.WithValues("entry", s.ID), Dial: w.dial, FleetEvery: fleetEvery})
+	d, err := daemon.New(daemon.Options{Settings: s, Log: c.log.WithValues("entry", s.ID), Dial: w.dial, FleetPassInterval: fleetEvery})
 	if err != nil {
 		return nil, err
 	}
