--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -19,24 +19,25 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// slow answers as the platform does, in milliseconds.
-type slow struct{ infra.Store }
+// slowStore delays each transaction by 2 ms, about as long as the platform's
+// store takes.
+type slowStore struct{ infra.Store }
 
 // Txn implements infra.Store.
-func (s slow) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
+func (s slowStore) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
 	time.Sleep(2 * time.Millisecond)
 	return s.Store.Txn(ctx, txn)
 }
 
-// BenchmarkClaims offers claims at a steady rate to one of eight entry VMs,
-// records each, and gives the platform's writes per claim (two without group
-// commit) and the latency of a claim.
+// BenchmarkClaims sends claims at a steady rate to one of eight entry VMs and
+// records each. It reports the transactions sent to the store per claim (two
+// without group commit) and the latency of a claim.
 func BenchmarkClaims(b *testing.B) {
 	for _, perSecond := range []int{1, 10, 50, 200, 1000} {
 		b.Run(fmt.Sprintf("claims/s=%d", perSecond), func(b *testing.B) {
-			way := faulty.Wrap(memstore.New(clockwork.NewRealClock()))
+			store := faulty.Wrap(memstore.New(clockwork.NewRealClock()))
 			l := NewLedger(Options{
-				Store: slow{way}, Self: view.EntryRecord{ID: "e0", Incarnation: 1}, Log: logr.Discard(),
+				Store: slowStore{store}, Self: view.EntryRecord{ID: "e0", Incarnation: 1}, Log: logr.Discard(),
 				Live: func() []model.EntryID { return make([]model.EntryID, 8) },
 			})
 			ctx, cancel := context.WithCancel(context.Background())
@@ -69,8 +70,8 @@
 			elapsed := time.Since(started).Seconds()
 			cancel()
 			run.Wait()
-			b.ReportMetric(float64(way.Calls().Writes)/float64(n), "writes/claim")
-			b.ReportMetric(float64(way.Calls().Writes)/elapsed, "writes/s")
+			b.ReportMetric(float64(store.Calls().Writes)/float64(n), "writes/claim")
+			b.ReportMetric(float64(store.Calls().Writes)/elapsed, "writes/s")
 			b.ReportMetric(float64(took.ValueAtQuantile(50))/1000, "p50-ms")
 			b.ReportMetric(float64(took.ValueAtQuantile(99))/1000, "p99-ms")
 		})
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,6 +1,6 @@
-// Package claim makes a request that is not repeatable run at most once: it is
-// claimed in the platform's store before it is sent to a target, and its
-// outcome is recorded after.
+// Package claim ensures that a request that is not repeatable runs at most
+// once: the request is claimed in the platform's store before it is sent to a
+// target, and its outcome is recorded afterwards.
 package claim
 
 import (
@@ -11,75 +11,78 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Key is the scope of an Idempotency-Key.
+// Key is an Idempotency-Key with its scope: one caller of one service.
 type Key struct {
 	Service model.ServiceName
 	Caller  string
 	Key     string
 }
 
-// Request asks for the right to run one request.
+// Request describes a request to be claimed before it is run.
 type Request struct {
 	Key      Key
-	Digest   [32]byte      // of method, path and body; another request under the same key is refused
-	Remember time.Duration // how long the outcome is kept
+	Digest   [32]byte      // of method, path, query and body; a different request under the same key is refused
+	Remember time.Duration // how long the claim and its outcome are kept
 }
 
-// State is what a claim came to.
+// State is the outcome of a call to Claim.
 type State int8
 
-// The outcomes of Claim.
+// The states that Claim returns.
 const (
-	// Won: this call, and no other ever, may send the request.
+	// Won means that this call, and no other, may send the request.
 	Won State = iota + 1
-	// Running: another call holds the claim and may still be running it.
+	// Running means that another call holds the claim and may still be running
+	// the request.
 	Running
-	// Recorded: the request ran; Answer holds its outcome.
+	// Recorded means that the request ran; Result.Answer holds its outcome.
 	Recorded
-	// Unknown: its holder died in between; whether it ran is not known.
+	// Unknown means that it is not known whether the request ran: the holder of
+	// its claim died before recording an outcome, or recorded an unknown one.
 	Unknown
-	// Mismatch: the key was used for another request.
+	// Mismatch means that the key was used for a request with another digest.
 	Mismatch
 )
 
-// Answer is a recorded outcome.
+// Answer is the recorded outcome of a request.
 type Answer struct {
-	Status int               // HTTP status; 0 where the outcome is unknown
-	Header map[string]string // of the answer, as far as kept
+	Status int               // HTTP status; 0 if the outcome is unknown
+	Header map[string]string // the headers of the answer that are kept
 	Body   []byte
-	Kept   bool // Body is the whole answer; false where it was too large to keep
+	Kept   bool // whether Body is the whole answer; false if it was too large to keep
 }
 
-// Result is what Claim returns.
+// Result is the result of a call to Claim.
 type Result struct {
 	State  State
-	Ticket Ticket // for Won: names the claim to Record
-	Answer Answer // for Recorded
+	Ticket Ticket // set if State is Won; identifies the claim to Record and Release
+	Answer Answer // set if State is Recorded
 }
 
-// Ticket names a claim that was won.
+// Ticket identifies a claim that was won.
 type Ticket struct {
 	StoreKey string
 	ID       string // unique to this claim
-	// SendBy is the last moment at which the request may be sent. A holder
-	// paused until after the claim is forgotten could otherwise send while a
-	// new claim of the key runs.
+	// SendBy is the deadline for sending the request. Without it, a holder that
+	// is paused until its claim has expired could send the request while the
+	// holder of a new claim of the key runs it.
 	SendBy time.Time
-	// Revision is the claim's in the store.
+	// Revision is the store revision at which the claim was written.
 	Revision infra.Revision
 }
 
-// MaySend reports whether the request may still be sent. Both clocks count: a
-// VM that was suspended wakes with its monotonic clock where it stood.
+// MaySend reports whether the request may still be sent at now. It compares
+// both the monotonic and the wall clock, because the monotonic clock stops
+// while a VM is suspended.
 func (t Ticket) MaySend(now time.Time) bool {
 	return now.Before(t.SendBy) && now.Round(0).Before(t.SendBy.Round(0))
 }
 
-// Error says why a claim was not decided.
+// Error reports that a claim was not decided, recorded or released.
 type Error struct {
-	// Certain is true where no claim of this call stands nor can come to
-	// stand: the request was not run and may be sent again. Where it is
-	// false a claim may stand that nobody acts on.
+	// Certain is true if no claim of this call exists or can still be written:
+	// the request was not run and may be sent again. If it is false, a claim
+	// may exist that no call acts on.
 	Certain bool
 	Err     error
 }
@@ -87,17 +90,19 @@
 // Error implements error.
 func (e *Error) Error() string { return "claim: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Claims decides who may run a request. Implementations are safe for
-// concurrent use; errors are *Error.
+// Claims decides which of several calls with the same key may run a request.
+// Implementations are safe for concurrent use; their errors are of type *Error.
 type Claims interface {
+	// Claim claims the key of req, or returns the state of the claim that
+	// exists already.
 	Claim(ctx context.Context, req Request) (Result, error)
-	// Record keeps the outcome of a claim that was won. An Answer with
+	// Record stores the outcome of a claim that was won. An Answer with
 	// Status 0 records that the outcome is unknown.
 	Record(ctx context.Context, t Ticket, a Answer) error
-	// Release takes back a claim whose request was certainly not sent, so
-	// that the caller may try again under the same key.
+	// Release gives up a claim whose request was certainly not sent, so that
+	// the caller may retry under the same key.
 	Release(ctx context.Context, t Ticket) error
 }
--- a/internal/claim/group.go
+++ b/internal/claim/group.go
@@ -13,85 +13,92 @@
 )
 
 const (
-	// WritesPerSecond is what the claims of all entry VMs together may cost
-	// the platform, which takes several hundred writes a second for
-	// everything. Each entry VM takes an equal part.
+	// WritesPerSecond limits the transactions that the claims of all entry VMs
+	// together may send to the platform's store, which accepts several hundred
+	// writes per second in total. Each entry VM gets an equal share.
 	WritesPerSecond = 160
-	// writeBurst lets an idle entry VM claim and record at once.
+	// writeBurst is the burst size of the rate limiter, in transactions; it
+	// lets an idle entry VM claim and record without delay.
 	writeBurst = 4
-	// groupOps is the most writes in one transaction; the service takes 128
-	// operations.
-	groupOps = 100
-	// groupBytes keeps a transaction below the service's 1 MB for a value,
-	// which is also about what it takes as a request.
-	groupBytes = 512 << 10
-	// groupsInFlight lets the next group go while a slow one is answered.
-	groupsInFlight = 4
-	// groupTries bounds how often one group is sent. Each try that is
-	// answered settles at least one of its writes; each that is not may have
-	// been lost.
-	groupTries = 6
-	// lostPause is the wait before a transaction without reply is repeated.
-	lostPause = 20 * time.Millisecond
-	// callTimeout bounds one transaction; the service answers in milliseconds.
-	callTimeout = time.Second
+	// maxGroupWrites is the maximum number of writes in one transaction; the
+	// store accepts 128 operations.
+	maxGroupWrites = 100
+	// maxGroupBytes is the maximum size of the values in one transaction. It
+	// stays below the store's limit of 1 MB for a value, which is also about
+	// the limit for a request.
+	maxGroupBytes = 512 << 10
+	// maxGroupsInFlight is the maximum number of concurrent transactions, so
+	// that a slow one does not hold up the next group.
+	maxGroupsInFlight = 4
+	// maxGroupAttempts is the maximum number of times one group is sent. An
+	// attempt that is answered decides at least one of the group's writes; one
+	// that is not answered may have been lost.
+	maxGroupAttempts = 6
+	// retryDelay is the wait before a transaction is repeated whose reply was
+	// lost or that was rate-limited, and the interval at which drain polls.
+	retryDelay = 20 * time.Millisecond
+	// txnTimeout bounds one transaction; the store answers in milliseconds.
+	txnTimeout = time.Second
 )
 
 var errNotSent = infra.Errorf("txn", infra.KindUnavailable, "closing")
 
-// write is one compare-and-swap of a key. A nil value deletes.
+// write is a compare-and-swap of one key. A nil value deletes the key.
 type write struct {
-	key   string
-	mod   infra.Revision
-	value []byte
+	key         string
+	expectedRev infra.Revision
+	value       []byte
 }
 
-// outcome is what became of a write. With an error of kind unknown it may
-// have taken effect or still will; with any other it has not and will not.
+// outcome is the result of a write. After an error of kind unknown the write
+// may have taken effect or may still do so; after any other error it has not
+// and will not.
 type outcome struct {
 	applied bool
-	rev     infra.Revision // of the key, where applied
-	current infra.KV       // where another write was first
+	rev     infra.Revision // the key's new revision, if applied
+	current infra.KV       // the key's present value, if the comparison failed
 	err     error
 }
 
-// pending is a write on its way through the committer.
+// pending is a write submitted to the committer. Its outcome is sent on done.
 type pending struct {
 	write
 	done chan outcome
 }
 
-// committer carries many writes in one transaction. Without it each claim and
-// each record would be a call, and a few hundred requests a second would use
-// up all the writes the service has. It sends the first write at once; while
-// it waits for its turn again, the next group fills.
+// committer combines many writes in one transaction (group commit). Otherwise
+// each claim and each record would be a call of its own, and a few hundred
+// requests per second would use up the store's whole write rate. The first
+// write is sent immediately; later ones queue up as the next group while the
+// committer waits for the rate limiter or a free slot.
 type committer struct {
-	store   infra.Store
-	sharers func() int // entry VMs that share WritesPerSecond
-	pace    *rate.Limiter
-	slots   chan struct{}
-	wake    chan struct{}
-	tasks   sync.WaitGroup
+	store      infra.Store
+	entryCount func() int // number of entry VMs that share WritesPerSecond
+	limiter    *rate.Limiter
+	slots      chan struct{}
+	wake       chan struct{}
+	tasks      sync.WaitGroup
 
-	mu     sync.Mutex
-	queue  []*pending
-	flying map[string]bool // keys of writes in flight
-	closed bool
-	calls  uint64
-	writes uint64
+	mu           sync.Mutex
+	queue        []*pending
+	inFlight     map[string]bool // keys of writes in flight
+	closed       bool
+	transactions uint64
+	writes       uint64
 }
 
-func newCommitter(store infra.Store, sharers func() int) *committer {
+func newCommitter(store infra.Store, entryCount func() int) *committer {
 	return &committer{
-		store: store, sharers: sharers,
-		pace:   rate.NewLimiter(WritesPerSecond, writeBurst),
-		slots:  make(chan struct{}, groupsInFlight),
-		wake:   make(chan struct{}, 1),
-		flying: make(map[string]bool),
+		store: store, entryCount: entryCount,
+		limiter:  rate.NewLimiter(WritesPerSecond, writeBurst),
+		slots:    make(chan struct{}, maxGroupsInFlight),
+		wake:     make(chan struct{}, 1),
+		inFlight: make(map[string]bool),
 	}
 }
 
-// submit queues a write; its outcome comes by the returned value's channel.
+// submit queues a write; its outcome is sent on the done channel of the
+// returned value.
 func (c *committer) submit(w write) *pending {
 	p := &pending{write: w, done: make(chan outcome, 1)}
 	c.mu.Lock()
@@ -101,12 +108,12 @@
 		return p
 	}
 	c.queue = append(c.queue, p)
-	c.poke()
+	c.signal()
 	return p
 }
 
-// withdraw takes a write back that was not sent yet, and reports whether it
-// could.
+// withdraw removes a write from the queue and reports whether it did; a write
+// that is already being sent cannot be withdrawn.
 func (c *committer) withdraw(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,17 +126,17 @@
 	return false
 }
 
-func (c *committer) poke() {
+func (c *committer) signal() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run sends groups until ctx ends; writes still queued then fail unsent. A
-// write in flight is waited for.
+// run sends groups until ctx ends. It then waits for the writes in flight and
+// fails those still queued with errNotSent.
 func (c *committer) run(ctx context.Context) {
-	for c.awaitTurn(ctx) {
+	for c.awaitSendSlot(ctx) {
 		group := c.nextGroup()
 		if len(group) == 0 {
 			<-c.slots
@@ -137,7 +144,7 @@
 		}
 		c.tasks.Go(func() {
 			c.commit(ctx, group)
-			c.land(group)
+			c.releaseKeys(group)
 			<-c.slots
 		})
 	}
@@ -145,16 +152,16 @@
 	c.close()
 }
 
-// awaitTurn waits for a write, for the pace and for a free slot, and reports
-// whether to go on.
-func (c *committer) awaitTurn(ctx context.Context) bool {
+// awaitSendSlot waits for a queued write, the rate limiter and a free slot. It
+// returns false once ctx has ended.
+func (c *committer) awaitSendSlot(ctx context.Context) bool {
 	select {
 	case <-c.wake:
 	case <-ctx.Done():
 		return false
 	}
-	c.pace.SetLimit(rate.Limit(WritesPerSecond) / rate.Limit(max(1, c.sharers())))
-	if c.pace.Wait(ctx) != nil {
+	c.limiter.SetLimit(rate.Limit(WritesPerSecond) / rate.Limit(max(1, c.entryCount())))
+	if c.limiter.Wait(ctx) != nil {
 		return false
 	}
 	select {
@@ -165,39 +172,40 @@
 	}
 }
 
-// nextGroup takes writes of distinct keys from the queue. A second write of a
-// key waits until the first has landed.
+// nextGroup takes writes to distinct keys from the queue. A second write to a
+// key stays queued until the first is no longer in flight.
 func (c *committer) nextGroup() []*pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var group, rest []*pending
 	size := 0
 	for _, p := range c.queue {
-		full := len(group) > 0 && (len(group) >= groupOps || size+len(p.value) > groupBytes)
-		if full || c.flying[p.key] {
+		full := len(group) > 0 && (len(group) >= maxGroupWrites || size+len(p.value) > maxGroupBytes)
+		if full || c.inFlight[p.key] {
 			rest = append(rest, p)
 			continue
 		}
-		c.flying[p.key] = true
+		c.inFlight[p.key] = true
 		size += len(p.value)
 		group = append(group, p)
 	}
 	c.queue = rest
 	if len(group) > 0 && len(rest) > 0 {
-		c.poke()
+		c.signal()
 	}
 	return group
 }
 
-// land frees the group's keys for the writes that waited for them.
-func (c *committer) land(group []*pending) {
+// releaseKeys marks the group's keys as no longer in flight, so that queued
+// writes to them can be sent.
+func (c *committer) releaseKeys(group []*pending) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range group {
-		delete(c.flying, p.key)
+		delete(c.inFlight, p.key)
 	}
 	if len(c.queue) > 0 {
-		c.poke()
+		c.signal()
 	}
 }
 
@@ -211,67 +219,68 @@
 	c.queue = nil
 }
 
-// commit settles every write of the group. A transaction is all or nothing:
-// where one write's condition fails, the values read back tell which one it
-// was, and the others go again without it.
+// commit sends the group and delivers an outcome to every write in it. A
+// transaction is all or nothing: if a write's condition fails, the values read
+// back show which one it was, and the others are sent again without it.
 func (c *committer) commit(ctx context.Context, group []*pending) {
-	var lost, last error
-	for range groupTries {
+	var lostReply, lastErr error
+	for range maxGroupAttempts {
 		res, err := c.send(ctx, group)
-		last = err
+		lastErr = err
 		switch {
 		case err == nil && res.Succeeded:
-			settleAll(group, outcome{applied: true, rev: res.Revision})
+			completeAll(group, outcome{applied: true, rev: res.Revision})
 			return
 		case err == nil:
-			if group = settleRead(group, res.Reads); len(group) == 0 {
+			if group = completeFromReads(group, res.Reads); len(group) == 0 {
 				return
 			}
-			// A lost copy of the earlier, larger group is dead: one of its
-			// conditions is now known to fail for good.
-			lost = nil
+			// A delayed copy of the earlier, larger group can no longer take
+			// effect: one of its conditions is now known to fail permanently.
+			lostReply = nil
 		case infra.IsKind(err, infra.KindUnknown):
-			lost = err
-			sleep.For(ctx, lostPause)
-		case lost != nil || infra.IsKind(err, infra.KindRateLimited):
-			sleep.For(ctx, lostPause)
-		case isPoisoned(err) && len(group) > 1:
-			c.commitHalves(ctx, group)
+			lostReply = err
+			sleep.For(ctx, retryDelay)
+		case lostReply != nil || infra.IsKind(err, infra.KindRateLimited):
+			sleep.For(ctx, retryDelay)
+		case mayBeOneWrite(err) && len(group) > 1:
+			c.commitInHalves(ctx, group)
 			return
 		default:
-			settleAll(group, outcome{err: err})
+			completeAll(group, outcome{err: err})
 			return
 		}
 	}
-	if lost == nil {
-		settleAll(group, outcome{err: infra.Errorf("txn", infra.KindUnavailable, "not written after %d tries: %v", groupTries, last)})
+	if lostReply == nil {
+		completeAll(group, outcome{err: infra.Errorf("txn", infra.KindUnavailable, "not written after %d attempts: %v", maxGroupAttempts, lastErr)})
 		return
 	}
-	settleAll(group, outcome{err: infra.Errorf("txn", infra.KindUnknown, "%w", lost)})
+	completeAll(group, outcome{err: infra.Errorf("txn", infra.KindUnknown, "%w", lostReply)})
 }
 
-// isPoisoned reports whether one write alone may be why the service refuses
-// the whole transaction.
-func isPoisoned(err error) bool {
+// mayBeOneWrite reports whether err may be due to a single write, so that the
+// store would accept the rest of the transaction without it.
+func mayBeOneWrite(err error) bool {
 	return infra.IsKind(err, infra.KindTooLarge) || infra.IsKind(err, infra.KindInvalid)
 }
 
-// commitHalves finds a refused write in a few calls: the halves without it go
-// through.
-func (c *committer) commitHalves(ctx context.Context, group []*pending) {
+// commitInHalves commits the two halves of the group separately. Applied
+// recursively, it isolates a rejected write in a few calls, and the others are
+// written.
+func (c *committer) commitInHalves(ctx context.Context, group []*pending) {
 	half := len(group) / 2
 	c.commit(ctx, group[:half])
 	c.commit(ctx, group[half:])
 }
 
 func (c *committer) send(ctx context.Context, group []*pending) (infra.TxnResult, error) {
-	// The group outlives any one caller and the daemon's stop: a reply not
-	// waited for is a claim not known.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	// The call must not be canceled with a caller or when the daemon stops:
+	// without the reply it is not known whether the claims were written.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), txnTimeout)
 	defer cancel()
 	var txn infra.Txn
 	for _, p := range group {
-		txn.If = append(txn.If, infra.Cond{Key: p.key, ModRevision: p.mod})
+		txn.If = append(txn.If, infra.Cond{Key: p.key, ModRevision: p.expectedRev})
 		txn.Else = append(txn.Else, infra.Read(p.key))
 		if p.value == nil {
 			txn.Then = append(txn.Then, infra.Delete(p.key))
@@ -280,16 +289,16 @@
 		}
 	}
 	c.mu.Lock()
-	c.calls++
+	c.transactions++
 	c.writes += uint64(len(group))
 	c.mu.Unlock()
 	return c.store.Txn(ctx, txn)
 }
 
-// settleRead settles the writes whose conditions failed and returns the
-// others. A value equal to the write's own is its own: every value bears an
-// ID of its own.
-func settleRead(group []*pending, reads []infra.KV) []*pending {
+// completeFromReads delivers outcomes to the writes whose conditions failed and
+// returns the others. A stored value equal to a write's value was written by an
+// earlier copy of that write, since every value contains a unique ID.
+func completeFromReads(group []*pending, reads []infra.KV) []*pending {
 	var again []*pending
 	for i, p := range group {
 		kv := reads[i]
@@ -298,7 +307,7 @@
 			p.done <- outcome{applied: true, rev: kv.ModRevision}
 		case p.value == nil && kv.ModRevision == 0:
 			p.done <- outcome{applied: true}
-		case kv.ModRevision != p.mod:
+		case kv.ModRevision != p.expectedRev:
 			p.done <- outcome{current: kv}
 		default:
 			again = append(again, p)
@@ -307,7 +316,7 @@
 	return again
 }
 
-func settleAll(group []*pending, o outcome) {
+func completeAll(group []*pending, o outcome) {
 	for _, p := range group {
 		p.done <- o
 	}
--- a/internal/claim/holder.go
+++ b/internal/claim/holder.go
@@ -11,42 +11,44 @@
 )
 
 const (
-	// sightingFor is how long one look at a registration serves. A caller
-	// that repeats one key in a loop would otherwise cost a read each time;
-	// that a holder is told as running for this much longer does no harm.
-	sightingFor = 250 * time.Millisecond
-	// maxSightings bounds what is kept; entry VMs are some dozens.
-	maxSightings = 1024
+	// registrationTTL is how long a registration read from the store is cached.
+	// Otherwise a caller that repeats one key in a loop would cost a read each
+	// time. Reporting a dead holder as running for this much longer is harmless.
+	registrationTTL = 250 * time.Millisecond
+	// maxCachedRegistrations bounds the cache; there are some dozens of entry
+	// VMs.
+	maxCachedRegistrations = 1024
 )
 
-// sighting is what the store said of an entry VM's registration.
-type sighting struct {
+// registration is an entry VM's registration as read from the store at readAt.
+type registration struct {
 	registered  bool
 	incarnation uint64
-	at          time.Time
+	readAt      time.Time
 }
 
-// holderLives reports whether the run of the daemon that holds the claim is
-// registered. Where the store does not say, it counts as alive: the caller is
-// then told to ask again, which is right either way.
-func (l *Ledger) holderLives(ctx context.Context, found record) bool {
+// holderMayBeAlive reports whether the incarnation of the daemon that holds the
+// claim is registered. If the store cannot be read, it returns true: the caller
+// is then told to ask again, which is correct in either case.
+func (l *Ledger) holderMayBeAlive(ctx context.Context, found record) bool {
 	self := l.opts.Self
 	if found.Entry == self.ID && found.Incarnation == self.Incarnation {
 		return true
 	}
-	s, err := l.look(ctx, found.Entry)
+	s, err := l.lookupRegistration(ctx, found.Entry)
 	return err != nil || s.registered && s.incarnation == found.Incarnation
 }
 
-// look returns the registration of an entry VM, at most sightingFor old.
-func (l *Ledger) look(ctx context.Context, id model.EntryID) (sighting, error) {
+// lookupRegistration returns the registration of an entry VM, at most
+// registrationTTL old.
+func (l *Ledger) lookupRegistration(ctx context.Context, id model.EntryID) (registration, error) {
 	l.mu.Lock()
-	s, ok := l.seen[id]
+	s, ok := l.registrations[id]
 	l.mu.Unlock()
-	if ok && time.Since(s.at) < sightingFor {
+	if ok && time.Since(s.readAt) < registrationTTL {
 		return s, nil
 	}
-	s = sighting{at: time.Now()}
+	s = registration{readAt: time.Now()}
 	kv, _, err := l.opts.Store.Get(ctx, infra.EntryKey(id))
 	if err != nil {
 		return s, err
@@ -57,9 +59,9 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.seen) >= maxSightings {
-		clear(l.seen)
+	if len(l.registrations) >= maxCachedRegistrations {
+		clear(l.registrations)
 	}
-	l.seen[id] = s
+	l.registrations[id] = s
 	return s, nil
 }
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -18,63 +18,66 @@
 )
 
 const (
-	// maxSendWindow bounds Ticket.SendBy: no caller waits that long.
+	// maxSendWindow limits how long after the claim the request may be sent; no
+	// caller waits that long.
 	maxSendWindow = 30 * time.Minute
-	// defaultMaxAnswer is the largest answer kept; larger ones are recorded
-	// without their body.
+	// defaultMaxAnswer is the default of Options.MaxAnswer, in bytes; larger
+	// answers are recorded without their body.
 	defaultMaxAnswer = 64 << 10
-	// releasedFor is how long a released key keeps its value, which must
-	// outlast every delayed copy of a claim.
-	releasedFor = time.Hour
+	// releasedRetention is how long the value of a released key is kept. It must
+	// exceed the delay of any copy of a claim that is still in transit.
+	releasedRetention = time.Hour
 	// fenceRetryMin and fenceRetryMax bound the wait between attempts to
 	// settle a claim in the background.
 	fenceRetryMin = 100 * time.Millisecond
 	fenceRetryMax = 5 * time.Second
-	// drainFor is how long a stopping daemon goes on recording; two calls and
-	// their retries.
-	drainFor = 3 * time.Second
-	// maxSettling bounds how many claims are settled in the background; a
-	// few minutes of claims whose replies are lost.
+	// drainTimeout is how long a stopping daemon continues to record outcomes:
+	// enough for two calls and their retries.
+	drainTimeout = 3 * time.Second
+	// maxSettling bounds the claims that are settled in the background: those of
+	// a few minutes during which every reply is lost.
 	maxSettling = 4096
 )
 
 var (
-	errAbandoned = errors.New("claim: the caller stopped waiting")
-	errBusy      = errors.New("claim: too many claims wait for the platform")
-	errNotHeld   = errors.New("claim: not held, or already recorded or released")
-	errReplaced  = errors.New("claim: another value stands in its place")
-	errRestored  = errors.New("claim: the store was restored to an older state and may have forgotten claims")
-	errClosing   = errors.New("claim: closing")
+	errAbandoned = errors.New("caller stopped waiting before the claim was decided")
+	errBusy      = errors.New("too many claims are being settled in the background")
+	errNotHeld   = errors.New("claim is not held, or already recorded or released")
+	errReplaced  = errors.New("claim's key holds another value")
+	errRestored  = errors.New("store was restored to an older state and may have lost claims")
+	errClosing   = errors.New("ledger is closing")
 )
 
-// Options are what a Ledger needs. Store and Self must be set.
+// Options configures a Ledger. Store and Self are required.
 type Options struct {
 	Store infra.Store
 	Self  view.EntryRecord // as registered in the store, with its incarnation
-	// Live returns the IDs of the live entry VMs, this one included; nil
-	// for this one alone.
+	// Live returns the IDs of the live entry VMs, including this one. If nil,
+	// this entry VM is the only one.
 	Live func() []model.EntryID
-	// Accepted returns the highest revision of the store known here; nil for
-	// none. A store that answers with a lower one has been restored.
+	// Accepted returns the highest store revision known to this entry VM. A store
+	// that answers with a lower one was restored from a backup. If nil, this is
+	// not checked.
 	Accepted func() infra.Revision
-	// Clocks returns the earliest and the latest wall clock of the live entry
-	// VMs; nil for the own one alone.
+	// Clocks returns the earliest and the latest wall-clock time among the live
+	// entry VMs. If nil, only the local clock is used.
 	Clocks func() (earliest, latest time.Time)
-	// MaxAnswer is the largest body kept, in bytes; 0 for 64 KiB.
+	// MaxAnswer is the maximum size of a recorded body, in bytes; 0 means 64 KiB.
 	MaxAnswer int
 	Log       logr.Logger
 }
 
-// Ledger keeps claims in the platform's store. It is safe for concurrent use.
+// Ledger implements Claims with records in the platform's store. It is safe for
+// concurrent use.
 type Ledger struct {
-	opts    Options
-	commits *committer
-	settles chan struct{} // a slot per claim settled in the background
+	opts        Options
+	commits     *committer
+	settleSlots chan struct{} // one element per claim being settled in the background
 
-	mu   sync.Mutex
-	held map[string]record // claims won here and not yet recorded, by ID
-	seen map[model.EntryID]sighting
-	// closed: Run waits for its last tasks and takes no more.
+	mu            sync.Mutex
+	held          map[string]record // claims won and neither recorded nor released yet, by ID
+	registrations map[model.EntryID]registration
+	// closed is set when Run waits for its last tasks; no more may be started.
 	closed bool
 
 	tasks  sync.WaitGroup
@@ -84,7 +87,7 @@
 
 var _ Claims = (*Ledger)(nil)
 
-// NewLedger returns a Ledger; claims wait until Run.
+// NewLedger returns a Ledger. Claims wait until Run is called.
 func NewLedger(opts Options) *Ledger {
 	if opts.Live == nil {
 		self := []model.EntryID{opts.Self.ID}
@@ -94,26 +97,27 @@
 		opts.Accepted = func() infra.Revision { return 0 }
 	}
 	if opts.Clocks == nil {
-		opts.Clocks = ownClock
+		opts.Clocks = localClock
 	}
 	if opts.MaxAnswer == 0 {
 		opts.MaxAnswer = defaultMaxAnswer
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Ledger{
-		opts:    opts,
-		commits: newCommitter(opts.Store, func() int { return len(opts.Live()) }),
-		settles: make(chan struct{}, maxSettling),
-		held:    make(map[string]record),
-		seen:    make(map[model.EntryID]sighting),
-		ctx:     ctx,
-		cancel:  cancel,
+		opts:          opts,
+		commits:       newCommitter(opts.Store, func() int { return len(opts.Live()) }),
+		settleSlots:   make(chan struct{}, maxSettling),
+		held:          make(map[string]record),
+		registrations: make(map[model.EntryID]registration),
+		ctx:           ctx,
+		cancel:        cancel,
 	}
 }
 
-// Run commits and sweeps until ctx ends, and then for as long as recording
-// what has run takes, but no longer than drainFor. Stop taking requests in
-// before.
+// Run commits writes and sweeps expired claims until ctx ends. It then waits up
+// to drainTimeout for claims being settled, so that the outcomes of requests
+// that ran are recorded. The daemon must stop accepting requests before ctx
+// ends.
 func (l *Ledger) Run(ctx context.Context) {
 	l.tasks.Go(func() { l.sweepLoop(ctx) })
 	l.tasks.Go(func() { l.commits.run(l.ctx) })
@@ -130,31 +134,32 @@
 	l.closed = true
 }
 
-// drain waits until no claim is being settled. What is not recorded when a
-// daemon stops is unknown for ever.
+// drain waits until no claim is being settled, but no longer than drainTimeout.
+// An outcome that is not recorded when the daemon stops remains unknown.
 func (l *Ledger) drain() {
-	for until := time.Now().Add(drainFor); len(l.settles) > 0 && time.Now().Before(until); {
-		sleep.For(l.ctx, lostPause)
+	for until := time.Now().Add(drainTimeout); len(l.settleSlots) > 0 && time.Now().Before(until); {
+		sleep.For(l.ctx, retryDelay)
 	}
 }
 
-// Claim implements Claims. It ends with ctx.
+// Claim implements Claims. It returns when ctx ends, at the latest; a claim that
+// is undecided by then is settled in the background.
 func (l *Ledger) Claim(ctx context.Context, req Request) (Result, error) {
 	if err := ctx.Err(); err != nil {
 		return Result{}, &Error{Certain: true, Err: trace.Wrap(err)}
 	}
 	now := time.Now()
 	accepted := l.opts.Accepted()
-	r := l.newRecord(req, l.latest())
+	r := l.newRecord(req, l.latestClock())
 	key := storeKey(req.Key)
-	var over infra.Revision // of the released claim this one replaces
+	var replaced infra.Revision // revision of the released claim that is replaced; 0 if none
 	for {
-		o, err := l.put(ctx, key, over, r)
+		o, err := l.submitClaim(ctx, key, replaced, r)
 		if err != nil {
 			return Result{}, err
 		}
 		if o.applied {
-			l.hold(r)
+			l.addHeld(r)
 			if o.rev < accepted {
 				return Result{}, l.refuseRestored(ctx, Ticket{StoreKey: key, ID: r.ID, Revision: o.rev})
 			}
@@ -166,17 +171,17 @@
 			return Result{}, &Error{Err: trace.Wrap(err, "claim %s", key)}
 		}
 		if found.Stage != stageReleased {
-			return l.judge(ctx, r, found), nil
+			return l.resultForExisting(ctx, r, found), nil
 		}
-		over = o.current.ModRevision
+		replaced = o.current.ModRevision
 	}
 }
 
-// refuseRestored takes back a claim won in a store that was restored to an
-// older state. An earlier claim of the key may be among what the store forgot,
-// and callers repeat within minutes: until the store has passed what was
-// accepted, which takes about as long as it lost, nothing that must not run
-// twice runs.
+// refuseRestored releases a claim that was won in a store restored to an older
+// state. The store may have lost an earlier claim of the key, and callers retry
+// within minutes. So no request that must not run twice is run until the store's
+// revision exceeds the highest one known, which takes about as long as the
+// period whose changes were lost.
 func (l *Ledger) refuseRestored(ctx context.Context, t Ticket) error {
 	err := l.Release(ctx, t)
 	return &Error{Certain: err == nil, Err: errRestored}
@@ -198,18 +203,19 @@
 	return hex.EncodeToString(b[:])
 }
 
-// put writes a claim and waits for its outcome. Its errors are *Error.
-func (l *Ledger) put(ctx context.Context, key string, over infra.Revision, r record) (outcome, error) {
+// submitClaim writes a claim over the given revision and waits for the outcome.
+// Its errors are of type *Error.
+func (l *Ledger) submitClaim(ctx context.Context, key string, replaced infra.Revision, r record) (outcome, error) {
 	value, err := r.encode()
 	if err != nil {
 		return outcome{}, &Error{Certain: true, Err: trace.Wrap(err)}
 	}
-	if len(l.settles) >= maxSettling {
-		// Each of these may still come to hold its key, and is remembered
-		// until that is settled.
+	if len(l.settleSlots) >= maxSettling {
+		// Each claim being settled may still take effect and is kept in memory
+		// until it is settled, so their number must be bounded.
 		return outcome{}, &Error{Certain: true, Err: errBusy}
 	}
-	p := l.commits.submit(write{key: key, mod: over, value: value})
+	p := l.commits.submit(write{key: key, expectedRev: replaced, value: value})
 	select {
 	case o := <-p.done:
 		if infra.IsKind(o.err, infra.KindUnknown) {
@@ -224,12 +230,13 @@
 	if l.commits.withdraw(p) {
 		return outcome{}, &Error{Certain: true, Err: trace.Wrap(ctx.Err())}
 	}
-	l.settleLater(func() error { return l.abandon(p, r) })
+	l.settleInBackground(func() error { return l.settleAbandoned(p, r) })
 	return outcome{}, &Error{Err: trace.Wrap(errAbandoned, "%v", ctx.Err())}
 }
 
-// judge says what another call's claim of the key means to this one.
-func (l *Ledger) judge(ctx context.Context, mine, found record) Result {
+// resultForExisting returns the result of a claim whose key is already claimed
+// or recorded by another call, as found.
+func (l *Ledger) resultForExisting(ctx context.Context, mine, found record) Result {
 	switch {
 	case found.Digest != mine.Digest:
 		return Result{State: Mismatch}
@@ -237,75 +244,78 @@
 		return Result{State: Recorded, Answer: *found.Answer}
 	case found.Stage == stageRecorded:
 		return Result{State: Unknown}
-	case l.holderLives(ctx, found):
+	case l.holderMayBeAlive(ctx, found):
 		return Result{State: Running}
 	}
 	return Result{State: Unknown}
 }
 
-// Record implements Claims. Where it returns an error the outcome goes on
-// being written in the background.
+// Record implements Claims. If ctx ends first, the outcome is still written in
+// the background.
 func (l *Ledger) Record(ctx context.Context, t Ticket, a Answer) error {
 	if len(a.Body) > l.opts.MaxAnswer {
 		a.Body, a.Kept = nil, false
 	}
-	return l.rewrite(ctx, t, func(r *record) {
+	return l.finishHeld(ctx, t, func(r *record) {
 		r.Stage = stageRecorded
 		r.Answer = &a
 	})
 }
 
-// Release implements Claims. Where it returns an error the claim goes on
-// being released in the background.
+// Release implements Claims. If ctx ends first, the claim is still released in
+// the background.
 func (l *Ledger) Release(ctx context.Context, t Ticket) error {
-	return l.rewrite(ctx, t, l.released)
+	return l.finishHeld(ctx, t, l.markReleased)
 }
 
-func (l *Ledger) released(r *record) {
+func (l *Ledger) markReleased(r *record) {
 	r.Stage = stageReleased
 	r.Answer = nil
-	r.Expires = l.latest().Add(releasedFor).UTC()
+	r.Expires = l.latestClock().Add(releasedRetention).UTC()
 }
 
-func ownClock() (earliest, latest time.Time) {
+func localClock() (earliest, latest time.Time) {
 	now := time.Now()
 	return now, now
 }
 
-// latest is the clock that claims begin by.
-func (l *Ledger) latest() time.Time {
+// latestClock returns the latest wall-clock time among the live entry VMs. New
+// records get their expiry from it, so that no clock difference shortens it.
+func (l *Ledger) latestClock() time.Time {
 	_, t := l.opts.Clocks()
 	return t
 }
 
-// earliest is the clock that claims are forgotten by.
-func (l *Ledger) earliest() time.Time {
+// earliestClock returns the earliest wall-clock time among the live entry VMs.
+// Expiry is checked against it, so that no claim is deleted too early.
+func (l *Ledger) earliestClock() time.Time {
 	t, _ := l.opts.Clocks()
 	return t
 }
 
-// Stats counts what the ledger cost the platform.
+// Stats counts the load that the ledger puts on the platform's store.
 type Stats struct {
-	Transactions uint64 // sent, also repeated ones
-	Writes       uint64 // carried by them: claims, records, releases, deletions
-	Settling     int    // claims being settled in the background now
+	Transactions uint64 // transactions sent, including retries
+	Writes       uint64 // writes in them: claims, records, releases, deletions
+	Settling     int    // claims currently being settled in the background
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (l *Ledger) Stats() Stats {
 	l.commits.mu.Lock()
 	defer l.commits.mu.Unlock()
-	return Stats{Transactions: l.commits.calls, Writes: l.commits.writes, Settling: len(l.settles)}
+	return Stats{Transactions: l.commits.transactions, Writes: l.commits.writes, Settling: len(l.settleSlots)}
 }
 
-func (l *Ledger) hold(r record) {
+func (l *Ledger) addHeld(r record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.held[r.ID] = r
 }
 
-// letGo takes a held claim out, so that it is recorded or released once.
-func (l *Ledger) letGo(id string) (record, bool) {
+// removeHeld removes a held claim and returns it, so that it is recorded or
+// released only once.
+func (l *Ledger) removeHeld(id string) (record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.held[id]
--- a/internal/claim/ledger_test.go
+++ b/internal/claim/ledger_test.go
@@ -17,36 +17,37 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// bench is a store with some entry VMs' ledgers, each with its own way to it.
-type bench struct {
+// testCluster is a store shared by the ledgers of several entry VMs.
+type testCluster struct {
 	t     *testing.T
 	store *memstore.Store
-	live  func() []model.EntryID // nil: each ledger is alone
+	live  func() []model.EntryID // nil if each ledger is the only one
 
-	clocks func() (earliest, latest time.Time) // nil: all clocks agree
+	clocks func() (earliest, latest time.Time) // nil if all clocks agree
 }
 
-func newBench(t *testing.T) *bench {
-	return &bench{t: t, store: memstore.New(clockwork.NewRealClock())}
+func newTestCluster(t *testing.T) *testCluster {
+	return &testCluster{t: t, store: memstore.New(clockwork.NewRealClock())}
 }
 
-// node is one entry VM: a ledger and the switches of its way to the store.
+// node is one entry VM: its ledger and, in faults, the store wrapper that injects
+// faults into its calls.
 type node struct {
 	*Ledger
-	way  *faulty.Store
-	stop func()
+	faults *faulty.Store
+	stop   func()
 }
 
-func (b *bench) start(id model.EntryID, incarnation uint64) *node {
-	way := faulty.Wrap(b.store)
-	n := b.startOn(way, string(id), incarnation)
-	n.way = way
+func (b *testCluster) start(id model.EntryID, incarnation uint64) *node {
+	store := faulty.Wrap(b.store)
+	n := b.startOn(store, string(id), incarnation)
+	n.faults = store
 	return n
 }
 
-func (b *bench) startOn(way infra.Store, id string, incarnation uint64) *node {
+func (b *testCluster) startOn(store infra.Store, id string, incarnation uint64) *node {
 	self := view.EntryRecord{ID: model.EntryID(id), Incarnation: incarnation}
-	l := NewLedger(Options{Store: way, Self: self, Live: b.live, Clocks: b.clocks, Log: logr.Discard()})
+	l := NewLedger(Options{Store: store, Self: self, Live: b.live, Clocks: b.clocks, Log: logr.Discard()})
 	ctx, cancel := context.WithCancel(b.t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -56,8 +57,8 @@
 	return &node{Ledger: l, stop: func() { cancel(); <-ended }}
 }
 
-// register writes the entry VM's record as its daemon would.
-func (b *bench) register(id, incarnation string) {
+// register writes the registration of an entry VM, as its daemon would.
+func (b *testCluster) register(id, incarnation string) {
 	_, err := b.store.Txn(b.t.Context(), infra.Txn{Then: []infra.Op{
 		infra.Put(infra.EntryKey(model.EntryID(id)), []byte(`{"ID":"`+id+`","Incarnation":`+incarnation+`}`)),
 	}})
@@ -79,7 +80,7 @@
 
 func TestClaimOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestCluster(t)
 		a, c := b.start("a", 1), b.start("c", 1)
 		defer a.stop()
 		defer c.stop()
--- a/internal/claim/record.go
+++ b/internal/claim/record.go
@@ -10,42 +10,45 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// stage is where a claim in the store stands.
+// stage is the state of a claim in the store.
 type stage string
 
 const (
-	stageClaimed  stage = "claimed"  // its holder may be running it
-	stageRecorded stage = "recorded" // it ran; the answer is kept
-	// stageReleased: it did not run and never will; the key may be claimed
-	// anew. It is a value and not an absent key: a delayed copy of an earlier
-	// create-if-absent would otherwise set up a claim that nobody acts on.
+	stageClaimed  stage = "claimed"  // the holder may be running the request
+	stageRecorded stage = "recorded" // the outcome is stored in Answer
+	// stageReleased means that the request did not run and will not run under
+	// this claim; the key may be claimed again. The key is overwritten rather
+	// than deleted: after a deletion, a delayed copy of an earlier
+	// create-if-absent would create a claim that no call acts on.
 	stageReleased stage = "released"
 )
 
-// record is a claim as stored, in JSON for whoever looks at night.
+// record is a claim as stored. It is encoded as JSON, so that operators can
+// read it in the store.
 type record struct {
 	ID          string // unique to the claim
 	Stage       stage
 	Service     model.ServiceName
 	Caller      string
 	Key         string
-	Digest      string // hex; of method, path and body
+	Digest      string // of method, path, query and body, in hexadecimal
 	Entry       model.EntryID
 	Incarnation uint64
 	Claimed     time.Time
-	Expires     time.Time // when the key may be forgotten
+	Expires     time.Time // when the claim may be deleted
 	Answer      *Answer   `json:",omitempty"`
 }
 
-// shardDigits is how many hexadecimal digits of a claim's key name its shard,
-// which is the part of the claims that is swept at once.
+// shardDigits is the number of leading hexadecimal digits of a claim's key that
+// identify its shard, the unit in which expired claims are swept.
 const shardDigits = 3
 
-// shards is how many there are.
-const shards = 1 << (4 * shardDigits)
+// shardCount is the number of shards.
+const shardCount = 1 << (4 * shardDigits)
 
-// storeKey hashes the parts, which may hold any bytes, into a key of fixed
-// length. Lengths go in first, so that no two scopes share a key.
+// storeKey hashes the parts of k, which may contain any bytes, to a store key of
+// fixed length. Each part is preceded by its length, so that different keys
+// never have the same input to the hash.
 func storeKey(k Key) string {
 	h := sha256.New()
 	for _, part := range []string{string(k.Service), k.Caller, k.Key} {
--- a/internal/claim/settle.go
+++ b/internal/claim/settle.go
@@ -10,37 +10,38 @@
 	"github.com/pumicestage/pumicestage/internal/sleep"
 )
 
-// settleLater runs f in the background and returns its result by a channel.
-func (l *Ledger) settleLater(f func() error) <-chan error {
+// settleInBackground runs f in the background and sends its result on the
+// returned channel. Once Run is ending it sends errClosing instead.
+func (l *Ledger) settleInBackground(f func() error) <-chan error {
 	done := make(chan error, 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		// A daemon that is ended at once still has requests whose answers
-		// come: nobody is left to wait for what is begun now.
+		// A daemon that is stopped immediately still receives answers to
+		// requests in flight, but Run no longer waits for new tasks.
 		done <- trace.Wrap(errClosing)
 		return done
 	}
 	select {
-	case l.settles <- struct{}{}:
+	case l.settleSlots <- struct{}{}:
 	default:
-		// Claims are turned away at maxSettling, so that only a burst of
-		// them can come here; the extra one waits like the others.
+		// submitClaim refuses claims at maxSettling, so only a concurrent
+		// burst can exceed it; the excess tasks run without a slot.
 	}
 	l.tasks.Go(func() {
 		done <- f()
 		select {
-		case <-l.settles:
+		case <-l.settleSlots:
 		default:
 		}
 	})
 	return done
 }
 
-// settleUnknown makes a claim whose replies were lost certain by fencing it.
-// Where that takes longer than ctx lasts, it goes on in the background.
+// settleUnknown fences a claim whose reply was lost, so that it is certain not
+// to take effect. If ctx ends first, fencing continues in the background.
 func (l *Ledger) settleUnknown(ctx context.Context, p *pending, r record, cause error) error {
-	fenced := l.settleLater(func() error { return l.fence(p.key, p.mod, r) })
+	fenced := l.settleInBackground(func() error { return l.fence(p.key, p.expectedRev, r) })
 	select {
 	case err := <-fenced:
 		return &Error{Certain: err == nil, Err: trace.Wrap(cause)}
@@ -49,31 +50,32 @@
 	}
 }
 
-// abandon settles a claim whose caller stopped waiting.
-func (l *Ledger) abandon(p *pending, r record) error {
+// settleAbandoned waits for the outcome of a claim whose caller stopped waiting
+// and fences the claim if it took effect or may still do so.
+func (l *Ledger) settleAbandoned(p *pending, r record) error {
 	o := <-p.done
 	switch {
 	case o.applied:
 		return l.fence(p.key, o.rev, r)
 	case infra.IsKind(o.err, infra.KindUnknown):
-		return l.fence(p.key, p.mod, r)
+		return l.fence(p.key, p.expectedRev, r)
 	}
 	return nil
 }
 
-// fence makes certain that the claim does not stand and cannot come to stand.
-// A copy of it that is still on its way takes effect only while the key is as
-// the claim expected it. So a released value is written over that very state:
-// where the write takes effect, the copy comes too late for ever; where it
-// does not, the key says who was first.
+// fence ensures that the claim is not in effect and cannot take effect later. A
+// copy of the claim that is still in transit takes effect only while the key has
+// the revision that the claim expected. Therefore a released value is written
+// with that same expectation: if the write takes effect, the copy no longer can;
+// if it does not, the key's value shows which write was first.
 func (l *Ledger) fence(key string, expected infra.Revision, r record) error {
 	id := r.ID
-	l.released(&r)
+	l.markReleased(&r)
 	value, err := r.encode()
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	err = l.persist(write{key: key, mod: expected, value: value}, func(current infra.KV) (infra.Revision, bool) {
+	err = l.persist(write{key: key, expectedRev: expected, value: value}, func(current infra.KV) (infra.Revision, bool) {
 		found, err := decodeRecord(current.Value)
 		ours := err == nil && found.ID == id && found.Stage == stageClaimed
 		return current.ModRevision, ours
@@ -84,9 +86,9 @@
 	return err
 }
 
-// persist repeats a write until the service has answered it. retry is asked
-// where another value stands, and returns its revision where the write should
-// replace that too.
+// persist repeats a write until the store has answered it. If the key holds
+// another value, retry is called with it and returns whether to replace that
+// value and its revision; persist returns errReplaced if it is not replaced.
 func (l *Ledger) persist(w write, retry func(infra.KV) (infra.Revision, bool)) error {
 	wait := fenceRetryMin
 	for {
@@ -99,7 +101,7 @@
 			if !again {
 				return trace.Wrap(errReplaced)
 			}
-			w.mod = rev
+			w.expectedRev = rev
 			continue
 		}
 		sleep.For(l.ctx, wait)
@@ -110,9 +112,10 @@
 	}
 }
 
-// rewrite replaces a held claim's value, in the background where ctx is short.
-func (l *Ledger) rewrite(ctx context.Context, t Ticket, change func(*record)) error {
-	r, ok := l.letGo(t.ID)
+// finishHeld records or releases a held claim by writing the record as modified
+// by change. If ctx ends first, the write continues in the background.
+func (l *Ledger) finishHeld(ctx context.Context, t Ticket, change func(*record)) error {
+	r, ok := l.removeHeld(t.ID)
 	if !ok {
 		return &Error{Err: errNotHeld}
 	}
@@ -121,8 +124,8 @@
 	if err != nil {
 		return &Error{Err: trace.Wrap(err)}
 	}
-	w := write{key: t.StoreKey, mod: t.Revision, value: value}
-	done := l.settleLater(func() error {
+	w := write{key: t.StoreKey, expectedRev: t.Revision, value: value}
+	done := l.settleInBackground(func() error {
 		return l.persist(w, func(infra.KV) (infra.Revision, bool) { return 0, false })
 	})
 	select {
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -11,43 +11,46 @@
 )
 
 const (
-	// sweepRound is how long one sweep of all shards takes over all entry
-	// VMs: an expired claim stays at most this long. One shard is read every
-	// few seconds, whatever the number of entry VMs.
-	sweepRound = 4 * time.Hour
-	sweepEvery = sweepRound / shards
-	// clockSlack is how far all clocks of entry VMs may be off to the same
-	// side; that they differ among each other is known.
-	clockSlack = 10 * time.Minute
+	// sweepCycle is the time in which all entry VMs together sweep every shard
+	// once, and so the longest that an expired claim stays in the store. One
+	// shard is read every few seconds, whatever the number of entry VMs.
+	sweepCycle    = 4 * time.Hour
+	shardInterval = sweepCycle / shardCount
+	// clockTolerance is how far the clocks of all entry VMs may deviate from
+	// true time in the same direction. Differences between them are covered by
+	// Options.Clocks.
+	clockTolerance = 10 * time.Minute
 )
 
-// sweepLoop deletes expired claims. All entry VMs go through the shards by the
-// clock, and for each shard the highest in rendezvous order does the work;
-// where two think so both do, which the CAS makes harmless.
+// sweepLoop deletes expired claims until ctx ends. The time determines the shard
+// to sweep on every entry VM, and rendezvous hashing selects the entry VM that
+// sweeps it. If two entry VMs select themselves, both sweep it, which is
+// harmless because deletions are compare-and-swap.
 func (l *Ledger) sweepLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		now := l.earliest()
-		sleep.For(ctx, now.Truncate(sweepEvery).Add(sweepEvery).Sub(now))
+		now := l.earliestClock()
+		sleep.For(ctx, now.Truncate(shardInterval).Add(shardInterval).Sub(now))
 		if ctx.Err() != nil {
 			return
 		}
-		now = l.earliest()
+		now = l.earliestClock()
 		prefix := shardPrefix(now)
-		if !l.sweeps(prefix) {
+		if !l.sweepsShard(prefix) {
 			continue
 		}
 		if err := l.sweepShard(ctx, prefix, now); err != nil {
-			l.opts.Log.V(1).Info("claims not swept; the next round does", "shard", prefix, "cause", err)
+			l.opts.Log.V(1).Info("sweeping expired claims failed; retrying in the next cycle", "shard", prefix, "cause", err)
 		}
 	}
 }
 
 func shardPrefix(now time.Time) string {
-	n := (now.UnixNano() / int64(sweepEvery)) % shards
+	n := (now.UnixNano() / int64(shardInterval)) % shardCount
 	return infra.ClaimPrefix + fmt.Sprintf("%0*x", shardDigits, n)
 }
 
-func (l *Ledger) sweeps(prefix string) bool {
+// sweepsShard reports whether this entry VM is the one that sweeps the shard.
+func (l *Ledger) sweepsShard(prefix string) bool {
 	mine := peer.Rendezvous(prefix, l.opts.Self.ID)
 	for _, id := range l.opts.Live() {
 		if id != l.opts.Self.ID && peer.Rendezvous(prefix, id) > mine {
@@ -57,24 +60,24 @@
 	return true
 }
 
-// sweepShard deletes the expired claims of one shard, in groups, each only as
-// it was read: a claim set up anew in between is not touched.
+// sweepShard deletes the expired claims of one shard. Each is deleted only at
+// the revision that was read, so that a claim written in the meantime stays.
 func (l *Ledger) sweepShard(ctx context.Context, prefix string, now time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, sweepEvery)
+	ctx, cancel := context.WithTimeout(ctx, shardInterval)
 	defer cancel()
 	kvs, _, err := l.opts.Store.Range(ctx, prefix)
 	if err != nil {
 		return err
 	}
-	var sent []*pending
+	var deletions []*pending
 	for _, kv := range kvs {
 		r, err := decodeRecord(kv.Value)
-		if err != nil || now.Before(r.Expires.Add(clockSlack)) {
+		if err != nil || now.Before(r.Expires.Add(clockTolerance)) {
 			continue
 		}
-		sent = append(sent, l.commits.submit(write{key: kv.Key, mod: kv.ModRevision}))
+		deletions = append(deletions, l.commits.submit(write{key: kv.Key, expectedRev: kv.ModRevision}))
 	}
-	for _, p := range sent {
+	for _, p := range deletions {
 		select {
 		case <-p.done:
 		case <-ctx.Done():
--- a/internal/claim/sweep_test.go
+++ b/internal/claim/sweep_test.go
@@ -12,11 +12,11 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// What the caller sees: one entry VM's clock is a day ahead or behind. A claim
-// it sets up, or could sweep, stays for as long as it is to be remembered.
-func TestClocksThatDiffer(t *testing.T) {
+// If the clock of an entry VM is a day ahead or behind, a claim that it writes or
+// sweeps must still be kept for its whole retention time.
+func TestClockDifferences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestCluster(t)
 		b.clocks = func() (earliest, latest time.Time) {
 			return time.Now().Add(-24 * time.Hour), time.Now().Add(24 * time.Hour)
 		}
@@ -27,7 +27,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(kvs), 1)
 		for day, want := range []int{1, 1, 1, 0} {
-			later := a.earliest().Add(time.Duration(day)*24*time.Hour + clockSlack)
+			later := a.earliestClock().Add(time.Duration(day)*24*time.Hour + clockTolerance)
 			assert.NilError(t, a.sweepShard(t.Context(), infra.ClaimPrefix, later))
 			kvs, _, err = b.store.Range(t.Context(), infra.ClaimPrefix)
 			assert.NilError(t, err)
@@ -36,10 +36,11 @@
 	})
 }
 
-// Expired claims go, others stay; each shard is swept by one entry VM.
+// Expired claims are deleted and others are kept; each shard is swept by one
+// entry VM.
 func TestSweep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newTestCluster(t)
 		b.live = func() []model.EntryID { return []model.EntryID{"a", "c"} }
 		a, c := b.start("a", 1), b.start("c", 1)
 		defer a.stop()
@@ -54,14 +55,14 @@
 			assert.NilError(t, err)
 			return len(kvs)
 		}
-		time.Sleep(24*time.Hour + clockSlack - time.Second)
-		assert.Equal(t, left(), 20, "never sooner than remembered")
-		time.Sleep(sweepRound + time.Minute)
+		time.Sleep(24*time.Hour + clockTolerance - time.Second)
+		assert.Equal(t, left(), 20, "no claim is deleted before its retention time ends")
+		time.Sleep(sweepCycle + time.Minute)
 		assert.Equal(t, left(), 10)
 		time.Sleep(24 * time.Hour)
 		assert.Equal(t, left(), 0)
-		reads := a.way.Calls().Reads + c.way.Calls().Reads
-		rounds := int((52*time.Hour + clockSlack + time.Minute) / sweepEvery)
+		reads := a.faults.Calls().Reads + c.faults.Calls().Reads
+		rounds := int((52*time.Hour + clockTolerance + time.Minute) / shardInterval)
 		assert.Assert(t, reads <= rounds+1, "%d reads for %d shards", reads, rounds)
 	})
 }
--- a/internal/claim/chaos_test.go
+++ b/internal/claim/unreliable_store_test.go
@@ -16,50 +16,50 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// chaos is a way to a store that answers late, loses requests and replies, and
-// delivers lost requests later, by a seed.
-type chaos struct {
+// unreliableStore delays transactions, loses requests and replies, and delivers
+// some lost requests later. Its faults follow from the seed of random.
+type unreliableStore struct {
 	infra.Store
 
-	mu     sync.Mutex
-	random *rand.Rand
-	storm  bool // hardly a call gets its answer
-	calm   bool
-	late   sync.WaitGroup
+	mu       sync.Mutex
+	random   *rand.Rand
+	severe   bool // most transactions fail
+	reliable bool // no more faults
+	delayed  sync.WaitGroup
 }
 
-func (c *chaos) draw() (fate float64, wait time.Duration) {
+func (c *unreliableStore) drawFault() (fate float64, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.calm {
+	if c.reliable {
 		return 1, time.Millisecond
 	}
 	fate = c.random.Float64()
-	if c.storm {
+	if c.severe {
 		fate *= 0.45
 	}
 	return fate, time.Duration(1+c.random.IntN(40)) * time.Millisecond
 }
 
-func (c *chaos) settle() {
+func (c *unreliableStore) stopFaults() {
 	c.mu.Lock()
-	c.calm = true
+	c.reliable = true
 	c.mu.Unlock()
 }
 
 // Txn implements infra.Store.
-func (c *chaos) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
-	fate, wait := c.draw()
+func (c *unreliableStore) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
+	fate, wait := c.drawFault()
 	time.Sleep(wait)
 	lost := infra.Errorf("txn", infra.KindUnknown, "reply lost")
 	switch {
-	case fate < 0.15: // took effect, reply lost
+	case fate < 0.15: // takes effect, but the reply is lost
 		c.Store.Txn(ctx, txn)
 		return infra.TxnResult{}, lost
-	case fate < 0.25: // never arrives
+	case fate < 0.25: // request lost
 		return infra.TxnResult{}, lost
-	case fate < 0.40: // arrives much later
-		c.late.Go(func() {
+	case fate < 0.40: // request delivered much later
+		c.delayed.Go(func() {
 			time.Sleep(50 * wait)
 			c.Store.Txn(context.WithoutCancel(ctx), txn)
 		})
@@ -70,27 +70,27 @@
 	return c.Store.Txn(ctx, txn)
 }
 
-// The history of one key, as porcupine checks it. Its state is who holds the
-// claim and whether its outcome is recorded.
+// keyState is the state of one key in the model that porcupine checks histories
+// against: the attempt that holds the claim, and whether its outcome is recorded.
 type keyState struct {
 	holder   string
 	recorded bool
 }
 
 type keyOp struct {
-	call string // "claim", "record", "release"
-	id   string // of the attempt
+	call string // "claim", "record" or "release"
+	id   string // ID of the attempt
 }
 
 type keyResult struct {
 	state   State
-	holder  string // whose answer was recorded
-	certain bool   // a failed call that certainly has no effect
-	unknown bool   // a failed call that may have had, or may still have, an effect
+	holder  string // ID of the attempt whose answer was recorded
+	certain bool   // the call failed and certainly has no effect
+	unknown bool   // the call failed and may have had, or may still have, an effect
 }
 
-// step returns every state the key may be in after the call; none where the
-// result was wrong.
+// step returns every state that the key may be in after the call, or none if the
+// result is not possible in state s.
 func step(s keyState, op keyOp, res keyResult) []keyState {
 	free := s.holder == ""
 	switch {
@@ -104,11 +104,11 @@
 	case op.call == "claim":
 		return stepClaim(s, op, res)
 	case s.holder != op.id || s.recorded:
-		return keepIf(res.unknown, s)
+		return stateIf(res.unknown, s)
 	case op.call == "record":
-		return append(keepIf(res.unknown, s), keyState{holder: op.id, recorded: true})
+		return append(stateIf(res.unknown, s), keyState{holder: op.id, recorded: true})
 	}
-	return append(keepIf(res.unknown, s), keyState{})
+	return append(stateIf(res.unknown, s), keyState{})
 }
 
 func stepClaim(s keyState, op keyOp, res keyResult) []keyState {
@@ -119,13 +119,13 @@
 		}
 		return nil
 	case Recorded:
-		return keepIf(s.recorded && s.holder == res.holder, s)
+		return stateIf(s.recorded && s.holder == res.holder, s)
 	default:
-		return keepIf(s.holder != "" && !s.recorded, s)
+		return stateIf(s.holder != "" && !s.recorded, s)
 	}
 }
 
-func keepIf(ok bool, s keyState) []keyState {
+func stateIf(ok bool, s keyState) []keyState {
 	if ok {
 		return []keyState{s}
 	}
@@ -145,13 +145,13 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history records calls on one key by a logical clock.
+// history records the calls on one key, timed by a logical clock.
 type history struct {
 	clock atomic.Int64
 
 	mu   sync.Mutex
 	ops  []porcupine.Operation
-	runs []string // attempts that sent the request
+	sent []string // IDs of the attempts that sent the request
 }
 
 const forever = int64(1) << 60
@@ -166,10 +166,9 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: op, Call: call, Output: res, Return: returned})
 }
 
-// What callers see: several entry VMs get the same key at once, again and
-// again, while the way to the store loses requests and replies and delivers
-// lost requests late. At most one request is ever sent, and everything they
-// are told fits one order of events.
+// Several entry VMs concurrently claim the same keys, while requests to the store
+// and replies are lost and some lost requests are delivered late. For each key,
+// at most one request may be sent, and the results must be linearizable.
 func TestHistoryUnderLostReplies(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -180,19 +179,19 @@
 
 func checkHistory(t *testing.T, seed uint64) {
 	const clients, attempts, keys = 5, 6, 3
-	b := newBench(t)
+	b := newTestCluster(t)
 	histories := make([]*history, keys)
 	for k := range histories {
 		histories[k] = &history{}
 	}
-	var ways []*chaos
+	var stores []*unreliableStore
 	var clientsDone sync.WaitGroup
 	for c := range clients {
-		way := &chaos{Store: b.store, storm: seed%3 == 0, random: rand.New(rand.NewPCG(seed, uint64(c)))}
-		ways = append(ways, way)
+		store := &unreliableStore{Store: b.store, severe: seed%3 == 0, random: rand.New(rand.NewPCG(seed, uint64(c)))}
+		stores = append(stores, store)
 		id := fmt.Sprint("e", c)
 		b.register(id, "1")
-		n := b.startOn(way, id, 1)
+		n := b.startOn(store, id, 1)
 		defer n.stop()
 		random := rand.New(rand.NewPCG(seed, uint64(100+c)))
 		clientsDone.Go(func() {
@@ -204,21 +203,22 @@
 		})
 	}
 	clientsDone.Wait()
-	for _, way := range ways {
-		way.settle()
-		way.late.Wait()
+	for _, store := range stores {
+		store.stopFaults()
+		store.delayed.Wait()
 	}
 	time.Sleep(time.Minute)
 	for k, h := range histories {
-		assert.Assert(t, len(h.runs) <= 1, "key %d was sent by %v", k, h.runs)
-		assert.Assert(t, !b.stands(fmt.Sprint("key", k)), "key %d is held by nobody who acts", k)
+		assert.Assert(t, len(h.sent) <= 1, "key %d was sent by %v", k, h.sent)
+		assert.Assert(t, !b.isUnsettled(fmt.Sprint("key", k)), "key %d is claimed, but no attempt acts on it", k)
 		model := claimModel.ToModel()
 		assert.Assert(t, porcupine.CheckOperations(model, h.ops), "key %d: %+v", k, h.ops)
 	}
 }
 
-// stands reports whether the key is claimed and neither recorded nor released.
-func (b *bench) stands(key string) bool {
+// isUnsettled reports whether the key is claimed and neither recorded nor
+// released.
+func (b *testCluster) isUnsettled(key string) bool {
 	kv, _, err := b.store.Get(b.t.Context(), storeKey(request(key, 1).Key))
 	assert.NilError(b.t, err)
 	if kv.ModRevision == 0 {
@@ -229,8 +229,8 @@
 	return r.Stage == stageClaimed
 }
 
-// attempt claims the key, and where it wins sends the request and records it,
-// or now and then finds that it cannot send and releases.
+// attempt claims the key. If it wins, it sends the request and records the
+// outcome or, in one of three cases, releases the claim without sending.
 func (h *history) attempt(n *node, client int, id, key string, random *rand.Rand) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(20+random.IntN(400))*time.Millisecond)
 	defer cancel()
@@ -239,7 +239,7 @@
 	if err != nil {
 		certain := err.(*Error).Certain
 		h.add(client, call, keyOp{"claim", id}, keyResult{certain: certain, unknown: !certain})
-		if !certain { // it is taken back in the background, at some time
+		if !certain { // the claim is released in the background, at some later time
 			h.add(client, call, keyOp{"release", id}, keyResult{unknown: true})
 		}
 		return
@@ -253,7 +253,7 @@
 		return
 	}
 	h.mu.Lock()
-	h.runs = append(h.runs, id)
+	h.sent = append(h.sent, id)
 	h.mu.Unlock()
 	h.finish(client, keyOp{"record", id}, func() error {
 		return n.Record(ctx, res.Ticket, Answer{Status: 200, Body: []byte(id), Kept: true})
