--- a/internal/audit/read.go
+++ b/internal/audit/read.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// Read returns the newest entries that the filter selects, oldest first, and
-// whether there were more. Its error is an *Error.
+// Read returns the newest entries that match the filter, oldest first, and
+// whether there were more than its limit. Its errors are of type *Error.
 func (t *Trail) Read(ctx context.Context, f Filter) (entries []Entry, more bool, err error) {
 	limit := f.Limit
 	if limit <= 0 {
@@ -21,7 +21,7 @@
 		if !f.Since.IsZero() && ref.end().Before(f.Since) || !f.Until.IsZero() && ref.From.After(f.Until) {
 			continue
 		}
-		if len(entries) >= limit && !overlaps(entries, limit, ref) {
+		if len(entries) >= limit && !mayHoldNewer(entries, limit, ref) {
 			more = true
 			break
 		}
@@ -42,8 +42,9 @@
 	return entries, more, nil
 }
 
-// overlaps reports whether the segment may hold entries newer than the oldest
-// of the newest limit ones: writers' segments overlap in time.
-func overlaps(entries []Entry, limit int, ref segmentRef) bool {
+// mayHoldNewer reports whether the segment may hold entries newer than the
+// oldest of the newest limit entries. Segments of different writers overlap in
+// time.
+func mayHoldNewer(entries []Entry, limit int, ref segmentRef) bool {
 	return !ref.end().Before(entries[len(entries)-limit].At)
 }
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -16,36 +16,38 @@
 )
 
 const (
-	// maxSegmentBytes is when a writer opens its next segment. Each append
-	// rewrites the segment, half of it on average, so smaller segments cost
-	// fewer bytes and larger ones fewer index entries.
+	// maxSegmentBytes is the size at which a writer opens its next segment.
+	// Each append rewrites the whole segment, which is half full on average, so
+	// smaller segments need fewer written bytes and larger ones fewer index
+	// entries.
 	maxSegmentBytes = 64 << 10
-	// maxSegmentAge is when a writer opens its next segment at the latest. It
-	// bounds the time that a segment of a writer that died can cover.
+	// maxSegmentAge is the age at which a writer opens its next segment at the
+	// latest. It bounds the period that the last segment of a dead writer can
+	// cover.
 	maxSegmentAge = 24 * time.Hour
-	// maxSegments bounds the trail: 2,000 segments of 64 KiB are 128 MB in
-	// the store and an index of about 250 KB, a quarter of the largest value.
+	// maxSegments bounds the trail: 2,000 segments of 64 KiB take 128 MB in the
+	// store and an index of about 250 KB, a quarter of the maximum value size.
 	maxSegments = 2000
-	// retention is how long entries are kept at least, unless maxSegments is
-	// reached before.
+	// retention is the minimum time for which entries are kept, unless
+	// maxSegments is reached earlier.
 	retention = 90 * 24 * time.Hour
-	// maxDeletes bounds the segments dropped in one transaction; the service
-	// takes 128 operations in one.
+	// maxDeletes bounds the segments deleted in one transaction; the store
+	// accepts 128 operations.
 	maxDeletes = 64
 )
 
-// segment is the value of a segment's key.
+// segment is the stored value of a segment.
 type segment struct {
 	ID      string
 	Writer  string
 	Entries []Entry
 }
 
-// segmentRef is a segment in the index.
+// segmentRef is the index entry of a segment.
 type segmentRef struct {
 	Key  string
 	From time.Time // when it was opened
-	To   time.Time // of its last entry, set when its writer opens the next; zero before
+	To   time.Time // when it was last written; set when its writer opens the next one, zero before
 }
 
 // end returns a time after which the segment has no entries.
@@ -56,15 +58,16 @@
 	return r.To
 }
 
-// index is the value of the index's key. Change makes each write of it
-// different, so that a lost reply can be told apart.
+// index is the stored value of the index. Change is different in each write, so
+// that after a lost reply the stored value shows whether the write took effect.
 type index struct {
 	Change   string
-	Segments []segmentRef // by From
+	Segments []segmentRef // in the order in which they were opened
 }
 
-// advance notes the end of the writer's segment before, if it had one, adds
-// next, and takes out what is beyond the bounds.
+// advance sets the end of the writer's previous segment, closed, if it had one,
+// and appends next. It removes up to maxDeletes segments that exceed maxSegments
+// or retention and returns their keys.
 func (ix *index) advance(closed, next segmentRef, change string) (dropped []string) {
 	ix.Change = change
 	for i := range ix.Segments {
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -17,49 +17,50 @@
 )
 
 const (
-	// DefaultPace is the least time between two writes of one process. Ten a
-	// second from each of eight entry VMs stay below a fifth of the service's
-	// several hundred; an order waits a tenth of a second at worst.
+	// DefaultWriteInterval is the default minimum time between two writes of one
+	// process. Ten writes per second from each of eight entry VMs are less than
+	// a fifth of the several hundred that the store accepts; an order waits a
+	// tenth of a second at most.
 	DefaultPace = 100 * time.Millisecond
-	// maxPending bounds what waits to be written; more means that the
-	// platform does not keep up.
+	// maxPending bounds the entries waiting to be written; more than that means
+	// that the platform's store does not keep up.
 	maxPending = 1000
 	// maxBatch bounds the entries of one write, so that the write stays well
-	// below the service's largest value whatever the entries' texts.
+	// below the store's maximum value size, whatever the size of the entries.
 	maxBatch = 50
-	// commitTimeout bounds one write with its retries.
+	// commitTimeout bounds one write, including its retries.
 	commitTimeout = 5 * time.Second
-	// indexTries bounds how often a new segment is tried against other
-	// writers that change the index at the same time.
-	indexTries = 8
+	// maxOpenAttempts bounds the attempts to open a segment while other writers
+	// change the index concurrently.
+	maxOpenAttempts = 8
 )
 
-// Options are what a Trail works with. Store and Self are required.
+// Options configures a Trail. Store and Self are required.
 type Options struct {
 	Store infra.Store
 	Self  model.EntryID
-	Clock clockwork.Clock // the real one if nil
+	Clock clockwork.Clock // the real clock if nil
 	Log   logr.Logger
-	Pace  time.Duration // DefaultPace if 0; negative for none
+	Pace  time.Duration // minimum time between two writes; 0 means DefaultWriteInterval, negative none
 }
 
-// Trail appends to the trail of changes and reads it. It is safe for
+// Trail appends entries to the audit trail and reads them. It is safe for
 // concurrent use.
 type Trail struct {
-	store infra.Store
-	self  model.EntryID
-	clock clockwork.Clock
-	log   logr.Logger
-	pace  time.Duration
-	notes *noteLimiter
+	store   infra.Store
+	self    model.EntryID
+	clock   clockwork.Clock
+	log     logr.Logger
+	pace    time.Duration
+	limiter *sourceLimiter
 
 	mu       sync.Mutex
-	pending  []*waiting
+	pending  []*pendingEntry
 	flushing bool
 
-	// Used by the one flush at a time.
+	// The fields below are used only by flush, of which one runs at a time.
 	open      segment
-	openKey   string // empty where a new segment must be opened
+	openKey   string // empty if no segment is open
 	openRev   infra.Revision
 	openSince time.Time
 	openLast  time.Time // when it was last written
@@ -67,10 +68,10 @@
 	lastWrite time.Time
 }
 
-// waiting is an entry on its way, and where its outcome goes.
-type waiting struct {
+// pendingEntry is an entry waiting to be written. The result is sent on done.
+type pendingEntry struct {
 	entry Entry
-	done  chan error // buffered
+	done  chan error // buffered, so that no receiver is needed
 }
 
 // New returns a Trail. It writes nothing until the first entry.
@@ -81,11 +82,11 @@
 	if o.Pace == 0 {
 		o.Pace = DefaultPace
 	}
-	return &Trail{store: o.Store, self: o.Self, clock: o.Clock, log: o.Log, pace: o.Pace, notes: newNoteLimiter(o.Clock)}
+	return &Trail{store: o.Store, self: o.Self, clock: o.Clock, log: o.Log, pace: o.Pace, limiter: newSourceLimiter(o.Clock)}
 }
 
-// Record returns nil once the entry is certain to be in the trail. Its error
-// is an *Error. An entry without ID or time is given both.
+// Record records an entry and returns nil once it is certainly in the trail. Its
+// errors are of type *Error. A missing ID or time is filled in.
 func (t *Trail) Record(ctx context.Context, e Entry) error {
 	w, err := t.enqueue(e)
 	if err != nil {
@@ -99,25 +100,28 @@
 	}
 }
 
-// RecordSoon records an entry in the background, for automatic actions. It is
-// tried once, with whatever else waits.
+// RecordAsync records an entry in the background, for automatic actions. It is
+// attempted once, together with the other pending entries; a failure is logged.
 func (t *Trail) RecordSoon(e Entry) {
 	if _, err := t.enqueue(e); err != nil {
 		t.log.Error(err, "audit entry dropped", "what", e.What, "who", e.Who)
 	}
 }
 
-// Note records an entry in the background, for refusals. It is not waited for. A source that is refused over and over
-// is summed up, or it would push the trail's older entries out.
+// RecordLimited records an entry in the background, like RecordAsync, for
+// refusals and other entries that one source may cause in large numbers. Entries
+// beyond the source's rate are only counted; otherwise they would push older
+// entries out of the trail.
 func (t *Trail) Note(e Entry) {
-	e, ok := t.notes.admit(e)
+	e, ok := t.limiter.admit(e)
 	if !ok {
 		return
 	}
 	t.RecordSoon(e)
 }
 
-// Flush waits until all that was recorded before is written, or ctx ends.
+// Flush waits until a write was attempted for all entries recorded before the
+// call, or until ctx ends. It doesn't report whether those writes succeeded.
 func (t *Trail) Flush(ctx context.Context) error {
 	t.mu.Lock()
 	idle := len(t.pending) == 0 && !t.flushing
@@ -137,20 +141,21 @@
 	}
 }
 
-func (t *Trail) enqueue(e Entry) (*waiting, error) {
+func (t *Trail) enqueue(e Entry) (*pendingEntry, error) {
 	if e.ID == "" {
 		e.ID = rand.Text()
 	}
 	if e.At.IsZero() {
 		e.At = t.clock.Now().UTC()
 	}
-	e = e.bounded()
+	e = e.truncated()
 	return t.push(&e)
 }
 
-// push queues the entry, or a marker that is done when all before it is.
-func (t *Trail) push(e *Entry) (*waiting, error) {
-	w := &waiting{done: make(chan error, 1)}
+// push queues the entry or, if e is nil, a marker that completes after all
+// entries before it.
+func (t *Trail) push(e *Entry) (*pendingEntry, error) {
+	w := &pendingEntry{done: make(chan error, 1)}
 	if e != nil {
 		w.entry = *e
 	}
@@ -167,12 +172,12 @@
 	return w, nil
 }
 
-// flush writes what is pending until nothing is. While one write is under way
-// the next batch gathers.
+// flush writes pending entries in batches until none are left. Entries that
+// arrive during a write are collected for the next batch.
 func (t *Trail) flush() {
 	for {
-		t.awaitPace()
-		batch := t.take()
+		t.awaitWriteInterval()
+		batch := t.takeBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -183,14 +188,14 @@
 	}
 }
 
-func (t *Trail) awaitPace() {
+func (t *Trail) awaitWriteInterval() {
 	wait := t.lastWrite.Add(t.pace).Sub(t.clock.Now())
 	if t.pace > 0 && wait > 0 {
 		<-t.clock.After(wait)
 	}
 }
 
-func (t *Trail) take() []*waiting {
+func (t *Trail) takeBatch() []*pendingEntry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := min(len(t.pending), maxBatch)
@@ -200,39 +205,41 @@
 	return batch
 }
 
-func (t *Trail) write(batch []*waiting) error {
-	entries := t.fresh(batch)
+func (t *Trail) write(batch []*pendingEntry) error {
+	entries := t.newEntries(batch)
 	if len(entries) == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	t.lastWrite = t.clock.Now()
-	if t.openKey != "" && !t.full() {
+	if t.openKey != "" && !t.segmentFull() {
 		err := t.appendTo(ctx, entries)
 		if !infra.IsKind(err, infra.KindConflict) {
-			return t.settle(err)
+			return t.wrapWriteError(err)
 		}
-		// A late copy of a lost write has changed the segment, or another
-		// writer's retention has removed it: go on in the next.
+		// A delayed copy of a lost write has changed the segment, or another
+		// writer has removed it to enforce the bounds: continue in a new one.
 	}
-	return t.settle(t.openNext(ctx, entries))
+	return t.wrapWriteError(t.openSegment(ctx, entries))
 }
 
-// settle turns the platform's error into the trail's. After an unknown outcome
-// the segment is written on from the revision known: either that fails, since
-// the copy of the lost write has arrived, or the copy will, when it arrives.
-func (t *Trail) settle(err error) error {
+// wrapWriteError logs an error of the store and converts it to an *Error. After
+// an unknown outcome the next write expects the last known revision of the
+// segment: either it fails, because the lost write has taken effect, or it
+// succeeds, and the lost write fails if it arrives later.
+func (t *Trail) wrapWriteError(err error) error {
 	if err == nil {
 		return nil
 	}
 	certain := !infra.IsKind(err, infra.KindUnknown)
-	t.log.Error(err, "audit trail not written", "certain", certain)
+	t.log.Error(err, "writing to the audit trail failed", "certain", certain)
 	return &Error{Certain: certain, Err: err}
 }
 
-// fresh returns the batch's entries that the open segment does not hold yet.
-func (t *Trail) fresh(batch []*waiting) []Entry {
+// newEntries returns the entries of the batch that the open segment does not
+// contain yet, without markers and repeats.
+func (t *Trail) newEntries(batch []*pendingEntry) []Entry {
 	held := make(map[string]bool, len(t.open.Entries))
 	for _, e := range t.open.Entries {
 		held[e.ID] = t.openKey != ""
@@ -248,7 +255,7 @@
 	return entries
 }
 
-func (t *Trail) full() bool {
+func (t *Trail) segmentFull() bool {
 	return t.openBytes >= maxSegmentBytes || t.clock.Since(t.openSince) >= maxSegmentAge
 }
 
@@ -271,9 +278,10 @@
 	return nil
 }
 
-// openNext writes the entries as the first of a new segment, and the segment
-// into the index, as one step: a segment that no index names is lost.
-func (t *Trail) openNext(ctx context.Context, entries []Entry) error {
+// openSegment writes the entries as the first of a new segment and adds the
+// segment to the index in the same transaction, since a segment that is not in
+// the index would be lost.
+func (t *Trail) openSegment(ctx context.Context, entries []Entry) error {
 	now := t.clock.Now().UTC()
 	next := segment{ID: rand.Text(), Writer: string(t.self), Entries: entries}
 	key := segmentPrefix + fmt.Sprintf("%013d-%s", now.UnixMilli(), next.ID)
@@ -281,8 +289,8 @@
 	if err != nil {
 		return err
 	}
-	for range indexTries {
-		res, err := t.tryOpen(ctx, key, value, now)
+	for range maxOpenAttempts {
+		res, err := t.tryOpenSegment(ctx, key, value, now)
 		if infra.IsKind(err, infra.KindConflict) {
 			continue
 		}
@@ -296,7 +304,7 @@
 	return errors.New("the index keeps changing")
 }
 
-func (t *Trail) tryOpen(ctx context.Context, key string, value []byte, now time.Time) (infra.TxnResult, error) {
+func (t *Trail) tryOpenSegment(ctx context.Context, key string, value []byte, now time.Time) (infra.TxnResult, error) {
 	ix, rev, err := readIndex(ctx, t.store)
 	if err != nil {
 		return infra.TxnResult{}, err
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -28,11 +28,11 @@
 	return New(Options{Store: store, Self: model.EntryID(self), Clock: clock, Pace: -1})
 }
 
-func order(n int) Entry {
+func testEntry(n int) Entry {
 	return Entry{ID: fmt.Sprintf("id-%d", n), Who: "ana", From: "10.0.0.7", Change: model.ChangeID(fmt.Sprintf("c-%d", n)), What: "drain vm v1", Result: Asked}
 }
 
-func changes(t *testing.T, trail *Trail, f Filter) []string {
+func readChanges(t *testing.T, trail *Trail, f Filter) []string {
 	t.Helper()
 	entries, _, err := trail.Read(ctx, f)
 	assert.NilError(t, err)
@@ -43,101 +43,102 @@
 	return found
 }
 
-// The way to the store fails in each manner while an entry is recorded. What
-// Record calls certain is in the trail exactly once, what it calls certainly
-// not recorded is not, and the trail goes on afterwards.
+// Calls to the store fail in several stores while an entry is recorded. An entry
+// that Record reports as recorded must be in the trail exactly once, one that it
+// reports as certainly not recorded must not be there, and recording must work
+// again afterwards.
 func TestRecordUnderFaults(t *testing.T) {
 	rival := func(inner infra.Store, clock clockwork.Clock) func() {
-		return func() { _ = newTrail(inner, clock, "e2").Record(ctx, order(9)) }
+		return func() { _ = newTrail(inner, clock, "e2").Record(ctx, testEntry(9)) }
 	}
 	cases := []struct {
 		name    string
-		first   bool // an entry is recorded before, so that a segment is open
-		fault   func(way *faulty.Store, rival func())
+		first   bool // whether an entry is recorded first, so that a segment is open
+		fault   func(store *faulty.Store, rival func())
 		wantErr bool
 		certain bool
-		want    []string // changes in the trail, c-3 being recorded after the fault
+		want    []string // changes in the trail; c-3 is recorded after the fault
 	}{
 		{"none", true, func(*faulty.Store, func()) {}, false, false, []string{"c-1", "c-2", "c-3"}},
-		{"down", true, func(way *faulty.Store, _ func()) { way.SetDown(true) }, true, true, []string{"c-1", "c-3"}},
-		{"down, first segment", false, func(way *faulty.Store, _ func()) { way.SetDown(true) }, true, true, []string{"c-3"}},
-		{"reply lost", true, func(way *faulty.Store, _ func()) { way.LoseReplies(1) }, false, false, []string{"c-1", "c-2", "c-3"}},
-		{"reply lost, first segment", false, func(way *faulty.Store, _ func()) { way.LoseReplies(1) }, false, false, []string{"c-2", "c-3"}},
-		{"request lost", true, func(way *faulty.Store, _ func()) { way.LoseRequests(1) }, false, false, []string{"c-1", "c-2", "c-3"}},
-		{"every request lost", true, func(way *faulty.Store, _ func()) { way.LoseRequests(99) }, true, false, []string{"c-1", "c-3"}},
-		{"another writer opens a segment first", false, func(way *faulty.Store, rival func()) { beforeWrite(way, 1, rival) },
+		{"down", true, func(store *faulty.Store, _ func()) { store.SetDown(true) }, true, true, []string{"c-1", "c-3"}},
+		{"down, first segment", false, func(store *faulty.Store, _ func()) { store.SetDown(true) }, true, true, []string{"c-3"}},
+		{"reply lost", true, func(store *faulty.Store, _ func()) { store.LoseReplies(1) }, false, false, []string{"c-1", "c-2", "c-3"}},
+		{"reply lost, first segment", false, func(store *faulty.Store, _ func()) { store.LoseReplies(1) }, false, false, []string{"c-2", "c-3"}},
+		{"request lost", true, func(store *faulty.Store, _ func()) { store.LoseRequests(1) }, false, false, []string{"c-1", "c-2", "c-3"}},
+		{"every request lost", true, func(store *faulty.Store, _ func()) { store.LoseRequests(99) }, true, false, []string{"c-1", "c-3"}},
+		{"another writer opens a segment first", false, func(store *faulty.Store, rival func()) { beforeWrite(store, 1, rival) },
 			false, false, []string{"c-2", "c-3", "c-9"}},
-		{"reply lost, then another writer opens a segment", false, func(way *faulty.Store, rival func()) {
-			way.LoseReplies(1)
-			beforeWrite(way, 2, rival)
+		{"reply lost, then another writer opens a segment", false, func(store *faulty.Store, rival func()) {
+			store.LoseReplies(1)
+			beforeWrite(store, 2, rival)
 		}, false, false, []string{"c-2", "c-3", "c-9"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClockAt(epoch)
 			inner := memstore.New(clock)
-			way := faulty.Wrap(inner)
-			trail := newTrail(way, clock, "e1")
+			store := faulty.Wrap(inner)
+			trail := newTrail(store, clock, "e1")
 			if tc.first {
-				assert.NilError(t, trail.Record(ctx, order(1)))
+				assert.NilError(t, trail.Record(ctx, testEntry(1)))
 			}
-			tc.fault(way, rival(inner, clock))
-			err := trail.Record(ctx, order(2))
+			tc.fault(store, rival(inner, clock))
+			err := trail.Record(ctx, testEntry(2))
 			assert.Equal(t, err != nil, tc.wantErr, "%v", err)
 			var failed *Error
 			if errors.As(err, &failed) {
 				assert.Equal(t, failed.Certain, tc.certain)
 			}
-			way.SetDown(false)
-			way.LoseReplies(0)
-			way.LoseRequests(0)
-			way.Before(nil)
+			store.SetDown(false)
+			store.LoseReplies(0)
+			store.LoseRequests(0)
+			store.Before(nil)
 			clock.Advance(time.Second)
-			assert.NilError(t, trail.Record(ctx, order(3)))
-			assert.NilError(t, trail.Record(ctx, order(3))) // a repeat is recorded once
-			got := changes(t, trail, Filter{})
-			sort.Strings(got) // two writers' entries of one instant have no order
+			assert.NilError(t, trail.Record(ctx, testEntry(3)))
+			assert.NilError(t, trail.Record(ctx, testEntry(3))) // an entry recorded again is stored once
+			got := readChanges(t, trail, Filter{})
+			sort.Strings(got) // entries of two writers with the same time have no order
 			assert.DeepEqual(t, got, tc.want)
 		})
 	}
 }
 
-// A write is lost on the way and arrives after its caller was told that it is
-// not certain. The trail goes on, and what it then calls certain is there.
-func TestALateWriteDoesNoHarm(t *testing.T) {
+// A lost write arrives at the store after Record has reported an uncertain
+// outcome. Entries recorded after that must be in the trail nevertheless.
+func TestRecordAfterDelayedWrite(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(epoch)
 	inner := memstore.New(clock)
-	way := faulty.Wrap(inner)
-	trail := newTrail(way, clock, "e1")
-	assert.NilError(t, trail.Record(ctx, order(1)))
+	store := faulty.Wrap(inner)
+	trail := newTrail(store, clock, "e1")
+	assert.NilError(t, trail.Record(ctx, testEntry(1)))
 	var late infra.Txn
-	way.Before(func(_ string, txn infra.Txn) { late = txn })
-	way.LoseRequests(99)
-	assert.Assert(t, trail.Record(ctx, order(2)) != nil)
-	way.Before(nil)
-	way.LoseRequests(0)
+	store.Before(func(_ string, txn infra.Txn) { late = txn })
+	store.LoseRequests(99)
+	assert.Assert(t, trail.Record(ctx, testEntry(2)) != nil)
+	store.Before(nil)
+	store.LoseRequests(0)
 	res, err := inner.Txn(ctx, late)
 	assert.NilError(t, err)
 	assert.Assert(t, res.Succeeded)
-	assert.NilError(t, trail.Record(ctx, order(3)))
-	assert.NilError(t, trail.Record(ctx, order(4)))
-	got := changes(t, trail, Filter{})
+	assert.NilError(t, trail.Record(ctx, testEntry(3)))
+	assert.NilError(t, trail.Record(ctx, testEntry(4)))
+	got := readChanges(t, trail, Filter{})
 	sort.Strings(got)
 	assert.DeepEqual(t, got, []string{"c-1", "c-2", "c-3", "c-4"})
 }
 
-func beforeWrite(way *faulty.Store, nth int, f func()) {
+func beforeWrite(store *faulty.Store, nth int, f func()) {
 	seen := 0
-	way.Before(func(string, infra.Txn) {
+	store.Before(func(string, infra.Txn) {
 		if seen++; seen == nth {
 			f()
 		}
 	})
 }
 
-// Eight entry VMs record at once, and their processes are replaced half way.
-// Every entry that was called certain is there once, and the writes stay far
-// below one for each entry: what comes together is written together.
+// Eight entry VMs record concurrently, and their processes are replaced half-store.
+// Every entry reported as recorded must be there exactly once. Concurrent entries
+// must be written in batches, with far fewer writes than entries.
 func TestManyWriters(t *testing.T) {
 	const writers, each = 8, 50
 	clock := clockwork.NewFakeClockAt(epoch)
@@ -146,26 +147,26 @@
 	var recorded sync.Map
 	writes := 0
 	for run := range 2 {
-		ways := make([]*faulty.Store, writers)
+		stores := make([]*faulty.Store, writers)
 		for w := range writers {
-			ways[w] = faulty.Wrap(inner)
-			trail := newTrail(ways[w], clock, fmt.Sprintf("e%d", w))
+			stores[w] = faulty.Wrap(inner)
+			trail := newTrail(stores[w], clock, fmt.Sprintf("e%d", w))
 			for i := range each {
 				n := (run*writers+w)*each + i
 				wg.Go(func() {
-					if trail.Record(ctx, order(n)) == nil {
+					if trail.Record(ctx, testEntry(n)) == nil {
 						recorded.Store(fmt.Sprintf("c-%d", n), true)
 					}
 				})
 			}
 		}
 		wg.Wait()
-		for _, way := range ways {
-			writes += way.Calls().Writes
+		for _, store := range stores {
+			writes += store.Calls().Writes
 		}
 	}
 	seen := make(map[string]int)
-	for _, c := range changes(t, newTrail(inner, clock, "reader"), Filter{Limit: 10000}) {
+	for _, c := range readChanges(t, newTrail(inner, clock, "reader"), Filter{Limit: 10000}) {
 		seen[c]++
 	}
 	recorded.Range(func(change, _ any) bool {
@@ -182,7 +183,7 @@
 	trail := newTrail(store, clock, "e1")
 	long := strings.Repeat("x", 5000)
 	for n := range 200 {
-		e := order(n)
+		e := testEntry(n)
 		e.Detail = long
 		assert.NilError(t, trail.Record(ctx, e))
 		clock.Advance(time.Second)
@@ -191,15 +192,15 @@
 	assert.NilError(t, err)
 	assert.Assert(t, len(kvs) > 5, "%d keys", len(kvs))
 	for _, kv := range kvs {
-		assert.Assert(t, len(kv.Value) < maxSegmentBytes+maxBatch*8*maxText, "%s: %d bytes", kv.Key, len(kv.Value))
+		assert.Assert(t, len(kv.Value) < maxSegmentBytes+maxBatch*8*maxTextBytes, "%s: %d bytes", kv.Key, len(kv.Value))
 	}
-	assert.Equal(t, len(changes(t, trail, Filter{})), 200)
+	assert.Equal(t, len(readChanges(t, trail, Filter{})), 200)
 
-	// What is older than the retention goes with the next segment, a bounded
-	// number at a time.
+	// Opening the next segment deletes the ones beyond the retention time, a
+	// bounded number at a time.
 	clock.Advance(retention + maxSegmentAge)
-	assert.NilError(t, trail.Record(ctx, order(999)))
-	assert.DeepEqual(t, changes(t, trail, Filter{}), []string{"c-999"})
+	assert.NilError(t, trail.Record(ctx, testEntry(999)))
+	assert.DeepEqual(t, readChanges(t, trail, Filter{}), []string{"c-999"})
 	kvs, _, err = store.Range(ctx, segmentPrefix)
 	assert.NilError(t, err)
 	assert.Equal(t, len(kvs), 1)
@@ -220,7 +221,7 @@
 	store := memstore.New(clock)
 	trail := newTrail(store, clock, "e1")
 	for n := range 10 {
-		e := order(n)
+		e := testEntry(n)
 		if n%2 == 1 {
 			e.Who, e.What = "bea", "pause wave spring"
 		}
@@ -243,7 +244,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.DeepEqual(t, changes(t, trail, tc.f), tc.want)
+			assert.DeepEqual(t, readChanges(t, trail, tc.f), tc.want)
 		})
 	}
 	_, more, err := trail.Read(ctx, Filter{Limit: 2})
@@ -251,9 +252,9 @@
 	assert.Assert(t, more)
 }
 
-// A script repeats an order that is refused, a thousand times in a few
-// minutes. The trail keeps the first ones and the count of the others, and an
-// operator's entries beside them are all kept.
+// A script repeats a refused order a thousand times in a few minutes. The trail
+// must keep the first entries and the number of the others, and all entries that
+// an operator causes at the same time.
 func TestRepeatedRefusalsAreSummedUp(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(epoch)
 	trail := newTrail(memstore.New(clock), clock, "e1")
@@ -265,32 +266,31 @@
 	assert.NilError(t, trail.Flush(ctx))
 	entries, _, err := trail.Read(ctx, Filter{Who: "script"})
 	assert.NilError(t, err)
-	assert.Assert(t, len(entries) >= noteBurst && len(entries) <= noteBurst+25, "%d entries", len(entries))
+	assert.Assert(t, len(entries) >= sourceBurst && len(entries) <= sourceBurst+25, "%d entries", len(entries))
 	assert.Assert(t, strings.Contains(entries[len(entries)-1].Detail, "more of this source not listed"))
 	entries, _, err = trail.Read(ctx, Filter{Who: "ana"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 1)
 }
 
-// BenchmarkDay records a day of 5,000 orders, each with its outcome, and as
-// many refusals, spread over eight entry VMs, and reports what the platform
-// sees of it.
+// BenchmarkDay records a day of 5,000 orders, each with its outcome, and as many
+// refusals, spread over eight entry VMs, and reports the load on the store.
 func BenchmarkDay(b *testing.B) {
 	const entryVMs, perDay = 8, 5000
 	for b.Loop() {
 		clock := clockwork.NewFakeClockAt(epoch)
 		inner := memstore.New(clock)
-		var ways []*counting
+		var stores []*countingStore
 		var trails []*Trail
 		for i := range entryVMs {
-			way := &counting{Store: inner}
-			ways = append(ways, way)
-			trails = append(trails, newTrail(way, clock, fmt.Sprintf("e%d", i)))
+			store := &countingStore{Store: inner}
+			stores = append(stores, store)
+			trails = append(trails, newTrail(store, clock, fmt.Sprintf("e%d", i)))
 		}
 		for n := range perDay {
 			trail := trails[n%entryVMs]
 			for stage, result := range []Result{Asked, Done} {
-				e := order(n)
+				e := testEntry(n)
 				e.ID = fmt.Sprintf("%d-%d", n, stage)
 				e.Result = result
 				e.Detail = "~ service preview: limit 0 -> 40"
@@ -302,13 +302,13 @@
 			clock.Advance(24 * time.Hour / perDay)
 		}
 		var writes, reads, written int
-		for i, way := range ways {
+		for i, store := range stores {
 			if err := trails[i].Flush(ctx); err != nil {
 				b.Fatal(err)
 			}
-			writes += way.writes
-			reads += way.reads
-			written += way.bytes
+			writes += store.writes
+			reads += store.reads
+			written += store.bytes
 		}
 		kvs, _, _ := inner.Range(ctx, infra.AuditPrefix)
 		held := 0
@@ -323,21 +323,21 @@
 	}
 }
 
-// counting counts calls and the bytes written.
-type counting struct {
+// countingStore counts reads, writes and the bytes written.
+type countingStore struct {
 	infra.Store
 	mu                   sync.Mutex
 	writes, reads, bytes int
 }
 
-func (c *counting) Get(ctx context.Context, key string) (infra.KV, infra.Revision, error) {
+func (c *countingStore) Get(ctx context.Context, key string) (infra.KV, infra.Revision, error) {
 	c.mu.Lock()
 	c.reads++
 	c.mu.Unlock()
 	return c.Store.Get(ctx, key)
 }
 
-func (c *counting) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
+func (c *countingStore) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
 	c.mu.Lock()
 	c.writes++
 	for _, op := range txn.Then {
