--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -1,25 +1,27 @@
-// Package access decides who may ask and who may order. Operators carry
-// tokens; the system keeps only their hashes.
+// Package access authenticates operators and checks their roles. Operators
+// present bearer tokens, of which the system stores only the hashes. The package
+// also provides the TLS configurations of listeners and their clients.
 package access
 
 import (
 	"net/http"
 )
 
-// Role is what an operator may do. A greater role includes the lesser ones.
+// Role is the set of permissions of an operator. A greater role includes the
+// permissions of the lesser ones; the zero value has none.
 type Role int8
 
 // The roles.
 const (
-	// RoleView may ask questions and read the audit trail.
+	// RoleView permits queries and reading the audit trail.
 	RoleView Role = iota + 1
-	// RoleOperate may give orders as well.
+	// RoleOperate also permits orders.
 	RoleOperate
-	// RoleConfigure may change the declaration as well.
+	// RoleConfigure also permits changes of the declaration.
 	RoleConfigure
 )
 
-// String returns the role as token files have it.
+// String returns the role as it is written in token files.
 func (r Role) String() string {
 	switch r {
 	case RoleView:
@@ -32,7 +34,8 @@
 	return "none"
 }
 
-// ParseRole turns the word of a token file into a Role.
+// ParseRole parses a role as written in token files. It returns false if there
+// is no such role.
 func ParseRole(s string) (Role, bool) {
 	for _, r := range []Role{RoleView, RoleOperate, RoleConfigure} {
 		if r.String() == s {
@@ -42,31 +45,32 @@
 	return 0, false
 }
 
-// Identity is who a request comes from.
+// Identity identifies the operator who sent a request.
 type Identity struct {
 	Name string
 	Role Role
 }
 
-// Error reports a request that is not let in. It never holds any part of a
+// Error reports a request that was refused. It never contains any part of a
 // token.
 type Error struct {
-	Known  bool // the operator is known and lacks the role
+	Known  bool // the operator was authenticated but lacks the required role
 	Detail string
 }
 
 // Error implements error.
 func (e *Error) Error() string { return e.Detail }
 
-// Gate lets requests in. Its error is an *Error.
+// Gate authenticates requests and checks that the operator's role is at least
+// need. Its errors are of type *Error.
 type Gate interface {
 	Admit(r *http.Request, need Role) (Identity, error)
 }
 
-// Open is the Gate of a deployment without tokens, as on loopback: everyone
-// may do everything under the name they give.
+// Open is the Gate of a deployment without tokens, such as one on loopback. It
+// gives every request all permissions, under the name that the request states.
 type Open struct {
-	// NameHeader is the header with the name.
+	// NameHeader is the request header that contains the operator's name.
 	NameHeader string
 }
 
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -53,7 +53,7 @@
 		token string
 		need  Role
 		want  string // the operator's name
-		known bool   // refused although known
+		known bool   // whether the operator is authenticated although refused
 	}{
 		{"role enough", viewer, RoleView, "eva", false},
 		{"greater role", admin, RoleOperate, "ana", false},
@@ -61,7 +61,7 @@
 		{"unknown token", admin + "x", RoleView, "", false},
 		{"no token", "", RoleView, "", false},
 		{"token too short to be safe", "hunter2", RoleView, "", false},
-		{"a hash is no token", viewHash, RoleView, "", false},
+		{"hash in place of the token", viewHash, RoleView, "", false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -81,11 +81,11 @@
 	}
 }
 
-// An operator leaves and the token file is replaced while the daemon runs; the
-// next edit leaves it half written. The token is refused within seconds, and
-// the bad file neither locks everyone out nor lets anyone in again. What the
-// files hold never reaches the log.
-func TestTokensAreReadAnew(t *testing.T) {
+// The token file is replaced while the daemon runs, because an operator has left;
+// the next edit leaves it half written. The removed token must be refused within
+// seconds, and the invalid file must neither lock everyone out nor readmit
+// anyone. The contents of the files must not be logged.
+func TestTokensAreReloaded(t *testing.T) {
 	first, firstHash := NewToken()
 	second, secondHash := NewToken()
 	path := filepath.Join(t.TempDir(), "tokens.ini")
@@ -102,15 +102,15 @@
 	assert.Assert(t, admits(first))
 
 	write(t, path, time.Unix(2, 0), entry(secondHash))
-	clock.Advance(checkEvery)
+	clock.Advance(recheckInterval)
 	assert.Assert(t, !admits(first))
 	assert.Assert(t, admits(second))
 
 	write(t, path, time.Unix(3, 0), entry(first)+"[operator bob")
-	clock.Advance(checkEvery)
+	clock.Advance(recheckInterval)
 	assert.Assert(t, admits(second))
 	assert.Assert(t, !admits(first))
-	assert.Assert(t, strings.Contains(logged.String(), "not taken over"))
+	assert.Assert(t, strings.Contains(logged.String(), "cannot reload files"))
 	for _, secret := range []string{first, second, firstHash, secondHash} {
 		assert.Assert(t, !strings.Contains(logged.String(), secret))
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-// authority signs certificates for the tests below.
+// authority is a certificate authority for the tests below.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -155,7 +155,8 @@
 	return &authority{cert: cert, key: key, pem: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// issue writes a certificate with the serial number into the files.
+// issue writes a new certificate with the serial number, its key and the CA
+// certificate to the files and sets their modification time.
 func (a *authority) issue(t *testing.T, f CertificateFiles, at time.Time, serial int64) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -200,9 +201,10 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
-// Certificates are renewed while the daemon runs: new connections use the new
-// ones. A client of another authority, or without a certificate, is refused.
-func TestCertificatesAreReadAnewAndMutual(t *testing.T) {
+// Certificates are renewed while the daemon runs; new connections must use the
+// new ones. A client without a certificate, or with one of another authority,
+// must be refused.
+func TestCertificatesAreReloadedAndMutual(t *testing.T) {
 	dir := t.TempDir()
 	files := CertificateFiles{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
 	ca := newAuthority(t)
@@ -219,14 +221,14 @@
 	assert.ErrorContains(t, err, "other")
 
 	ca.issue(t, files, time.Unix(2, 0), 12)
-	clock.Advance(checkEvery)
+	clock.Advance(recheckInterval)
 	serial, err = handshake(t, server, certs.Client("peer"))
 	assert.NilError(t, err)
 	assert.Equal(t, serial, int64(12))
 
-	bare := certs.Client("peer")
-	bare.Certificates = nil
-	_, err = handshake(t, server, bare)
+	withoutCert := certs.Client("peer")
+	withoutCert.Certificates = nil
+	_, err = handshake(t, server, withoutCert)
 	assert.Assert(t, err != nil)
 	foreign := newAuthority(t)
 	otherDir := t.TempDir()
@@ -234,9 +236,9 @@
 	foreign.issue(t, otherFiles, time.Unix(1, 0), 13)
 	other, err := NewCertificates(otherFiles, clock, logr.Discard())
 	assert.NilError(t, err)
-	strange := certs.Client("peer")
-	strange.Certificates = other.Client("peer").Certificates
-	_, err = handshake(t, server, strange)
+	foreignClient := certs.Client("peer")
+	foreignClient.Certificates = other.Client("peer").Certificates
+	_, err = handshake(t, server, foreignClient)
 	assert.Assert(t, err != nil)
 }
 
--- a/internal/access/tls.go
+++ b/internal/access/tls.go
@@ -13,35 +13,36 @@
 type CertificateFiles struct {
 	Cert string // certificate chain
 	Key  string
-	CA   string // whose certificates the other side must bear; empty where it needs none
+	CA   string // authority that must have issued the peer's certificate; empty if clients need none
 }
 
-// Certificates holds a listener's certificates, read anew when the files
+// Certificates holds a listener's certificates and reloads them when the files
 // change. It is safe for concurrent use.
 type Certificates struct {
-	files *watched[material]
+	files *watchedFiles[keyMaterial]
 }
 
-type material struct {
+type keyMaterial struct {
 	cert tls.Certificate
 	ca   *x509.CertPool
 }
 
-// NewCertificates reads the files. Mistakes in the first reading are an error.
+// NewCertificates loads the files. It returns a *FileError if one cannot be read
+// or is invalid.
 func NewCertificates(f CertificateFiles, clock clockwork.Clock, log logr.Logger) (*Certificates, error) {
 	paths := []string{f.Cert, f.Key}
 	if f.CA != "" {
 		paths = append(paths, f.CA)
 	}
-	files, err := newWatched(paths, clock, log, func(texts [][]byte) (material, error) { return parseMaterial(f, texts) })
+	files, err := newWatchedFiles(paths, clock, log, func(texts [][]byte) (keyMaterial, error) { return parseKeyMaterial(f, texts) })
 	if err != nil {
 		return nil, err
 	}
 	return &Certificates{files: files}, nil
 }
 
-func parseMaterial(f CertificateFiles, texts [][]byte) (material, error) {
-	var m material
+func parseKeyMaterial(f CertificateFiles, texts [][]byte) (keyMaterial, error) {
+	var m keyMaterial
 	cert, err := tls.X509KeyPair(texts[0], texts[1])
 	if err != nil {
 		return m, &FileError{Path: f.Cert, Problems: []string{"certificate and key do not go together or are not PEM"}}
@@ -57,8 +58,9 @@
 	return m, nil
 }
 
-// Server returns the configuration of a listener. Where there is a CA, clients
-// must bear a certificate of it. Each handshake uses the newest files.
+// Server returns the TLS configuration of a listener. If a CA is configured,
+// clients must present a certificate issued by it. Each handshake uses the most
+// recently loaded files.
 func (c *Certificates) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -74,10 +76,10 @@
 	}
 }
 
-// Client returns the configuration for one connection to a server whose
-// certificate bears the name; call it for each connection, so that it uses the
-// newest files. Entry VMs come and go and talk by address, so the certificates
-// of peers bear one name for all of them.
+// Client returns the TLS configuration for one connection to a server whose
+// certificate is issued for serverName. Call it for each connection, so that the
+// most recently loaded files are used. Entry VMs come and go and connect to each
+// other by address, so the certificates of all peers have the same name.
 func (c *Certificates) Client(serverName string) *tls.Config {
 	m := c.files.get()
 	return &tls.Config{
@@ -88,8 +90,8 @@
 	}
 }
 
-// Exposed reports whether a listener's address can be reached from beyond this
-// machine. Such a listener without TLS or tokens is to be warned of.
+// Exposed reports whether a listener's address can be reached from other
+// machines. Callers use it to warn about such a listener without TLS or tokens.
 func Exposed(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/access/tokens.go
+++ b/internal/access/tokens.go
@@ -15,51 +15,51 @@
 )
 
 const (
-	// tokenPrefix makes a token recognisable to people and to scanners that
-	// look for secrets in places where none should be.
+	// tokenPrefix makes tokens recognizable to people and to secret scanners.
 	tokenPrefix = "pst_"
-	// minTokenLength is the least length of a token that is let in. The file
-	// of hashes may be read by more people than the tokens, and a short token
-	// is found from its hash by trying.
+	// minTokenLength is the minimum length of an accepted token, in bytes. The
+	// file of hashes may be readable by more people than the tokens, and a short
+	// token can be found from its hash by brute force.
 	minTokenLength = 24
-	// hashPrefix names the hash in token files. Tokens are random and long, so
-	// a fast hash is enough: there is nothing to guess.
+	// hashPrefix names the hash function in token files. A fast hash is
+	// sufficient, because tokens are random and too long to be guessed.
 	hashPrefix = "sha256:"
-	// maxNameLength bounds an operator's name.
+	// maxNameLength is the maximum length of an operator's name, in bytes.
 	maxNameLength = 64
 )
 
-// NewToken returns a random token and its hash for the token file.
+// NewToken returns a new random token, and its hash for the token file.
 func NewToken() (token, hash string) {
 	token = tokenPrefix + strings.ToLower(rand.Text())
 	return token, Hash(token)
 }
 
-// Hash returns the hash of a token as token files hold it.
+// Hash returns the hash of a token as it is written in token files.
 func Hash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hashPrefix + hex.EncodeToString(sum[:])
 }
 
-// holder is one operator in the token file.
-type holder struct {
+// operator is the entry of one operator in the token file.
+type operator struct {
 	Identity
 	hash [sha256.Size]byte
 }
 
-// Tokens is a Gate by bearer tokens. The token file is read anew when it
-// changes; a file that cannot be read or has mistakes leaves the last good one
-// in force. It is safe for concurrent use.
+// Tokens is a Gate that checks bearer tokens against a token file. It reloads the
+// file when it changes; if the file cannot be read or is invalid, the last valid
+// contents stay in use. It is safe for concurrent use.
 type Tokens struct {
-	file *watched[[]holder]
+	file *watchedFiles[[]operator]
 }
 
 var _ Gate = (*Tokens)(nil)
 
-// NewTokens reads the token file: a section [operator NAME] for each, with
-// role and hash. Mistakes in the first reading are an error.
+// NewTokens loads the token file, which has a section [operator NAME] with the
+// keys role and hash for each operator. It returns a *FileError if the file
+// cannot be read or is invalid.
 func NewTokens(path string, clock clockwork.Clock, log logr.Logger) (*Tokens, error) {
-	file, err := newWatched([]string{path}, clock, log, func(texts [][]byte) ([]holder, error) {
+	file, err := newWatchedFiles([]string{path}, clock, log, func(texts [][]byte) ([]operator, error) {
 		return parseTokens(path, texts[0])
 	})
 	if err != nil {
@@ -68,8 +68,8 @@
 	return &Tokens{file: file}, nil
 }
 
-// Admit implements Gate. The given token is compared with every hash, each in
-// constant time, so that the time taken tells nothing of who there is.
+// Admit implements Gate. It compares the token's hash with that of every operator
+// in constant time, so that the time taken reveals nothing about the operators.
 func (t *Tokens) Admit(r *http.Request, need Role) (Identity, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -77,9 +77,9 @@
 	}
 	sum := sha256.Sum256([]byte(token))
 	var found Identity
-	for _, h := range t.file.get() {
-		if subtle.ConstantTimeCompare(sum[:], h.hash[:]) == 1 {
-			found = h.Identity
+	for _, o := range t.file.get() {
+		if subtle.ConstantTimeCompare(sum[:], o.hash[:]) == 1 {
+			found = o.Identity
 		}
 	}
 	if found.Name == "" || len(token) < minTokenLength {
@@ -91,8 +91,8 @@
 	return found, nil
 }
 
-// FileError reports mistakes in a file of this package. It holds no value of
-// the file.
+// FileError reports why a token or certificate file cannot be used. It contains
+// no values from the file, which may be secret.
 type FileError struct {
 	Path     string
 	Problems []string
@@ -101,37 +101,37 @@
 // Error implements error.
 func (e *FileError) Error() string { return e.Path + ": " + strings.Join(e.Problems, "; ") }
 
-func parseTokens(path string, text []byte) ([]holder, error) {
+func parseTokens(path string, text []byte) ([]operator, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: true, KeyValueDelimiters: "=", ChildSectionDelimiter: "\x00"}, text)
 	if err != nil {
-		return nil, &FileError{Path: path, Problems: []string{"not INI"}} // the library's text quotes the line
+		return nil, &FileError{Path: path, Problems: []string{"not INI"}} // the library's error quotes the line, which may contain a secret
 	}
-	var holders []holder
+	var operators []operator
 	var problems []string
 	seen := make(map[string]bool)
 	for _, s := range file.Sections() {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			continue
 		}
-		h, found := parseHolder(s)
+		o, found := parseOperator(s)
 		if seen[s.Name()] {
 			found = append(found, "["+s.Name()+"] stands twice")
 		}
 		seen[s.Name()] = true
 		problems = append(problems, found...)
-		holders = append(holders, h)
+		operators = append(operators, o)
 	}
 	if len(problems) > 0 {
 		return nil, &FileError{Path: path, Problems: problems}
 	}
-	if len(holders) == 0 {
+	if len(operators) == 0 {
 		return nil, &FileError{Path: path, Problems: []string{"no [operator NAME] section: nobody could be let in"}}
 	}
-	return holders, nil
+	return operators, nil
 }
 
-func parseHolder(s *ini.Section) (holder, []string) {
-	var h holder
+func parseOperator(s *ini.Section) (operator, []string) {
+	var o operator
 	var problems []string
 	bad := func(format string, args ...any) {
 		problems = append(problems, "["+s.Name()+"] "+fmt.Sprintf(format, args...))
@@ -140,7 +140,7 @@
 	if !ok || name == "" || len(name) > maxNameLength {
 		bad("expected [operator NAME]")
 	}
-	h.Name = name
+	o.Name = name
 	for _, key := range s.Keys() {
 		switch key.Name() {
 		case "role", "hash":
@@ -148,14 +148,14 @@
 			bad("%s: unknown key, expected role or hash", key.Name())
 		}
 	}
-	if h.Role, ok = ParseRole(s.Key("role").Value()); !ok {
+	if o.Role, ok = ParseRole(s.Key("role").Value()); !ok {
 		bad("role: expected view, operate or configure")
 	}
 	digits, prefixed := strings.CutPrefix(s.Key("hash").Value(), hashPrefix)
 	sum, err := hex.DecodeString(digits)
-	if err != nil || !prefixed || len(sum) != len(h.hash) {
-		bad("hash: expected %s and %d hexadecimal digits", hashPrefix, 2*len(h.hash))
+	if err != nil || !prefixed || len(sum) != len(o.hash) {
+		bad("hash: expected %s and %d hexadecimal digits", hashPrefix, 2*len(o.hash))
 	}
-	copy(h.hash[:], sum)
-	return h, problems
+	copy(o.hash[:], sum)
+	return o, problems
 }
--- a/internal/access/watched.go
+++ b/internal/access/watched.go
@@ -10,81 +10,84 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// checkEvery is how often files are looked at again, on use: a token that is
-// taken away is refused that much later at most.
-const checkEvery = 5 * time.Second
+// recheckInterval is the minimum time between two checks of the files, which are
+// made on use. A token that is removed from its file is refused after at most
+// this time.
+const recheckInterval = 5 * time.Second
 
-// maxFileBytes bounds a file of tokens or certificates.
+// maxFileBytes is the maximum size of a token or certificate file.
 const maxFileBytes = 1 << 20
 
-// watched is a value made from files, made anew when they change. It needs no
-// goroutine: whoever uses it looks whether it is time to look.
-type watched[T any] struct {
+// watchedFiles holds a value parsed from files and reloads it when they change.
+// It needs no goroutine: get checks the files if the last check is older than
+// recheckInterval.
+type watchedFiles[T any] struct {
 	paths []string
 	clock clockwork.Clock
 	log   logr.Logger
 	parse func(texts [][]byte) (T, error)
 
 	value   atomic.Pointer[T]
-	checked atomic.Int64 // nanoseconds of the clock
+	checked atomic.Int64 // time of the last check, in Unix nanoseconds
 
-	mu     sync.Mutex
-	stamps []stamp
+	mu       sync.Mutex
+	versions []fileVersion
 }
 
-// stamp tells one version of a file from another.
-type stamp struct {
+// fileVersion distinguishes versions of a file.
+type fileVersion struct {
 	size    int64
-	changed time.Time
+	modTime time.Time
 }
 
-func newWatched[T any](paths []string, clock clockwork.Clock, log logr.Logger, parse func([][]byte) (T, error)) (*watched[T], error) {
-	w := &watched[T]{paths: paths, clock: clock, log: log, parse: parse}
-	stamps, err := w.look()
+func newWatchedFiles[T any](paths []string, clock clockwork.Clock, log logr.Logger, parse func([][]byte) (T, error)) (*watchedFiles[T], error) {
+	w := &watchedFiles[T]{paths: paths, clock: clock, log: log, parse: parse}
+	versions, err := w.stat()
 	if err != nil {
 		return nil, err
 	}
-	if err := w.load(stamps); err != nil {
+	if err := w.load(versions); err != nil {
 		return nil, err
 	}
 	w.checked.Store(clock.Now().UnixNano())
 	return w, nil
 }
 
-// get returns the newest good value.
-func (w *watched[T]) get() T {
-	due := w.checked.Load() + int64(checkEvery)
+// get returns the most recent valid value.
+func (w *watchedFiles[T]) get() T {
+	due := w.checked.Load() + int64(recheckInterval)
 	if w.clock.Now().UnixNano() >= due {
 		w.refresh(due)
 	}
 	return *w.value.Load()
 }
 
-// refresh reads the files anew where they changed. A file that is bad, as one
-// that is half written, leaves the last good value and is tried again.
-func (w *watched[T]) refresh(due int64) {
+// refresh reloads the files if they changed. If one is invalid, for instance half
+// written, the last valid value stays in use and the files are tried again at the
+// next check.
+func (w *watchedFiles[T]) refresh(due int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.checked.Load()+int64(checkEvery) != due {
-		return // another caller was first
+	if w.checked.Load()+int64(recheckInterval) != due {
+		return // another goroutine has checked the files meanwhile
 	}
 	w.checked.Store(w.clock.Now().UnixNano())
-	stamps, err := w.look()
-	if err == nil && same(stamps, w.stamps) {
+	versions, err := w.stat()
+	if err == nil && sameVersions(versions, w.versions) {
 		return
 	}
 	if err == nil {
-		err = w.load(stamps)
+		err = w.load(versions)
 	}
 	if err != nil {
-		w.log.Error(err, "files not taken over, the last good ones stay in force", "paths", w.paths)
+		w.log.Error(err, "cannot reload files; the last valid contents stay in use", "paths", w.paths)
 		return
 	}
-	w.log.Info("files read anew", "paths", w.paths)
+	w.log.Info("files reloaded", "paths", w.paths)
 }
 
-func (w *watched[T]) look() ([]stamp, error) {
-	stamps := make([]stamp, len(w.paths))
+func (w *watchedFiles[T]) stat() ([]fileVersion, error) {
+	versions := make([]fileVersion, len(w.paths))
 	for i, p := range w.paths {
 		info, err := os.Stat(p)
 		if err != nil {
@@ -93,12 +96,12 @@
 		if info.Size() > maxFileBytes {
 			return nil, &FileError{Path: p, Problems: []string{"over 1 MiB"}}
 		}
-		stamps[i] = stamp{size: info.Size(), changed: info.ModTime()}
+		versions[i] = fileVersion{size: info.Size(), modTime: info.ModTime()}
 	}
-	return stamps, nil
+	return versions, nil
 }
 
-func (w *watched[T]) load(stamps []stamp) error {
+func (w *watchedFiles[T]) load(versions []fileVersion) error {
 	texts := make([][]byte, len(w.paths))
 	for i, p := range w.paths {
 		text, err := os.ReadFile(p)
@@ -111,14 +114,14 @@
 	if err != nil {
 		return err
 	}
-	w.stamps = stamps
+	w.versions = versions
 	w.value.Store(&value)
 	return nil
 }
 
-func same(a, b []stamp) bool {
+func sameVersions(a, b []fileVersion) bool {
 	for i := range a {
-		if a[i].size != b[i].size || !a[i].changed.Equal(b[i].changed) {
+		if a[i].size != b[i].size || !a[i].modTime.Equal(b[i].modTime) {
 			return false
 		}
 	}
