--- a/internal/devjobs/keyed.go
+++ b/internal/devjobs/keyed.go
@@ -41,7 +41,7 @@
 		caller.Key = exampleWorkspace.Keys[1]
 	}
 	job := standin.Job{ID: standin.JobID(firstKeyed + k.accepted), Spec: onceSpec, Tasks: onceTasks}
-	d.Platform.Witness.Belongs(job.ID, exampleWorkspace.Name)
+	d.Platform.Recorder.SetWorkspace(job.ID, exampleWorkspace.Name)
 	if err := d.handInBy(ctx, &caller, job, k.accepted); err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 func (k *keyedPlay) revoke(ctx context.Context, d *Deployment) error {
 	later := exampleWorkspace
 	later.Keys = later.Keys[1:]
-	if err := d.Platform.Declare(revokedVersion, exampleServices, exampleQueues, []standin.Workspace{later}); err != nil {
+	if err := d.Platform.ConfigureWorkspaces(revokedVersion, exampleServices, exampleQueues, []standin.Workspace{later}); err != nil {
 		return trace.Wrap(err)
 	}
 	began := time.Now()
--- a/internal/devjobs/run.go
+++ b/internal/devjobs/run.go
@@ -21,7 +21,7 @@
 	exampleKeyed    = standin.Caller{Host: example.Host, Prefix: "/checks/", Key: "key-1"}
 	exampleQueues   = []standin.Queue{
 		{Name: "weights", Host: example.Host, Prefix: example.Prefix, Service: "weighting", Attempts: 3},
-		{Name: "checks", Host: exampleKeyed.Host, Prefix: exampleKeyed.Prefix, Service: "weighting", Attempts: 3, Keyed: true},
+		{Name: "checks", Host: exampleKeyed.Host, Prefix: exampleKeyed.Prefix, Service: "weighting", Attempts: 3, RequiresKey: true},
 	}
 	exampleWorkspace = standin.Workspace{Name: "red", Keys: []string{exampleKeyed.Key, "key-2"}, Weight: 1, Tasks: 6}
 )
@@ -190,8 +190,8 @@
 		}
 	}
 	r.wave = time.Since(began)
-	r.done, r.twice = d.Platform.Witness.Done(), d.Platform.Witness.Twice()
-	r.over = d.Platform.Witness.Over()
+	r.done, r.twice = d.Platform.Recorder.CompletedRuns(), d.Platform.Recorder.DuplicateRuns()
+	r.over = d.Platform.Recorder.LimitViolations()
 	return r, nil
 }
 
@@ -199,7 +199,7 @@
 // maintenance; the next begin under their IDs.
 func (d *Deployment) restartWorkers() error {
 	for vm := range onceRestarts {
-		if err := d.Platform.StartAgain(vm); err != nil {
+		if err := d.Platform.RestartWorker(vm); err != nil {
 			return trace.Wrap(err)
 		}
 	}
