--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -238,7 +238,7 @@
 		a := b.start("a", 1)
 		defer a.stop()
 		accepted := b.store.Revision() + 4
-		a.opts.Accepted = func() infra.Revision { return accepted }
+		a.opts.KnownRevision = func() infra.Revision { return accepted }
 		_, err := a.claimWithin(t, time.Second, request("k", 1))
 		assert.ErrorIs(t, err, errRestored)
 		assert.Assert(t, err.Certain)
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -55,10 +55,10 @@
 	// Live returns the IDs of the live entry VMs, including this one. If nil,
 	// this entry VM is the only one.
 	Live func() []model.EntryID
-	// Accepted returns the highest store revision known to this entry VM. A store
+	// KnownRevision returns the highest store revision known to this entry VM. A store
 	// that answers with a lower one was restored from a backup. If nil, this is
 	// not checked.
-	Accepted func() infra.Revision
+	KnownRevision func() infra.Revision
 	// Clocks returns the earliest and the latest wall-clock time among the live
 	// entry VMs. If nil, only the local clock is used.
 	Clocks func() (earliest, latest time.Time)
@@ -93,8 +93,8 @@
 		self := []model.EntryID{opts.Self.ID}
 		opts.Live = func() []model.EntryID { return self }
 	}
-	if opts.Accepted == nil {
-		opts.Accepted = func() infra.Revision { return 0 }
+	if opts.KnownRevision == nil {
+		opts.KnownRevision = func() infra.Revision { return 0 }
 	}
 	if opts.Clocks == nil {
 		opts.Clocks = localClock
@@ -149,7 +149,7 @@
 		return Result{}, &Error{Certain: true, Err: trace.Wrap(err)}
 	}
 	now := time.Now()
-	accepted := l.opts.Accepted()
+	accepted := l.opts.KnownRevision()
 	r := l.newRecord(req, l.latestClock())
 	key := storeKey(req.Key)
 	var replaced infra.Revision // revision of the released claim that is replaced; 0 if none
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -195,12 +195,12 @@
 // wireRequests makes the callers' path.
 func (d *Daemon) wireRequests(o Options) {
 	d.claims = claim.NewLedger(claim.Options{
-		Store:    d.store,
-		Self:     d.self,
-		Live:     d.liveEntries,
-		Accepted: func() infra.Revision { return d.view.Load().Revision },
-		Clocks:   d.mesh.Clocks,
-		Log:      d.log.WithName("claim"),
+		Store:         d.store,
+		Self:          d.self,
+		Live:          d.liveEntries,
+		KnownRevision: func() infra.Revision { return d.view.Load().Revision },
+		Clocks:        d.mesh.Clocks,
+		Log:           d.log.WithName("claim"),
 	})
 	d.entry = entry.New(entry.Options{
 		View:   d.view,
