--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -112,7 +112,7 @@
 // refusals and other entries that one source may cause in large numbers. Entries
 // beyond the source's rate are only counted; otherwise they would push older
 // entries out of the trail.
-func (t *Trail) Note(e Entry) {
+func (t *Trail) RecordLimited(e Entry) {
 	e, ok := t.limiter.admit(e)
 	if !ok {
 		return
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -259,10 +259,10 @@
 	clock := clockwork.NewFakeClockAt(epoch)
 	trail := newTrail(memstore.New(clock), clock, "e1")
 	for range 1000 {
-		trail.Note(Entry{Who: "script", From: "10.0.0.9", What: "drain vm v2", Result: Refused})
+		trail.RecordLimited(Entry{Who: "script", From: "10.0.0.9", What: "drain vm v2", Result: Refused})
 		clock.Advance(100 * time.Millisecond)
 	}
-	trail.Note(Entry{Who: "ana", From: "10.0.0.7", What: "drain vm v3", Result: Refused})
+	trail.RecordLimited(Entry{Who: "ana", From: "10.0.0.7", What: "drain vm v3", Result: Refused})
 	assert.NilError(t, trail.Flush(ctx))
 	entries, _, err := trail.Read(ctx, Filter{Who: "script"})
 	assert.NilError(t, err)
@@ -298,7 +298,7 @@
 					b.Fatal(err)
 				}
 			}
-			trail.Note(Entry{Who: fmt.Sprintf("o%d", n%100), From: "10.0.0.9", What: "drain vm v2", Result: Refused})
+			trail.RecordLimited(Entry{Who: fmt.Sprintf("o%d", n%100), From: "10.0.0.9", What: "drain vm v2", Result: Refused})
 			clock.Advance(24 * time.Hour / perDay)
 		}
 		var writes, reads, written int
--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -83,7 +83,7 @@
 		}
 		var denied *access.Error
 		if errors.As(err, &denied) && method != http.MethodGet {
-			h.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(req), What: method + " " + req.URL.Path, Result: audit.Refused, Detail: denied.Error()})
+			h.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remoteHost(req), What: method + " " + req.URL.Path, Result: audit.Refused, Detail: denied.Error()})
 		}
 		p := problemOf(err)
 		h.Log.V(1).Info("request on jobs failed", "who", who.Name, "status", p.Status, "error", err.Error())
@@ -109,7 +109,7 @@
 	case err != nil:
 		e.Result, e.Detail = audit.Unknown, err.Error()
 	}
-	h.Trail.Note(e)
+	h.Trail.RecordLimited(e)
 }
 
 // remoteHost returns the client's address without its port.
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -104,7 +104,7 @@
 func (s *server) refuse(w http.ResponseWriter, req *http.Request, who access.Identity, err error) {
 	s.Log.Info("operator request not let in", "from", remote(req), "path", req.URL.Path, "reason", err.Error())
 	if req.Method != http.MethodGet {
-		s.Trail.Note(audit.Entry{Who: who.Name, From: remote(req), What: req.Method + " " + req.URL.Path, Result: audit.Refused, Detail: err.Error()})
+		s.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remote(req), What: req.Method + " " + req.URL.Path, Result: audit.Refused, Detail: err.Error()})
 	}
 	writeProblem(w, problemOf(err))
 }
--- a/internal/operator/trail.go
+++ b/internal/operator/trail.go
@@ -19,7 +19,7 @@
 }
 
 // Note implements command.Trail.
-func (t CommandTrail) Note(e command.Event) { t.Trail.Note(entryOf(e)) }
+func (t CommandTrail) Note(e command.Event) { t.Trail.RecordLimited(entryOf(e)) }
 
 var stageResult = map[command.Stage]audit.Result{
 	command.StageAsked:   audit.Asked,
