--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -102,7 +102,7 @@
 
 // RecordAsync records an entry in the background, for automatic actions. It is
 // attempted once, together with the other pending entries; a failure is logged.
-func (t *Trail) RecordSoon(e Entry) {
+func (t *Trail) RecordAsync(e Entry) {
 	if _, err := t.enqueue(e); err != nil {
 		t.log.Error(err, "audit entry dropped", "what", e.What, "who", e.Who)
 	}
@@ -117,7 +117,7 @@
 	if !ok {
 		return
 	}
-	t.RecordSoon(e)
+	t.RecordAsync(e)
 }
 
 // Flush waits until a write was attempted for all entries recorded before the
--- a/internal/operator/wiring/observer.go
+++ b/internal/operator/wiring/observer.go
@@ -74,7 +74,7 @@
 		if !known || was.Change == now.Change || !o.mine(now.Change) {
 			continue
 		}
-		o.Trail.RecordSoon(audit.Entry{
+		o.Trail.RecordAsync(audit.Entry{
 			ID: string(now.Change) + " vm " + string(id), Who: automaticWho, From: string(o.Self), Change: now.Change,
 			What: "vm " + string(id), Before: vmText(was), After: vmText(now.VM), Result: audit.Automatic, Detail: now.Reason,
 		})
@@ -105,7 +105,7 @@
 		if o.waves == nil || known && was.Change == now.Change || !o.mine(now.Change) {
 			continue
 		}
-		o.Trail.RecordSoon(audit.Entry{
+		o.Trail.RecordAsync(audit.Entry{
 			ID: string(now.Change) + " wave " + string(now.Name), Who: automaticWho, From: string(o.Self), Change: now.Change,
 			What: "wave " + string(now.Name), Before: string(was.State), After: string(now.State), Result: audit.Automatic, Detail: now.Reason,
 		})
