--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -37,11 +37,11 @@
 
 // Options configures a Trail. Store and Self are required.
 type Options struct {
-	Store infra.Store
-	Self  model.EntryID
-	Clock clockwork.Clock // the real clock if nil
-	Log   logr.Logger
-	Pace  time.Duration // minimum time between two writes; 0 means DefaultWriteInterval, negative none
+	Store         infra.Store
+	Self          model.EntryID
+	Clock         clockwork.Clock // the real clock if nil
+	Log           logr.Logger
+	WriteInterval time.Duration // minimum time between two writes; 0 means DefaultWriteInterval, negative none
 }
 
 // Trail appends entries to the audit trail and reads them. It is safe for
@@ -79,10 +79,10 @@
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
 	}
-	if o.Pace == 0 {
-		o.Pace = DefaultPace
+	if o.WriteInterval == 0 {
+		o.WriteInterval = DefaultPace
 	}
-	return &Trail{store: o.Store, self: o.Self, clock: o.Clock, log: o.Log, pace: o.Pace, limiter: newSourceLimiter(o.Clock)}
+	return &Trail{store: o.Store, self: o.Self, clock: o.Clock, log: o.Log, pace: o.WriteInterval, limiter: newSourceLimiter(o.Clock)}
 }
 
 // Record records an entry and returns nil once it is certainly in the trail. Its
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -25,7 +25,7 @@
 )
 
 func newTrail(store infra.Store, clock clockwork.Clock, self string) *Trail {
-	return New(Options{Store: store, Self: model.EntryID(self), Clock: clock, Pace: -1})
+	return New(Options{Store: store, Self: model.EntryID(self), Clock: clock, WriteInterval: -1})
 }
 
 func testEntry(n int) Entry {
--- a/internal/jobs/jobsapi/jobsapi_test.go
+++ b/internal/jobs/jobsapi/jobsapi_test.go
@@ -50,7 +50,7 @@
 		VMs: map[model.VMID]view.VMRecord{"v1": {VM: model.VM{ID: "v1", Capacity: capacity, State: model.VMInPool, Pool: "batch", Zone: "gt-a"}}}})
 	j := jobs.New(jobs.Options{Store: store, Machines: platform.Machines, View: holder, Self: "e1", Clock: clock, Log: logr.Discard()})
 	g := &roleGate{role: access.RoleOperate}
-	trail := audit.New(audit.Options{Store: store, Self: "e1", Clock: clock, Pace: -1, Log: logr.Discard()})
+	trail := audit.New(audit.Options{Store: store, Self: "e1", Clock: clock, WriteInterval: -1, Log: logr.Discard()})
 	return &testAPI{New(Options{Jobs: j, Access: g, Trail: trail, Log: logr.Discard()}), j, g, trail}
 }
 
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -46,7 +46,7 @@
 	f := &Fixture{Clock: clockwork.NewFakeClockAt(Epoch), View: view.NewHolder(), Fleet: &Fleet{}, Acks: &Acks{}}
 	f.Engine = memstore.New(f.Clock)
 	f.Way = faulty.Wrap(f.Engine)
-	f.Trail = audit.New(audit.Options{Store: f.Way, Self: "e1", Clock: f.Clock, Pace: -1, Log: logr.Discard()})
+	f.Trail = audit.New(audit.Options{Store: f.Way, Self: "e1", Clock: f.Clock, WriteInterval: -1, Log: logr.Discard()})
 	f.Publish(d)
 	stored := command.Stored{Store: f.Way, Clock: f.Clock, View: f.View}
 	f.Handler = operator.New(operator.Options{
--- a/internal/operator/wiring/wiring_test.go
+++ b/internal/operator/wiring/wiring_test.go
@@ -86,7 +86,7 @@
 	w.port = New(Parts{
 		Self: view.EntryRecord{ID: "e1", Zone: d.Zones[0]}, Store: w.store, View: w.view, Fleet: w.fleet,
 		Mesh: nobody{}, Acks: nobody{}, Health: w.health, Clock: w.clock, Log: logr.Discard(),
-		Trail: audit.New(audit.Options{Store: w.store, Self: "e1", Clock: w.clock, Pace: -1}),
+		Trail: audit.New(audit.Options{Store: w.store, Self: "e1", Clock: w.clock, WriteInterval: -1}),
 	})
 	w.publish(t)
 	assert.NilError(t, w.fleet.Bootstrap(ctx))
