--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -21,7 +21,7 @@
 	// process. Ten writes per second from each of eight entry VMs are less than
 	// a fifth of the several hundred that the store accepts; an order waits a
 	// tenth of a second at most.
-	DefaultPace = 100 * time.Millisecond
+	DefaultWriteInterval = 100 * time.Millisecond
 	// maxPending bounds the entries waiting to be written; more than that means
 	// that the platform's store does not keep up.
 	maxPending = 1000
@@ -80,7 +80,7 @@
 		o.Clock = clockwork.NewRealClock()
 	}
 	if o.WriteInterval == 0 {
-		o.WriteInterval = DefaultPace
+		o.WriteInterval = DefaultWriteInterval
 	}
 	return &Trail{store: o.Store, self: o.Self, clock: o.Clock, log: o.Log, pace: o.WriteInterval, limiter: newSourceLimiter(o.Clock)}
 }
