--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -61,9 +61,9 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Detail }
 
-// Gate authenticates requests and checks that the operator's role is at least
+// Authorizer authenticates requests and checks that the operator's role is at least
 // need. Its errors are of type *Error.
-type Gate interface {
+type Authorizer interface {
 	Admit(r *http.Request, need Role) (Identity, error)
 }
 
--- a/internal/access/tokens.go
+++ b/internal/access/tokens.go
@@ -53,7 +53,7 @@
 	file *watchedFiles[[]operator]
 }
 
-var _ Gate = (*Tokens)(nil)
+var _ Authorizer = (*Tokens)(nil)
 
 // NewTokens loads the token file, which has a section [operator NAME] with the
 // keys role and hash for each operator. It returns a *FileError if the file
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -15,7 +15,7 @@
 )
 
 // gate returns who may do what at the operator port.
-func (d *Daemon) gate() (access.Gate, error) {
+func (d *Daemon) gate() (access.Authorizer, error) {
 	if d.settings.TokensFile == "" {
 		return access.Open{NameHeader: api.HeaderOperator}, nil
 	}
--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -42,7 +42,7 @@
 // Options configures the handler. All fields but Log are required.
 type Options struct {
 	Jobs   *jobs.Jobs
-	Access access.Gate
+	Access access.Authorizer
 	Trail  *audit.Trail
 	Log    logr.Logger
 }
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -41,7 +41,7 @@
 
 // New returns a fixture whose view holds the declaration with every VM in its
 // declared pool. gate may be nil.
-func New(t testing.TB, d *model.Declaration, gate access.Gate) *Fixture {
+func New(t testing.TB, d *model.Declaration, gate access.Authorizer) *Fixture {
 	t.Helper()
 	f := &Fixture{Clock: clockwork.NewFakeClockAt(Epoch), View: view.NewHolder(), Fleet: &Fleet{}, Acks: &Acks{}}
 	f.Engine = memstore.New(f.Clock)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -44,8 +44,8 @@
 	Queries  *query.Engine
 	Trail    *audit.Trail
 	Acks     Acks
-	Access   access.Gate     // access.Open if nil
-	Clock    clockwork.Clock // the real one if nil
+	Access   access.Authorizer // access.Open if nil
+	Clock    clockwork.Clock   // the real one if nil
 	Log      logr.Logger
 }
 
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -33,7 +33,7 @@
 	Health func(model.VMID) model.Health
 	Jobs   command.Jobs
 	Asked  query.Jobs
-	Access access.Gate
+	Access access.Authorizer
 	Trail  *audit.Trail // one of its own if nil
 	Clock  clockwork.Clock
 	Log    logr.Logger
