--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -64,7 +64,7 @@
 // Authorizer authenticates requests and checks that the operator's role is at least
 // need. Its errors are of type *Error.
 type Authorizer interface {
-	Admit(r *http.Request, need Role) (Identity, error)
+	Authorize(r *http.Request, need Role) (Identity, error)
 }
 
 // Open is the Gate of a deployment without tokens, such as one on loopback. It
@@ -74,8 +74,8 @@
 	NameHeader string
 }
 
-// Admit implements Gate.
-func (o Open) Admit(r *http.Request, _ Role) (Identity, error) {
+// Authorize implements Gate.
+func (o Open) Authorize(r *http.Request, _ Role) (Identity, error) {
 	name := r.Header.Get(o.NameHeader)
 	if name == "" {
 		name = "anonymous"
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -65,7 +65,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			who, err := gate.Admit(request(tc.token), tc.need)
+			who, err := gate.Authorize(request(tc.token), tc.need)
 			if tc.want != "" {
 				assert.NilError(t, err)
 				assert.Equal(t, who.Name, tc.want)
@@ -96,7 +96,7 @@
 	gate, err := NewTokens(path, clock, logr.FromSlogHandler(slog.NewTextHandler(&logged, nil)))
 	assert.NilError(t, err)
 	admits := func(token string) bool {
-		_, err := gate.Admit(request(token), RoleView)
+		_, err := gate.Authorize(request(token), RoleView)
 		return err == nil
 	}
 	assert.Assert(t, admits(first))
--- a/internal/access/tokens.go
+++ b/internal/access/tokens.go
@@ -68,9 +68,9 @@
 	return &Tokens{file: file}, nil
 }
 
-// Admit implements Gate. It compares the token's hash with that of every operator
+// Authorize implements Gate. It compares the token's hash with that of every operator
 // in constant time, so that the time taken reveals nothing about the operators.
-func (t *Tokens) Admit(r *http.Request, need Role) (Identity, error) {
+func (t *Tokens) Authorize(r *http.Request, need Role) (Identity, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return Identity{}, &Error{Detail: "an operator's token is required"}
--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -72,7 +72,7 @@
 		// command is carried out only in part.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), timeout)
 		defer cancel()
-		who, err := h.Access.Admit(req, need)
+		who, err := h.Access.Authorize(req, need)
 		if err == nil {
 			req.Body = http.MaxBytesReader(w, req.Body, maxBody)
 			var reply any
--- a/internal/jobs/jobsapi/jobsapi_test.go
+++ b/internal/jobs/jobsapi/jobsapi_test.go
@@ -24,7 +24,7 @@
 // roleGate admits requests that need at most its role, always as user ana.
 type roleGate struct{ role access.Role }
 
-func (g *roleGate) Admit(_ *http.Request, need access.Role) (access.Identity, error) {
+func (g *roleGate) Authorize(_ *http.Request, need access.Role) (access.Identity, error) {
 	if g.role < need {
 		return access.Identity{Name: "ana"}, &access.Error{Known: true, Detail: "the role does not suffice"}
 	}
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -50,7 +50,7 @@
 
 func (s *server) change(ctx context.Context, r *http.Request, who access.Identity, req api.DeclarationRequest) (any, error) {
 	if req.Mode == api.ModeApply {
-		if _, err := s.Access.Admit(r, access.RoleConfigure); err != nil {
+		if _, err := s.Access.Authorize(r, access.RoleConfigure); err != nil {
 			s.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remote(r), Change: req.Change, What: "apply declaration", Result: audit.Refused, Detail: err.Error()})
 			return nil, err
 		}
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	if _, changes := order.(lang.SetLimit); changes {
-		if _, err := s.Access.Admit(r, access.RoleConfigure); err != nil {
+		if _, err := s.Access.Authorize(r, access.RoleConfigure); err != nil {
 			s.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remote(r), Change: req.Change, What: req.Text, Result: audit.Refused, Detail: err.Error()})
 			return nil, err
 		}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -84,7 +84,7 @@
 		// A client that goes away does not stop half an order.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), requestTimeout)
 		defer cancel()
-		who, err := s.Access.Admit(req, need)
+		who, err := s.Access.Authorize(req, need)
 		if err != nil {
 			s.refuse(w, req, who, err)
 			return
