--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -67,15 +67,15 @@
 	Authorize(r *http.Request, need Role) (Identity, error)
 }
 
-// Open is the Gate of a deployment without tokens, such as one on loopback. It
+// Unauthenticated is the Gate of a deployment without tokens, such as one on loopback. It
 // gives every request all permissions, under the name that the request states.
-type Open struct {
+type Unauthenticated struct {
 	// NameHeader is the request header that contains the operator's name.
 	NameHeader string
 }
 
 // Authorize implements Gate.
-func (o Open) Authorize(r *http.Request, _ Role) (Identity, error) {
+func (o Unauthenticated) Authorize(r *http.Request, _ Role) (Identity, error) {
 	name := r.Header.Get(o.NameHeader)
 	if name == "" {
 		name = "anonymous"
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -17,7 +17,7 @@
 // gate returns who may do what at the operator port.
 func (d *Daemon) gate() (access.Authorizer, error) {
 	if d.settings.TokensFile == "" {
-		return access.Open{NameHeader: api.HeaderOperator}, nil
+		return access.Unauthenticated{NameHeader: api.HeaderOperator}, nil
 	}
 	tokens, err := access.NewTokens(d.settings.TokensFile, clockwork.NewRealClock(), d.log.WithName("access"))
 	return tokens, trace.Wrap(err)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -60,7 +60,7 @@
 		o.Clock = clockwork.NewRealClock()
 	}
 	if o.Access == nil {
-		o.Access = access.Open{NameHeader: api.HeaderOperator}
+		o.Access = access.Unauthenticated{NameHeader: api.HeaderOperator}
 	}
 	s := &server{o}
 	r := mux.NewRouter()
