--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -54,8 +54,8 @@
 // Error reports a request that was refused. It never contains any part of a
 // token.
 type Error struct {
-	Known  bool // the operator was authenticated but lacks the required role
-	Detail string
+	Authenticated bool // the operator was authenticated but lacks the required role
+	Detail        string
 }
 
 // Error implements error.
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -73,7 +73,7 @@
 			}
 			var denied *Error
 			assert.Assert(t, errors.As(err, &denied))
-			assert.Equal(t, denied.Known, tc.known)
+			assert.Equal(t, denied.Authenticated, tc.known)
 			if tc.token != "" {
 				assert.Assert(t, !strings.Contains(err.Error(), tc.token))
 			}
--- a/internal/access/tokens.go
+++ b/internal/access/tokens.go
@@ -86,7 +86,7 @@
 		return Identity{}, &Error{Detail: "this token is not known"}
 	}
 	if found.Role < need {
-		return found, &Error{Known: true, Detail: fmt.Sprintf("operator %s has role %s, this needs %s", found.Name, found.Role, need)}
+		return found, &Error{Authenticated: true, Detail: fmt.Sprintf("operator %s has role %s, this needs %s", found.Name, found.Role, need)}
 	}
 	return found, nil
 }
--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -133,7 +133,7 @@
 	switch {
 	case errors.As(err, &denied):
 		p.Status, p.Code = http.StatusUnauthorized, api.CodeUnauthorized
-		if denied.Known {
+		if denied.Authenticated {
 			p.Status, p.Code = http.StatusForbidden, api.CodeForbidden
 		}
 	case errors.As(err, &refusal):
--- a/internal/jobs/jobsapi/jobsapi_test.go
+++ b/internal/jobs/jobsapi/jobsapi_test.go
@@ -26,7 +26,7 @@
 
 func (g *roleGate) Authorize(_ *http.Request, need access.Role) (access.Identity, error) {
 	if g.role < need {
-		return access.Identity{Name: "ana"}, &access.Error{Known: true, Detail: "the role does not suffice"}
+		return access.Identity{Name: "ana"}, &access.Error{Authenticated: true, Detail: "the role does not suffice"}
 	}
 	return access.Identity{Name: "ana", Role: g.role}, nil
 }
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -32,7 +32,7 @@
 	if !errors.As(err, &denied) {
 		return api.Problem{}, false
 	}
-	if denied.Known {
+	if denied.Authenticated {
 		return api.Problem{Status: http.StatusForbidden, Code: api.CodeForbidden, Detail: denied.Error()}, true
 	}
 	return api.Problem{Status: http.StatusUnauthorized, Code: api.CodeUnauthorized, Detail: denied.Error()}, true
