--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -67,14 +67,15 @@
 	Authorize(r *http.Request, need Role) (Identity, error)
 }
 
-// Unauthenticated is the Gate of a deployment without tokens, such as one on loopback. It
-// gives every request all permissions, under the name that the request states.
+// Unauthenticated is the Authorizer of a deployment without tokens, such as one
+// on loopback. It gives every request all permissions, under the name that the
+// request states.
 type Unauthenticated struct {
 	// NameHeader is the request header that contains the operator's name.
 	NameHeader string
 }
 
-// Authorize implements Gate.
+// Authorize implements Authorizer.
 func (o Unauthenticated) Authorize(r *http.Request, _ Role) (Identity, error) {
 	name := r.Header.Get(o.NameHeader)
 	if name == "" {
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -40,13 +40,13 @@
 	assert.NilError(t, os.Chtimes(path, at, at))
 }
 
-func TestTokensAdmit(t *testing.T) {
+func TestTokensAuthorize(t *testing.T) {
 	viewer, viewHash := NewToken()
 	admin, adminHash := NewToken()
 	path := filepath.Join(t.TempDir(), "tokens.ini")
 	write(t, path, time.Unix(1, 0), fmt.Sprintf("[operator eva]\nrole = view\nhash = %s\n[operator ana]\nrole = configure\nhash = %s\n[operator short]\nrole = view\nhash = %s\n",
 		viewHash, adminHash, Hash("hunter2")))
-	gate, err := NewTokens(path, clockwork.NewFakeClock(), logr.Discard())
+	tokens, err := NewTokens(path, clockwork.NewFakeClock(), logr.Discard())
 	assert.NilError(t, err)
 	cases := []struct {
 		name  string
@@ -65,7 +65,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			who, err := gate.Authorize(request(tc.token), tc.need)
+			who, err := tokens.Authorize(request(tc.token), tc.need)
 			if tc.want != "" {
 				assert.NilError(t, err)
 				assert.Equal(t, who.Name, tc.want)
@@ -93,23 +93,23 @@
 	write(t, path, time.Unix(1, 0), entry(firstHash))
 	clock := clockwork.NewFakeClock()
 	var logged bytes.Buffer
-	gate, err := NewTokens(path, clock, logr.FromSlogHandler(slog.NewTextHandler(&logged, nil)))
+	tokens, err := NewTokens(path, clock, logr.FromSlogHandler(slog.NewTextHandler(&logged, nil)))
 	assert.NilError(t, err)
-	admits := func(token string) bool {
-		_, err := gate.Authorize(request(token), RoleView)
+	authorized := func(token string) bool {
+		_, err := tokens.Authorize(request(token), RoleView)
 		return err == nil
 	}
-	assert.Assert(t, admits(first))
+	assert.Assert(t, authorized(first))
 
 	write(t, path, time.Unix(2, 0), entry(secondHash))
 	clock.Advance(recheckInterval)
-	assert.Assert(t, !admits(first))
-	assert.Assert(t, admits(second))
+	assert.Assert(t, !authorized(first))
+	assert.Assert(t, authorized(second))
 
 	write(t, path, time.Unix(3, 0), entry(first)+"[operator bob")
 	clock.Advance(recheckInterval)
-	assert.Assert(t, admits(second))
-	assert.Assert(t, !admits(first))
+	assert.Assert(t, authorized(second))
+	assert.Assert(t, !authorized(first))
 	assert.Assert(t, strings.Contains(logged.String(), "cannot reload files"))
 	for _, secret := range []string{first, second, firstHash, secondHash} {
 		assert.Assert(t, !strings.Contains(logged.String(), secret))
--- a/internal/access/tokens.go
+++ b/internal/access/tokens.go
@@ -46,9 +46,9 @@
 	hash [sha256.Size]byte
 }
 
-// Tokens is a Gate that checks bearer tokens against a token file. It reloads the
-// file when it changes; if the file cannot be read or is invalid, the last valid
-// contents stay in use. It is safe for concurrent use.
+// Tokens is an Authorizer that checks bearer tokens against a token file. It
+// reloads the file when it changes; if the file cannot be read or is invalid, the
+// last valid contents stay in use. It is safe for concurrent use.
 type Tokens struct {
 	file *watchedFiles[[]operator]
 }
@@ -68,8 +68,9 @@
 	return &Tokens{file: file}, nil
 }
 
-// Authorize implements Gate. It compares the token's hash with that of every operator
-// in constant time, so that the time taken reveals nothing about the operators.
+// Authorize implements Authorizer. It compares the token's hash with that of
+// every operator in constant time, so that the time taken reveals nothing about
+// the operators.
 func (t *Tokens) Authorize(r *http.Request, need Role) (Identity, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -47,12 +47,12 @@
 // Trail appends entries to the audit trail and reads them. It is safe for
 // concurrent use.
 type Trail struct {
-	store   infra.Store
-	self    model.EntryID
-	clock   clockwork.Clock
-	log     logr.Logger
-	pace    time.Duration
-	limiter *sourceLimiter
+	store         infra.Store
+	self          model.EntryID
+	clock         clockwork.Clock
+	log           logr.Logger
+	writeInterval time.Duration
+	limiter       *sourceLimiter
 
 	mu       sync.Mutex
 	pending  []*pendingEntry
@@ -82,7 +82,7 @@
 	if o.WriteInterval == 0 {
 		o.WriteInterval = DefaultWriteInterval
 	}
-	return &Trail{store: o.Store, self: o.Self, clock: o.Clock, log: o.Log, pace: o.WriteInterval, limiter: newSourceLimiter(o.Clock)}
+	return &Trail{store: o.Store, self: o.Self, clock: o.Clock, log: o.Log, writeInterval: o.WriteInterval, limiter: newSourceLimiter(o.Clock)}
 }
 
 // Record records an entry and returns nil once it is certainly in the trail. Its
@@ -189,8 +189,8 @@
 }
 
 func (t *Trail) awaitWriteInterval() {
-	wait := t.lastWrite.Add(t.pace).Sub(t.clock.Now())
-	if t.pace > 0 && wait > 0 {
+	wait := t.lastWrite.Add(t.writeInterval).Sub(t.clock.Now())
+	if t.writeInterval > 0 && wait > 0 {
 		<-t.clock.After(wait)
 	}
 }
--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -237,8 +237,8 @@
 		b := newTestCluster(t)
 		a := b.start("a", 1)
 		defer a.stop()
-		accepted := b.store.Revision() + 4
-		a.opts.KnownRevision = func() infra.Revision { return accepted }
+		known := b.store.Revision() + 4
+		a.opts.KnownRevision = func() infra.Revision { return known }
 		_, err := a.claimWithin(t, time.Second, request("k", 1))
 		assert.ErrorIs(t, err, errRestored)
 		assert.Assert(t, err.Certain)
--- a/internal/claim/ledger.go
+++ b/internal/claim/ledger.go
@@ -55,9 +55,9 @@
 	// Live returns the IDs of the live entry VMs, including this one. If nil,
 	// this entry VM is the only one.
 	Live func() []model.EntryID
-	// KnownRevision returns the highest store revision known to this entry VM. A store
-	// that answers with a lower one was restored from a backup. If nil, this is
-	// not checked.
+	// KnownRevision returns the highest store revision known to this entry VM. A
+	// store that answers with a lower one was restored from a backup. If nil, this
+	// is not checked.
 	KnownRevision func() infra.Revision
 	// Clocks returns the earliest and the latest wall-clock time among the live
 	// entry VMs. If nil, only the local clock is used.
@@ -149,7 +149,7 @@
 		return Result{}, &Error{Certain: true, Err: trace.Wrap(err)}
 	}
 	now := time.Now()
-	accepted := l.opts.KnownRevision()
+	known := l.opts.KnownRevision()
 	r := l.newRecord(req, l.latestClock())
 	key := storeKey(req.Key)
 	var replaced infra.Revision // revision of the released claim that is replaced; 0 if none
@@ -160,7 +160,7 @@
 		}
 		if o.applied {
 			l.addHeld(r)
-			if o.rev < accepted {
+			if o.rev < known {
 				return Result{}, l.refuseRestored(ctx, Ticket{StoreKey: key, ID: r.ID, Revision: o.rev})
 			}
 			sendBy := now.Add(min(req.Remember/2, maxSendWindow))
--- a/internal/claim/unreliable_store_test.go
+++ b/internal/claim/unreliable_store_test.go
@@ -23,7 +23,7 @@
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	severe   bool // most transactions fail
+	severe   bool // every transaction fails, although some take effect
 	reliable bool // no more faults
 	delayed  sync.WaitGroup
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -44,7 +44,7 @@
 	Queries  *query.Engine
 	Trail    *audit.Trail
 	Acks     Acks
-	Access   access.Authorizer // access.Open if nil
+	Access   access.Authorizer // access.Unauthenticated if nil
 	Clock    clockwork.Clock   // the real one if nil
 	Log      logr.Logger
 }
