--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -61,7 +61,8 @@
 }
 
 // sweepShard deletes the expired claims of one shard. Each is deleted only at
-// the revision that was read, so that a claim written in the meantime stays.
+// the revision that was read, so that a claim written in the meantime stays. The
+// committer combines the deletions in groups.
 func (l *Ledger) sweepShard(ctx context.Context, prefix string, now time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, shardInterval)
 	defer cancel()
