--- a/internal/infra/keys.go
+++ b/internal/infra/keys.go
@@ -57,8 +57,8 @@
 	// WorkOwnerPrefix holds one leased key per duty: a cell, or the fleet. The
 	// key's revision is the fencing token of every order that its owner gives.
 	WorkOwnerPrefix = Root + "work/owner/"
-	// WorkJobPrefix holds one short key per job, so that an ID names only one
-	// job. The key outlives the job until the retention pass deletes it.
+	// WorkJobPrefix holds one short key per job, the job key. It prevents a second job with
+	// the same ID, and is deleted some time after the job has ended.
 	WorkJobPrefix = Root + "work/jobs/"
 	// WorkWavePrefix holds the progress of maintenance waves.
 	WorkWavePrefix = Root + "work/waves/"
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -33,7 +33,7 @@
 	Health func(model.VMID) model.Health
 	Jobs   command.Jobs
 	Asked  query.Jobs
-	Access access.Gate
+	Access access.Authorizer
 	Trail  *audit.Trail // one of its own if nil
 	Clock  clockwork.Clock
 	Log    logr.Logger
@@ -63,7 +63,7 @@
 		Jobs:     p.Jobs,
 		Settings: stored,
 		Declarer: stored,
-		Members:  scope.Holder{View: p.View},
+		Members:  scope.Resolver{View: p.View},
 		Trail:    operator.CommandTrail{Trail: trail},
 		Clock:    p.Clock,
 	})
