--- a/cmd/pumicestage/cli_test.go
+++ b/cmd/pumicestage/cli_test.go
@@ -137,7 +137,7 @@
 	rival := loadExample(t)
 	rival.Service("preview").Limit = 7
 	writes := 0
-	b.Way.Before(func(_ string, txn infra.Txn) {
+	b.Way.BeforeWrite(func(_ string, txn infra.Txn) {
 		for _, op := range txn.Then {
 			if op.Key != infra.ConfigKey {
 				continue
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -92,7 +92,7 @@
 			store.SetDown(false)
 			store.LoseReplies(0)
 			store.LoseRequests(0)
-			store.Before(nil)
+			store.BeforeWrite(nil)
 			clock.Advance(time.Second)
 			assert.NilError(t, trail.Record(ctx, testEntry(3)))
 			assert.NilError(t, trail.Record(ctx, testEntry(3))) // an entry recorded again is stored once
@@ -112,10 +112,10 @@
 	trail := newTrail(store, clock, "e1")
 	assert.NilError(t, trail.Record(ctx, testEntry(1)))
 	var late infra.Txn
-	store.Before(func(_ string, txn infra.Txn) { late = txn })
+	store.BeforeWrite(func(_ string, txn infra.Txn) { late = txn })
 	store.LoseRequests(99)
 	assert.Assert(t, trail.Record(ctx, testEntry(2)) != nil)
-	store.Before(nil)
+	store.BeforeWrite(nil)
 	store.LoseRequests(0)
 	res, err := inner.Txn(ctx, late)
 	assert.NilError(t, err)
@@ -129,7 +129,7 @@
 
 func beforeWrite(store *faulty.Store, nth int, f func()) {
 	seen := 0
-	store.Before(func(string, infra.Txn) {
+	store.BeforeWrite(func(string, infra.Txn) {
 		if seen++; seen == nth {
 			f()
 		}
--- a/internal/claim/failure_test.go
+++ b/internal/claim/failure_test.go
@@ -53,7 +53,7 @@
 		}, Won},
 		{"all replies lost, then store down: uncertain, released once the store is up", func(t *testing.T, _ *testCluster, a *node) {
 			a.faults.LoseReplies(maxGroupAttempts)
-			a.faults.Before(func(string, infra.Txn) { time.Sleep(50 * time.Millisecond) })
+			a.faults.BeforeWrite(func(string, infra.Txn) { time.Sleep(50 * time.Millisecond) })
 			time.AfterFunc(300*time.Millisecond, func() { a.faults.SetDown(true) })
 			_, err := a.claimWithin(t, 10*time.Second, req)
 			assert.Assert(t, err != nil && !err.Certain)
@@ -61,7 +61,7 @@
 			time.Sleep(time.Minute)
 		}, Won},
 		{"caller stops waiting while the claim is in flight: released", func(t *testing.T, _ *testCluster, a *node) {
-			a.faults.Before(func(string, infra.Txn) { time.Sleep(100 * time.Millisecond) })
+			a.faults.BeforeWrite(func(string, infra.Txn) { time.Sleep(100 * time.Millisecond) })
 			_, err := a.claimWithin(t, 10*time.Millisecond, req)
 			assert.Assert(t, err != nil && !err.Certain)
 			time.Sleep(time.Minute)
@@ -144,12 +144,12 @@
 		a := b.start("a", 1)
 		defer a.stop()
 		var delayed infra.Txn
-		a.faults.Before(func(_ string, txn infra.Txn) { delayed = txn })
+		a.faults.BeforeWrite(func(_ string, txn infra.Txn) { delayed = txn })
 		a.faults.LoseRequests(maxGroupAttempts)
 		_, err := a.claimWithin(t, time.Minute, request("k", 1))
 		assert.Assert(t, err != nil && err.Certain)
 
-		a.faults.Before(nil)
+		a.faults.BeforeWrite(nil)
 		_, lateErr := b.store.Txn(t.Context(), delayed)
 		assert.NilError(t, lateErr)
 		assert.Assert(t, !b.isUnsettled("k"))
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -174,7 +174,7 @@
 		},
 		"as it writes": func(store infra.Store, rival func()) infra.Store {
 			way, writes := faulty.Wrap(store), 0
-			way.Before(func(string, infra.Txn) {
+			way.BeforeWrite(func(string, infra.Txn) {
 				if writes++; writes == 1 {
 					rival()
 				}
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -98,7 +98,7 @@
 			way.SetDown(false)
 			way.LoseReplies(0)
 			way.LoseRequests(0)
-			way.Before(nil)
+			way.BeforeWrite(nil)
 			again, err := Apply(ctx, way, limited(t, 2), options("c-mine", "ana"))
 			assert.NilError(t, err)
 			again.Revision, again.Differ = 0, nil
@@ -110,7 +110,7 @@
 // beforeWrite runs f before the nth write on the way.
 func beforeWrite(way *faulty.Store, nth int, f func()) {
 	seen := 0
-	way.Before(func(string, infra.Txn) {
+	way.BeforeWrite(func(string, infra.Txn) {
 		seen++
 		if seen == nth {
 			f()
--- a/internal/fleet/safeguard_test.go
+++ b/internal/fleet/safeguard_test.go
@@ -170,7 +170,7 @@
 			assert.NilError(t, err)
 			w.runUntil(t, time.Minute, func() bool { return tc.until(w) })
 			paused := false
-			w.nodes[0].store.Before(func(_ string, txn infra.Txn) {
+			w.nodes[0].store.BeforeWrite(func(_ string, txn infra.Txn) {
 				if len(txn.If) > 0 && !paused {
 					paused = true
 					_, err := rival.PauseWave(ctx, "spring", order("c2"))
--- a/internal/infra/faulty/store.go
+++ b/internal/infra/faulty/store.go
@@ -67,10 +67,10 @@
 	s.requestsToLose = n
 }
 
-// Before sets a function that is called before each write is passed on. A test
+// BeforeWrite sets a function that is called before each write is passed on. A test
 // can block in it to pause the client, or make another client write first. op
 // is "txn", "grant" or "revoke"; txn is empty but for "txn".
-func (s *Store) Before(f func(op string, txn infra.Txn)) {
+func (s *Store) BeforeWrite(f func(op string, txn infra.Txn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.beforeWrite = f
--- a/internal/jobs/failure_test.go
+++ b/internal/jobs/failure_test.go
@@ -137,8 +137,8 @@
 	id := w.submit(smallJob())[0]
 	w.step()
 	w.platform.Machines.Fail(w.get(id).VM)
-	slow.store.Before(func(string, infra.Txn) {
-		slow.store.Before(nil)
+	slow.store.BeforeWrite(func(string, infra.Txn) {
+		slow.store.BeforeWrite(nil)
 		assert.NilError(t, other.Step(w.ctx()))
 		assert.Equal(t, w.state(id), Running)
 	})
--- a/internal/jobs/race_test.go
+++ b/internal/jobs/race_test.go
@@ -33,7 +33,7 @@
 func (s *raceSimulation) chance(percent int) bool { return !s.faultsOff && s.rng.IntN(100) < percent }
 
 func (s *raceSimulation) installHooks(n *testEntry) {
-	n.store.Before(func(string, infra.Txn) { s.interleave(n) })
+	n.store.BeforeWrite(func(string, infra.Txn) { s.interleave(n) })
 	n.machines.before = func(infra.Task) { s.interleave(n) }
 }
 
