--- a/internal/infra/memstore/memstore.go
+++ b/internal/infra/memstore/memstore.go
@@ -157,10 +157,10 @@
 	return nil
 }
 
-// Tick expires the leases whose time to live is over. Get, Range, Txn and the
-// lease calls do so too; Tick lets watches see the deletions when no such call
+// ExpireLeases expires the leases whose time to live is over. Get, Range, Txn and the
+// lease calls do so too; ExpireLeases lets watches see the deletions when no such call
 // comes.
-func (s *Store) Tick() {
+func (s *Store) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
--- a/internal/infra/standin/standin.go
+++ b/internal/infra/standin/standin.go
@@ -107,7 +107,7 @@
 	for {
 		select {
 		case <-t.Chan():
-			s.Store.Tick()
+			s.Store.ExpireLeases()
 		case <-s.done:
 			return
 		}
