--- a/internal/infra/commit.go
+++ b/internal/infra/commit.go
@@ -35,32 +35,32 @@
 // key. Keys created through Commit therefore carry a lease, or are deleted
 // only after the service must have discarded any delayed request.
 //
-// Commit overwrites txn.Else. On success Reads are those of Then, or empty if
-// the outcome was determined after a lost reply; on KindConflict they are the
-// current values of the keys that Then writes.
+// Commit ignores txn.Else and sends its own. On success Reads are those of
+// Then, or empty if the outcome was determined after a lost reply; on
+// KindConflict they are the current values of the keys that Then writes.
 func Commit(ctx context.Context, s Store, txn Txn) (TxnResult, error) {
 	if !writesConditionedKey(txn) {
 		return TxnResult{}, Errorf("commit", KindInvalid, "no written key is bound by a condition")
 	}
 	txn.Else = readsOfWrittenKeys(txn.Then)
-	var lost error
+	var uncertainErr error
 	for range maxCommitAttempts {
 		res, err := s.Txn(ctx, txn)
-		if err == nil && (res.Succeeded || lost == nil) {
+		if err == nil && (res.Succeeded || uncertainErr == nil) {
 			return definiteOutcome(res)
 		}
 		if err == nil {
 			return resolveLostReply(ctx, s, txn, res)
 		}
-		if !IsKind(err, KindUnknown) && lost == nil {
+		if !IsKind(err, KindUnknown) && uncertainErr == nil {
 			return TxnResult{}, err
 		}
-		lost = err
+		uncertainErr = err
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return TxnResult{}, Errorf("commit", KindUnknown, "%w", lost)
+	return TxnResult{}, Errorf("commit", KindUnknown, "%w", uncertainErr)
 }
 
 // writesConditionedKey reports whether the transaction changes a key that one
