--- a/internal/fleet/audit_test.go
+++ b/internal/fleet/audit_test.go
@@ -114,6 +114,9 @@
 	}
 }
 
+// allowedTransitions lists the states that a VM may change to from each state. A
+// leaving VM is written again in the same state by an order to cut, which lets it
+// leave although work still runs on it.
 var allowedTransitions = map[model.VMState][]model.VMState{
 	model.VMInPool:    {model.VMLeaving},
 	model.VMLeaving:   {model.VMEmpty, model.VMRebooting, model.VMProbation, model.VMLeaving},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -8,7 +8,12 @@
 //
 // A wave is a maintenance roll-out that reboots the VMs of its pools one batch
 // after another. A ledger lists the planned stops of one service's VMs that are
-// in progress. A planned stop takes a VM out of its pool.
+// in progress. A planned stop takes a VM out of its pool. An order is an
+// operator's command on one VM or wave, such as a drain, a move or an undrain.
+//
+// A VM that is out of its pool has a holder: the wave or the order that took it
+// out, or a join. A join is the admission of a VM that was declared later than
+// its pool; the VM enters the pool once it has proven healthy.
 package fleet
 
 import (
--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -25,11 +25,11 @@
 
 // grant is the result of a stopRequest.
 type grant struct {
-	vms       []model.VMID // the VMs that are leaving now
-	records   []model.VM   // their records
-	rev       infra.Revision
-	reason    string // why one or more VMs were refused; empty if none was
-	staleView bool   // the view is older than a ledger, so budgets can't be counted
+	vms       []model.VMID   // the VMs that are leaving now
+	records   []model.VM     // their records
+	rev       infra.Revision // of the transaction that recorded the stops; 0 if there was none
+	reason    string         // why one or more VMs were refused; empty if none was
+	staleView bool           // the view is older than a ledger, so budgets can't be counted
 }
 
 // grantStops writes the stops that all affected budgets allow into the ledgers
--- a/internal/fleet/machines_test.go
+++ b/internal/fleet/machines_test.go
@@ -54,10 +54,10 @@
 
 	mu               sync.Mutex
 	vms              map[model.VMID]*machine
-	done             map[model.AttemptID]bool
-	unavailableUntil time.Time  // calls fail before this time
-	unlisted         model.VMID // this VM is missing from the list
-	lag              time.Duration
+	applied          map[model.AttemptID]bool // attempts whose effect was applied
+	unavailableUntil time.Time                // calls fail before this time
+	unlisted         model.VMID               // this VM is missing from the list
+	listAge          time.Duration            // age of the list of VMs when it is returned
 	reboots          map[model.VMID]int
 	rebootedWithWork []model.VMID                                      // VMs rebooted with work on them
 	onEffect         func(op string, vm model.VMID, a model.AttemptID) // called once per effect
@@ -69,7 +69,7 @@
 	m := &machines{
 		clock:   clock,
 		vms:     make(map[model.VMID]*machine),
-		done:    make(map[model.AttemptID]bool),
+		applied: make(map[model.AttemptID]bool),
 		reboots: make(map[model.VMID]int),
 	}
 	for i := range d.VMs {
@@ -115,7 +115,7 @@
 		return infra.MachineList{}, infra.Errorf("list", infra.KindUnavailable, "down")
 	}
 	now := m.clock.Now()
-	list := infra.MachineList{AsOf: now.Add(-m.lag)}
+	list := infra.MachineList{AsOf: now.Add(-m.listAge)}
 	for id, v := range m.vms {
 		if id == m.unlisted {
 			continue
@@ -138,8 +138,8 @@
 	if !ok {
 		return infra.Errorf(op, infra.KindNotFound, "%s", id)
 	}
-	if !m.done[a] {
-		m.done[a] = true
+	if !m.applied[a] {
+		m.applied[a] = true
 		m.onEffect(op, id, a)
 		do(v)
 	}
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -139,6 +139,8 @@
 	return Outcome{Revision: g.rev, Detail: fmt.Sprintf("VM %s is leaving pool %s", id, c.value.Pool)}, nil
 }
 
+// reloadAndGrant reads the VMs from the store, because the view was older than a
+// ledger, and then tries to grant the stops again.
 func (p *pass) reloadAndGrant(ctx context.Context, req stopRequest) (grant, error) {
 	if err := p.reloadVMs(ctx); err != nil {
 		return grant{}, err
@@ -188,7 +190,7 @@
 	return nil
 }
 
-// Cut lets a leaving VM proceed although requests or tasks still run on it, which
+// Cut lets a leaving VM become empty or reboot although requests or tasks still run on it, which
 // interrupts them. Nothing else ever interrupts running work.
 func (f *Fleet) Cut(ctx context.Context, vm model.VMID, o Order) (Outcome, error) {
 	return f.retryConflicts(func() (Outcome, error) { return f.cutOnce(ctx, vm, o) })
--- a/internal/fleet/order_test.go
+++ b/internal/fleet/order_test.go
@@ -239,8 +239,8 @@
 	assert.Equal(t, s.BlockReason, "VM v0-00 is held by order a")
 }
 
-// A long request keeps a VM from becoming empty. Only an order to cut may
-// interrupt it.
+// A request that runs for long keeps a drained VM from becoming empty. Waiting must
+// not interrupt it; only Cut may.
 func TestOnlyACutOrderInterruptsWork(t *testing.T) {
 	w, n := orderWorld(t)
 	w.machines.vms[v0].drainTime = 24 * time.Hour
@@ -257,7 +257,9 @@
 	w.runUntil(t, time.Minute, func() bool { return w.vm(v0).State == model.VMEmpty })
 }
 
-func TestVMDeclaredLaterJoinsByProofOfHealth(t *testing.T) {
+// A VM that is added to the declaration of an existing pool must not count in the
+// budgets and must stay out of the pool until it is healthy.
+func TestVMDeclaredLaterJoinsPoolOnceHealthy(t *testing.T) {
 	w, n := orderWorld(t)
 	late := model.VMDecl{ID: "v0-99", Zone: "z0", Rack: "z0-r9", Pool: "p0"}
 	d := *w.decl
--- a/internal/fleet/safeguard_test.go
+++ b/internal/fleet/safeguard_test.go
@@ -113,7 +113,7 @@
 // it shows may be an earlier one and must not count as proof.
 func TestListOlderThanTheRebootIsNoProof(t *testing.T) {
 	w := newSimulation(declare(2, 1, 4, 3), 1)
-	w.machines.lag = 20 * time.Second
+	w.machines.listAge = 20 * time.Second
 	w.start(t)
 	id := startWave(t, w, model.VMRebooting)
 	assert.NilError(t, w.advance(time.Second))
--- a/internal/fleet/scenario_test.go
+++ b/internal/fleet/scenario_test.go
@@ -118,7 +118,7 @@
 func newTrial(u deployment, sc scenario) *trial {
 	tr := &trial{simulation: newSimulation(u.declaration(), 1), sc: sc, rng: rand.New(rand.NewSource(sc.seed))}
 	tr.audit.off = true
-	tr.machines.lag = 5 * time.Second
+	tr.machines.listAge = 5 * time.Second
 	for i := range tr.decl.VMs {
 		m := tr.machines.vms[tr.decl.VMs[i].ID]
 		m.drainTime = time.Duration(5+tr.rng.ExpFloat64()*30) * time.Second
--- a/internal/fleet/wave_test.go
+++ b/internal/fleet/wave_test.go
@@ -177,7 +177,7 @@
 func TestWaveHoldsOnAStaleList(t *testing.T) {
 	w := newSimulation(declare(2, 1, 4, 3), 1)
 	w.start(t)
-	w.machines.lag = time.Hour
+	w.machines.listAge = time.Hour
 	_, err := w.nodes[0].StartWave(ctx, "spring", nil, order("c1"))
 	assert.NilError(t, err)
 	for range 10 {
@@ -188,7 +188,7 @@
 	assert.Equal(t, s.Progress.Remaining, 4)
 	assert.Equal(t, s.BlockReason, "the platform's list of VMs is 1h0m0s old")
 
-	w.machines.lag = 5 * time.Second
+	w.machines.listAge = 5 * time.Second
 
 	w.finishWave(t)
 }
--- a/internal/fleet/waveorder.go
+++ b/internal/fleet/waveorder.go
@@ -33,6 +33,9 @@
 	return f.putWave(ctx, c, o, "start wave")
 }
 
+// wavePools returns the pools that a run of the wave covers: the given ones, or the
+// wave's declared pools if none are given. It returns a Refusal if there is no
+// declaration yet, or if the wave or a pool isn't declared.
 func (p *pass) wavePools(name model.WaveName, pools []model.PoolName) ([]model.PoolName, error) {
 	if p.snap.Declaration == nil {
 		return nil, refuse(CodeUnavailable, "", 0, "no declaration is in force here yet")
