--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -116,7 +116,9 @@
 	return time.Since(started)
 }
 
-func (f *benchFleet) views(generation uint64) bool {
+// allApplied reports whether every entry VM's view has the declaration of the given
+// generation or a later one.
+func (f *benchFleet) allApplied(generation uint64) bool {
 	for _, n := range f.nodes {
 		if n.view.Load().Generation() < generation {
 			return false
@@ -133,7 +135,7 @@
 			f := startFleet(b, size.zones, size.perZone, nil)
 			defer f.stop()
 			f.put(b, declarationOp(1, size.vms))
-			f.await(b, func() bool { return f.views(1) })
+			f.await(b, func() bool { return f.allApplied(1) })
 			time.Sleep(3 * time.Second)
 			inForce := hdrhistogram.New(1, 60_000_000, 3)
 			reported := hdrhistogram.New(1, 60_000_000, 3)
@@ -141,7 +143,7 @@
 			for b.Loop() {
 				g++
 				f.put(b, declarationOp(g, size.vms))
-				took := f.await(b, func() bool { return f.views(g) })
+				took := f.await(b, func() bool { return f.allApplied(g) })
 				inForce.RecordValue(took.Microseconds())
 				took += f.await(b, func() bool {
 					_, missing, err := f.nodes[0].registry.InForce(context.Background(), g)
@@ -170,7 +172,7 @@
 			f := startFleet(b, size.zones, size.perZone, loads)
 			defer f.stop()
 			f.put(b, declarationOp(1, 50))
-			f.await(b, func() bool { return f.views(1) })
+			f.await(b, func() bool { return f.allApplied(1) })
 			time.Sleep(3 * time.Second)
 			const window = 10 * time.Second
 			before, callsBefore, cpuBefore := f.nodes[0].mesh.Traffic(), f.calls(), cpuTime()
--- a/internal/relay/checks_test.go
+++ b/internal/relay/checks_test.go
@@ -77,6 +77,9 @@
 	}
 }
 
+// checkFreshness reports every write that the view must hold but lacks: one made
+// before the time as of which the view claims to be current, or one of a revision
+// no higher than the view's.
 func (c *cluster) checkFreshness(n *node, s *view.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -81,6 +81,8 @@
 	return u.fromStore || u.Versions.Lineage == s.current.Lineage
 }
 
+// mergeConfig takes over the declaration if its generation is newer than the
+// view's, and reports whether it did.
 func (s *state) mergeConfig(u update, next *view.Snapshot) bool {
 	if u.Config == nil {
 		return false
@@ -99,6 +101,8 @@
 	return true
 }
 
+// mergeEntries takes over the records of entry VMs if they are newer than the
+// view's, and reports whether it did.
 func (s *state) mergeEntries(u update, next *view.Snapshot) bool {
 	if !u.HasEntries || u.Versions.Entries <= s.current.Entries {
 		return false
@@ -154,6 +158,8 @@
 	return entries
 }
 
+// mergeVMs applies the changes of VMs if they are newer than the view and none is
+// missing in between, and reports whether the view's revision advanced.
 func (s *state) mergeVMs(u update, next *view.Snapshot) bool {
 	if u.Versions.Revision <= s.current.Revision {
 		return false
