--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -16,9 +16,9 @@
 
 // accessGate returns the access control of the operator port. Without a tokens
 // file, everybody is allowed everything.
-func (d *Daemon) accessGate() (access.Gate, error) {
+func (d *Daemon) accessGate() (access.Authorizer, error) {
 	if d.settings.TokensFile == "" {
-		return access.Open{NameHeader: api.HeaderOperator}, nil
+		return access.Unauthenticated{NameHeader: api.HeaderOperator}, nil
 	}
 	tokens, err := access.NewTokens(d.settings.TokensFile, clockwork.NewRealClock(), d.log.WithName("access"))
 	return tokens, trace.Wrap(err)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -44,8 +44,8 @@
 	Queries  *query.Engine
 	Trail    *audit.Trail
 	Acks     Acks
-	Access   access.Gate     // access.Open if nil
-	Clock    clockwork.Clock // the real one if nil
+	Access   access.Authorizer // access.Unauthenticated if nil
+	Clock    clockwork.Clock   // the real one if nil
 	Log      logr.Logger
 }
 
@@ -60,7 +60,7 @@
 		o.Clock = clockwork.NewRealClock()
 	}
 	if o.Access == nil {
-		o.Access = access.Open{NameHeader: api.HeaderOperator}
+		o.Access = access.Unauthenticated{NameHeader: api.HeaderOperator}
 	}
 	s := &server{o}
 	r := mux.NewRouter()
@@ -84,7 +84,7 @@
 		// A client that goes away does not stop half an order.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), requestTimeout)
 		defer cancel()
-		who, err := s.Access.Admit(req, need)
+		who, err := s.Access.Authorize(req, need)
 		if err != nil {
 			s.refuse(w, req, who, err)
 			return
@@ -104,7 +104,7 @@
 func (s *server) refuse(w http.ResponseWriter, req *http.Request, who access.Identity, err error) {
 	s.Log.Info("operator request not let in", "from", remote(req), "path", req.URL.Path, "reason", err.Error())
 	if req.Method != http.MethodGet {
-		s.Trail.Note(audit.Entry{Who: who.Name, From: remote(req), What: req.Method + " " + req.URL.Path, Result: audit.Refused, Detail: err.Error()})
+		s.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remote(req), What: req.Method + " " + req.URL.Path, Result: audit.Refused, Detail: err.Error()})
 	}
 	writeProblem(w, problemOf(err))
 }
