--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -15,9 +15,10 @@
 const (
 	// RoleView permits queries and reading the audit trail.
 	RoleView Role = iota + 1
-	// RoleOperate also permits orders.
+	// RoleOperate also permits orders, which are commands on VMs, waves and jobs.
 	RoleOperate
-	// RoleConfigure also permits changes of the declaration.
+	// RoleConfigure also permits changes of the declaration, which is the
+	// configuration of the whole fleet.
 	RoleConfigure
 )
 
@@ -61,9 +62,10 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Detail }
 
-// Authorizer authenticates requests and checks that the operator's role is at least
-// need. Its errors are of type *Error.
+// Authorizer authenticates operators and checks their roles.
 type Authorizer interface {
+	// Authorize returns the operator who sent the request. It returns an *Error if
+	// the operator is not known or has a lesser role than need.
 	Authorize(r *http.Request, need Role) (Identity, error)
 }
 
--- a/internal/access/tls.go
+++ b/internal/access/tls.go
@@ -12,7 +12,7 @@
 // CertificateFiles are the PEM files of one listener.
 type CertificateFiles struct {
 	Cert string // certificate chain
-	Key  string
+	Key  string // private key of the certificate
 	CA   string // authority that must have issued the peer's certificate; empty if clients need none
 }
 
@@ -22,13 +22,15 @@
 	files *watchedFiles[keyMaterial]
 }
 
+// keyMaterial is the parsed content of CertificateFiles.
 type keyMaterial struct {
 	cert tls.Certificate
-	ca   *x509.CertPool
+	ca   *x509.CertPool // nil if there is no CA file
 }
 
 // NewCertificates loads the files. It returns a *FileError if one cannot be read
-// or is invalid.
+// or is invalid. If files are invalid after a later change, the error is logged
+// and the last valid ones stay in use.
 func NewCertificates(f CertificateFiles, clock clockwork.Clock, log logr.Logger) (*Certificates, error) {
 	paths := []string{f.Cert, f.Key}
 	if f.CA != "" {
--- a/internal/audit/limiter.go
+++ b/internal/audit/limiter.go
@@ -22,10 +22,11 @@
 	sharedSource = "others"
 )
 
-// sourceLimiter limits the entries of each source, such as a script that is
-// refused repeatedly because of an old token or an order in a loop. Without it,
-// those entries would fill the trail, whose size is bounded, and push out
-// important ones. A source is a Who with its From.
+// sourceLimiter limits the entries of each source. A source is one operator at one
+// address, that is, all entries with the same Who and From. Without the limit, a
+// script that is refused repeatedly, because of an old token or an order in a
+// loop, would fill the trail, whose size is bounded, and push out important
+// entries.
 type sourceLimiter struct {
 	clock clockwork.Clock
 
@@ -33,12 +34,11 @@
 	sources map[string]*source
 }
 
-// source is the limiter of one source, the number of its entries suppressed
-// since the last one that was recorded, and the time of the first of them.
+// source limits the entries of one source and counts the suppressed ones.
 type source struct {
 	limiter    *rate.Limiter
-	suppressed int
-	since      time.Time
+	suppressed int       // entries suppressed since the last one that was recorded
+	since      time.Time // when the first of them was suppressed
 }
 
 func newSourceLimiter(clock clockwork.Clock) *sourceLimiter {
@@ -66,6 +66,8 @@
 	return e, true
 }
 
+// source returns the source of that name, or the shared one if the name is new and
+// there are maxSources already.
 func (l *sourceLimiter) source(name string) *source {
 	if s, ok := l.sources[name]; ok {
 		return s
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -60,11 +60,11 @@
 
 	// The fields below are used only by flush, of which one runs at a time.
 	open      segment
-	openKey   string // empty if no segment is open
-	openRev   infra.Revision
-	openSince time.Time
-	openLast  time.Time // when it was last written
-	openBytes int
+	openKey   string         // empty if no segment is open
+	openRev   infra.Revision // last known revision of openKey
+	openSince time.Time      // when it was opened
+	openLast  time.Time      // when it was last written
+	openBytes int            // its encoded size
 	lastWrite time.Time
 }
 
@@ -238,7 +238,7 @@
 }
 
 // newEntries returns the entries of the batch that the open segment does not
-// contain yet, without markers and repeats.
+// contain yet. It leaves out repeated entries and the markers that Flush queues.
 func (t *Trail) newEntries(batch []*pendingEntry) []Entry {
 	held := make(map[string]bool, len(t.open.Entries))
 	for _, e := range t.open.Entries {
@@ -255,10 +255,14 @@
 	return entries
 }
 
+// segmentFull reports whether the open segment has reached its maximum size or
+// age.
 func (t *Trail) segmentFull() bool {
 	return t.openBytes >= maxSegmentBytes || t.clock.Since(t.openSince) >= maxSegmentAge
 }
 
+// appendTo adds the entries to the open segment. It returns a conflict if the
+// segment is no longer at the last known revision.
 func (t *Trail) appendTo(ctx context.Context, entries []Entry) error {
 	next := t.open
 	next.Entries = append(append([]Entry{}, t.open.Entries...), entries...)
--- a/internal/claim/group.go
+++ b/internal/claim/group.go
@@ -126,6 +126,7 @@
 	return false
 }
 
+// signal makes run check the queue for writes that it can send. It doesn't block.
 func (c *committer) signal() {
 	select {
 	case c.wake <- struct{}{}:
@@ -209,6 +210,8 @@
 	}
 }
 
+// close fails the queued writes, and all that are submitted later, with
+// errNotSent.
 func (c *committer) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/claim/ledger_test.go
+++ b/internal/claim/ledger_test.go
@@ -45,6 +45,7 @@
 	return n
 }
 
+// startOn runs a ledger that uses the given connection to the store.
 func (b *testCluster) startOn(store infra.Store, id string, incarnation uint64) *node {
 	self := view.EntryRecord{ID: model.EntryID(id), Incarnation: incarnation}
 	l := NewLedger(Options{Store: store, Self: self, Live: b.live, Clocks: b.clocks, Log: logr.Discard()})
