--- a/internal/fleet/grant.go
+++ b/internal/fleet/grant.go
@@ -119,6 +119,8 @@
 	return counts
 }
 
+// weights returns the weights that apply to the wave; those of the deployment if w
+// is nil or the wave declares none.
 func (p *pass) weights(w *versioned[WaveRecord]) model.Weights {
 	var declared *model.Wave
 	if w != nil {
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -84,6 +84,8 @@
 	return f.retryConflicts(func() (Outcome, error) { return f.takeOut(ctx, vm, to, o) })
 }
 
+// takeOut takes a VM out of its pool, to move it to the pool to, or only to drain
+// it if to is empty.
 func (f *Fleet) takeOut(ctx context.Context, id model.VMID, to model.PoolName, o Order) (Outcome, error) {
 	p, err := f.orderPass(ctx)
 	if err != nil {
@@ -108,6 +110,8 @@
 	return p.grantOrder(ctx, c, to, o)
 }
 
+// grantOrder writes the stop of a VM that an order takes out of its pool. It returns
+// a Refusal if a budget doesn't allow the stop.
 func (p *pass) grantOrder(ctx context.Context, c *versioned[model.VM], to model.PoolName, o Order) (Outcome, error) {
 	id := c.value.ID
 	req := stopRequest{
