--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -84,6 +84,8 @@
 	return f.retryConflicts(func() (Outcome, error) { return f.takeOut(ctx, vm, to, o) })
 }
 
+// takeOut takes a VM out of its pool, to move it to the pool to, or only to drain
+// it if to is empty.
 func (f *Fleet) takeOut(ctx context.Context, id model.VMID, to model.PoolName, o Order) (Outcome, error) {
 	p, err := f.orderPass(ctx)
 	if err != nil {
@@ -108,6 +110,8 @@
 	return p.grantOrder(ctx, c, to, o)
 }
 
+// grantOrder writes the stop of a VM that an order takes out of its pool. It returns
+// a Refusal if a budget doesn't allow the stop.
 func (p *pass) grantOrder(ctx context.Context, c *versioned[model.VM], to model.PoolName, o Order) (Outcome, error) {
 	id := c.value.ID
 	req := stopRequest{
@@ -139,6 +143,8 @@
 	return Outcome{Revision: g.rev, Detail: fmt.Sprintf("VM %s is leaving pool %s", id, c.value.Pool)}, nil
 }
 
+// reloadAndGrant reads the VMs from the store, because the view was older than a
+// ledger, and then tries to grant the stops again.
 func (p *pass) reloadAndGrant(ctx context.Context, req stopRequest) (grant, error) {
 	if err := p.reloadVMs(ctx); err != nil {
 		return grant{}, err
@@ -188,7 +194,7 @@
 	return nil
 }
 
-// Cut lets a leaving VM proceed although requests or tasks still run on it, which
+// Cut lets a leaving VM become empty or reboot although requests or tasks still run on it, which
 // interrupts them. Nothing else ever interrupts running work.
 func (f *Fleet) Cut(ctx context.Context, vm model.VMID, o Order) (Outcome, error) {
 	return f.retryConflicts(func() (Outcome, error) { return f.cutOnce(ctx, vm, o) })
