--- a/internal/operator/fuzz_test.go
+++ b/internal/operator/fuzz_test.go
@@ -12,8 +12,9 @@
 	"github.com/pumicestage/pumicestage/internal/operator/operatortest"
 )
 
-// FuzzBodies: whatever is sent gets an answer or a problem document, and where
-// it is not accepted the declaration is not touched and no order is given.
+// FuzzBodies checks that every request body gets a reply or a problem document
+// other than an internal error, and that a rejected request neither changes the
+// declaration nor gives an order.
 func FuzzBodies(f *testing.F) {
 	paths := []string{api.PathDeclaration, api.PathQuery, api.PathDo}
 	for i, body := range []string{
@@ -24,7 +25,7 @@
 	} {
 		f.Add(i%len(paths), body)
 	}
-	decl := example(f)
+	decl := loadExample(f)
 	f.Fuzz(func(t *testing.T, which int, body string) {
 		fx := operatortest.New(t, decl, nil)
 		w := httptest.NewRecorder()
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -43,15 +43,17 @@
 		}
 		return api.ChangeReply{}, nil
 	case api.ModeDiff, api.ModeApply:
-		return s.change(ctx, r, who, req)
+		return s.changeDeclaration(ctx, r, who, req)
 	}
 	return nil, &bodyError{detail: "mode is " + strconv.Quote(string(req.Mode)) + ", expected check, diff or apply"}
 }
 
-func (s *server) change(ctx context.Context, r *http.Request, who access.Identity, req api.DeclarationRequest) (any, error) {
+// changeDeclaration compares or applies a declaration. The route only requires
+// RoleView, so RoleConfigure is checked here for ModeApply.
+func (s *server) changeDeclaration(ctx context.Context, r *http.Request, who access.Identity, req api.DeclarationRequest) (any, error) {
 	if req.Mode == api.ModeApply {
 		if _, err := s.Access.Admit(r, access.RoleConfigure); err != nil {
-			s.Trail.Note(audit.Entry{Who: who.Name, From: remote(r), Change: req.Change, What: "apply declaration", Result: audit.Refused, Detail: err.Error()})
+			s.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(r), Change: req.Change, What: "apply declaration", Result: audit.Refused, Detail: err.Error()})
 			return nil, err
 		}
 	}
@@ -85,13 +87,15 @@
 	for _, id := range missing {
 		reply.Missing = append(reply.Missing, api.EntryState{Entry: id, Zone: zoneOf[id]})
 	}
-	reply.Zones = perZone(have, missing, zoneOf)
+	reply.Zones = countPerZone(have, missing, zoneOf)
 	return reply, nil
 }
 
-func perZone(have, missing []model.EntryID, zoneOf map[model.EntryID]model.ZoneName) []api.ZoneHolds {
+// countPerZone counts, for each zone, the live entry VMs and those of them that
+// have the generation in force. The result is sorted by zone.
+func countPerZone(have, missing []model.EntryID, zoneOf map[model.EntryID]model.ZoneName) []api.ZoneHolds {
 	counts := make(map[model.ZoneName]*api.ZoneHolds)
-	at := func(id model.EntryID) *api.ZoneHolds {
+	countLive := func(id model.EntryID) *api.ZoneHolds {
 		z := zoneOf[id]
 		if counts[z] == nil {
 			counts[z] = &api.ZoneHolds{Zone: z}
@@ -100,10 +104,10 @@
 		return counts[z]
 	}
 	for _, id := range have {
-		at(id).Have++
+		countLive(id).Have++
 	}
 	for _, id := range missing {
-		at(id)
+		countLive(id)
 	}
 	zones := make([]api.ZoneHolds, 0, len(counts))
 	for _, z := range counts {
@@ -129,6 +133,8 @@
 	return answer, nil
 }
 
+// postDo carries out an order. The route requires RoleOperate; orders that
+// change the declaration also require RoleConfigure.
 func (s *server) postDo(ctx context.Context, r *http.Request, who access.Identity) (any, error) {
 	var req api.DoRequest
 	if err := readBody(r, &req); err != nil {
@@ -138,9 +144,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, changes := order.(lang.SetLimit); changes {
+	if _, requiresConfigure := order.(lang.SetLimit); requiresConfigure {
 		if _, err := s.Access.Admit(r, access.RoleConfigure); err != nil {
-			s.Trail.Note(audit.Entry{Who: who.Name, From: remote(r), Change: req.Change, What: req.Text, Result: audit.Refused, Detail: err.Error()})
+			s.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(r), Change: req.Change, What: req.Text, Result: audit.Refused, Detail: err.Error()})
 			return nil, err
 		}
 	}
@@ -178,12 +184,15 @@
 	return api.AuditReply{Entries: entries, More: more}, nil
 }
 
-// maxAuditEntries bounds one answer; an export goes on from its last time.
+// maxAuditEntries bounds the entries in one response. A longer export makes
+// further requests that continue from the time of the last entry it received.
 const maxAuditEntries = 10_000
 
+// auditFilter parses the query parameters of an audit request. It returns a
+// bodyError for an invalid time or limit.
 func auditFilter(q url.Values) (audit.Filter, error) {
 	f := audit.Filter{Who: q.Get("who"), What: q.Get("what")}
-	for name, into := range map[string]*time.Time{"since": &f.Since, "until": &f.Until} {
+	for name, dest := range map[string]*time.Time{"since": &f.Since, "until": &f.Until} {
 		text := q.Get(name)
 		if text == "" {
 			continue
@@ -192,7 +201,7 @@
 		if err != nil {
 			return f, &bodyError{detail: name + " is " + strconv.Quote(text) + ", expected a time as 2006-01-02T15:04:05Z"}
 		}
-		*into = at
+		*dest = at
 	}
 	if text := q.Get("limit"); text != "" {
 		n, err := strconv.Atoi(text)
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -14,12 +14,12 @@
 	"github.com/pumicestage/pumicestage/internal/query"
 )
 
-// problemOf turns the errors of the layers below into a problem document. What
-// it does not know is internal, and its text stays in the log: it could hold
-// anything.
+// problemOf converts an error of the lower layers to a problem document. The
+// text of an error of unknown type is left out, since it may contain internal
+// details or secrets; it is only logged.
 func problemOf(err error) api.Problem {
-	for _, turn := range []func(error) (api.Problem, bool){accessProblem, bodyProblem, configProblem, commandProblem, queryProblem} {
-		if p, ok := turn(err); ok {
+	for _, convert := range []func(error) (api.Problem, bool){accessProblem, bodyProblem, configProblem, commandProblem, queryProblem} {
+		if p, ok := convert(err); ok {
 			p.Title = http.StatusText(p.Status)
 			return p
 		}
@@ -38,7 +38,9 @@
 	return api.Problem{Status: http.StatusUnauthorized, Code: api.CodeUnauthorized, Detail: denied.Error()}, true
 }
 
-// bodyError reports a request that could not be read.
+// bodyError reports an invalid request: its body or parameters cannot be read,
+// or tooLarge is set and the body exceeds api.MaxBodyBytes. Its text is sent to
+// the client.
 type bodyError struct {
 	detail   string
 	tooLarge bool
@@ -82,6 +84,7 @@
 	return api.Problem{}, false
 }
 
+// refusalStatus maps the code of a refused order to its HTTP status.
 var refusalStatus = map[command.Code]int{
 	command.CodeNotFound:    http.StatusNotFound,
 	command.CodeConflict:    http.StatusConflict,
@@ -104,6 +107,8 @@
 	return api.Problem{}, false
 }
 
+// queryStatus maps the code of a query error to the status and code of its
+// problem document.
 var queryStatus = map[query.Code]api.Problem{
 	query.CodeNotFound:    {Status: http.StatusNotFound, Code: api.CodeNotFound},
 	query.CodeUnavailable: {Status: http.StatusServiceUnavailable, Code: api.CodeUnavailable},
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,5 +1,6 @@
-// Package operator is the operators' HTTP interface: declarations, questions,
-// orders, the audit trail and the state of this entry VM.
+// Package operator serves the operators' HTTP API: the declaration (the desired
+// configuration), queries, orders, the audit trail and the status of this entry
+// VM.
 package operator
 
 import (
@@ -26,16 +27,17 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// requestTimeout bounds the work on one request. The platform answers in
-// milliseconds; an order on a whole zone makes a call for each VM.
+// requestTimeout bounds the processing of one request. A platform call takes
+// milliseconds, but an order on a whole zone makes one call per VM.
 const requestTimeout = 30 * time.Second
 
-// Acks tells which live entry VMs hold a generation.
+// Acks reports which live entry VMs have a generation of the declaration, or a
+// later one, in force, and which are not known to.
 type Acks interface {
 	InForce(ctx context.Context, generation uint64) (have, missing []model.EntryID, err error)
 }
 
-// Options are what the server works with; all but Access, Clock and Log are
+// Options holds the server's dependencies. All but Access, Clock and Log are
 // required.
 type Options struct {
 	Store    infra.Store
@@ -44,17 +46,17 @@
 	Queries  *query.Engine
 	Trail    *audit.Trail
 	Acks     Acks
-	Access   access.Gate     // access.Open if nil
-	Clock    clockwork.Clock // the real one if nil
+	Access   access.Gate     // nil means access.Open with names from api.HeaderOperator
+	Clock    clockwork.Clock // nil means the real clock
 	Log      logr.Logger
 }
 
-// server answers the operators' requests.
+// server implements the handlers of the operator API.
 type server struct {
 	Options
 }
 
-// New returns the handler of the operator port, under /v1/.
+// New returns the HTTP handler of the operator API, whose paths begin with /v1/.
 func New(o Options) http.Handler {
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
@@ -72,27 +74,31 @@
 	s.handle(r, http.MethodGet, api.PathAudit, access.RoleView, s.getAudit)
 	s.handle(r, http.MethodGet, api.PathStatus, access.RoleView, s.getStatus)
 	r.NotFoundHandler = http.HandlerFunc(notFound)
-	r.MethodNotAllowedHandler = http.HandlerFunc(notAllowed)
+	r.MethodNotAllowedHandler = http.HandlerFunc(methodNotAllowed)
 	return r
 }
 
-// operation answers one request with a value for the body, or an error.
+// operation handles one request. It returns the value to encode as the response
+// body, or an error, which is answered with a problem document.
 type operation func(ctx context.Context, r *http.Request, who access.Identity) (any, error)
 
-func (s *server) handle(r *mux.Router, method, path string, need access.Role, op operation) {
+// handle registers op for a method and path. Operators without requiredRole
+// are denied.
+func (s *server) handle(r *mux.Router, method, path string, requiredRole access.Role, op operation) {
 	r.Methods(method).Path(path).HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		// A client that goes away does not stop half an order.
+		// An order that is cancelled half-way would leave some of its VMs changed
+		// and others not, so it runs on when the client disconnects.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), requestTimeout)
 		defer cancel()
-		who, err := s.Access.Admit(req, need)
+		who, err := s.Access.Admit(req, requiredRole)
 		if err != nil {
-			s.refuse(w, req, who, err)
+			s.writeDenied(w, req, who, err)
 			return
 		}
 		req.Body = http.MaxBytesReader(w, req.Body, api.MaxBodyBytes)
 		reply, err := op(ctx, req, who)
 		if err != nil {
-			s.fail(w, req, who, err)
+			s.writeError(w, req, who, err)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -100,20 +106,23 @@
 	})
 }
 
-// refuse answers a request that is not let in, and enters it in the trail.
-func (s *server) refuse(w http.ResponseWriter, req *http.Request, who access.Identity, err error) {
-	s.Log.Info("operator request not let in", "from", remote(req), "path", req.URL.Path, "reason", err.Error())
+// writeDenied answers a request that the access check rejected. Rejected
+// requests other than GET are recorded in the audit trail.
+func (s *server) writeDenied(w http.ResponseWriter, req *http.Request, who access.Identity, err error) {
+	s.Log.Info("operator request denied", "from", remoteHost(req), "path", req.URL.Path, "reason", err.Error())
 	if req.Method != http.MethodGet {
-		s.Trail.Note(audit.Entry{Who: who.Name, From: remote(req), What: req.Method + " " + req.URL.Path, Result: audit.Refused, Detail: err.Error()})
+		s.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(req), What: req.Method + " " + req.URL.Path, Result: audit.Refused, Detail: err.Error()})
 	}
 	writeProblem(w, problemOf(err))
 }
 
-func (s *server) fail(w http.ResponseWriter, req *http.Request, who access.Identity, err error) {
+// writeError answers a request whose operation failed. The cause of an internal
+// error is only logged: the response doesn't show it.
+func (s *server) writeError(w http.ResponseWriter, req *http.Request, who access.Identity, err error) {
 	p := problemOf(err)
 	s.Log.V(1).Info("operator request failed", "who", who.Name, "path", req.URL.Path, "status", p.Status, "error", err.Error())
 	if p.Code == api.CodeInternal {
-		s.Log.Error(err, "operator request failed", "path", req.URL.Path)
+		s.Log.Error(err, "operator request failed with an internal error", "path", req.URL.Path)
 	}
 	writeProblem(w, p)
 }
@@ -122,16 +131,18 @@
 	writeProblem(w, api.Problem{Title: "Not Found", Status: http.StatusNotFound, Code: api.CodeNotFound, Detail: "no such path: " + strconv.Quote(r.URL.Path)})
 }
 
-func notAllowed(w http.ResponseWriter, r *http.Request) {
+func methodNotAllowed(w http.ResponseWriter, r *http.Request) {
 	writeProblem(w, api.Problem{Title: "Method Not Allowed", Status: http.StatusMethodNotAllowed, Code: api.CodeInvalid, Detail: r.Method + " is not taken here"})
 }
 
-// readBody reads the request's JSON. Unknown fields are errors: a misspelt
-// condition would otherwise be taken as none.
-func readBody(r *http.Request, into any) error {
+// readBody decodes the request's JSON body into dest. It returns a bodyError if
+// the body is too large, is not one JSON value, or has unknown fields: if they
+// were ignored, a misspelt condition such as ifRevision would be dropped and the
+// request carried out unconditionally.
+func readBody(r *http.Request, dest any) error {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+	if err := dec.Decode(dest); err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
 			return &bodyError{detail: "the body is over " + strconv.Itoa(api.MaxBodyBytes) + " bytes", tooLarge: true}
@@ -144,7 +155,8 @@
 	return nil
 }
 
-func remote(r *http.Request) string {
+// remoteHost returns the client's address without its port.
+func remoteHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
@@ -153,5 +165,5 @@
 }
 
 func actor(r *http.Request, who access.Identity) command.Actor {
-	return command.Actor{Name: who.Name, From: remote(r)}
+	return command.Actor{Name: who.Name, From: remoteHost(r)}
 }
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -25,7 +25,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-func example(t testing.TB) *model.Declaration {
+func loadExample(t testing.TB) *model.Declaration {
 	t.Helper()
 	d, err := config.Load("../../examples/encuesta-viva")
 	assert.NilError(t, err)
@@ -46,7 +46,7 @@
 	return refused.Problem
 }
 
-func results(t *testing.T, f *operatortest.Fixture) []string {
+func auditLines(t *testing.T, f *operatortest.Fixture) []string {
 	t.Helper()
 	ctx := context.Background()
 	assert.NilError(t, f.Trail.Flush(ctx))
@@ -67,7 +67,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, empty.Declaration == nil)
 
-	req := api.DeclarationRequest{Mode: api.ModeApply, Declaration: example(t), Change: "c-1"}
+	req := api.DeclarationRequest{Mode: api.ModeApply, Declaration: loadExample(t), Change: "c-1"}
 	first, err := cl.Change(ctx, req)
 	assert.NilError(t, err)
 	assert.Equal(t, first.Generation, uint64(1))
@@ -78,18 +78,18 @@
 	stored, err := cl.Declaration(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, stored.Applied.By, "ana (unverified)")
-	assert.Equal(t, len(config.Diff(stored.Declaration, example(t))), 0)
+	assert.Equal(t, len(config.Diff(stored.Declaration, loadExample(t))), 0)
 
-	changed := example(t)
+	changed := loadExample(t)
 	changed.Services[0].Limit = 40
 	zero := uint64(0)
 	_, err = cl.Change(ctx, api.DeclarationRequest{Mode: api.ModeApply, Declaration: changed, Change: "c-2", IfGeneration: &zero})
-	lost := problemOf(t, err)
-	assert.Equal(t, lost.Code, api.CodeConflict)
-	assert.Equal(t, lost.Winner.By, "ana (unverified)")
-	assert.Equal(t, lost.Differ[0].Key, "limit")
+	conflict := problemOf(t, err)
+	assert.Equal(t, conflict.Code, api.CodeConflict)
+	assert.Equal(t, conflict.Winner.By, "ana (unverified)")
+	assert.Equal(t, conflict.Differ[0].Key, "limit")
 
-	fewer := example(t)
+	fewer := loadExample(t)
 	fewer.Services = fewer.Services[1:]
 	diff, err := cl.Change(ctx, api.DeclarationRequest{Mode: api.ModeDiff, Declaration: fewer})
 	assert.NilError(t, err)
@@ -99,7 +99,7 @@
 	_, err = cl.Change(ctx, api.DeclarationRequest{Mode: api.ModeApply, Declaration: fewer, Change: "c-3", ConfirmRemoval: true})
 	assert.NilError(t, err)
 
-	assert.DeepEqual(t, results(t, f), []string{
+	assert.DeepEqual(t, auditLines(t, f), []string{
 		"ana (unverified) asked: apply declaration", "ana (unverified) done: apply declaration",
 		"ana (unverified) asked: apply declaration", "ana (unverified) done: apply declaration",
 		"ana (unverified) asked: apply declaration", "ana (unverified) refused: apply declaration",
@@ -109,20 +109,20 @@
 }
 
 func TestOrdersOverHTTP(t *testing.T) {
-	held := &command.Refusal{Code: command.CodeConflict, Winner: "wave spring", Revision: 12, Detail: "VM v02 is leaving"}
+	conflictRefusal := &command.Refusal{Code: command.CodeConflict, Winner: "wave spring", Revision: 12, Detail: "VM v02 is leaving"}
 	cases := []struct {
-		name   string
-		text   string
-		orders []string
-		refuse map[model.VMID]*command.Refusal
-		code   api.Code // of the problem; empty where it is done
-		done   int
-		audit  []string
+		name        string
+		text        string
+		orders      []string
+		refusals    map[model.VMID]*command.Refusal
+		code        api.Code // of the problem document; empty if the order succeeds
+		doneEffects int
+		audit       []string
 	}{
 		{"drain", `drain vm v01 reason "disk"`, []string{"drain v01"}, nil, "", 1, []string{"asked", "done"}},
 		{"drain a rack, one of it refused", "drain rack gt-a-r1", []string{"drain v01", "drain v02", "drain v03", "drain v04"},
-			map[model.VMID]*command.Refusal{"v02": held}, "", 3, []string{"asked", "done"}},
-		{"refused", "drain vm v02", []string{"drain v02"}, map[model.VMID]*command.Refusal{"v02": held}, api.CodeRefused, 0, []string{"asked", "refused"}},
+			map[model.VMID]*command.Refusal{"v02": conflictRefusal}, "", 3, []string{"asked", "done"}},
+		{"refused", "drain vm v02", []string{"drain v02"}, map[model.VMID]*command.Refusal{"v02": conflictRefusal}, api.CodeRefused, 0, []string{"asked", "refused"}},
 		{"cut", "drain vm v01 cut", []string{"cut v01"}, nil, "", 1, []string{"asked", "done"}},
 		{"nothing of the name", "drain rack nowhere", nil, nil, api.CodeRefused, 0, []string{"refused"}},
 		{"wave", "start wave spring on pool tabulation, portal", []string{"start spring tabulation portal"}, nil, "", 1, []string{"asked", "done"}},
@@ -132,14 +132,14 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			ctx := context.Background()
-			f := operatortest.New(t, example(t), nil)
-			f.Fleet.Refuse = tc.refuse
+			f := operatortest.New(t, loadExample(t), nil)
+			f.Fleet.Refuse = tc.refusals
 			reply, err := serve(t, f, "").Do(ctx, api.DoRequest{Text: tc.text, Change: "c-1", IfRevision: 5})
 			if tc.code != "" {
 				assert.Equal(t, problemOf(t, err).Code, tc.code)
 			} else {
 				assert.NilError(t, err)
-				assert.Equal(t, len(reply.Effects)-reply.Refused, tc.done)
+				assert.Equal(t, len(reply.Effects)-reply.Refused, tc.doneEffects)
 			}
 			assert.DeepEqual(t, f.Fleet.Orders, tc.orders)
 			if len(f.Fleet.Terms) == 1 {
@@ -150,23 +150,23 @@
 			for _, stage := range tc.audit {
 				want = append(want, "ana (unverified) "+stage+": "+tc.text)
 			}
-			assert.DeepEqual(t, results(t, f), want)
+			assert.DeepEqual(t, auditLines(t, f), want)
 		})
 	}
 }
 
-// The operator's connection breaks while a rack is being drained. The order goes
-// on to its end and its outcome is in the trail: half an order that nobody is
-// told of is worse than a whole one.
-func TestAnOrderOutlivesItsClient(t *testing.T) {
+// The operator's connection breaks while a rack is being drained. The order must
+// still run to its end and its outcome be recorded in the audit trail: otherwise
+// some VMs would be drained and nobody would know which.
+func TestOrderCompletesAfterClientDisconnects(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f := operatortest.New(t, example(t), nil)
+	f := operatortest.New(t, loadExample(t), nil)
 	f.Fleet.Before = cancel
 	body := strings.NewReader(`{"text":"drain rack gt-a-r1","change":"c-1"}`)
 	f.Handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(ctx, http.MethodPost, api.PathDo, body))
 	assert.Equal(t, len(f.Fleet.Orders), 4)
-	assert.DeepEqual(t, results(t, f), []string{
+	assert.DeepEqual(t, auditLines(t, f), []string{
 		"anonymous (unverified) asked: drain rack gt-a-r1", "anonymous (unverified) done: drain rack gt-a-r1",
 	})
 }
@@ -175,9 +175,9 @@
 	ctx := context.Background()
 	f := operatortest.New(t, nil, nil)
 	cl := serve(t, f, "")
-	_, err := cl.Change(ctx, api.DeclarationRequest{Mode: api.ModeApply, Declaration: example(t), Change: "c-1"})
+	_, err := cl.Change(ctx, api.DeclarationRequest{Mode: api.ModeApply, Declaration: loadExample(t), Change: "c-1"})
 	assert.NilError(t, err)
-	for range 2 { // the second is a repeat under the same change ID
+	for range 2 { // the second call repeats the first under the same change ID
 		_, err = cl.Do(ctx, api.DoRequest{Text: "set service preview limit 40", Change: "c-2"})
 		assert.NilError(t, err)
 	}
@@ -189,16 +189,17 @@
 	assert.Equal(t, problemOf(t, err).Reason, string(command.CodeNotFound))
 }
 
-// The trail cannot be written: the order is refused and nothing reaches the
-// fleet, since a crash right after would leave a change that nobody made.
-func TestNoOrderWithoutItsEntry(t *testing.T) {
+// An order is refused, and nothing reaches the fleet, if its audit entry cannot
+// be written first: a crash right after the change would otherwise leave a
+// change with no record of who made it.
+func TestOrderRefusedWhenAuditTrailUnwritable(t *testing.T) {
 	ctx := context.Background()
 	for name, fault := range map[string]func(f *operatortest.Fixture){
 		"store down":         func(f *operatortest.Fixture) { f.Way.SetDown(true) },
 		"every request lost": func(f *operatortest.Fixture) { f.Way.LoseRequests(99) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := operatortest.New(t, example(t), nil)
+			f := operatortest.New(t, loadExample(t), nil)
 			fault(f)
 			_, err := serve(t, f, "").Do(ctx, api.DoRequest{Text: "drain vm v01", Change: "c-1"})
 			p := problemOf(t, err)
@@ -209,32 +210,32 @@
 	}
 }
 
-// The answer to an order is lost on the way: the client repeats it under the
-// same change ID on the next entry VM. Where that one cannot tell, the client
-// must not say "nothing changed".
-func TestLostAnswersAreRepeated(t *testing.T) {
+// The response to a request is lost after the server carried it out. The client
+// retries under the same change ID on the next entry VM. If that one is
+// unavailable, the client must not report its "nothing changed".
+func TestClientRetriesAfterLostResponse(t *testing.T) {
 	ctx := context.Background()
 	f := operatortest.New(t, nil, nil)
-	lossy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	lossyServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.Handler.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
 	}))
-	t.Cleanup(lossy.Close)
-	whole := httptest.NewServer(f.Handler)
-	t.Cleanup(whole.Close)
-	down := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	t.Cleanup(lossyServer.Close)
+	workingServer := httptest.NewServer(f.Handler)
+	t.Cleanup(workingServer.Close)
+	unavailableServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", api.ContentProblem)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		fmt.Fprint(w, `{"status":503,"code":"unavailable","detail":"nothing changed"}`)
 	}))
-	t.Cleanup(down.Close)
-	req := api.DeclarationRequest{Mode: api.ModeApply, Declaration: example(t), Change: "c-1"}
+	t.Cleanup(unavailableServer.Close)
+	req := api.DeclarationRequest{Mode: api.ModeApply, Declaration: loadExample(t), Change: "c-1"}
 
-	_, err := client.New(client.Options{Servers: []string{lossy.URL, down.URL}}).Change(ctx, req)
+	_, err := client.New(client.Options{Servers: []string{lossyServer.URL, unavailableServer.URL}}).Change(ctx, req)
 	var unreachable *client.UnreachableError
 	assert.Assert(t, errors.As(err, &unreachable) && unreachable.Sent, "%v", err)
 
-	reply, err := client.New(client.Options{Servers: []string{lossy.URL, whole.URL}}).Change(ctx, req)
+	reply, err := client.New(client.Options{Servers: []string{lossyServer.URL, workingServer.URL}}).Change(ctx, req)
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Generation, uint64(1))
 	assert.Assert(t, reply.Repeated)
@@ -256,7 +257,7 @@
 	assert.NilError(t, os.WriteFile(path, []byte(file), 0o600))
 	gate, err := access.NewTokens(path, clockwork.NewFakeClock(), logr.Discard())
 	assert.NilError(t, err)
-	f := operatortest.New(t, example(t), gate)
+	f := operatortest.New(t, loadExample(t), gate)
 	ask := func(cl *client.Client) error { _, err := cl.Query(ctx, "show vms", nil); return err }
 	order := func(cl *client.Client) error {
 		_, err := cl.Do(ctx, api.DoRequest{Text: "drain vm v01", Change: "c-1"})
@@ -267,12 +268,12 @@
 		return err
 	}
 	apply := func(cl *client.Client) error {
-		_, err := cl.Change(ctx, api.DeclarationRequest{Mode: api.ModeApply, Declaration: example(t), Change: "c-3"})
+		_, err := cl.Change(ctx, api.DeclarationRequest{Mode: api.ModeApply, Declaration: loadExample(t), Change: "c-3"})
 		return err
 	}
 	cases := []struct {
 		name string
-		role access.Role // 0: no token
+		role access.Role // 0 means no token
 		call func(*client.Client) error
 		want api.Code
 	}{
@@ -296,7 +297,7 @@
 			assert.Equal(t, problemOf(t, err).Code, tc.want)
 		})
 	}
-	assert.Assert(t, strings.Contains(strings.Join(results(t, f), "\n"), "view-er refused: apply declaration"))
+	assert.Assert(t, strings.Contains(strings.Join(auditLines(t, f), "\n"), "view-er refused: apply declaration"))
 	kvs, _, err := f.Engine.Range(ctx, "")
 	assert.NilError(t, err)
 	for _, kv := range kvs {
@@ -306,8 +307,8 @@
 	}
 }
 
-func TestBadBodies(t *testing.T) {
-	f := operatortest.New(t, example(t), nil)
+func TestInvalidRequestsGetProblemDocuments(t *testing.T) {
+	f := operatortest.New(t, loadExample(t), nil)
 	cases := []struct {
 		name   string
 		method string
@@ -340,7 +341,7 @@
 }
 
 func TestInForceCountsPerZone(t *testing.T) {
-	f := operatortest.New(t, example(t), nil)
+	f := operatortest.New(t, loadExample(t), nil)
 	f.Acks.Set([]model.EntryID{"e-gt-a", "e-gt-b"}, []model.EntryID{"e-gt-c"})
 	reply, err := serve(t, f, "").InForce(context.Background(), 3)
 	assert.NilError(t, err)
--- a/internal/operator/trail.go
+++ b/internal/operator/trail.go
@@ -8,19 +8,21 @@
 	"github.com/pumicestage/pumicestage/internal/query"
 )
 
-// CommandTrail is the audit trail as package command needs it.
+// CommandTrail adapts the audit trail to the command.Trail interface.
 type CommandTrail struct {
 	Trail *audit.Trail
 }
 
-// Record implements command.Trail.
+// Record implements command.Trail. It returns an error if the entry could not be
+// written.
 func (t CommandTrail) Record(ctx context.Context, e command.Event) error {
-	return t.Trail.Record(ctx, entryOf(e))
+	return t.Trail.Record(ctx, auditEntry(e))
 }
 
 // Note implements command.Trail.
-func (t CommandTrail) Note(e command.Event) { t.Trail.Note(entryOf(e)) }
+func (t CommandTrail) Note(e command.Event) { t.Trail.Note(auditEntry(e)) }
 
+// stageResult maps the stage of an order to the result in its audit entry.
 var stageResult = map[command.Stage]audit.Result{
 	command.StageAsked:   audit.Asked,
 	command.StageDone:    audit.Done,
@@ -28,35 +30,36 @@
 	command.StageUnknown: audit.Unknown,
 }
 
-func entryOf(e command.Event) audit.Entry {
+func auditEntry(e command.Event) audit.Entry {
 	return audit.Entry{
 		At: e.At, Who: e.By.Name, From: e.By.From, Change: e.Change,
 		What: e.What, Before: e.Before, After: e.After, Result: stageResult[e.Stage], Detail: e.Detail,
 	}
 }
 
-// historyLimit bounds how much of the trail an explanation shows.
-const historyLimit = 20
+// maxHistoryEntries bounds the number of audit entries in an explanation.
+const maxHistoryEntries = 20
 
-// QueryHistory is the audit trail as package query needs it.
+// QueryHistory adapts the audit trail to the query.History interface.
 type QueryHistory struct {
 	Trail *audit.Trail
 }
 
-// About implements query.History.
+// About implements query.History. It returns at most maxHistoryEntries reasons.
 func (h QueryHistory) About(ctx context.Context, subject string) ([]query.Reason, error) {
-	entries, _, err := h.Trail.Read(ctx, audit.Filter{Subject: subject, Limit: historyLimit})
+	entries, _, err := h.Trail.Read(ctx, audit.Filter{Subject: subject, Limit: maxHistoryEntries})
 	if err != nil {
 		return nil, err
 	}
 	reasons := make([]query.Reason, 0, len(entries))
 	for _, e := range entries {
-		reasons = append(reasons, query.Reason{At: e.At, Text: sentence(e)})
+		reasons = append(reasons, query.Reason{At: e.At, Text: reasonText(e)})
 	}
 	return reasons, nil
 }
 
-func sentence(e audit.Entry) string {
+// reasonText describes an audit entry in one line for an explanation.
+func reasonText(e audit.Entry) string {
 	text := string(e.Result) + ": " + e.What + " by " + e.Who
 	if e.Result == audit.Automatic {
 		text = e.What + " went from " + e.Before + " to " + e.After + " on " + e.From
