--- a/internal/operator/wiring/observer.go
+++ b/internal/operator/wiring/observer.go
@@ -15,27 +15,30 @@
 )
 
 const (
-	// wavesEvery is how often waves are looked at; it costs one read.
-	wavesEvery = 10 * time.Second
-	// changeSuffix is the length of what a reconciler puts behind its entry
-	// VM's ID and a dash to make the ID of a change of its own.
-	changeSuffix = 16
-	// automaticWho is the part of the system that acts on VMs and waves.
-	automaticWho = "fleet"
+	// wavePollInterval is the time between two polls of the waves, each of which
+	// costs one read of the store.
+	wavePollInterval = 10 * time.Second
+	// changeSuffixLen is the length of the random part of a reconciler's change
+	// IDs, in bytes. Such an ID is the entry VM's ID, a dash and the random part.
+	changeSuffixLen = 16
+	// automaticActor is the name under which the audit trail lists changes that
+	// no operator ordered.
+	automaticActor = "fleet"
 )
 
-// WaveLister lists the started waves.
+// WaveLister lists the started waves with their records.
 type WaveLister interface {
 	WaveStatuses(ctx context.Context) ([]fleet.WaveStatus, error)
 }
 
-// Observer enters in the audit trail what this entry VM's reconciler does by
-// itself: the steps of VMs and waves, with their reasons. Every entry VM sees
-// every step in its view; each enters those that bear a change ID of its own,
-// so that none is entered twice. Steps that an order made are entered by it.
+// Observer records in the audit trail the state changes of VMs and waves that
+// this entry VM's reconciler makes automatically, with their reasons. Every
+// entry VM sees every change in its view; each records only those with a change
+// ID of its own reconciler, so that none is recorded twice. Changes made by an
+// order are recorded by the order.
 //
-// It goes by the view, not by the reconciler's word: what is entered is what
-// took effect, also where the reply to the write was lost.
+// It reads the changes from the view instead of having the reconciler report
+// them: so it records what took effect, even if the reply to the write was lost.
 type Observer struct {
 	Self  model.EntryID
 	View  *view.Holder
@@ -47,42 +50,43 @@
 	waves map[model.WaveName]fleet.WaveRecord
 }
 
-// Run observes until ctx ends.
+// Run records changes until ctx ends.
 func (o *Observer) Run(ctx context.Context) {
-	tick := o.Clock.NewTicker(wavesEvery)
-	defer tick.Stop()
+	ticker := o.Clock.NewTicker(wavePollInterval)
+	defer ticker.Stop()
 	for {
 		changed := o.View.Changed()
-		o.lookAtVMs(o.View.Load())
+		o.recordVMChanges(o.View.Load())
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.Chan():
-			o.lookAtWaves(ctx)
+		case <-ticker.Chan():
+			o.recordWaveChanges(ctx)
 		case <-changed:
 		}
 	}
 }
 
-// lookAtVMs enters the steps since the last look. The first look only learns:
-// what was before this process is not its own doing.
-func (o *Observer) lookAtVMs(s *view.Snapshot) {
+// recordVMChanges records the VM changes since the previous call. The first call
+// records none: those changes were made before this process started.
+func (o *Observer) recordVMChanges(s *view.Snapshot) {
 	next := make(map[model.VMID]model.VM, len(s.VMs))
-	for id, now := range s.VMs {
-		next[id] = now.VM
-		was, known := o.vms[id]
-		if !known || was.Change == now.Change || !o.mine(now.Change) {
+	for id, current := range s.VMs {
+		next[id] = current.VM
+		previous, known := o.vms[id]
+		if !known || previous.Change == current.Change || !o.isOwnChange(current.Change) {
 			continue
 		}
 		o.Trail.RecordSoon(audit.Entry{
-			ID: string(now.Change) + " vm " + string(id), Who: automaticWho, From: string(o.Self), Change: now.Change,
-			What: "vm " + string(id), Before: vmText(was), After: vmText(now.VM), Result: audit.Automatic, Detail: now.Reason,
+			ID: string(current.Change) + " vm " + string(id), Who: automaticActor, From: string(o.Self), Change: current.Change,
+			What: "vm " + string(id), Before: describeVM(previous), After: describeVM(current.VM), Result: audit.Automatic, Detail: current.Reason,
 		})
 	}
 	o.vms = next
 }
 
-func vmText(vm model.VM) string {
+// describeVM returns a VM's state, pool and holder as text for the audit trail.
+func describeVM(vm model.VM) string {
 	text := fmt.Sprintf("%s, pool %s", vm.State, vm.Pool)
 	if vm.Holder != "" {
 		text += ", held by " + vm.Holder
@@ -90,31 +94,32 @@
 	return text
 }
 
-// lookAtWaves enters the steps since the last look. Waves are looked at less
-// often than VMs; of two steps between two looks the later one is entered.
-func (o *Observer) lookAtWaves(ctx context.Context) {
+// recordWaveChanges records the wave changes since the previous call. Waves are
+// polled, so of several changes of a wave between two calls only the last one is
+// recorded.
+func (o *Observer) recordWaveChanges(ctx context.Context) {
 	statuses, err := o.Waves.WaveStatuses(ctx)
 	if err != nil {
-		return // the platform is out of reach, so nothing new is written there
+		return // while the store can't be read, the reconciler can't write changes either
 	}
 	next := make(map[model.WaveName]fleet.WaveRecord, len(statuses))
 	for _, st := range statuses {
-		now := st.Record
-		next[now.Name] = now
-		was, known := o.waves[now.Name]
-		if o.waves == nil || known && was.Change == now.Change || !o.mine(now.Change) {
+		current := st.Record
+		next[current.Name] = current
+		previous, known := o.waves[current.Name]
+		if o.waves == nil || known && previous.Change == current.Change || !o.isOwnChange(current.Change) {
 			continue
 		}
 		o.Trail.RecordSoon(audit.Entry{
-			ID: string(now.Change) + " wave " + string(now.Name), Who: automaticWho, From: string(o.Self), Change: now.Change,
-			What: "wave " + string(now.Name), Before: string(was.State), After: string(now.State), Result: audit.Automatic, Detail: now.Reason,
+			ID: string(current.Change) + " wave " + string(current.Name), Who: automaticActor, From: string(o.Self), Change: current.Change,
+			What: "wave " + string(current.Name), Before: string(previous.State), After: string(current.State), Result: audit.Automatic, Detail: current.Reason,
 		})
 	}
 	o.waves = next
 }
 
-// mine reports whether the change is of this entry VM's own reconciler.
-func (o *Observer) mine(change model.ChangeID) bool {
+// isOwnChange reports whether this entry VM's reconciler made the change.
+func (o *Observer) isOwnChange(change model.ChangeID) bool {
 	suffix, ok := strings.CutPrefix(string(change), string(o.Self)+"-")
-	return ok && len(suffix) == changeSuffix
+	return ok && len(suffix) == changeSuffixLen
 }
--- a/internal/operator/wiring/peers.go
+++ b/internal/operator/wiring/peers.go
@@ -9,12 +9,12 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Mesh tells of the peers heard.
+// Mesh returns the status of each peer entry VM from which messages arrived.
 type Mesh interface {
 	Peers() []peer.Status
 }
 
-// Peers is a query.Peers by the mesh.
+// Peers implements query.Peers with the mesh and the view of this entry VM.
 type Peers struct {
 	Record view.EntryRecord // of this entry VM
 	Mesh   Mesh
@@ -27,7 +27,7 @@
 // Self implements query.Peers.
 func (p Peers) Self() model.EntryID { return p.Record.ID }
 
-// Heard implements query.Peers.
+// Heard implements query.Peers. The first element is this entry VM itself.
 func (p Peers) Heard() []query.PeerHeard {
 	s := p.View.Load()
 	heard := []query.PeerHeard{{
--- a/internal/operator/wiring/planner.go
+++ b/internal/operator/wiring/planner.go
@@ -14,8 +14,8 @@
 	"github.com/pumicestage/pumicestage/policy/wave"
 )
 
-// Planner is a query.Planner by the reconciler of this entry VM: whether a
-// stop is allowed is decided by the count that the order makes.
+// Planner implements query.Planner with the reconciler of this entry VM. Whether
+// a VM may be stopped is decided by the same budget count that the order uses.
 type Planner struct {
 	Fleet *fleet.Fleet
 }
@@ -40,47 +40,50 @@
 	return rows, nil
 }
 
-// Foresee implements query.Planner.
+// Foresee implements query.Planner. It changes nothing.
 func (p Planner) Foresee(ctx context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
-	now, err := p.present(ctx, s)
+	now, err := p.currentState(ctx, s)
 	if err != nil {
 		return query.Forecast{}, err
 	}
 	switch {
 	case h.Drain != nil:
-		return p.foreseeStops(ctx, now, h.Drain, "")
+		return p.forecastStops(ctx, now, h.Drain, "")
 	case h.Move != nil:
-		return p.foreseeMove(ctx, now, h.Move)
+		return p.forecastMove(ctx, now, h.Move)
 	case h.Wave != nil:
-		return p.foreseeWave(ctx, now, h.Wave)
+		return p.forecastWave(ctx, now, h.Wave)
 	case h.Declaration != nil:
-		return foreseeDeclaration(now, h.Declaration), nil
+		return forecastDeclaration(now, h.Declaration), nil
 	}
-	return foreseeLoss(now, h.Lose), nil
+	return forecastLoss(now, h.Lose), nil
 }
 
-// place is where a VM is and whether it certainly serves.
-type place struct {
+// placement is the pool of a VM and what the budget count needs to know of it:
+// its zone and rack, and whether it is certainly in service.
+type placement struct {
 	member budget.Member
 	pool   model.PoolName
 }
 
-// state is the fleet as the budgets count it, now or after something.
-type state struct {
-	d      *model.Declaration
-	places map[model.VMID]place
+// fleetState is the input of the budget count: a declaration and the placements
+// of the VMs, either now or after a hypothetical change.
+type fleetState struct {
+	declaration *model.Declaration
+	placements  map[model.VMID]placement
 }
 
-// holderJoin is the holder of a VM that has not joined its pool yet; no budget
-// counts it.
+// holderJoin is the holder of a VM that has not joined its pool yet. No budget
+// counts such a VM. The value is that of package fleet.
 const holderJoin = "join"
 
-// present counts a VM as up where every service that it serves would: by its
-// record, its health, the platform's list and the ledgers.
-func (p Planner) present(ctx context.Context, s *view.Snapshot) (state, error) {
+// currentState returns the fleet as it is now. A VM is up by the same rule as in
+// every service's budget: by its record, its health, the platform's list and the
+// planned stops in the services' ledgers.
+func (p Planner) currentState(ctx context.Context, s *view.Snapshot) (fleetState, error) {
 	budgets, err := p.Fleet.Budgets(ctx)
 	if err != nil {
-		return state{}, err
+		return fleetState{}, err
 	}
 	stopped := make(map[model.VMID]bool)
 	for _, b := range budgets {
@@ -88,67 +91,69 @@
 			stopped[stop.VM] = true
 		}
 	}
-	now := state{d: s.Declaration, places: make(map[model.VMID]place)}
+	now := fleetState{declaration: s.Declaration, placements: make(map[model.VMID]placement)}
 	for _, vm := range p.Fleet.VMs() {
 		if vm.Holder == holderJoin {
 			continue
 		}
 		up := budget.Up(vm.State, budget.Evidence{Listed: vm.Live, Health: vm.Health, Stopped: stopped[vm.ID]})
-		now.places[vm.ID] = place{budget.Member{ID: vm.ID, Zone: vm.Zone, Rack: vm.Rack, Up: up}, vm.Pool}
+		now.placements[vm.ID] = placement{budget.Member{ID: vm.ID, Zone: vm.Zone, Rack: vm.Rack, Up: up}, vm.Pool}
 	}
 	return now, nil
 }
 
-// with returns the state after change was made to each of the VMs.
-func (st state) with(vms []model.VMID, change func(*place)) state {
-	after := state{d: st.d, places: make(map[model.VMID]place, len(st.places))}
-	for id, pl := range st.places {
-		after.places[id] = pl
+// withChange returns a copy of the state with change applied to each of the VMs.
+// VMs that are not in the state are ignored.
+func (st fleetState) withChange(vms []model.VMID, change func(*placement)) fleetState {
+	after := fleetState{declaration: st.declaration, placements: make(map[model.VMID]placement, len(st.placements))}
+	for id, pl := range st.placements {
+		after.placements[id] = pl
 	}
 	for _, id := range vms {
-		pl, ok := after.places[id]
+		pl, ok := after.placements[id]
 		if !ok {
 			continue
 		}
 		change(&pl)
-		after.places[id] = pl
+		after.placements[id] = pl
 	}
 	return after
 }
 
-func down(pl *place) { pl.member.Up = false }
+func markDown(pl *placement) { pl.member.Up = false }
 
-func (st state) tally(s *model.Service) *budget.Tally {
-	mine := make(map[model.PoolName]bool)
+// countBudget counts the members of a service against its budget.
+func (st fleetState) countBudget(s *model.Service) *budget.Tally {
+	servicePools := make(map[model.PoolName]bool)
 	for _, p := range s.Pools {
-		mine[p] = true
+		servicePools[p] = true
 	}
 	var members []budget.Member
-	for _, pl := range st.places {
-		if mine[pl.pool] {
+	for _, pl := range st.placements {
+		if servicePools[pl.pool] {
 			members = append(members, pl.member)
 		}
 	}
 	return budget.Count(s, members)
 }
 
-// shifts returns the budgets that differ between two states, services in
-// order, each whole before its zones.
-func shifts(before, after state) []query.BudgetShift {
+// budgetShifts returns the budgets that differ between two states, in the order
+// of the declaration's services: for each the whole service, then its zones.
+func budgetShifts(before, after fleetState) []query.BudgetShift {
 	var all []query.BudgetShift
-	for i := range after.d.Services {
-		s := &after.d.Services[i]
-		old := before.d.Service(s.Name)
+	for i := range after.declaration.Services {
+		s := &after.declaration.Services[i]
+		old := before.declaration.Service(s.Name)
 		if old == nil {
 			old = &model.Service{Name: s.Name}
 		}
-		b, a := before.tally(old), after.tally(s)
+		b, a := before.countBudget(old), after.countBudget(s)
 		changed := []query.BudgetShift{{
 			Before: query.Headroom{Service: s.Name, VMs: b.Total, Available: b.Up, Need: b.Required},
 			After:  query.Headroom{Service: s.Name, VMs: a.Total, Available: a.Up, Need: a.Required},
 		}}
-		for _, z := range after.d.Zones {
-			changed = append(changed, query.BudgetShift{Before: inZone(s.Name, z, b), After: inZone(s.Name, z, a)})
+		for _, z := range after.declaration.Zones {
+			changed = append(changed, query.BudgetShift{Before: zoneHeadroom(s.Name, z, b), After: zoneHeadroom(s.Name, z, a)})
 		}
 		for _, c := range changed {
 			if c.Before != c.After {
@@ -159,7 +164,9 @@
 	return all
 }
 
-func inZone(s model.ServiceName, z model.ZoneName, t *budget.Tally) query.Headroom {
+// zoneHeadroom returns a service's headroom in one zone, with zero counts if the
+// service has no VMs there.
+func zoneHeadroom(s model.ServiceName, z model.ZoneName, t *budget.Tally) query.Headroom {
 	h := query.Headroom{Service: s, Zone: z}
 	if d, ok := t.Zones[z]; ok {
 		h.VMs, h.Available, h.Need = d.Total, d.Up, d.Required
@@ -167,17 +174,18 @@
 	return h
 }
 
-// foreseeStops foresees a drain of each VM in turn, or, with a pool, a move.
-func (p Planner) foreseeStops(ctx context.Context, now state, vms []model.VMID, to model.PoolName) (query.Forecast, error) {
+// forecastStops forecasts a drain of each VM in turn or, if the pool isn't empty,
+// a move to it.
+func (p Planner) forecastStops(ctx context.Context, now fleetState, vms []model.VMID, to model.PoolName) (query.Forecast, error) {
 	checks, err := p.Fleet.CheckStops(ctx, vms)
-	if refused, ok := refusedForecast(err); ok {
+	if refused, ok := forecastOfRefusal(err); ok {
 		return refused, nil
 	}
 	if err != nil {
 		return query.Forecast{}, err
 	}
 	f := query.Forecast{}
-	var out []model.VMID
+	var stopped []model.VMID
 	action := "drain"
 	if to != "" {
 		action = "move to " + string(to)
@@ -185,33 +193,35 @@
 	for _, c := range checks {
 		f.Steps = append(f.Steps, query.Step{VM: c.VM, Action: action, Done: c.Allowed, Reason: c.Why})
 		if c.Allowed {
-			out = append(out, c.VM)
+			stopped = append(stopped, c.VM)
 		} else if f.Refusal == "" {
 			f.Refusal = c.Why
 		}
 	}
-	f.Allowed = len(out) > 0
+	f.Allowed = len(stopped) > 0
 	if to != "" {
-		f.Moves = len(out)
-		f.Budgets = shifts(now, now.with(out, func(pl *place) { pl.pool = to }))
+		f.Moves = len(stopped)
+		f.Budgets = budgetShifts(now, now.withChange(stopped, func(pl *placement) { pl.pool = to }))
 		f.Notes = append(f.Notes, "budgets are those after the move; while it lasts the VM counts as down")
 		return f, nil
 	}
-	f.Budgets = shifts(now, now.with(out, down))
+	f.Budgets = budgetShifts(now, now.withChange(stopped, markDown))
 	return f, nil
 }
 
-func (p Planner) foreseeMove(ctx context.Context, now state, m *query.MoveOrder) (query.Forecast, error) {
-	if !declared(now.d, m.To) {
+// forecastMove forecasts a move of a VM. A move to an undeclared pool, or to the
+// VM's present pool, is refused.
+func (p Planner) forecastMove(ctx context.Context, now fleetState, m *query.MoveOrder) (query.Forecast, error) {
+	if !isDeclared(now.declaration, m.To) {
 		return query.Forecast{Refusal: fmt.Sprintf("pool %s is not declared", m.To)}, nil
 	}
-	if pl, ok := now.places[m.VM]; ok && pl.pool == m.To {
+	if pl, ok := now.placements[m.VM]; ok && pl.pool == m.To {
 		return query.Forecast{Refusal: fmt.Sprintf("VM %s is in pool %s already", m.VM, m.To)}, nil
 	}
-	return p.foreseeStops(ctx, now, []model.VMID{m.VM}, m.To)
+	return p.forecastStops(ctx, now, []model.VMID{m.VM}, m.To)
 }
 
-func declared(d *model.Declaration, pool model.PoolName) bool {
+func isDeclared(d *model.Declaration, pool model.PoolName) bool {
 	for _, p := range d.Pools {
 		if p.Name == pool {
 			return true
@@ -220,10 +230,10 @@
 	return false
 }
 
-// foreseeWave foresees the wave's first batch, and its end.
-func (p Planner) foreseeWave(ctx context.Context, now state, w *query.WaveOrder) (query.Forecast, error) {
+// forecastWave forecasts a wave's first batch and how long the wave takes.
+func (p Planner) forecastWave(ctx context.Context, now fleetState, w *query.WaveOrder) (query.Forecast, error) {
 	plan, err := p.Fleet.PlanWave(ctx, w.Wave, w.Pools)
-	if refused, ok := refusedForecast(err); ok {
+	if refused, ok := forecastOfRefusal(err); ok {
 		return refused, nil
 	}
 	if err != nil {
@@ -233,7 +243,7 @@
 	for _, vm := range plan.Stops {
 		f.Steps = append(f.Steps, query.Step{VM: vm, Action: "reboot", Batch: 1, Done: true})
 	}
-	f.Budgets = shifts(now, now.with(plan.Stops, down))
+	f.Budgets = budgetShifts(now, now.withChange(plan.Stops, markDown))
 	f.Notes = append(f.Notes, fmt.Sprintf("%d VMs in all, %d in the first batch; budgets are those while it is out", plan.Progress.Total, len(plan.Stops)))
 	if plan.Verdict != wave.Go {
 		f.Notes = append(f.Notes, fmt.Sprintf("would %s at first: %s", plan.Verdict, plan.Reason))
@@ -241,39 +251,41 @@
 	return f, nil
 }
 
-func foreseeLoss(now state, vms []model.VMID) query.Forecast {
+// forecastLoss forecasts the budgets after the VMs fail.
+func forecastLoss(now fleetState, vms []model.VMID) query.Forecast {
 	f := query.Forecast{Allowed: true}
 	for _, vm := range vms {
 		f.Steps = append(f.Steps, query.Step{VM: vm, Action: "lost", Done: true})
 	}
-	f.Budgets = shifts(now, now.with(vms, down))
+	f.Budgets = budgetShifts(now, now.withChange(vms, markDown))
 	return f
 }
 
-// foreseeDeclaration foresees the budgets under another declaration with the
-// VMs that both have; new ones have yet to prove that they work.
-func foreseeDeclaration(now state, d *model.Declaration) query.Forecast {
+// forecastDeclaration forecasts the budgets under another declaration. It counts
+// only VMs that are in both: whether new VMs will work is not known yet.
+func forecastDeclaration(now fleetState, d *model.Declaration) query.Forecast {
 	f := query.Forecast{Allowed: true}
 	kept := make(map[model.VMID]bool, len(d.VMs))
 	for _, vm := range d.VMs {
 		kept[vm.ID] = true
 	}
-	after := state{d: d, places: make(map[model.VMID]place)}
-	for id, pl := range now.places {
+	after := fleetState{declaration: d, placements: make(map[model.VMID]placement)}
+	for id, pl := range now.placements {
 		if kept[id] {
-			after.places[id] = pl
+			after.placements[id] = pl
 			continue
 		}
 		f.Steps = append(f.Steps, query.Step{VM: id, Action: "remove", Done: true})
 	}
 	sort.Slice(f.Steps, func(i, j int) bool { return f.Steps[i].VM < f.Steps[j].VM })
-	f.Budgets = shifts(now, after)
+	f.Budgets = budgetShifts(now, after)
 	return f
 }
 
-// refusedForecast turns a refusal by the fleet into the forecast of one, for
-// those that are about the order; an unavailable platform is no forecast.
-func refusedForecast(err error) (query.Forecast, bool) {
+// forecastOfRefusal converts a refusal by the fleet to a forecast that the order
+// would be refused. It returns false for other errors and if the platform is
+// unavailable, which tells nothing about the order.
+func forecastOfRefusal(err error) (query.Forecast, bool) {
 	var refusal *fleet.Refusal
 	if !errors.As(err, &refusal) || refusal.Code == fleet.CodeUnavailable {
 		return query.Forecast{}, false
--- a/internal/operator/wiring/waves.go
+++ b/internal/operator/wiring/waves.go
@@ -7,7 +7,7 @@
 	"github.com/pumicestage/pumicestage/internal/query"
 )
 
-// Waves is a query.Waves by the reconciler of this entry VM.
+// Waves implements query.Waves with the reconciler of this entry VM.
 type Waves struct {
 	Fleet *fleet.Fleet
 }
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -1,6 +1,6 @@
-// Package wiring puts the operator port of one entry VM together: it fits the
-// fleet, the peers and the relay to the small interfaces that orders and
-// questions ask for.
+// Package wiring assembles the operator port of one entry VM, the HTTP server for
+// operators. It adapts the fleet, the peers and the waves to the interfaces that
+// the packages of orders (command) and queries (query) require.
 package wiring
 
 import (
@@ -34,21 +34,21 @@
 	Jobs   command.Jobs
 	Asked  query.Jobs
 	Access access.Gate
-	Trail  *audit.Trail // one of its own if nil
-	Clock  clockwork.Clock
+	Trail  *audit.Trail    // nil means a new one on Store
+	Clock  clockwork.Clock // nil means the real clock
 	Log    logr.Logger
 }
 
-// Port is the operator port of one entry VM.
+// Port holds the components of the operator port of one entry VM.
 type Port struct {
-	Handler  http.Handler // under /v1/
-	Trail    *audit.Trail // to Flush before the process ends
+	Handler  http.Handler // its paths begin with /v1/
+	Trail    *audit.Trail // the caller must Flush it before the process ends
 	Commands *command.Executor
 	Queries  *query.Engine
-	Observer *Observer // to Run, so that automatic actions are in the trail
+	Observer *Observer // the caller must Run it, so that automatic changes are audited
 }
 
-// New puts a port together.
+// New assembles an operator port. It starts nothing.
 func New(p Parts) *Port {
 	if p.Clock == nil {
 		p.Clock = clockwork.NewRealClock()
--- a/internal/operator/wiring/wiring_test.go
+++ b/internal/operator/wiring/wiring_test.go
@@ -29,63 +29,63 @@
 
 var ctx = context.Background()
 
-// world is one entry VM's port over a real reconciler, an in-memory store and
-// a platform that only lists VMs and takes every order.
-type world struct {
-	clock *clockwork.FakeClock
-	store *memstore.Store
-	view  *view.Holder
-	decl  *model.Declaration
-	down  map[model.VMID]bool
-	fleet *fleet.Fleet
-	port  *Port
+// fixture is one entry VM's operator port with a real reconciler, an in-memory
+// store and a fake platform that lists VMs and accepts every order.
+type fixture struct {
+	clock       *clockwork.FakeClock
+	store       *memstore.Store
+	view        *view.Holder
+	declaration *model.Declaration
+	down        map[model.VMID]bool
+	fleet       *fleet.Fleet
+	port        *Port
 }
 
-// machines is the platform's control of VMs: all are live.
-type machines struct {
-	infra.Machines // tasks are not used here
-	w              *world
+// fakeMachines is a platform on which every VM is live and every drain succeeds.
+type fakeMachines struct {
+	infra.Machines // nil: the tests call no other methods
+	w              *fixture
 }
 
-func (m machines) List(context.Context) (infra.MachineList, error) {
+func (m fakeMachines) List(context.Context) (infra.MachineList, error) {
 	list := infra.MachineList{AsOf: m.w.clock.Now()}
-	for _, vm := range m.w.decl.VMs {
+	for _, vm := range m.w.declaration.VMs {
 		list.Machines = append(list.Machines, infra.Machine{VM: vm.ID, Live: true, Boots: 1})
 	}
 	return list, nil
 }
 
-func (m machines) Drain(context.Context, model.VMID, model.AttemptID) error { return nil }
+func (m fakeMachines) Drain(context.Context, model.VMID, model.AttemptID) error { return nil }
 
-func (m machines) InFlight(context.Context, model.VMID) (int, error) { return 1, nil }
+func (m fakeMachines) InFlight(context.Context, model.VMID) (int, error) { return 1, nil }
 
-// nobody is a mesh and a registry without other entry VMs.
-type nobody struct{}
+// singleEntry is a mesh and an acknowledgement registry with no other entry VMs.
+type singleEntry struct{}
 
-func (nobody) Peers() []peer.Status { return nil }
+func (singleEntry) Peers() []peer.Status { return nil }
 
-func (nobody) Missing(context.Context, infra.Revision) ([]model.EntryID, error) { return nil, nil }
+func (singleEntry) Missing(context.Context, infra.Revision) ([]model.EntryID, error) { return nil, nil }
 
-func (nobody) InForce(context.Context, uint64) (have, missing []model.EntryID, err error) {
+func (singleEntry) InForce(context.Context, uint64) (have, missing []model.EntryID, err error) {
 	return []model.EntryID{"e1"}, nil, nil
 }
 
-func newWorld(t testing.TB, example string, down ...model.VMID) *world {
+func newFixture(t testing.TB, example string, down ...model.VMID) *fixture {
 	t.Helper()
 	d, err := config.Load("../../../examples/" + example)
 	assert.NilError(t, err)
-	w := &world{clock: clockwork.NewFakeClock(), view: view.NewHolder(), decl: d, down: make(map[model.VMID]bool)}
+	w := &fixture{clock: clockwork.NewFakeClock(), view: view.NewHolder(), declaration: d, down: make(map[model.VMID]bool)}
 	for _, vm := range down {
 		w.down[vm] = true
 	}
 	w.store = memstore.New(w.clock)
 	w.fleet = fleet.New(fleet.Options{
-		Store: w.store, Machines: machines{w: w}, View: w.view, Acks: nobody{}, Health: w.health,
+		Store: w.store, Machines: fakeMachines{w: w}, View: w.view, Acks: singleEntry{}, Health: w.health,
 		Clock: w.clock, Log: logr.Discard(), Self: "e1",
 	})
 	w.port = New(Parts{
 		Self: view.EntryRecord{ID: "e1", Zone: d.Zones[0]}, Store: w.store, View: w.view, Fleet: w.fleet,
-		Mesh: nobody{}, Acks: nobody{}, Health: w.health, Clock: w.clock, Log: logr.Discard(),
+		Mesh: singleEntry{}, Acks: singleEntry{}, Health: w.health, Clock: w.clock, Log: logr.Discard(),
 		Trail: audit.New(audit.Options{Store: w.store, Self: "e1", Clock: w.clock, Pace: -1}),
 	})
 	w.publish(t)
@@ -94,19 +94,19 @@
 	return w
 }
 
-func (w *world) health(vm model.VMID) model.Health {
+func (w *fixture) health(vm model.VMID) model.Health {
 	if w.down[vm] {
 		return model.HealthDown
 	}
 	return model.HealthHealthy
 }
 
-// publish brings the view up to the store.
-func (w *world) publish(t testing.TB) {
+// publish updates the view with the VM records in the store.
+func (w *fixture) publish(t testing.TB) {
 	t.Helper()
 	kvs, rev, err := w.store.Range(ctx, infra.VMPrefix)
 	assert.NilError(t, err)
-	s := &view.Snapshot{Revision: rev, AsOf: w.clock.Now(), Declaration: w.decl, VMs: make(map[model.VMID]view.VMRecord)}
+	s := &view.Snapshot{Revision: rev, AsOf: w.clock.Now(), Declaration: w.declaration, VMs: make(map[model.VMID]view.VMRecord)}
 	for _, kv := range kvs {
 		var vm model.VM
 		assert.NilError(t, json.Unmarshal(kv.Value, &vm))
@@ -115,7 +115,7 @@
 	w.view.Publish(s)
 }
 
-func (w *world) foresee(t testing.TB, text string) *query.Forecast {
+func (w *fixture) whatIf(t testing.TB, text string) *query.Forecast {
 	t.Helper()
 	q, err := lang.ParseQuestion("what-if " + text)
 	assert.NilError(t, err)
@@ -124,15 +124,15 @@
 	return answer.Forecast
 }
 
-func (w *world) do(t testing.TB, change model.ChangeID, text string) (command.Result, error) {
+func (w *fixture) do(t testing.TB, change model.ChangeID, text string) (command.Result, error) {
 	t.Helper()
 	o, err := lang.ParseOrder(text)
 	assert.NilError(t, err)
 	return w.port.Commands.Do(ctx, command.Request{Change: change, By: command.Actor{Name: "ana"}, Text: text, Order: o})
 }
 
-// verdicts of a forecast and of an order, as "v01 done" or "v01 refused".
-func foreseen(f *query.Forecast) string {
+// forecastVerdicts lists the steps of a forecast, as "v01 done" or "v01 refused".
+func forecastVerdicts(f *query.Forecast) string {
 	var lines []string
 	for _, s := range f.Steps {
 		lines = append(lines, verdict(string(s.VM), s.Done))
@@ -143,7 +143,8 @@
 	return strings.Join(lines, ", ")
 }
 
-func ordered(res command.Result, err error) string {
+// orderVerdicts lists the effects of an order in the form of forecastVerdicts.
+func orderVerdicts(res command.Result, err error) string {
 	var refusal *command.Refusal
 	if errors.As(err, &refusal) {
 		return "refused"
@@ -162,12 +163,12 @@
 	return vm + " refused"
 }
 
-// A forecast is of use only where the order that follows does the same. For
-// every VM and rack of both examples, healthy and with VMs down, what-if is
-// asked and the order given in the same state; they must agree on every VM.
-func TestWhatIfAgreesWithTheOrder(t *testing.T) {
+// A what-if query must predict what the order does. For every VM, rack and zone
+// of the example, healthy and with VMs down, the test runs the what-if query and
+// then the order in the same state; both must agree on every VM.
+func TestWhatIfMatchesOrder(t *testing.T) {
 	var scopes, moves []string
-	d := newWorld(t, "encuesta-viva").decl
+	d := newFixture(t, "encuesta-viva").declaration
 	racks := make(map[model.RackName]bool)
 	for _, vm := range d.VMs {
 		scopes = append(scopes, "vm "+string(vm.ID))
@@ -190,7 +191,7 @@
 	cases := []struct {
 		name   string
 		down   []model.VMID
-		before []string // orders given first
+		before []string // orders given before the query
 	}{
 		{name: "all healthy"},
 		{name: "at the edge of the budgets", before: []string{"drain rack gt-b-r1", "drain rack gt-c-r1"}},
@@ -201,28 +202,28 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			for _, text := range orders {
-				w := newWorld(t, "encuesta-viva", tc.down...)
+				w := newFixture(t, "encuesta-viva", tc.down...)
 				for i, first := range tc.before {
 					_, err := w.do(t, model.ChangeID(fmt.Sprintf("c-before-%d", i)), first)
 					assert.NilError(t, err)
 					w.publish(t)
 				}
-				f := w.foresee(t, text)
+				f := w.whatIf(t, text)
 				res, err := w.do(t, "c-1", text)
-				want := ordered(res, err)
+				want := orderVerdicts(res, err)
 				if want == "refused" {
-					assert.Assert(t, !f.Allowed, "%s: foreseen %s", text, foreseen(f))
+					assert.Assert(t, !f.Allowed, "%s: forecast is %s", text, forecastVerdicts(f))
 					continue
 				}
-				assert.Equal(t, foreseen(f), want, text)
+				assert.Equal(t, forecastVerdicts(f), want, text)
 			}
 		})
 	}
 }
 
-// The same for a wave: the VMs of the foreseen batch are those that the
-// reconciler takes out first.
-func TestWhatIfAgreesWithTheWave(t *testing.T) {
+// The VMs of a wave's forecast first batch must be those that the reconciler
+// stops first.
+func TestWhatIfMatchesWave(t *testing.T) {
 	for _, tc := range []struct{ example, wave, pools string }{
 		{"encuesta-viva", "spring", ""},
 		{"encuesta-viva", "spring", " on pool tabulation, weighting"},
@@ -230,8 +231,8 @@
 		{"lautan-kru", "monsoon", ""},
 	} {
 		t.Run(tc.wave+tc.pools, func(t *testing.T) {
-			w := newWorld(t, tc.example)
-			f := w.foresee(t, "wave "+tc.wave+tc.pools)
+			w := newFixture(t, tc.example)
+			f := w.whatIf(t, "wave "+tc.wave+tc.pools)
 			var want []string
 			for _, s := range f.Steps {
 				want = append(want, string(s.VM))
@@ -255,18 +256,18 @@
 }
 
 func TestForecastsOfLossAndDeclaration(t *testing.T) {
-	w := newWorld(t, "lautan-kru")
-	rack := w.foresee(t, "lose rack my-a-r1")
+	w := newFixture(t, "lautan-kru")
+	rack := w.whatIf(t, "lose rack my-a-r1")
 	assert.Assert(t, rack.Holds)
-	zone := w.foresee(t, "lose zone my-a")
+	zone := w.whatIf(t, "lose zone my-a")
 	assert.Assert(t, !zone.Holds)
 	assert.Equal(t, len(zone.Steps), 13)
 
-	fewer := *w.decl
-	fewer.VMs = w.decl.VMs[13:]
+	smallerDeclaration := *w.declaration
+	smallerDeclaration.VMs = w.declaration.VMs[13:]
 	q, err := lang.ParseQuestion("what-if declaration")
 	assert.NilError(t, err)
-	answer, err := w.port.Queries.Ask(ctx, q, &fewer)
+	answer, err := w.port.Queries.Ask(ctx, q, &smallerDeclaration)
 	assert.NilError(t, err)
 	assert.Equal(t, len(answer.Forecast.Steps), 13)
 	notes := strings.Join(answer.Forecast.Notes, "\n")
@@ -274,10 +275,10 @@
 	assert.Assert(t, strings.Contains(notes, "refused unless the removal is confirmed: service flights keeps 7 VMs, its budget in force is 8"), notes)
 }
 
-// Each question that only shows works over the real parts, and every field of
-// the language has its column.
-func TestEveryShowAnswers(t *testing.T) {
-	w := newWorld(t, "encuesta-viva")
+// Every show query must work with the real components and return one column for
+// each field of the query language.
+func TestShowQueriesReturnEveryField(t *testing.T) {
+	w := newFixture(t, "encuesta-viva")
 	_, err := w.do(t, "c-1", `drain vm v01 cut reason "disk"`)
 	assert.NilError(t, err)
 	w.publish(t)
@@ -304,31 +305,31 @@
 	assert.Assert(t, w.port.Queries.Info().Stale)
 }
 
-// A wave takes a VM out by itself. The trail tells it once, by the entry VM
-// that did it; another entry VM that sees the same step enters nothing, nor is
-// an operator's own drain entered a second time.
-func TestAutomaticStepsAreInTheTrailOnce(t *testing.T) {
-	w := newWorld(t, "encuesta-viva")
+// A VM that a wave stops automatically must be in the audit trail once, recorded
+// by the entry VM whose reconciler did it. Another entry VM that sees the change
+// records nothing, and an operator's drain is not recorded a second time.
+func TestAutomaticChangesAreAuditedOnce(t *testing.T) {
+	w := newFixture(t, "encuesta-viva")
 	other := &Observer{Self: "e2", View: w.view, Waves: w.fleet, Trail: w.port.Trail, Clock: w.clock}
-	look := func() {
+	observe := func() {
 		w.publish(t)
 		for _, o := range []*Observer{w.port.Observer, other} {
-			o.lookAtVMs(w.view.Load())
-			o.lookAtWaves(ctx)
+			o.recordVMChanges(w.view.Load())
+			o.recordWaveChanges(ctx)
 		}
 	}
-	look()
+	observe()
 	_, err := w.do(t, "c-1", "drain vm v50")
 	assert.NilError(t, err)
-	look()
+	observe()
 	_, err = w.do(t, "c-2", "start wave spring")
 	assert.NilError(t, err)
-	look()
+	observe()
 	assert.NilError(t, w.fleet.Step(ctx))
-	look()
-	look()
+	observe()
+	observe()
 	assert.NilError(t, w.port.Trail.Flush(ctx))
-	entries, _, err := w.port.Trail.Read(ctx, audit.Filter{Who: automaticWho})
+	entries, _, err := w.port.Trail.Read(ctx, audit.Filter{Who: automaticActor})
 	assert.NilError(t, err)
 	var got []string
 	for _, e := range entries {
