--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -50,17 +50,17 @@
 		return err
 	}
 	d.port = wiring.New(wiring.Parts{
-		Self:   d.self,
-		Store:  d.store,
-		View:   d.view,
-		Fleet:  d.fleet,
-		Mesh:   d.mesh,
-		Acks:   d.registry,
-		Health: d.prober.Health,
-		Jobs:   jobsport.CommandAdapter{Executor: d.jobs},
-		Asked:  jobsport.QueryAdapter{Executor: d.jobs},
-		Access: gate,
-		Log:    d.log.WithName("operator"),
+		Self:       d.self,
+		Store:      d.store,
+		View:       d.view,
+		Fleet:      d.fleet,
+		Mesh:       d.mesh,
+		Acks:       d.registry,
+		Health:     d.prober.Health,
+		Jobs:       jobsport.CommandAdapter{Executor: d.jobs},
+		JobQueries: jobsport.QueryAdapter{Executor: d.jobs},
+		Access:     gate,
+		Log:        d.log.WithName("operator"),
 	})
 	api := jobsapi.New(jobsapi.Options{Jobs: d.jobs, Access: gate, Trail: d.port.Trail, Log: d.log.WithName("jobs")})
 	r := mux.NewRouter()
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -24,19 +24,19 @@
 // Parts are what an operator port is made of. Jobs, Asked, Access, Trail,
 // Clock and Log may be left out.
 type Parts struct {
-	Self   view.EntryRecord
-	Store  infra.Store
-	View   *view.Holder
-	Fleet  *fleet.Fleet
-	Mesh   Mesh
-	Acks   operator.Acks
-	Health func(model.VMID) model.Health
-	Jobs   command.Jobs
-	Asked  query.Jobs
-	Access access.Gate
-	Trail  *audit.Trail    // nil means a new one on Store
-	Clock  clockwork.Clock // nil means the real clock
-	Log    logr.Logger
+	Self       view.EntryRecord
+	Store      infra.Store
+	View       *view.Holder
+	Fleet      *fleet.Fleet
+	Mesh       Mesh
+	Acks       operator.Acks
+	Health     func(model.VMID) model.Health
+	Jobs       command.Jobs
+	JobQueries query.Jobs
+	Access     access.Gate
+	Trail      *audit.Trail    // nil means a new one on Store
+	Clock      clockwork.Clock // nil means the real clock
+	Log        logr.Logger
 }
 
 // Port holds the components of the operator port of one entry VM.
@@ -71,7 +71,7 @@
 		View:    p.View,
 		Planner: Planner{Fleet: p.Fleet},
 		Waves:   Waves{Fleet: p.Fleet},
-		Jobs:    p.Asked,
+		Jobs:    p.JobQueries,
 		Peers:   Peers{Record: p.Self, Mesh: p.Mesh, View: p.View, Clock: p.Clock},
 		History: operator.QueryHistory{Trail: trail},
 		Health:  p.Health,
