--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	d.port = wiring.New(wiring.Parts{
+	d.port = wiring.New(wiring.Options{
 		Self:       d.self,
 		Store:      d.store,
 		View:       d.view,
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -21,9 +21,9 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Parts are what an operator port is made of. Jobs, Asked, Access, Trail,
+// Options are what an operator port is made of. Jobs, Asked, Access, Trail,
 // Clock and Log may be left out.
-type Parts struct {
+type Options struct {
 	Self       view.EntryRecord
 	Store      infra.Store
 	View       *view.Holder
@@ -49,7 +49,7 @@
 }
 
 // New assembles an operator port. It starts nothing.
-func New(p Parts) *Port {
+func New(p Options) *Port {
 	if p.Clock == nil {
 		p.Clock = clockwork.NewRealClock()
 	}
--- a/internal/operator/wiring/wiring_test.go
+++ b/internal/operator/wiring/wiring_test.go
@@ -83,7 +83,7 @@
 		Store: w.store, Machines: fakeMachines{w: w}, View: w.view, Acks: singleEntry{}, Health: w.health,
 		Clock: w.clock, Log: logr.Discard(), Self: "e1",
 	})
-	w.port = New(Parts{
+	w.port = New(Options{
 		Self: view.EntryRecord{ID: "e1", Zone: d.Zones[0]}, Store: w.store, View: w.view, Fleet: w.fleet,
 		Mesh: singleEntry{}, Acks: singleEntry{}, Health: w.health, Clock: w.clock, Log: logr.Discard(),
 		Trail: audit.New(audit.Options{Store: w.store, Self: "e1", Clock: w.clock, Pace: -1}),
