--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -73,13 +73,13 @@
 
 // InForceReply says which live entry VMs hold a generation.
 type InForceReply struct {
-	Generation uint64       `json:"generation"`
-	Zones      []ZoneHolds  `json:"zones"`
-	Missing    []EntryState `json:"missing"`
+	Generation uint64        `json:"generation"`
+	Zones      []ZoneInForce `json:"zones"`
+	Missing    []EntryState  `json:"missing"`
 }
 
-// ZoneHolds counts the entry VMs of a zone that hold the generation.
-type ZoneHolds struct {
+// ZoneInForce counts the entry VMs of a zone that hold the generation.
+type ZoneInForce struct {
 	Zone model.ZoneName `json:"zone"`
 	Have int            `json:"have"`
 	Live int            `json:"live"`
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -93,12 +93,12 @@
 
 // countPerZone counts, for each zone, the live entry VMs and those of them that
 // have the generation in force. The result is sorted by zone.
-func countPerZone(have, missing []model.EntryID, zoneOf map[model.EntryID]model.ZoneName) []api.ZoneHolds {
-	counts := make(map[model.ZoneName]*api.ZoneHolds)
-	countLive := func(id model.EntryID) *api.ZoneHolds {
+func countPerZone(have, missing []model.EntryID, zoneOf map[model.EntryID]model.ZoneName) []api.ZoneInForce {
+	counts := make(map[model.ZoneName]*api.ZoneInForce)
+	countLive := func(id model.EntryID) *api.ZoneInForce {
 		z := zoneOf[id]
 		if counts[z] == nil {
-			counts[z] = &api.ZoneHolds{Zone: z}
+			counts[z] = &api.ZoneInForce{Zone: z}
 		}
 		counts[z].Live++
 		return counts[z]
@@ -109,7 +109,7 @@
 	for _, id := range missing {
 		countLive(id)
 	}
-	zones := make([]api.ZoneHolds, 0, len(counts))
+	zones := make([]api.ZoneInForce, 0, len(counts))
 	for _, z := range counts {
 		zones = append(zones, *z)
 	}
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -347,7 +347,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, reply, api.InForceReply{
 		Generation: 3,
-		Zones:      []api.ZoneHolds{{Zone: "gt-a", Have: 1, Live: 1}, {Zone: "gt-b", Have: 1, Live: 1}, {Zone: "gt-c", Live: 1}},
+		Zones:      []api.ZoneInForce{{Zone: "gt-a", Have: 1, Live: 1}, {Zone: "gt-b", Have: 1, Live: 1}, {Zone: "gt-c", Live: 1}},
 		Missing:    []api.EntryState{{Entry: "e-gt-c", Zone: "gt-c"}},
 	})
 }
