--- a/cmd/pumicestage/apply.go
+++ b/cmd/pumicestage/apply.go
@@ -149,7 +149,7 @@
 // in time, as far as the one that was asked hears.
 type notInForceError struct {
 	generation uint64
-	missing    []api.EntryState
+	missing    []api.MissingEntry
 	wait       time.Duration
 	err        error // why it could not be asked, if so
 }
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -73,9 +73,9 @@
 
 // InForceReply says which live entry VMs hold a generation.
 type InForceReply struct {
-	Generation uint64        `json:"generation"`
-	Zones      []ZoneInForce `json:"zones"`
-	Missing    []EntryState  `json:"missing"`
+	Generation uint64         `json:"generation"`
+	Zones      []ZoneInForce  `json:"zones"`
+	Missing    []MissingEntry `json:"missing"`
 }
 
 // ZoneInForce counts the entry VMs of a zone that hold the generation.
@@ -85,9 +85,9 @@
 	Live int            `json:"live"`
 }
 
-// EntryState is an entry VM that does not hold the generation yet, as far as
+// MissingEntry is an entry VM that does not hold the generation yet, as far as
 // the one that answers hears.
-type EntryState struct {
+type MissingEntry struct {
 	Entry model.EntryID  `json:"entry"`
 	Zone  model.ZoneName `json:"zone"`
 }
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -83,9 +83,9 @@
 	for _, e := range s.View.Load().Entries {
 		zoneOf[e.ID] = e.Zone
 	}
-	reply := api.InForceReply{Generation: generation, Missing: []api.EntryState{}}
+	reply := api.InForceReply{Generation: generation, Missing: []api.MissingEntry{}}
 	for _, id := range missing {
-		reply.Missing = append(reply.Missing, api.EntryState{Entry: id, Zone: zoneOf[id]})
+		reply.Missing = append(reply.Missing, api.MissingEntry{Entry: id, Zone: zoneOf[id]})
 	}
 	reply.Zones = countPerZone(have, missing, zoneOf)
 	return reply, nil
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -348,6 +348,6 @@
 	assert.DeepEqual(t, reply, api.InForceReply{
 		Generation: 3,
 		Zones:      []api.ZoneInForce{{Zone: "gt-a", Have: 1, Live: 1}, {Zone: "gt-b", Have: 1, Live: 1}, {Zone: "gt-c", Live: 1}},
-		Missing:    []api.EntryState{{Entry: "e-gt-c", Zone: "gt-c"}},
+		Missing:    []api.MissingEntry{{Entry: "e-gt-c", Zone: "gt-c"}},
 	})
 }
