--- a/cmd/pumicestage/apply.go
+++ b/cmd/pumicestage/apply.go
@@ -119,7 +119,7 @@
 // the repeat.
 func withChange(change string, err error) error {
 	var unreachable *client.UnreachableError
-	var refused *client.RefusedError
+	var refused *client.ProblemError
 	open := errors.As(err, &unreachable) && unreachable.Sent ||
 		errors.As(err, &refused) && refused.Problem.Code == api.CodeUnknown
 	if open {
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -48,13 +48,13 @@
 	return &Client{o}
 }
 
-// RefusedError is an answer that is a problem document.
-type RefusedError struct {
+// ProblemError is an answer that is a problem document.
+type ProblemError struct {
 	Problem api.Problem
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return e.Problem.Detail }
+func (e *ProblemError) Error() string { return e.Problem.Detail }
 
 // UnreachableError reports that no entry VM answered. Where Sent is true a
 // request may have been carried out.
@@ -159,7 +159,7 @@
 			break
 		}
 		err := c.once(ctx, c.Servers[i%len(c.Servers)], method, path, encoded, reply)
-		var refused *RefusedError
+		var refused *ProblemError
 		if err == nil || errors.As(err, &refused) && !again(refused.Problem) {
 			return settled(err, refused, sent && method == http.MethodPost)
 		}
@@ -178,7 +178,7 @@
 
 // settled keeps a refusal from being taken for the whole truth: where an
 // earlier try may have been carried out, "unavailable" says nothing of it.
-func settled(err error, refused *RefusedError, mayBeDone bool) error {
+func settled(err error, refused *ProblemError, mayBeDone bool) error {
 	if refused != nil && mayBeDone && refused.Problem.Status == http.StatusServiceUnavailable {
 		return &UnreachableError{Sent: true, Err: err}
 	}
@@ -240,7 +240,7 @@
 	if json.Unmarshal(text, &p) != nil || p.Code == "" {
 		return fmt.Errorf("%s answered %s", res.Request.URL.Host, res.Status)
 	}
-	return &RefusedError{Problem: p}
+	return &ProblemError{Problem: p}
 }
 
 func baseURL(server string) string {
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -41,7 +41,7 @@
 
 func problemOf(t *testing.T, err error) api.Problem {
 	t.Helper()
-	var refused *client.RefusedError
+	var refused *client.ProblemError
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
 	return refused.Problem
 }
