--- a/cmd/pumicestage/cli_test.go
+++ b/cmd/pumicestage/cli_test.go
@@ -96,7 +96,7 @@
 	bad := b.run("", "apply", variant(t, "waves.ini", "pools = tabulation\n", "pools = tabulations\n"))
 	assert.Equal(t, bad.status, exitRefused)
 	assert.Assert(t, strings.Contains(bad.errors, `waves.ini: [wave tabulation-fix] pools: given "tabulations"`), bad.errors)
-	assert.Equal(t, b.Way.Calls().Writes, 0)
+	assert.Equal(t, b.FaultyStore.Calls().Writes, 0)
 
 	first := b.run("", "apply", exampleDir, "--change", "c-1")
 	assert.Equal(t, first.status, exitDone, first.errors)
@@ -137,7 +137,7 @@
 	rival := loadExample(t)
 	rival.Service("preview").Limit = 7
 	writes := 0
-	b.Way.Before(func(_ string, txn infra.Txn) {
+	b.FaultyStore.Before(func(_ string, txn infra.Txn) {
 		for _, op := range txn.Then {
 			if op.Key != infra.ConfigKey {
 				continue
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -29,14 +29,14 @@
 
 // Fixture is an operator port with what stands behind it.
 type Fixture struct {
-	Clock   *clockwork.FakeClock
-	Engine  *memstore.Store // behind the way
-	Way     *faulty.Store   // the port's way to the store
-	View    *view.Holder
-	Fleet   *Fleet
-	Acks    *Acks
-	Trail   *audit.Trail
-	Handler http.Handler
+	Clock       *clockwork.FakeClock
+	Engine      *memstore.Store // behind the way
+	FaultyStore *faulty.Store   // the port's way to the store
+	View        *view.Holder
+	Fleet       *Fleet
+	Acks        *Acks
+	Trail       *audit.Trail
+	Handler     http.Handler
 }
 
 // New returns a fixture whose view holds the declaration with every VM in its
@@ -45,12 +45,12 @@
 	t.Helper()
 	f := &Fixture{Clock: clockwork.NewFakeClockAt(Epoch), View: view.NewHolder(), Fleet: &Fleet{}, Acks: &Acks{}}
 	f.Engine = memstore.New(f.Clock)
-	f.Way = faulty.Wrap(f.Engine)
-	f.Trail = audit.New(audit.Options{Store: f.Way, Self: "e1", Clock: f.Clock, Pace: -1, Log: logr.Discard()})
+	f.FaultyStore = faulty.Wrap(f.Engine)
+	f.Trail = audit.New(audit.Options{Store: f.FaultyStore, Self: "e1", Clock: f.Clock, Pace: -1, Log: logr.Discard()})
 	f.Publish(d)
-	stored := command.Stored{Store: f.Way, Clock: f.Clock, View: f.View}
+	stored := command.Stored{Store: f.FaultyStore, Clock: f.Clock, View: f.View}
 	f.Handler = operator.New(operator.Options{
-		Store: f.Way,
+		Store: f.FaultyStore,
 		View:  f.View,
 		Commands: command.New(command.Options{
 			Fleet: f.Fleet, Settings: stored, Declarer: stored, Members: scope.Holder{View: f.View},
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -195,8 +195,8 @@
 func TestOrderRefusedWhenAuditTrailUnwritable(t *testing.T) {
 	ctx := context.Background()
 	for name, fault := range map[string]func(f *operatortest.Fixture){
-		"store down":         func(f *operatortest.Fixture) { f.Way.SetDown(true) },
-		"every request lost": func(f *operatortest.Fixture) { f.Way.LoseRequests(99) },
+		"store down":         func(f *operatortest.Fixture) { f.FaultyStore.SetDown(true) },
+		"every request lost": func(f *operatortest.Fixture) { f.FaultyStore.LoseRequests(99) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := operatortest.New(t, loadExample(t), nil)
