--- a/cmd/pumicestage/cli_test.go
+++ b/cmd/pumicestage/cli_test.go
@@ -145,7 +145,7 @@
 			if writes++; writes > 1 {
 				return
 			}
-			_, err := config.Apply(context.Background(), b.Engine, rival, config.ApplyOptions{Change: "c-rival", By: "bea", At: operatortest.Epoch})
+			_, err := config.Apply(context.Background(), b.BackingStore, rival, config.ApplyOptions{Change: "c-rival", By: "bea", At: operatortest.Epoch})
 			assert.NilError(t, err)
 		}
 	})
--- a/internal/operator/fuzz_test.go
+++ b/internal/operator/fuzz_test.go
@@ -38,7 +38,7 @@
 		if err := json.Unmarshal(w.Body.Bytes(), &p); err != nil || p.Status != w.Code || p.Code == "" || w.Code == http.StatusInternalServerError {
 			t.Fatalf("%s %q: %d %s", path, body, w.Code, w.Body)
 		}
-		kv, _, err := fx.Engine.Get(t.Context(), infra.ConfigKey)
+		kv, _, err := fx.BackingStore.Get(t.Context(), infra.ConfigKey)
 		if err != nil || kv.ModRevision != 0 || len(fx.Fleet.Orders) > 0 {
 			t.Fatalf("%s %q was refused and changed something", path, body)
 		}
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -29,14 +29,14 @@
 
 // Fixture is an operator port with what stands behind it.
 type Fixture struct {
-	Clock       *clockwork.FakeClock
-	Engine      *memstore.Store // behind the way
-	FaultyStore *faulty.Store   // the port's way to the store
-	View        *view.Holder
-	Fleet       *Fleet
-	Acks        *Acks
-	Trail       *audit.Trail
-	Handler     http.Handler
+	Clock        *clockwork.FakeClock
+	BackingStore *memstore.Store // behind the way
+	FaultyStore  *faulty.Store   // the port's way to the store
+	View         *view.Holder
+	Fleet        *Fleet
+	Acks         *Acks
+	Trail        *audit.Trail
+	Handler      http.Handler
 }
 
 // New returns a fixture whose view holds the declaration with every VM in its
@@ -44,8 +44,8 @@
 func New(t testing.TB, d *model.Declaration, gate access.Gate) *Fixture {
 	t.Helper()
 	f := &Fixture{Clock: clockwork.NewFakeClockAt(Epoch), View: view.NewHolder(), Fleet: &Fleet{}, Acks: &Acks{}}
-	f.Engine = memstore.New(f.Clock)
-	f.FaultyStore = faulty.Wrap(f.Engine)
+	f.BackingStore = memstore.New(f.Clock)
+	f.FaultyStore = faulty.Wrap(f.BackingStore)
 	f.Trail = audit.New(audit.Options{Store: f.FaultyStore, Self: "e1", Clock: f.Clock, Pace: -1, Log: logr.Discard()})
 	f.Publish(d)
 	stored := command.Stored{Store: f.FaultyStore, Clock: f.Clock, View: f.View}
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -298,7 +298,7 @@
 		})
 	}
 	assert.Assert(t, strings.Contains(strings.Join(auditLines(t, f), "\n"), "view-er refused: apply declaration"))
-	kvs, _, err := f.Engine.Range(ctx, "")
+	kvs, _, err := f.BackingStore.Range(ctx, "")
 	assert.NilError(t, err)
 	for _, kv := range kvs {
 		for _, token := range tokens {
