--- a/cmd/pumicestage/cli_test.go
+++ b/cmd/pumicestage/cli_test.go
@@ -200,7 +200,7 @@
 
 func TestDoAndAudit(t *testing.T) {
 	b := newBench(t, loadExample(t))
-	b.Fleet.Refuse = map[model.VMID]*command.Refusal{"v02": {Code: command.CodeBudget, Detail: "service weighting has 6 of 10 VMs up and needs 6"}}
+	b.Fleet.Refusals = map[model.VMID]*command.Refusal{"v02": {Code: command.CodeBudget, Detail: "service weighting has 6 of 10 VMs up and needs 6"}}
 	done := b.run("", "do", "drain", "vm", "v01", "reason", "bad disk", "--change", "c-1")
 	assert.Equal(t, done.status, exitDone, done.errors)
 	assert.Equal(t, done.out, "vm v01: before -> after (revision 7)\nchange c-1\n")
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -99,12 +99,12 @@
 // Fleet is a command.Fleet that remembers what it was told and refuses what a
 // test says.
 type Fleet struct {
-	mu      sync.Mutex
-	Orders  []string
-	Terms   []command.Terms
-	Refuse  map[model.VMID]*command.Refusal
-	Failure error
-	Before  func() // called at each order, if set
+	mu       sync.Mutex
+	Orders   []string
+	Terms    []command.Terms
+	Refusals map[model.VMID]*command.Refusal
+	Failure  error
+	Before   func() // called at each order, if set
 }
 
 func (f *Fleet) take(ctx context.Context, order string, vm model.VMID, t command.Terms) (command.Effect, error) {
@@ -118,7 +118,7 @@
 	}
 	f.Orders = append(f.Orders, order)
 	f.Terms = append(f.Terms, t)
-	if r := f.Refuse[vm]; r != nil {
+	if r := f.Refusals[vm]; r != nil {
 		return command.Effect{}, r
 	}
 	return command.Effect{Before: "before", After: "after", Revision: 7}, f.Failure
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -133,7 +133,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ctx := context.Background()
 			f := operatortest.New(t, loadExample(t), nil)
-			f.Fleet.Refuse = tc.refusals
+			f.Fleet.Refusals = tc.refusals
 			reply, err := serve(t, f, "").Do(ctx, api.DoRequest{Text: tc.text, Change: "c-1", IfRevision: 5})
 			if tc.code != "" {
 				assert.Equal(t, problemOf(t, err).Code, tc.code)
