--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -99,19 +99,19 @@
 // Fleet is a command.Fleet that remembers what it was told and refuses what a
 // test says.
 type Fleet struct {
-	mu       sync.Mutex
-	Orders   []string
-	Terms    []command.Terms
-	Refusals map[model.VMID]*command.Refusal
-	Failure  error
-	Before   func() // called at each order, if set
+	mu          sync.Mutex
+	Orders      []string
+	Terms       []command.Terms
+	Refusals    map[model.VMID]*command.Refusal
+	Failure     error
+	BeforeOrder func() // called at each order, if set
 }
 
 func (f *Fleet) take(ctx context.Context, order string, vm model.VMID, t command.Terms) (command.Effect, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.Before != nil {
-		f.Before()
+	if f.BeforeOrder != nil {
+		f.BeforeOrder()
 	}
 	if err := ctx.Err(); err != nil {
 		return command.Effect{}, &command.UncertainError{Change: t.Change, Err: err}
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -162,7 +162,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	f := operatortest.New(t, loadExample(t), nil)
-	f.Fleet.Before = cancel
+	f.Fleet.BeforeOrder = cancel
 	body := strings.NewReader(`{"text":"drain rack gt-a-r1","change":"c-1"}`)
 	f.Handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(ctx, http.MethodPost, api.PathDo, body))
 	assert.Equal(t, len(f.Fleet.Orders), 4)
