--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -1,4 +1,4 @@
-// Package client speaks the operators' HTTP interface.
+// Package client is a client of the operators' HTTP API.
 package client
 
 import (
@@ -19,23 +19,25 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// tries bounds how often a call is repeated over the servers. Orders carry a
-// change ID, so a repeat after a lost answer is the same order.
-const tries = 3
+// maxAttempts bounds the attempts of a call over all servers. With more servers
+// than this, each is tried once. Orders have a change ID, so that an order whose
+// response was lost can be sent again without being carried out twice.
+const maxAttempts = 3
 
-// retryPause is the wait before a repeat.
-const retryPause = 200 * time.Millisecond
+// retryDelay is the time to wait before a server is tried again.
+const retryDelay = 200 * time.Millisecond
 
-// Options say how to reach the entry VMs. Servers is required.
+// Options configures a Client. Servers is required.
 type Options struct {
-	Servers  []string // host:port or URLs; tried in order
-	Token    string   // empty where the deployment has no tokens
-	Operator string   // the name to give where it has none
-	HTTP     *http.Client
+	Servers  []string     // host:port or URL of entry VMs, tried in this order
+	Token    string       // empty if the deployment has no tokens
+	Operator string       // name to send in a deployment without tokens
+	HTTP     *http.Client // nil means http.DefaultClient
 }
 
-// Client calls one of several entry VMs, any of which will do. It is safe for
-// concurrent use.
+// Client sends each call to one of several entry VMs, any of which can answer it.
+// Its methods return a ProblemError if the answer is a problem document, and an
+// UnreachableError if no entry VM answers. It is safe for concurrent use.
 type Client struct {
 	Options
 }
@@ -48,7 +50,7 @@
 	return &Client{o}
 }
 
-// ProblemError is an answer that is a problem document.
+// ProblemError is an error response of an entry VM with a problem document.
 type ProblemError struct {
 	Problem api.Problem
 }
@@ -56,8 +58,8 @@
 // Error implements error.
 func (e *ProblemError) Error() string { return e.Problem.Detail }
 
-// UnreachableError reports that no entry VM answered. Where Sent is true a
-// request may have been carried out.
+// UnreachableError reports that no entry VM answered conclusively. If Sent is
+// true, the request may have been carried out.
 type UnreachableError struct {
 	Sent bool
 	Err  error
@@ -80,39 +82,39 @@
 	return reply, c.call(ctx, http.MethodGet, api.PathDeclaration, nil, &reply)
 }
 
-// Change sends a declaration to be checked, compared or applied.
+// Change checks, compares or applies a declaration, depending on the mode.
 func (c *Client) Change(ctx context.Context, req api.DeclarationRequest) (api.ChangeReply, error) {
 	var reply api.ChangeReply
 	return reply, c.call(ctx, http.MethodPost, api.PathDeclaration, req, &reply)
 }
 
-// InForce returns which entry VMs hold the generation.
+// InForce returns which live entry VMs have the generation in force.
 func (c *Client) InForce(ctx context.Context, generation uint64) (api.InForceReply, error) {
 	var reply api.InForceReply
 	path := api.PathInForce + "?generation=" + strconv.FormatUint(generation, 10)
 	return reply, c.call(ctx, http.MethodGet, path, nil, &reply)
 }
 
-// Query asks one question; d goes with a "what-if declaration".
+// Query sends one query. d is only needed for "what-if declaration", else nil.
 func (c *Client) Query(ctx context.Context, text string, d *model.Declaration) (api.QueryReply, error) {
 	var reply api.QueryReply
 	return reply, c.call(ctx, http.MethodPost, api.PathQuery, api.QueryRequest{Text: text, Declaration: d}, &reply)
 }
 
-// Do gives one order.
+// Do sends one order.
 func (c *Client) Do(ctx context.Context, req api.DoRequest) (api.DoReply, error) {
 	var reply api.DoReply
 	return reply, c.call(ctx, http.MethodPost, api.PathDo, req, &reply)
 }
 
-// AuditQuery selects entries of the trail.
+// AuditQuery selects entries of the audit trail. Zero values select all.
 type AuditQuery struct {
 	Since, Until time.Time
 	Who, What    string
 	Limit        int
 }
 
-// Audit returns a part of the trail.
+// Audit returns the audit entries that match q.
 func (c *Client) Audit(ctx context.Context, q AuditQuery) (api.AuditReply, error) {
 	values := url.Values{}
 	set := func(name, value string) {
@@ -120,8 +122,8 @@
 			values.Set(name, value)
 		}
 	}
-	set("since", timeText(q.Since))
-	set("until", timeText(q.Until))
+	set("since", formatTime(q.Since))
+	set("until", formatTime(q.Until))
 	set("who", q.Who)
 	set("what", q.What)
 	if q.Limit > 0 {
@@ -131,19 +133,23 @@
 	return reply, c.call(ctx, http.MethodGet, api.PathAudit+"?"+values.Encode(), nil, &reply)
 }
 
-func timeText(t time.Time) string {
+// formatTime returns t in RFC 3339 format, or "" for the zero time.
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
 	}
 	return t.UTC().Format(time.RFC3339Nano)
 }
 
-// Status returns how an entry VM stands.
+// Status returns the status of the entry VM that answers.
 func (c *Client) Status(ctx context.Context) (api.StatusReply, error) {
 	var reply api.StatusReply
 	return reply, c.call(ctx, http.MethodGet, api.PathStatus, nil, &reply)
 }
 
+// call sends a request to the servers in turn until one gives a final answer and
+// decodes it into reply. It tries the next server if a server can't be reached or
+// doesn't know the outcome of the order, up to the bound of maxAttempts.
 func (c *Client) call(ctx context.Context, method, path string, body, reply any) error {
 	var encoded []byte
 	if body != nil {
@@ -152,60 +158,63 @@
 			return err
 		}
 	}
-	var last error
-	sent := false
-	for i := range max(tries, len(c.Servers)) {
-		if i >= len(c.Servers) && !pause(ctx) {
+	var lastErr error
+	maybeSent := false
+	for i := range max(maxAttempts, len(c.Servers)) {
+		if i >= len(c.Servers) && !waitForRetry(ctx) {
 			break
 		}
-		err := c.once(ctx, c.Servers[i%len(c.Servers)], method, path, encoded, reply)
+		err := c.attempt(ctx, c.Servers[i%len(c.Servers)], method, path, encoded, reply)
 		var refused *ProblemError
-		if err == nil || errors.As(err, &refused) && !again(refused.Problem) {
-			return settled(err, refused, sent && method == http.MethodPost)
+		if err == nil || errors.As(err, &refused) && !isRetryable(refused.Problem) {
+			return finalError(err, refused, maybeSent && method == http.MethodPost)
 		}
 		if refused != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		sent = sent || !notSent(err)
-		last = &UnreachableError{Sent: sent && method == http.MethodPost, Err: err}
+		maybeSent = maybeSent || !isDialError(err)
+		lastErr = &UnreachableError{Sent: maybeSent && method == http.MethodPost, Err: err}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return last
+	return lastErr
 }
 
-// settled keeps a refusal from being taken for the whole truth: where an
-// earlier try may have been carried out, "unavailable" says nothing of it.
-func settled(err error, refused *ProblemError, mayBeDone bool) error {
-	if refused != nil && mayBeDone && refused.Problem.Status == http.StatusServiceUnavailable {
+// finalError returns the error of a call that ended with err. If an earlier
+// attempt may have been carried out, the response "service unavailable" doesn't
+// tell its outcome, so an UnreachableError with Sent set is returned instead.
+func finalError(err error, refused *ProblemError, maybeExecuted bool) error {
+	if refused != nil && maybeExecuted && refused.Problem.Status == http.StatusServiceUnavailable {
 		return &UnreachableError{Sent: true, Err: err}
 	}
 	return err
 }
 
-// again reports whether repeating the call can help: the outcome of an order
-// is settled by repeating it under its change ID.
-func again(p api.Problem) bool { return p.Code == api.CodeUnknown }
+// isRetryable reports whether the outcome is unknown to the server. To repeat the
+// order under its change ID tells the outcome.
+func isRetryable(p api.Problem) bool { return p.Code == api.CodeUnknown }
 
-func pause(ctx context.Context) bool {
+// waitForRetry waits for retryDelay. It returns false if ctx ends first.
+func waitForRetry(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(retryPause):
+	case <-time.After(retryDelay):
 		return true
 	}
 }
 
-// notSent reports whether the request certainly never left: no connection came
-// to stand.
-func notSent(err error) bool {
+// isDialError reports whether no connection could be made, so that the request
+// was certainly not sent.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (c *Client) once(ctx context.Context, server, method, path string, body []byte, reply any) error {
+// attempt sends the request once, to one server.
+func (c *Client) attempt(ctx context.Context, server, method, path string, body []byte, reply any) error {
 	req, err := http.NewRequestWithContext(ctx, method, baseURL(server)+path, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -228,6 +237,8 @@
 	return decode(res, reply)
 }
 
+// decode decodes a successful response into reply. For other responses it returns
+// a ProblemError, or a plain error if the body is no problem document.
 func decode(res *http.Response, reply any) error {
 	if res.StatusCode/100 == 2 {
 		return json.NewDecoder(res.Body).Decode(reply)
