--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -1,4 +1,4 @@
-// Package operatortest wires the operator port to an in-memory store and
+// Package operatortest provides an operator port with an in-memory store and
 // small fakes, for tests of the port, its client and the command line.
 package operatortest
 
@@ -24,14 +24,14 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Epoch is the fixture's time at the start.
+// Epoch is the time of the fixture's clock when a test starts.
 var Epoch = time.Date(2026, 3, 1, 3, 0, 0, 0, time.UTC)
 
-// Fixture is an operator port with what stands behind it.
+// Fixture is an operator port with its dependencies.
 type Fixture struct {
 	Clock        *clockwork.FakeClock
-	BackingStore *memstore.Store // behind the way
-	FaultyStore  *faulty.Store   // the port's way to the store
+	BackingStore *memstore.Store // the store behind FaultyStore
+	FaultyStore  *faulty.Store   // the store that the port uses; a test can inject faults
 	View         *view.Holder
 	Fleet        *Fleet
 	Acks         *Acks
@@ -40,7 +40,8 @@
 }
 
 // New returns a fixture whose view holds the declaration with every VM in its
-// declared pool. gate may be nil.
+// declared pool. d may be nil for a view without declaration; a nil gate admits
+// everybody.
 func New(t testing.TB, d *model.Declaration, gate access.Gate) *Fixture {
 	t.Helper()
 	f := &Fixture{Clock: clockwork.NewFakeClockAt(Epoch), View: view.NewHolder(), Fleet: &Fleet{}, Acks: &Acks{}}
@@ -57,7 +58,7 @@
 			Trail: operator.CommandTrail{Trail: f.Trail}, Clock: f.Clock,
 		}),
 		Queries: query.New(query.Options{
-			View: f.View, Planner: Planner{}, Peers: peers{f}, Clock: f.Clock,
+			View: f.View, Planner: Planner{}, Peers: fakePeers{f}, Clock: f.Clock,
 			History: operator.QueryHistory{Trail: f.Trail},
 			Health:  func(model.VMID) model.Health { return model.HealthHealthy },
 		}),
@@ -66,7 +67,8 @@
 	return f
 }
 
-// Publish puts the declaration into the view.
+// Publish replaces the view by one with the declaration, its VMs and one entry VM
+// per zone.
 func (f *Fixture) Publish(d *model.Declaration) {
 	s := &view.Snapshot{AsOf: f.Clock.Now(), Declaration: d, VMs: make(map[model.VMID]view.VMRecord)}
 	if d != nil {
@@ -83,12 +85,12 @@
 	f.View.Publish(s)
 }
 
-// peers says that every entry VM of the view is heard now.
-type peers struct{ f *Fixture }
+// fakePeers reports every entry VM of the view as heard from at this moment.
+type fakePeers struct{ f *Fixture }
 
-func (peers) Self() model.EntryID { return "e1" }
+func (fakePeers) Self() model.EntryID { return "e1" }
 
-func (p peers) Heard() []query.PeerHeard {
+func (p fakePeers) Heard() []query.PeerHeard {
 	var heard []query.PeerHeard
 	for _, e := range p.f.View.Load().Entries {
 		heard = append(heard, query.PeerHeard{Entry: e.ID, Zone: e.Zone, At: p.f.Clock.Now()})
@@ -96,18 +98,20 @@
 	return heard
 }
 
-// Fleet is a command.Fleet that remembers what it was told and refuses what a
-// test says.
+// Fleet is a fake command.Fleet that records the orders it gets and returns the
+// refusals and the failure that a test sets.
 type Fleet struct {
 	mu          sync.Mutex
 	Orders      []string
 	Terms       []command.Terms
 	Refusals    map[model.VMID]*command.Refusal
 	Failure     error
-	BeforeOrder func() // called at each order, if set
+	BeforeOrder func() // called before each order if not nil
 }
 
-func (f *Fleet) take(ctx context.Context, order string, vm model.VMID, t command.Terms) (command.Effect, error) {
+// record records an order and returns its outcome. The order fails with an
+// UncertainError if ctx has ended.
+func (f *Fleet) record(ctx context.Context, order string, vm model.VMID, t command.Terms) (command.Effect, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.BeforeOrder != nil {
@@ -130,17 +134,17 @@
 	if cut {
 		order = "cut "
 	}
-	return f.take(ctx, order+string(vm), vm, t)
+	return f.record(ctx, order+string(vm), vm, t)
 }
 
 // Undrain implements command.Fleet.
 func (f *Fleet) Undrain(ctx context.Context, vm model.VMID, t command.Terms) (command.Effect, error) {
-	return f.take(ctx, "undrain "+string(vm), vm, t)
+	return f.record(ctx, "undrain "+string(vm), vm, t)
 }
 
 // Move implements command.Fleet.
 func (f *Fleet) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.Terms) (command.Effect, error) {
-	return f.take(ctx, "move "+string(vm)+" to "+string(to), vm, t)
+	return f.record(ctx, "move "+string(vm)+" to "+string(to), vm, t)
 }
 
 // StartWave implements command.Fleet.
@@ -149,25 +153,25 @@
 	for _, p := range pools {
 		order += " " + string(p)
 	}
-	return f.take(ctx, order, "", t)
+	return f.record(ctx, order, "", t)
 }
 
 // PauseWave implements command.Fleet.
 func (f *Fleet) PauseWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
-	return f.take(ctx, "pause "+string(w), "", t)
+	return f.record(ctx, "pause "+string(w), "", t)
 }
 
 // ResumeWave implements command.Fleet.
 func (f *Fleet) ResumeWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
-	return f.take(ctx, "resume "+string(w), "", t)
+	return f.record(ctx, "resume "+string(w), "", t)
 }
 
 // CancelWave implements command.Fleet.
 func (f *Fleet) CancelWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
-	return f.take(ctx, "cancel "+string(w), "", t)
+	return f.record(ctx, "cancel "+string(w), "", t)
 }
 
-// Acks answers who holds a generation as a test says.
+// Acks is a fake operator.Acks that returns the answer set by the test.
 type Acks struct {
 	mu      sync.Mutex
 	Have    []model.EntryID
@@ -175,7 +179,7 @@
 	Err     error
 }
 
-// Set replaces the answer.
+// Set sets the answer of InForce.
 func (a *Acks) Set(have, missing []model.EntryID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -189,30 +193,33 @@
 	return a.Have, a.Missing, a.Err
 }
 
-// Planner is a query.Planner that counts declared VMs and allows everything.
+// Planner is a fake query.Planner that counts the VMs of the view and allows every
+// order.
 type Planner struct{}
 
 // Budgets implements query.Planner.
 func (Planner) Budgets(_ context.Context, s *view.Snapshot) ([]query.Headroom, error) {
-	return count(s, nil), nil
+	return countHeadroom(s, nil), nil
 }
 
 // Foresee implements query.Planner.
 func (Planner) Foresee(_ context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
-	out := make(map[model.VMID]bool)
+	stopped := make(map[model.VMID]bool)
 	forecast := query.Forecast{Allowed: true}
 	for _, vm := range append(append([]model.VMID{}, h.Drain...), h.Lose...) {
-		out[vm] = true
+		stopped[vm] = true
 		forecast.Steps = append(forecast.Steps, query.Step{VM: vm, Action: "out", Done: true})
 	}
-	before, after := count(s, nil), count(s, out)
+	before, after := countHeadroom(s, nil), countHeadroom(s, stopped)
 	for i := range before {
 		forecast.Budgets = append(forecast.Budgets, query.BudgetShift{Before: before[i], After: after[i]})
 	}
 	return forecast, nil
 }
 
-func count(s *view.Snapshot, out map[model.VMID]bool) []query.Headroom {
+// countHeadroom counts the VMs in each service's first pool; the VMs in stopped
+// aren't available.
+func countHeadroom(s *view.Snapshot, stopped map[model.VMID]bool) []query.Headroom {
 	var rows []query.Headroom
 	for _, svc := range s.Declaration.Services {
 		h := query.Headroom{Service: svc.Name}
@@ -221,7 +228,7 @@
 				continue
 			}
 			h.VMs++
-			if vm.State == model.VMInPool && !out[id] {
+			if vm.State == model.VMInPool && !stopped[id] {
 				h.Available++
 			}
 		}
