--- a/internal/jobs/jobsapi/jobsapi_test.go
+++ b/internal/jobs/jobsapi/jobsapi_test.go
@@ -24,9 +24,9 @@
 // roleGate admits requests that need at most its role, always as user ana.
 type roleGate struct{ role access.Role }
 
-func (g *roleGate) Admit(_ *http.Request, need access.Role) (access.Identity, error) {
+func (g *roleGate) Authorize(_ *http.Request, need access.Role) (access.Identity, error) {
 	if g.role < need {
-		return access.Identity{Name: "ana"}, &access.Error{Known: true, Detail: "the role does not suffice"}
+		return access.Identity{Name: "ana"}, &access.Error{Authenticated: true, Detail: "the role does not suffice"}
 	}
 	return access.Identity{Name: "ana", Role: g.role}, nil
 }
@@ -50,7 +50,7 @@
 		VMs: map[model.VMID]view.VMRecord{"v1": {VM: model.VM{ID: "v1", Capacity: capacity, State: model.VMInPool, Pool: "batch", Zone: "gt-a"}}}})
 	j := jobs.New(jobs.Options{Store: store, Machines: platform.Machines, View: holder, Self: "e1", Clock: clock, Log: logr.Discard()})
 	g := &roleGate{role: access.RoleOperate}
-	trail := audit.New(audit.Options{Store: store, Self: "e1", Clock: clock, Pace: -1, Log: logr.Discard()})
+	trail := audit.New(audit.Options{Store: store, Self: "e1", Clock: clock, WriteInterval: -1, Log: logr.Discard()})
 	return &testAPI{New(Options{Jobs: j, Access: g, Trail: trail, Log: logr.Discard()}), j, g, trail}
 }
 
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -52,8 +52,8 @@
 // RoleView, so RoleConfigure is checked here for ModeApply.
 func (s *server) changeDeclaration(ctx context.Context, r *http.Request, who access.Identity, req api.DeclarationRequest) (any, error) {
 	if req.Mode == api.ModeApply {
-		if _, err := s.Access.Admit(r, access.RoleConfigure); err != nil {
-			s.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(r), Change: req.Change, What: "apply declaration", Result: audit.Refused, Detail: err.Error()})
+		if _, err := s.Access.Authorize(r, access.RoleConfigure); err != nil {
+			s.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remoteHost(r), Change: req.Change, What: "apply declaration", Result: audit.Refused, Detail: err.Error()})
 			return nil, err
 		}
 	}
@@ -145,8 +145,8 @@
 		return nil, err
 	}
 	if _, requiresConfigure := order.(lang.SetLimit); requiresConfigure {
-		if _, err := s.Access.Admit(r, access.RoleConfigure); err != nil {
-			s.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(r), Change: req.Change, What: req.Text, Result: audit.Refused, Detail: err.Error()})
+		if _, err := s.Access.Authorize(r, access.RoleConfigure); err != nil {
+			s.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remoteHost(r), Change: req.Change, What: req.Text, Result: audit.Refused, Detail: err.Error()})
 			return nil, err
 		}
 	}
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -42,19 +42,19 @@
 // New returns a fixture whose view holds the declaration with every VM in its
 // declared pool. d may be nil for a view without declaration; a nil gate admits
 // everybody.
-func New(t testing.TB, d *model.Declaration, gate access.Gate) *Fixture {
+func New(t testing.TB, d *model.Declaration, gate access.Authorizer) *Fixture {
 	t.Helper()
 	f := &Fixture{Clock: clockwork.NewFakeClockAt(Epoch), View: view.NewHolder(), Fleet: &Fleet{}, Acks: &Acks{}}
 	f.BackingStore = memstore.New(f.Clock)
 	f.FaultyStore = faulty.Wrap(f.BackingStore)
-	f.Trail = audit.New(audit.Options{Store: f.FaultyStore, Self: "e1", Clock: f.Clock, Pace: -1, Log: logr.Discard()})
+	f.Trail = audit.New(audit.Options{Store: f.FaultyStore, Self: "e1", Clock: f.Clock, WriteInterval: -1, Log: logr.Discard()})
 	f.Publish(d)
 	stored := command.Stored{Store: f.FaultyStore, Clock: f.Clock, View: f.View}
 	f.Handler = operator.New(operator.Options{
 		Store: f.FaultyStore,
 		View:  f.View,
 		Commands: command.New(command.Options{
-			Fleet: f.Fleet, Settings: stored, Declarer: stored, Members: scope.Holder{View: f.View},
+			Fleet: f.Fleet, Settings: stored, Declarer: stored, Members: scope.Resolver{View: f.View},
 			Trail: operator.CommandTrail{Trail: f.Trail}, Clock: f.Clock,
 		}),
 		Queries: query.New(query.Options{
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -46,8 +46,8 @@
 	Queries  *query.Engine
 	Trail    *audit.Trail
 	Acks     Acks
-	Access   access.Gate     // nil means access.Open with names from api.HeaderOperator
-	Clock    clockwork.Clock // nil means the real clock
+	Access   access.Authorizer // nil means access.Unauthenticated with names from api.HeaderOperator
+	Clock    clockwork.Clock   // nil means the real clock
 	Log      logr.Logger
 }
 
@@ -62,7 +62,7 @@
 		o.Clock = clockwork.NewRealClock()
 	}
 	if o.Access == nil {
-		o.Access = access.Open{NameHeader: api.HeaderOperator}
+		o.Access = access.Unauthenticated{NameHeader: api.HeaderOperator}
 	}
 	s := &server{o}
 	r := mux.NewRouter()
@@ -90,7 +90,7 @@
 		// and others not, so it runs on when the client disconnects.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), requestTimeout)
 		defer cancel()
-		who, err := s.Access.Admit(req, requiredRole)
+		who, err := s.Access.Authorize(req, requiredRole)
 		if err != nil {
 			s.writeDenied(w, req, who, err)
 			return
@@ -111,7 +111,7 @@
 func (s *server) writeDenied(w http.ResponseWriter, req *http.Request, who access.Identity, err error) {
 	s.Log.Info("operator request denied", "from", remoteHost(req), "path", req.URL.Path, "reason", err.Error())
 	if req.Method != http.MethodGet {
-		s.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(req), What: req.Method + " " + req.URL.Path, Result: audit.Refused, Detail: err.Error()})
+		s.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remoteHost(req), What: req.Method + " " + req.URL.Path, Result: audit.Refused, Detail: err.Error()})
 	}
 	writeProblem(w, problemOf(err))
 }
--- a/internal/operator/trail.go
+++ b/internal/operator/trail.go
@@ -20,7 +20,7 @@
 }
 
 // Note implements command.Trail.
-func (t CommandTrail) Note(e command.Event) { t.Trail.Note(auditEntry(e)) }
+func (t CommandTrail) Note(e command.Event) { t.Trail.RecordLimited(auditEntry(e)) }
 
 // stageResult maps the stage of an order to the result in its audit entry.
 var stageResult = map[command.Stage]audit.Result{
--- a/internal/operator/wiring/observer.go
+++ b/internal/operator/wiring/observer.go
@@ -77,7 +77,7 @@
 		if !known || previous.Change == current.Change || !o.isOwnChange(current.Change) {
 			continue
 		}
-		o.Trail.RecordSoon(audit.Entry{
+		o.Trail.RecordAsync(audit.Entry{
 			ID: string(current.Change) + " vm " + string(id), Who: automaticActor, From: string(o.Self), Change: current.Change,
 			What: "vm " + string(id), Before: describeVM(previous), After: describeVM(current.VM), Result: audit.Automatic, Detail: current.Reason,
 		})
@@ -110,7 +110,7 @@
 		if o.waves == nil || known && previous.Change == current.Change || !o.isOwnChange(current.Change) {
 			continue
 		}
-		o.Trail.RecordSoon(audit.Entry{
+		o.Trail.RecordAsync(audit.Entry{
 			ID: string(current.Change) + " wave " + string(current.Name), Who: automaticActor, From: string(o.Self), Change: current.Change,
 			What: "wave " + string(current.Name), Before: string(previous.State), After: string(current.State), Result: audit.Automatic, Detail: current.Reason,
 		})
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -21,7 +21,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Options are what an operator port is made of. Jobs, Asked, Access, Trail,
+// Options holds the dependencies of an operator port. Jobs, JobQueries, Access, Trail,
 // Clock and Log may be left out.
 type Options struct {
 	Self       view.EntryRecord
@@ -33,7 +33,7 @@
 	Health     func(model.VMID) model.Health
 	Jobs       command.Jobs
 	JobQueries query.Jobs
-	Access     access.Gate
+	Access     access.Authorizer
 	Trail      *audit.Trail    // nil means a new one on Store
 	Clock      clockwork.Clock // nil means the real clock
 	Log        logr.Logger
@@ -63,7 +63,7 @@
 		Jobs:     p.Jobs,
 		Settings: stored,
 		Declarer: stored,
-		Members:  scope.Holder{View: p.View},
+		Members:  scope.Resolver{View: p.View},
 		Trail:    operator.CommandTrail{Trail: trail},
 		Clock:    p.Clock,
 	})
