--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -21,8 +21,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Options holds the dependencies of an operator port. Jobs, JobQueries, Access, Trail,
-// Clock and Log may be left out.
+// Options holds the dependencies of an operator port. All are required but Jobs,
+// JobQueries, Access, Trail, Clock and Log.
 type Options struct {
 	Self       view.EntryRecord
 	Store      infra.Store
@@ -31,8 +31,8 @@
 	Mesh       Mesh
 	Acks       operator.Acks
 	Health     func(model.VMID) model.Health
-	Jobs       command.Jobs
-	JobQueries query.Jobs
+	Jobs       command.Jobs // carries out orders on jobs
+	JobQueries query.Jobs   // answers queries about jobs
 	Access     access.Authorizer
 	Trail      *audit.Trail    // nil means a new one on Store
 	Clock      clockwork.Clock // nil means the real clock
