--- a/internal/infra/gateway/gateway.go
+++ b/internal/infra/gateway/gateway.go
@@ -178,7 +178,7 @@
 }
 
 // refusal turns an answer that is not 200 into an error.
-func refusal(call httpcall.Call, a httpcall.Answer) error {
+func refusal(call httpcall.Call, a httpcall.Response) error {
 	var body etcdjson.Error
 	if err := json.Unmarshal(a.Body, &body); err != nil || body.Code == 0 {
 		return infra.Errorf(call.Op, kindOfStatus(a.Status, call.Write), "status %d", a.Status)
--- a/internal/infra/gateway/watch.go
+++ b/internal/infra/gateway/watch.go
@@ -150,7 +150,7 @@
 		if err != nil {
 			return infra.Errorf("watch", infra.KindUnavailable, "%w", err)
 		}
-		return refusal(call, httpcall.Answer{Status: status, Body: raw})
+		return refusal(call, httpcall.Response{Status: status, Body: raw})
 	}
 	res, err := st.read()
 	if err != nil {
--- a/internal/infra/httpcall/httpcall.go
+++ b/internal/infra/httpcall/httpcall.go
@@ -40,8 +40,8 @@
 // bursts of a handful, each watch has one of its own.
 const idleConns = 16
 
-// Answer is a reply that was read whole.
-type Answer struct {
+// Response is a reply that was read whole.
+type Response struct {
 	Status int
 	Body   []byte
 }
@@ -143,10 +143,10 @@
 // Do sends the call to one endpoint after the other until one answers. A write
 // moves on only where it certainly was not sent: a second copy could take
 // effect after the first. Errors are *infra.Error.
-func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
+func (c *Client) Do(ctx context.Context, call Call) (Response, error) {
 	body, err := encode(call)
 	if err != nil {
-		return Answer{}, infra.Errorf(call.Op, infra.KindInvalid, "%w", err)
+		return Response{}, infra.Errorf(call.Op, infra.KindInvalid, "%w", err)
 	}
 	last := errors.New("no endpoints")
 	for _, endpoint := range c.Endpoints() {
@@ -157,31 +157,31 @@
 		}
 		last = err
 		if call.Write && sent {
-			return Answer{}, infra.Errorf(call.Op, infra.KindUnknown, "%w", err)
+			return Response{}, infra.Errorf(call.Op, infra.KindUnknown, "%w", err)
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return Answer{}, infra.Errorf(call.Op, infra.KindUnavailable, "%w", last)
+	return Response{}, infra.Errorf(call.Op, infra.KindUnavailable, "%w", last)
 }
 
 // DoAt sends the call to one endpoint alone. It is for calls that change
 // nothing.
-func (c *Client) DoAt(ctx context.Context, endpoint string, call Call) (Answer, error) {
+func (c *Client) DoAt(ctx context.Context, endpoint string, call Call) (Response, error) {
 	answer, _, err := c.Once(ctx, endpoint, call)
 	if err != nil {
-		return Answer{}, infra.Errorf(call.Op, infra.KindUnavailable, "%w", err)
+		return Response{}, infra.Errorf(call.Op, infra.KindUnavailable, "%w", err)
 	}
 	return answer, nil
 }
 
 // Once sends the call to one endpoint and returns the bare error. sent is false
 // only where no byte of it can have left.
-func (c *Client) Once(ctx context.Context, endpoint string, call Call) (answer Answer, sent bool, err error) {
+func (c *Client) Once(ctx context.Context, endpoint string, call Call) (answer Response, sent bool, err error) {
 	body, err := encode(call)
 	if err != nil {
-		return Answer{}, false, err
+		return Response{}, false, err
 	}
 	return c.once(ctx, endpoint, call, body)
 }
@@ -192,19 +192,19 @@
 
 // once sends the call to one endpoint. sent is false only where no byte of it
 // can have left: no connection was ever had.
-func (c *Client) once(ctx context.Context, endpoint string, call Call, body []byte) (Answer, bool, error) {
+func (c *Client) once(ctx context.Context, endpoint string, call Call, body []byte) (Response, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	resp, sent, err := c.Send(ctx, endpoint, call, body)
 	if err != nil {
-		return Answer{}, sent, err
+		return Response{}, sent, err
 	}
 	defer func() { _ = resp.Body.Close() }() // read whole or given up
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Answer{}, true, err
+		return Response{}, true, err
 	}
-	return Answer{Status: resp.StatusCode, Body: raw}, true, nil
+	return Response{Status: resp.StatusCode, Body: raw}, true, nil
 }
 
 // Send sends the call and returns the reply unread, for streams. The caller
@@ -234,7 +234,7 @@
 
 // Decode reads the answer's body. A write whose answer makes no sense may have
 // taken effect all the same.
-func Decode(call Call, a Answer, into any) error {
+func Decode(call Call, a Response, into any) error {
 	err := json.Unmarshal(a.Body, into)
 	if err == nil {
 		return nil
--- a/internal/infra/machineapi/client.go
+++ b/internal/infra/machineapi/client.go
@@ -126,7 +126,7 @@
 
 // refusal turns an answer that is not 200 into an error. A status that says
 // nothing of the effect leaves a write's outcome open.
-func refusal(call httpcall.Call, a httpcall.Answer) error {
+func refusal(call httpcall.Call, a httpcall.Response) error {
 	var p Problem
 	if err := json.Unmarshal(a.Body, &p); err != nil {
 		p.Message = "no further word"
