--- a/internal/infra/machineapi/client.go
+++ b/internal/infra/machineapi/client.go
@@ -38,17 +38,17 @@
 
 // Drain implements infra.Machines.
 func (c *Client) Drain(ctx context.Context, vm model.VMID, attempt model.AttemptID) error {
-	return c.effect(ctx, "drain", fill(PathDrain, string(vm)), Effect{attempt})
+	return c.effect(ctx, "drain", fill(PathDrain, string(vm)), MachineRequest{attempt})
 }
 
 // Undrain implements infra.Machines.
 func (c *Client) Undrain(ctx context.Context, vm model.VMID, attempt model.AttemptID) error {
-	return c.effect(ctx, "undrain", fill(PathUndrain, string(vm)), Effect{attempt})
+	return c.effect(ctx, "undrain", fill(PathUndrain, string(vm)), MachineRequest{attempt})
 }
 
 // Reboot implements infra.Machines.
 func (c *Client) Reboot(ctx context.Context, vm model.VMID, attempt model.AttemptID) error {
-	return c.effect(ctx, "reboot", fill(PathReboot, string(vm)), Effect{attempt})
+	return c.effect(ctx, "reboot", fill(PathReboot, string(vm)), MachineRequest{attempt})
 }
 
 // InFlight implements infra.Machines.
--- a/internal/infra/machineapi/wire.go
+++ b/internal/infra/machineapi/wire.go
@@ -37,8 +37,8 @@
 	Machines []Machine `json:"machines"`
 }
 
-// Effect is the body of drain, undrain and reboot.
-type Effect struct {
+// MachineRequest is the body of drain, undrain and reboot.
+type MachineRequest struct {
 	Attempt model.AttemptID `json:"attempt"`
 }
 
--- a/internal/infra/standin/machines_http.go
+++ b/internal/infra/standin/machines_http.go
@@ -71,21 +71,21 @@
 }
 
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Effect
+	var req machineapi.MachineRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.Drain(r.Context(), vmOf(r), req.Attempt))
 	}
 }
 
 func (s *Server) undrain(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Effect
+	var req machineapi.MachineRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.Undrain(r.Context(), vmOf(r), req.Attempt))
 	}
 }
 
 func (s *Server) reboot(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Effect
+	var req machineapi.MachineRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.Reboot(r.Context(), vmOf(r), req.Attempt))
 	}
