--- a/internal/infra/machineapi/client.go
+++ b/internal/infra/machineapi/client.go
@@ -70,7 +70,7 @@
 
 // StopTask implements infra.Machines.
 func (c *Client) StopTask(ctx context.Context, attempt model.AttemptID, checkpoint bool) error {
-	return c.effect(ctx, "stop task", fill(PathStop, string(attempt)), Stop{checkpoint})
+	return c.effect(ctx, "stop task", fill(PathStop, string(attempt)), StopRequest{checkpoint})
 }
 
 // ThrottleTask implements infra.Machines.
--- a/internal/infra/machineapi/wire.go
+++ b/internal/infra/machineapi/wire.go
@@ -70,8 +70,8 @@
 	Tasks []Task `json:"tasks"`
 }
 
-// Stop is the body of a stop.
-type Stop struct {
+// StopRequest is the body of a stop.
+type StopRequest struct {
 	Checkpoint bool `json:"checkpoint,omitempty"`
 }
 
--- a/internal/infra/standin/machines_http.go
+++ b/internal/infra/standin/machines_http.go
@@ -103,7 +103,7 @@
 }
 
 func (s *Server) stopTask(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Stop
+	var req machineapi.StopRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.StopTask(r.Context(), attemptOf(r), req.Checkpoint))
 	}
