--- a/internal/infra/machineapi/client.go
+++ b/internal/infra/machineapi/client.go
@@ -75,7 +75,7 @@
 
 // ThrottleTask implements infra.Machines.
 func (c *Client) ThrottleTask(ctx context.Context, attempt model.AttemptID, milliCPU int64) error {
-	return c.effect(ctx, "throttle task", fill(PathThrottle, string(attempt)), Throttle{milliCPU})
+	return c.effect(ctx, "throttle task", fill(PathThrottle, string(attempt)), ThrottleRequest{milliCPU})
 }
 
 // Tasks implements infra.Machines.
--- a/internal/infra/machineapi/wire.go
+++ b/internal/infra/machineapi/wire.go
@@ -75,8 +75,8 @@
 	Checkpoint bool `json:"checkpoint,omitempty"`
 }
 
-// Throttle is the body of a throttle.
-type Throttle struct {
+// ThrottleRequest is the body of a throttle.
+type ThrottleRequest struct {
 	MilliCPU int64 `json:"milli_cpu"`
 }
 
--- a/internal/infra/standin/machines_http.go
+++ b/internal/infra/standin/machines_http.go
@@ -110,7 +110,7 @@
 }
 
 func (s *Server) throttleTask(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Throttle
+	var req machineapi.ThrottleRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.ThrottleTask(r.Context(), attemptOf(r), req.MilliCPU))
 	}
