--- a/internal/infra/httpcall/httpcall.go
+++ b/internal/infra/httpcall/httpcall.go
@@ -169,16 +169,16 @@
 // DoAt sends the call to one endpoint alone. It is for calls that change
 // nothing.
 func (c *Client) DoAt(ctx context.Context, endpoint string, call Call) (Response, error) {
-	answer, _, err := c.Once(ctx, endpoint, call)
+	answer, _, err := c.DoOnce(ctx, endpoint, call)
 	if err != nil {
 		return Response{}, infra.Errorf(call.Op, infra.KindUnavailable, "%w", err)
 	}
 	return answer, nil
 }
 
-// Once sends the call to one endpoint and returns the bare error. sent is false
+// DoOnce sends the call to one endpoint and returns the bare error. sent is false
 // only where no byte of it can have left.
-func (c *Client) Once(ctx context.Context, endpoint string, call Call) (answer Response, sent bool, err error) {
+func (c *Client) DoOnce(ctx context.Context, endpoint string, call Call) (answer Response, sent bool, err error) {
 	body, err := encode(call)
 	if err != nil {
 		return Response{}, false, err
--- a/internal/infra/httpcall/reset_test.go
+++ b/internal/infra/httpcall/reset_test.go
@@ -32,7 +32,7 @@
 		ended <- err
 	}()
 	client := New(Options{Timeout: 50 * time.Millisecond})
-	_, sent, err := client.Once(context.Background(), "http://"+l.Addr().String(), Call{Op: "order", Method: http.MethodPost, Path: "/", Body: 1, Write: true})
+	_, sent, err := client.DoOnce(context.Background(), "http://"+l.Addr().String(), Call{Op: "order", Method: http.MethodPost, Path: "/", Body: 1, Write: true})
 	assert.Assert(t, err != nil && sent)
 	err = <-ended
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "got %v", err)
