--- a/internal/infra/gateway/gateway.go
+++ b/internal/infra/gateway/gateway.go
@@ -1,6 +1,7 @@
-// Package gateway is infra.Store over the etcd v3 JSON gateway's published
-// protocol, on net/http. Only this package knows that protocol; a deployment
-// whose service speaks another one needs another package like this.
+// Package gateway implements infra.Store over the HTTP/JSON gateway of etcd v3.
+// It is the only store implementation that depends on this protocol: a
+// deployment with a different key-value service needs another implementation
+// of infra.Store.
 package gateway
 
 import (
@@ -17,27 +18,27 @@
 	"github.com/pumicestage/pumicestage/internal/infra/httpcall"
 )
 
-// How a watch is kept: one that is quiet for DefaultProbeEvery is checked by a
-// read, one that is cut is resumed for DefaultResumeFor. So a reader hears
-// within about ten seconds that its view grows old, and a quiet watch costs
-// half a read a second.
+// Defaults for watches. A watch that received nothing for DefaultProbeEvery is
+// checked by a read. A watch whose connection broke is retried for
+// DefaultResumeFor. With these values a reader learns within about ten seconds
+// that its view is stale, and an idle watch costs half a read per second.
 const (
 	DefaultProbeEvery = 2 * time.Second
 	DefaultResumeFor  = 4 * time.Second
 )
 
-// Options say how to reach the service.
+// Options configure a Store.
 type Options struct {
 	Endpoints  []string        // base addresses such as http://10.0.0.1:2379, tried in turn
-	Zone       string          // own availability zone, told to the service
+	Zone       string          // own availability zone, sent to the service
 	Timeout    time.Duration   // of each call at each endpoint; 0 for httpcall.DefaultTimeout
-	HTTPClient *http.Client    // for TLS (see httpcall.NewHTTP) or a dialer of one's own
-	ResumeFor  time.Duration   // how long a cut watch is resumed; 0 for DefaultResumeFor
-	ProbeEvery time.Duration   // how long a watch is trusted without a word; 0 for DefaultProbeEvery
-	Clock      clockwork.Clock // of watches; nil for the real one
+	HTTPClient *http.Client    // for TLS (see httpcall.NewHTTP) or a custom dialer; nil for httpcall.NewHTTP(nil)
+	ResumeFor  time.Duration   // how long a broken watch is retried before it ends; 0 for DefaultResumeFor
+	ProbeEvery time.Duration   // idle time after which a watch is checked; 0 for DefaultProbeEvery
+	Clock      clockwork.Clock // used by watches; nil for the real clock
 }
 
-// Store is a infra.Store. It is safe for concurrent use.
+// Store implements infra.Store. It is safe for concurrent use.
 type Store struct {
 	http       *httpcall.Client
 	resumeFor  time.Duration
@@ -47,7 +48,7 @@
 
 var _ infra.Store = (*Store)(nil)
 
-// New returns a store. It opens no connection before the first call.
+// New returns a Store. It opens no connection before the first call.
 func New(o Options) *Store {
 	if o.ResumeFor <= 0 {
 		o.ResumeFor = DefaultResumeFor
@@ -68,7 +69,7 @@
 	if err != nil {
 		return infra.KV{}, 0, err
 	}
-	return one(key, res.KVs), revision(res.Header), nil
+	return firstOrAbsent(key, res.KVs), revision(res.Header), nil
 }
 
 // Range implements infra.Store.
@@ -98,7 +99,7 @@
 
 // Txn implements infra.Store.
 func (s *Store) Txn(ctx context.Context, txn infra.Txn) (infra.TxnResult, error) {
-	if err := checkSize(txn); err != nil {
+	if err := checkLimits(txn); err != nil {
 		return infra.TxnResult{}, err
 	}
 	var res etcdjson.TxnResponse
@@ -109,8 +110,8 @@
 	return resultOf(txn, res)
 }
 
-// Grant implements infra.Store. The service counts in whole seconds; a
-// part of one is rounded up.
+// Grant implements infra.Store. The protocol expresses ttl in whole seconds;
+// fractions are rounded up.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (infra.LeaseID, error) {
 	seconds := (ttl + time.Second - 1) / time.Second
 	var res etcdjson.LeaseResponse
@@ -124,8 +125,8 @@
 	return infra.LeaseID(res.ID), nil
 }
 
-// KeepAlive implements infra.Store. A renewal that got no answer does no
-// harm when repeated, so it never leaves KindUnknown.
+// KeepAlive implements infra.Store. A renewal is idempotent, so a renewal
+// without a response is safe to retry and never fails with KindUnknown.
 func (s *Store) KeepAlive(ctx context.Context, lease infra.LeaseID) error {
 	var res etcdjson.KeepAliveMessage
 	call := httpcall.Call{Op: "keepalive", Path: etcdjson.PathKeepAlive, Body: etcdjson.LeaseRequest{ID: etcdjson.Int64(lease)}}
@@ -157,13 +158,14 @@
 		return err
 	}
 	if a.Status != http.StatusOK {
-		return refusal(call, a)
+		return statusError(call, a)
 	}
 	return httpcall.Decode(call, a, into)
 }
 
-// checkSize refuses here what the service would refuse, certain and unsent.
-func checkSize(txn infra.Txn) error {
+// checkLimits returns an error if txn exceeds a limit of the service. Checking
+// before the call is sent makes certain that the transaction was not applied.
+func checkLimits(txn infra.Txn) error {
 	if n := max(len(txn.If), len(txn.Then), len(txn.Else)); n > infra.MaxTxnOps {
 		return infra.Errorf("txn", infra.KindInvalid, "%d operations, at most %d", n, infra.MaxTxnOps)
 	}
@@ -177,8 +179,8 @@
 	return nil
 }
 
-// refusal turns an answer that is not 200 into an error.
-func refusal(call httpcall.Call, a httpcall.Response) error {
+// statusError returns the error for a response whose status is not 200.
+func statusError(call httpcall.Call, a httpcall.Response) error {
 	var body etcdjson.Error
 	if err := json.Unmarshal(a.Body, &body); err != nil || body.Code == 0 {
 		return infra.Errorf(call.Op, kindOfStatus(a.Status, call.Write), "status %d", a.Status)
@@ -193,8 +195,9 @@
 	return infra.Errorf(call.Op, kindOfCode(body.Code, message, call.Write), "%s", message)
 }
 
-// kindOfStatus judges an answer without a code: it came from something in
-// front of the service, so that a write may have gone through.
+// kindOfStatus returns the kind of error for a response without an error code.
+// Such a response comes from a proxy in front of the service, so a write may
+// have taken effect unless the status rules that out.
 func kindOfStatus(status int, write bool) infra.Kind {
 	switch {
 	case status == http.StatusTooManyRequests:
@@ -207,9 +210,10 @@
 	return infra.KindUnavailable
 }
 
-// kindOfCode judges by the service's own code. "Unavailable" and "deadline
-// exceeded" leave a write open: the service says them, too, where a change of
-// its leader overtook a write that it had already proposed.
+// kindOfCode returns the kind of error for the service's error code. After
+// CodeUnavailable and CodeDeadlineExceeded the outcome of a write is unknown:
+// the service also returns them if its leader changed after the write had been
+// proposed.
 func kindOfCode(code etcdjson.Code, message string, write bool) infra.Kind {
 	switch code {
 	case etcdjson.CodeInvalidArgument:
@@ -234,8 +238,8 @@
 
 func revision(h *etcdjson.Header) infra.Revision { return infra.Revision(h.Revision) }
 
-// rangeStart returns the key a prefix read begins with; the protocol writes
-// "from the first key" as one zero byte.
+// rangeStart returns the first key of a read of prefix. The protocol encodes
+// "from the first key of the store" as a single zero byte.
 func rangeStart(prefix string) []byte {
 	if prefix == "" {
 		return []byte{0}
@@ -243,7 +247,8 @@
 	return []byte(prefix)
 }
 
-func one(key string, kvs []etcdjson.KeyValue) infra.KV {
+// firstOrAbsent returns the first of kvs, or an absent key if kvs is empty.
+func firstOrAbsent(key string, kvs []etcdjson.KeyValue) infra.KV {
 	if len(kvs) == 0 {
 		return infra.KV{Key: key}
 	}
--- a/internal/infra/gateway/txn.go
+++ b/internal/infra/gateway/txn.go
@@ -33,8 +33,8 @@
 	return out
 }
 
-// resultOf reads the answer to txn. An answer that does not fit the request
-// leaves the outcome open.
+// resultOf converts the response to txn. If the response doesn't match the
+// request, the outcome is unknown.
 func resultOf(txn infra.Txn, res etcdjson.TxnResponse) (infra.TxnResult, error) {
 	ops := txn.Then
 	if !res.Succeeded {
@@ -51,7 +51,7 @@
 		if res.Responses[i].Range == nil {
 			return infra.TxnResult{}, infra.Errorf("txn", infra.KindUnknown, "malformed answer: response %d is not a read", i)
 		}
-		out.Reads = append(out.Reads, one(op.Key, res.Responses[i].Range.KVs))
+		out.Reads = append(out.Reads, firstOrAbsent(op.Key, res.Responses[i].Range.KVs))
 	}
 	return out, nil
 }
--- a/internal/infra/gateway/watch.go
+++ b/internal/infra/gateway/watch.go
@@ -15,15 +15,15 @@
 	"github.com/pumicestage/pumicestage/internal/infra/httpcall"
 )
 
-// The pause between two tries to resume a watch doubles from the one to the
-// other. Each try is a call, and all watches of a service that went away come
-// back together; half of each pause is random so that they do not stay so.
+// Bounds of the exponential backoff between attempts to resume a watch. All
+// watches of a service that was unavailable reconnect at the same time, and
+// each attempt is a call; half of each backoff is random to spread them.
 const (
-	resumeWaitMin = 50 * time.Millisecond
-	resumeWaitMax = time.Second
+	minResumeBackoff = 50 * time.Millisecond
+	maxResumeBackoff = time.Second
 )
 
-// watch is one watch over its connections.
+// watch is one watch, which may use several connections one after the other.
 type watch struct {
 	store  *Store
 	prefix string
@@ -31,19 +31,20 @@
 	out    chan infra.WatchBatch
 }
 
-// stream is one connection of a watch.
+// stream is the response stream of a watch on one connection.
 type stream struct {
 	endpoint string
 	body     io.ReadCloser
 	decoder  *json.Decoder
 	ctx      context.Context // ends with the stream
 	cancel   context.CancelFunc
-	heard    atomic.Bool // a message came since the last look
+	received atomic.Bool // a message was received since the last check
 }
 
-// Watch implements infra.Store. A cut connection is resumed from the last
-// revision delivered, for as long as Options.ResumeFor; then the watch ends
-// with KindUnavailable, so that its reader knows that its view grows old.
+// Watch implements infra.Store. If the connection breaks, the watch is resumed
+// after the last revision delivered. If that fails for Options.ResumeFor, the
+// watch ends with KindUnavailable, which tells the reader that its view is
+// stale.
 func (s *Store) Watch(ctx context.Context, prefix string, from infra.Revision) (<-chan infra.WatchBatch, error) {
 	if from < 1 {
 		return nil, infra.Errorf("watch", infra.KindCompacted, "revision %d", from)
@@ -57,12 +58,14 @@
 	return w.out, nil
 }
 
+// run delivers events, and resumes the watch when its connection breaks, until
+// ctx ends or the watch cannot be resumed.
 func (w *watch) run(ctx context.Context, st *stream) {
 	defer close(w.out)
 	for {
-		err := w.follow(ctx, st)
+		err := w.forward(ctx, st)
 		st.close()
-		if ctx.Err() == nil && !final(err) {
+		if ctx.Err() == nil && !isTerminal(err) {
 			st, err = w.resume(ctx)
 		}
 		if ctx.Err() != nil {
@@ -75,52 +78,55 @@
 	}
 }
 
-// final reports whether a watch cannot go on after err.
-func final(err error) bool {
+// isTerminal reports whether a watch cannot be resumed after err.
+func isTerminal(err error) bool {
 	return infra.IsKind(err, infra.KindCompacted) || infra.IsKind(err, infra.KindInvalid)
 }
 
-// resume opens the watch again where it was cut. A probe must pass besides, or
-// an endpoint that opens watches and then falls silent would hold it for ever.
+// resume reopens the watch after the last revision delivered. A probe must
+// succeed as well: an endpoint that accepts watches but never sends events
+// would otherwise keep the watch alive forever.
 func (w *watch) resume(ctx context.Context) (*stream, error) {
-	until := w.store.clock.Now().Add(w.store.resumeFor)
-	for wait := resumeWaitMin; ; wait = min(2*wait, resumeWaitMax) {
+	deadline := w.store.clock.Now().Add(w.store.resumeFor)
+	for backoff := minResumeBackoff; ; backoff = min(2*backoff, maxResumeBackoff) {
 		st, err := w.openAny(ctx, true)
-		if err == nil || final(err) || !w.store.clock.Now().Before(until) {
+		if err == nil || isTerminal(err) || !w.store.clock.Now().Before(deadline) {
 			return st, err
 		}
 		select {
-		case <-w.store.clock.After(wait/2 + rand.N(wait/2)):
+		case <-w.store.clock.After(backoff/2 + rand.N(backoff/2)):
 		case <-ctx.Done():
 			return nil, err
 		}
 	}
 }
 
-func (w *watch) openAny(ctx context.Context, probed bool) (*stream, error) {
+// openAny opens the watch at the first endpoint that accepts it and, if
+// withProbe is set, answers a probe.
+func (w *watch) openAny(ctx context.Context, withProbe bool) (*stream, error) {
 	var err error = infra.Errorf("watch", infra.KindUnavailable, "no endpoints")
 	for _, endpoint := range w.store.http.Endpoints() {
 		var st *stream
 		st, err = w.open(ctx, endpoint)
-		if err == nil && probed {
+		if err == nil && withProbe {
 			if err = w.probe(st); err != nil {
 				st.close()
 				continue
 			}
 		}
-		if err == nil || final(err) || ctx.Err() != nil {
+		if err == nil || isTerminal(err) || ctx.Err() != nil {
 			return st, err
 		}
 	}
 	return nil, err
 }
 
-// open opens the watch at one endpoint and waits until the service says that
-// it stands. The timeout is for that only; the stream itself has no end.
+// open opens the watch at one endpoint and waits until the service confirms
+// that it was created. The timeout covers only this; the stream has none.
 func (w *watch) open(ctx context.Context, endpoint string) (*stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	late := time.AfterFunc(w.store.http.Timeout(), cancel)
-	defer late.Stop()
+	timer := time.AfterFunc(w.store.http.Timeout(), cancel)
+	defer timer.Stop()
 	call := httpcall.Call{Op: "watch", Method: http.MethodPost, Path: etcdjson.PathWatch}
 	body, err := json.Marshal(etcdjson.WatchRequest{Create: &etcdjson.WatchCreate{
 		Key: rangeStart(w.prefix), RangeEnd: etcdjson.PrefixEnd(w.prefix),
@@ -136,21 +142,21 @@
 		return nil, infra.Errorf("watch", infra.KindUnavailable, "%w", err)
 	}
 	st := &stream{endpoint: endpoint, body: resp.Body, decoder: json.NewDecoder(resp.Body), ctx: ctx, cancel: cancel}
-	if err := st.begin(call, resp.StatusCode); err != nil {
+	if err := st.awaitCreated(call, resp.StatusCode); err != nil {
 		st.close()
 		return nil, err
 	}
 	return st, nil
 }
 
-// begin reads the message that says that the watch stands.
-func (st *stream) begin(call httpcall.Call, status int) error {
+// awaitCreated reads the message that confirms that the watch was created.
+func (st *stream) awaitCreated(call httpcall.Call, status int) error {
 	if status != http.StatusOK {
 		raw, err := io.ReadAll(st.body)
 		if err != nil {
 			return infra.Errorf("watch", infra.KindUnavailable, "%w", err)
 		}
-		return refusal(call, httpcall.Response{Status: status, Body: raw})
+		return statusError(call, httpcall.Response{Status: status, Body: raw})
 	}
 	res, err := st.read()
 	if err != nil {
@@ -162,7 +168,8 @@
 	return nil
 }
 
-// read returns the next message, or the error that it stands for.
+// read returns the next message. It returns an error if the stream fails or
+// the message reports a failure or the end of the watch.
 func (st *stream) read() (*etcdjson.WatchResponse, error) {
 	var m etcdjson.WatchMessage
 	if err := st.decoder.Decode(&m); err != nil {
@@ -172,7 +179,7 @@
 		}
 		return nil, infra.Errorf("watch", infra.KindUnavailable, "%w", err)
 	}
-	st.heard.Store(true)
+	st.received.Store(true)
 	switch {
 	case m.Error != nil:
 		return nil, infra.Errorf("watch", kindOfCode(m.Error.GRPCCode, m.Error.Message, false), "%s", m.Error.Message)
@@ -188,24 +195,24 @@
 
 func (st *stream) close() {
 	st.cancel()
-	_ = st.body.Close() // nothing more is wanted of it
+	_ = st.body.Close() // the rest of the stream is not needed
 }
 
-// follow delivers events until the connection fails.
-func (w *watch) follow(ctx context.Context, st *stream) error {
-	go w.guard(st)
+// forward delivers events to the reader until the stream fails or ctx ends.
+func (w *watch) forward(ctx context.Context, st *stream) error {
+	go w.probeWhenIdle(st)
 	for {
 		res, err := st.read()
 		if err != nil {
 			return err
 		}
 		if len(res.Events) == 0 {
-			w.progress(res)
+			w.recordProgress(res)
 			continue
 		}
 		for _, b := range batches(res.Events) {
 			if b.Revision < w.next {
-				continue // a duplicate after a resume
+				continue // already delivered before the watch was resumed
 			}
 			if !w.deliver(ctx, b) {
 				return ctx.Err()
@@ -215,11 +222,12 @@
 	}
 }
 
-// guard ends a stream that is silent because its service is: paused, or cut
-// off without a word. To the reader it looks like a quiet prefix, and a view
-// that grows old looks fresh. A read that the same endpoint answers shows that
-// it still follows the service; one for each quiet interval is enough.
-func (w *watch) guard(st *stream) {
+// probeWhenIdle closes a stream whose service is paused or became unreachable
+// without closing the connection. The reader can't distinguish such a stream
+// from a prefix without changes and would take a stale view for a current one.
+// A read that the same endpoint answers shows that it still reaches the
+// service; one read per interval without messages is enough.
+func (w *watch) probeWhenIdle(st *stream) {
 	t := w.store.clock.NewTicker(w.store.probeEvery)
 	defer t.Stop()
 	for {
@@ -228,7 +236,7 @@
 			return
 		case <-t.Chan():
 		}
-		if st.heard.Swap(false) {
+		if st.received.Swap(false) {
 			continue
 		}
 		if err := w.probe(st); err != nil {
@@ -238,8 +246,8 @@
 	}
 }
 
-// probe reads one key at the stream's endpoint. Being refused because of the
-// limits is an answer too.
+// probe reads one key at the stream's endpoint. A rate-limited response counts
+// as success, because it shows that the endpoint responds.
 func (w *watch) probe(st *stream) error {
 	call := httpcall.Call{
 		Op: "watch", Method: http.MethodPost, Path: etcdjson.PathRange,
@@ -250,19 +258,21 @@
 		return err
 	}
 	if a.Status != http.StatusOK && a.Status != http.StatusTooManyRequests {
-		return refusal(call, a)
+		return statusError(call, a)
 	}
 	return nil
 }
 
-// progress notes that everything up to the revision was delivered, so that a
-// quiet watch is not resumed from a revision that is no longer held.
-func (w *watch) progress(res *etcdjson.WatchResponse) {
+// recordProgress advances w.next past the revision of a progress notification,
+// which confirms that all events up to it were delivered. An idle watch would
+// otherwise be resumed from a revision that has been compacted.
+func (w *watch) recordProgress(res *etcdjson.WatchResponse) {
 	if res.Header != nil && !res.Created {
 		w.next = max(w.next, revision(res.Header)+1)
 	}
 }
 
+// deliver sends b to the reader. It returns false if ctx ends first.
 func (w *watch) deliver(ctx context.Context, b infra.WatchBatch) bool {
 	select {
 	case w.out <- b:
@@ -272,7 +282,8 @@
 	}
 }
 
-// batches splits one message by revision; the service may put several into it.
+// batches groups the events of one message by revision; a message may contain
+// several revisions.
 func batches(events []etcdjson.Event) []infra.WatchBatch {
 	var out []infra.WatchBatch
 	for _, e := range events {
