--- a/internal/infra/gateway/gateway_test.go
+++ b/internal/infra/gateway/gateway_test.go
@@ -24,21 +24,22 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// answering is a service that gives each call the same answer.
-func answering(t *testing.T, status int, body string) (url string, asked *atomic.Int32) {
+// newFixedServer starts a service that gives every request the same response.
+// It returns the service's address and the number of requests received.
+func newFixedServer(t *testing.T, status int, body string) (url string, requests *atomic.Int32) {
 	t.Helper()
-	asked = new(atomic.Int32)
+	requests = new(atomic.Int32)
 	ts := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		w.WriteHeader(status)
 		_, _ = w.Write([]byte(body))
 	}))
 	t.Cleanup(ts.Close)
-	return ts.URL, asked
+	return ts.URL, requests
 }
 
-// refusing is an address where nobody listens.
-func refusing(t *testing.T) string {
+// unusedURL returns an address that refuses connections.
+func unusedURL(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -60,9 +61,10 @@
 	return err
 }
 
-// What the service and what stands in front of it may answer, and what the
-// callers must hear: "not done" only where that is certain.
-func TestAnswersThatAreNotOK(t *testing.T) {
+// Responses of the service, or of a proxy in front of it, must map to the right
+// kind of error. A write may be reported as not applied only if that is certain;
+// otherwise the outcome is unknown.
+func TestErrorKindsOfFailedResponses(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		status      int
@@ -78,34 +80,34 @@
 		{"leader changed", 503, `{"error":"etcdserver: leader changed","code":14}`, infra.KindUnavailable, infra.KindUnknown},
 		{"request timed out", 504, `{"error":"etcdserver: request timed out","code":4}`, infra.KindUnavailable, infra.KindUnknown},
 		{"bad gateway", 502, `<html>`, infra.KindUnavailable, infra.KindUnknown},
-		{"answer without a header", 200, `{}`, infra.KindInvalid, infra.KindUnknown},
-		{"answer that is not JSON", 200, `<html>`, infra.KindInvalid, infra.KindUnknown},
-		{"answer to another request", 200, `{"header":{"revision":"7"},"succeeded":true}`, 0, infra.KindUnknown},
+		{"response without a header", 200, `{}`, infra.KindInvalid, infra.KindUnknown},
+		{"response that is not JSON", 200, `<html>`, infra.KindInvalid, infra.KindUnknown},
+		{"response to another request", 200, `{"header":{"revision":"7"},"succeeded":true}`, 0, infra.KindUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			url, _ := answering(t, c.status, c.body)
+			url, _ := newFixedServer(t, c.status, c.body)
 			assert.Equal(t, infra.KindOf(read(client(url))), c.read)
 			assert.Equal(t, infra.KindOf(write(client(url))), c.write)
 		})
 	}
 }
 
-// One endpoint refuses connections: the call moves on, also a write, because
-// no byte of it can have left.
+// If an endpoint refuses the connection, the call goes to the next endpoint.
+// That is safe for writes too, because nothing was sent.
 func TestNextEndpointAfterRefusedDial(t *testing.T) {
-	url, asked := answering(t, 200, `{"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]}`)
-	s := client(refusing(t), url)
+	url, requests := newFixedServer(t, 200, `{"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]}`)
+	s := client(unusedURL(t), url)
 
 	assert.NilError(t, write(s))
 	assert.NilError(t, read(s))
 
-	assert.Equal(t, asked.Load(), int32(2))
-	err := write(client(refusing(t), refusing(t)))
+	assert.Equal(t, requests.Load(), int32(2))
+	err := write(client(unusedURL(t), unusedURL(t)))
 	assert.Assert(t, infra.IsKind(err, infra.KindUnavailable), "%v", err)
 }
 
-// brokenConn is a connection that broke while it lay idle: no byte gets onto
-// it any more.
+// brokenConn is a connection that broke while it was idle: once broken is set,
+// writes to it fail.
 type brokenConn struct {
 	net.Conn
 	broken *atomic.Bool
@@ -118,10 +120,11 @@
 	return c.Conn.Write(p)
 }
 
-// The idle connection broke, and the service refuses new ones. Nothing of the
-// write was sent, although a connection had been found for it.
+// The pooled connection broke while it was idle, and the service refuses new
+// connections. The write got a connection but no byte was sent, so it must be
+// reported as not applied rather than as unknown.
 func TestWriteOnConnectionThatBrokeWhileIdle(t *testing.T) {
-	url, _ := answering(t, 200, `{"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]}`)
+	url, _ := newFixedServer(t, 200, `{"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]}`)
 	var broken atomic.Bool
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if broken.Load() {
@@ -139,30 +142,32 @@
 	assert.Assert(t, infra.IsKind(err, infra.KindUnavailable), "%v", err)
 }
 
-// The first endpoint closes the connection after it has the request. A read
-// moves on; a write must not, as the first copy may yet take effect.
+// The first endpoint closes the connection after it received the request. A
+// read is retried at the next endpoint. A write must not be, because the first
+// copy may still take effect.
 func TestNextEndpointAfterLostReply(t *testing.T) {
 	first := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer first.Close()
-	url, asked := answering(t, 200, `{"header":{"revision":"7"}}`)
+	url, requests := newFixedServer(t, 200, `{"header":{"revision":"7"}}`)
 
 	assert.NilError(t, read(client(first.URL, url)))
 	err := write(client(first.URL, url))
 
 	assert.Assert(t, infra.IsKind(err, infra.KindUnknown), "%v", err)
-	assert.Equal(t, asked.Load(), int32(1))
+	assert.Equal(t, requests.Load(), int32(1))
 }
 
-// With TLS a service whose certificate is not the expected one never gets to
-// see a write: that is certain, and the write may go to another endpoint.
+// If the server's certificate is not trusted, the handshake fails before the
+// write is sent. The write certainly was not applied and may go to another
+// endpoint.
 func TestTLS(t *testing.T) {
-	var asked atomic.Int32
+	var requests atomic.Int32
 	ts := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		_, _ = w.Write([]byte(`{"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]}`))
 	}))
 	defer ts.Close()
-	ts.Config.ErrorLog = log.New(io.Discard, "", 0) // the refused handshake
+	ts.Config.ErrorLog = log.New(io.Discard, "", 0) // silences the log of the failed handshake
 	roots := x509.NewCertPool()
 	roots.AddCert(ts.Certificate())
 
@@ -171,24 +176,24 @@
 	err := write(client(ts.URL))
 
 	assert.Assert(t, infra.IsKind(err, infra.KindUnavailable), "%v", err)
-	assert.Equal(t, asked.Load(), int32(1))
+	assert.Equal(t, requests.Load(), int32(1))
 }
 
-// Something in front of the service redirects. Followed, the redirect would
-// carry a second copy of the write to who knows whom.
+// A proxy in front of the service responds with a redirect. Following it would
+// send a second copy of the write, to an address that is not an endpoint.
 func TestRedirectIsNotFollowed(t *testing.T) {
-	url, asked := answering(t, 200, `{"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]}`)
+	url, requests := newFixedServer(t, 200, `{"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]}`)
 	ts := httptest.NewServer(http.RedirectHandler(url+"/v3/kv/txn", http.StatusTemporaryRedirect))
 	defer ts.Close()
 
 	err := write(client(ts.URL))
 
 	assert.Assert(t, infra.IsKind(err, infra.KindUnknown), "%v", err)
-	assert.Equal(t, asked.Load(), int32(0))
+	assert.Equal(t, requests.Load(), int32(0))
 }
 
-// The service accepts connections and never answers. Without a timeout of the
-// adapter's own, a caller without a deadline would wait for ever.
+// The service accepts connections but never responds. Without the adapter's own
+// timeout, calls whose context has no deadline would block forever.
 func TestSilentEndpointTimesOut(t *testing.T) {
 	silent := make(chan struct{})
 	ts := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-silent }))
@@ -203,9 +208,10 @@
 	assert.Assert(t, infra.IsKind(watchErr, infra.KindUnavailable), "%v", watchErr)
 }
 
-// The bytes of the published protocol, written out: the stand-in shares the
-// adapter's message types, so that a mistake in these would show nowhere else.
-func TestPublishedBytes(t *testing.T) {
+// Compares the requests with literal JSON of etcd's documented protocol. The
+// stand-in service shares the adapter's message types, so no other test would
+// detect a mistake in them.
+func TestRequestWireFormat(t *testing.T) {
 	var got string
 	ts := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var body json.RawMessage
@@ -232,19 +238,21 @@
 		Then: []infra.Op{infra.PutLeased("foo", []byte("bar"), 9), infra.Delete("foo")},
 		Else: []infra.Op{infra.Read("foo")},
 	})
-	assert.Assert(t, infra.IsKind(err, infra.KindUnknown)) // the answer above is none to it
+	assert.Assert(t, infra.IsKind(err, infra.KindUnknown)) // the response above doesn't match a transaction
 	assert.Equal(t, got, `POST /v3/kv/txn {"compare":[{"result":"EQUAL","target":"MOD","key":"Zm9v","mod_revision":"7"}],`+
 		`"success":[{"request_put":{"key":"Zm9v","value":"YmFy","lease":"9"}},{"request_delete_range":{"key":"Zm9v"}}],`+
 		`"failure":[{"request_range":{"key":"Zm9v"}}]}`)
 }
 
-// Messages of a watch as the service publishes them: several revisions in one,
-// a notice of progress, then a stream that breaks off.
-func TestPublishedWatch(t *testing.T) {
+// Decodes literal watch messages of etcd's documented protocol: a message with
+// two revisions and a progress notification, then the stream breaks. The watch
+// must resume after the progress revision, drop events that it has already
+// delivered, and end when the service reports a compaction.
+func TestWatchWireFormat(t *testing.T) {
 	var starts []string
 	ts := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v3/watch" {
-			_, _ = w.Write([]byte(`{"header":{"revision":"90"}}`)) // to a probe
+			_, _ = w.Write([]byte(`{"header":{"revision":"90"}}`)) // response to a probe
 			return
 		}
 		var req struct {
@@ -256,7 +264,7 @@
 		starts = append(starts, req.Create.Start)
 		if len(starts) > 1 {
 			_, _ = w.Write([]byte(`{"result":{"header":{"revision":"90"},"watch_id":"0","created":true}}` + "\n" +
-				`{"result":{"header":{"revision":"90"},"events":[{"kv":{"key":"YQ==","mod_revision":"6"}}]}}` + "\n" + // once more
+				`{"result":{"header":{"revision":"90"},"events":[{"kv":{"key":"YQ==","mod_revision":"6"}}]}}` + "\n" + // already delivered
 				`{"result":{"header":{"revision":"90"},"watch_id":"0","canceled":true,"compact_revision":"80"}}`))
 			return
 		}
@@ -281,10 +289,11 @@
 	assert.DeepEqual(t, starts, []string{"5", "71"})
 }
 
-// A zone loses the platform without a word. The first write goes down an open
-// connection, and nobody knows whether it arrived; the next ones find no
-// connection, which is certain; the watch goes on after the partition.
-func TestPartitionWithoutAWord(t *testing.T) {
+// A partition drops packets between a zone and the platform without closing
+// connections. The first write is sent on an open connection, so its outcome is
+// unknown. The next write can't connect, so it certainly was not applied. The
+// watch continues after the partition.
+func TestPartitionThatDropsPackets(t *testing.T) {
 	srv := standin.New(clockwork.NewRealClock())
 	defer srv.Close()
 	url, err := srv.Listen("127.0.0.1:0")
@@ -313,10 +322,11 @@
 	assert.Equal(t, next.Revision, first.Revision+1)
 }
 
-// The service stops without closing anything, while the watch is quiet; or it
-// goes on to open watches that never say a word. The reader must be told that
-// its view grows old, and not take silence for "no change".
-func TestSilentWatchIsNoticed(t *testing.T) {
+// The service stops responding without closing connections while the watch is
+// idle, or still accepts watches but sends nothing. The watch must end with an
+// error: its reader would otherwise take the silence for "no changes" and keep
+// using a stale view.
+func TestUnresponsiveServiceEndsWatch(t *testing.T) {
 	srv := standin.New(clockwork.NewRealClock())
 	defer srv.Close()
 	var silent atomic.Bool
@@ -341,13 +351,13 @@
 			ts := httptest.NewServer(c.h)
 			t.Cleanup(ts.CloseClientConnections)
 			s := gateway.New(gateway.Options{
-				Endpoints: []string{ts.URL, refusing(t)}, Timeout: 500 * time.Millisecond,
+				Endpoints: []string{ts.URL, unusedURL(t)}, Timeout: 500 * time.Millisecond,
 				ProbeEvery: 20 * time.Millisecond, ResumeFor: 200 * time.Millisecond,
 			})
 			ch, err := s.Watch(context.Background(), "a", 1)
 			assert.NilError(t, err)
 			for end := time.Now().Add(10 * time.Second); srv.Counts.Counts().Calls[standin.KindRange] < 3; time.Sleep(time.Millisecond) {
-				assert.Assert(t, time.Now().Before(end), "a quiet watch is not probed")
+				assert.Assert(t, time.Now().Before(end), "an idle watch is not probed")
 			}
 
 			c.stop()
