--- a/internal/infra/httpcall/httpcall.go
+++ b/internal/infra/httpcall/httpcall.go
@@ -1,5 +1,6 @@
-// Package httpcall carries one call to the platform over HTTP and JSON, and
-// says of a failed one what it may have done. Both adapters stand on it.
+// Package httpcall sends calls to the platform's services as HTTP requests with
+// JSON bodies. For a failed call it reports whether the service may have
+// received the request. The clients of the platform's services are built on it.
 package httpcall
 
 import (
@@ -19,56 +20,58 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// DefaultTimeout ends a call that has no answer. The service answers in
-// milliseconds; a call that took a second is better asked of another endpoint.
+// DefaultTimeout limits a call at one endpoint. The services respond within
+// milliseconds; after a second it is better to try another endpoint.
 const DefaultTimeout = time.Second
 
-// Keep-alive probes end a connection whose other end vanished without a word,
-// as a partition leaves it: a waiting watch would otherwise never notice.
+// TCP keep-alive parameters. The probes detect a connection whose peer became
+// unreachable without closing it, as in a network partition; a watch that waits
+// for events would otherwise never notice.
 const (
-	keepAliveIdle  = 5 * time.Second
-	keepAliveProbe = 2 * time.Second
-	keepAliveCount = 3
+	keepAliveIdle     = 5 * time.Second
+	keepAliveInterval = 2 * time.Second
+	keepAliveCount    = 3
 )
 
-// idleTimeout closes a connection that lay idle before a balancer on the way
-// does, as these do after a minute as a rule. A write sent while the other end
-// closes has no reply, and its outcome would be unknown for nothing.
+// idleTimeout limits how long an idle connection stays open. It is shorter than
+// the idle timeout of load balancers, usually a minute: a write that is sent
+// while the other end closes the connection gets no response, and its outcome
+// would be unknown.
 const idleTimeout = 30 * time.Second
 
-// idleConns is how many connections wait for their next call: calls come in
-// bursts of a handful, each watch has one of its own.
-const idleConns = 16
+// maxIdleConnsPerHost limits the idle connections kept per endpoint. Calls come
+// in small bursts, and each watch uses a connection of its own.
+const maxIdleConnsPerHost = 16
 
-// Response is a reply that was read whole.
+// Response holds the status and the complete body of an HTTP response.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// Call is one request.
+// Call describes one request.
 type Call struct {
-	Op     string // names the call in errors
+	Op     string // name of the call in errors
 	Method string
 	Path   string
 	Body   any // encoded as JSON; nil for none
-	// Header is sent beside the usual fields; nil for none.
+	// Header holds additional header fields; nil for none.
 	Header map[string]string
-	// Write is true where the call may change something, so that a lost
-	// reply leaves its outcome open.
+	// Write is true if the call may change state: if its response is lost, its
+	// outcome is unknown.
 	Write bool
 }
 
-// ZoneHeader names the availability zone of the client. A service may ignore
-// it; the stand-in switches faults by it.
+// ZoneHeader is the header field with the client's availability zone. Services
+// may ignore it; the stand-in service uses it to inject faults per zone.
 const ZoneHeader = "Pumicestage-Zone"
 
-// Options say how to reach a service.
+// Options configure a Client.
 type Options struct {
 	Endpoints  []string      // base addresses such as http://10.0.0.1:2379, tried in turn
-	Zone       string        // own availability zone, told to the service
+	Zone       string        // own availability zone, sent to the service
 	Timeout    time.Duration // of each call at each endpoint; 0 for DefaultTimeout
-	HTTPClient *http.Client  // for TLS (see NewHTTP) or a dialer of one's own; nil for NewHTTP(nil)
+	HTTPClient *http.Client  // for TLS (see NewHTTP) or a custom dialer; nil for NewHTTP(nil)
 }
 
 // Client sends calls to the endpoints of one service.
@@ -78,10 +81,10 @@
 	timeout   time.Duration
 	http      *http.Client
 
-	next atomic.Uint32 // the endpoint that answered last
+	preferred atomic.Uint32 // index of the endpoint that responded last; tried first
 }
 
-// New returns a client. It opens no connection before the first call.
+// New returns a Client. It opens no connection before the first call.
 func New(o Options) *Client {
 	if o.Timeout <= 0 {
 		o.Timeout = DefaultTimeout
@@ -90,7 +93,7 @@
 		o.HTTPClient = NewHTTP(nil)
 	}
 	h := *o.HTTPClient
-	// A redirect followed would be a second copy of a write.
+	// Following a redirect would send a second copy of a write.
 	h.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{endpoints: o.Endpoints, zone: o.Zone, timeout: o.Timeout, http: &h}
 }
@@ -98,33 +101,34 @@
 // Timeout returns how long a call may take at one endpoint.
 func (c *Client) Timeout() time.Duration { return c.timeout }
 
-// Endpoints returns the endpoints, the one that answered last first.
+// Endpoints returns all endpoints, beginning with the one that responded last.
 func (c *Client) Endpoints() []string {
 	if len(c.endpoints) == 0 {
 		return nil
 	}
-	first := int(c.next.Load()) % len(c.endpoints)
+	first := int(c.preferred.Load()) % len(c.endpoints)
 	return append(c.endpoints[first:len(c.endpoints):len(c.endpoints)], c.endpoints[:first]...)
 }
 
-// NewHTTP returns an HTTP client fit for the platform's services; config may
-// be nil. It keeps to HTTP/1.1, where a call that timed out takes its connection
-// along: over HTTP/2 the next call would go down the same dead one.
+// NewHTTP returns an HTTP client for the platform's services; config may be nil.
+// It uses HTTP/1.1 only, where a call that times out closes its connection. With
+// HTTP/2, the next call would use the same broken connection.
 func NewHTTP(config *tls.Config) *http.Client {
 	d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: keepAliveIdle, Interval: keepAliveProbe, Count: keepAliveCount,
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 	}}
 	return &http.Client{Transport: &http.Transport{
-		DialContext: resetting(d.DialContext), TLSClientConfig: config, TLSHandshakeTimeout: DefaultTimeout,
-		MaxIdleConnsPerHost: idleConns, IdleConnTimeout: idleTimeout,
+		DialContext: resetOnClose(d.DialContext), TLSClientConfig: config, TLSHandshakeTimeout: DefaultTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleTimeout,
 	}}
 }
 
-// resetting makes connections that are reset when they are closed. A call that
-// timed out behind a partition still lies in the kernel's buffer; after an orderly
-// close it would be delivered as the partition heals, seconds later, beside what
-// has been ordered since. A reset drops it.
-func resetting(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
+// resetOnClose wraps dial so that its TCP connections are reset when they are
+// closed. A request that timed out during a partition may still be in the
+// kernel's send buffer. After an orderly close it would be delivered when the
+// partition heals, seconds later, along with requests sent since. A reset
+// discards it.
+func resetOnClose(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
@@ -140,22 +144,24 @@
 	}
 }
 
-// Do sends the call to one endpoint after the other until one answers. A write
-// moves on only where it certainly was not sent: a second copy could take
-// effect after the first. Errors are *infra.Error.
+// Do sends the call to one endpoint after another until one responds. A write
+// goes to the next endpoint only if it certainly was not sent: a second copy
+// could take effect after the first. Errors are *infra.Error: of KindUnknown for
+// a write that may have been sent, of KindInvalid if the body can't be encoded,
+// otherwise of KindUnavailable.
 func (c *Client) Do(ctx context.Context, call Call) (Response, error) {
 	body, err := encode(call)
 	if err != nil {
 		return Response{}, infra.Errorf(call.Op, infra.KindInvalid, "%w", err)
 	}
-	last := errors.New("no endpoints")
+	lastErr := errors.New("no endpoints")
 	for _, endpoint := range c.Endpoints() {
 		answer, sent, err := c.once(ctx, endpoint, call, body)
 		if err == nil {
 			c.prefer(endpoint)
 			return answer, nil
 		}
-		last = err
+		lastErr = err
 		if call.Write && sent {
 			return Response{}, infra.Errorf(call.Op, infra.KindUnknown, "%w", err)
 		}
@@ -163,11 +169,11 @@
 			break
 		}
 	}
-	return Response{}, infra.Errorf(call.Op, infra.KindUnavailable, "%w", last)
+	return Response{}, infra.Errorf(call.Op, infra.KindUnavailable, "%w", lastErr)
 }
 
-// DoAt sends the call to one endpoint alone. It is for calls that change
-// nothing.
+// DoAt sends the call to one endpoint only. It is for calls that don't change
+// state, as every error is an *infra.Error of KindUnavailable.
 func (c *Client) DoAt(ctx context.Context, endpoint string, call Call) (Response, error) {
 	answer, _, err := c.DoOnce(ctx, endpoint, call)
 	if err != nil {
@@ -176,8 +182,9 @@
 	return answer, nil
 }
 
-// DoOnce sends the call to one endpoint and returns the bare error. sent is false
-// only where no byte of it can have left.
+// DoOnce sends the call to one endpoint and returns the underlying error, which
+// is not an *infra.Error. sent is false only if no byte of the call can have
+// been sent.
 func (c *Client) DoOnce(ctx context.Context, endpoint string, call Call) (answer Response, sent bool, err error) {
 	body, err := encode(call)
 	if err != nil {
@@ -186,12 +193,13 @@
 	return c.once(ctx, endpoint, call, body)
 }
 
+// prefer makes endpoint the first one that later calls try.
 func (c *Client) prefer(endpoint string) {
-	c.next.Store(uint32(slices.Index(c.endpoints, endpoint)))
+	c.preferred.Store(uint32(slices.Index(c.endpoints, endpoint)))
 }
 
-// once sends the call to one endpoint. sent is false only where no byte of it
-// can have left: no connection was ever had.
+// once sends the call with an encoded body to one endpoint. The second result is
+// false only if no byte can have been sent, because the call got no connection.
 func (c *Client) once(ctx context.Context, endpoint string, call Call, body []byte) (Response, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -199,7 +207,7 @@
 	if err != nil {
 		return Response{}, sent, err
 	}
-	defer func() { _ = resp.Body.Close() }() // read whole or given up
+	defer func() { _ = resp.Body.Close() }() // read completely, or failed
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return Response{}, true, err
@@ -207,11 +215,13 @@
 	return Response{Status: resp.StatusCode, Body: raw}, true, nil
 }
 
-// Send sends the call and returns the reply unread, for streams. The caller
-// closes the reply's body.
+// Send sends the call with an encoded body and returns the response with its
+// body unread, for streams. The code that calls it must close that body. The
+// second result is false only if no byte of the call can have been sent.
+// Options.Timeout does not apply.
 func (c *Client) Send(ctx context.Context, endpoint string, call Call, body []byte) (*http.Response, bool, error) {
-	// The transport asks for a second connection only where it wrote nothing
-	// to the first, as when that was closed while it lay idle.
+	// The transport requests a second connection only if it wrote nothing to the
+	// first, for example because that was closed while idle.
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{
 		GetConn: func(string) { sent.Store(false) },
@@ -232,8 +242,9 @@
 	return resp, sent.Load(), err
 }
 
-// Decode reads the answer's body. A write whose answer makes no sense may have
-// taken effect all the same.
+// Decode parses the JSON body of the response to call. The error is of
+// KindInvalid, or of KindUnknown for a write, which may have taken effect even
+// if its response is malformed.
 func Decode(call Call, a Response, into any) error {
 	err := json.Unmarshal(a.Body, into)
 	if err == nil {
--- a/internal/infra/httpcall/reset_test.go
+++ b/internal/infra/httpcall/reset_test.go
@@ -13,16 +13,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// An order that got no answer in time takes effect seconds later, as a cut heals,
-// after a later owner's. Its connection must not be closed in order, which would
-// deliver what is still on the way, but reset, which drops it.
-func TestACallThatTimedOutResetsItsConnection(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// A write that timed out during a partition could be delivered when the
+// partition heals, seconds later, and take effect after the writes of a later
+// owner. Its connection must therefore be reset, which discards unsent data, and
+// not closed in an orderly way, which would still deliver it.
+func TestTimedOutCallResetsItsConnection(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer l.Close()
+	defer listener.Close()
 	ended := make(chan error, 1)
 	go func() {
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			ended <- err
 			return
@@ -32,7 +33,7 @@
 		ended <- err
 	}()
 	client := New(Options{Timeout: 50 * time.Millisecond})
-	_, sent, err := client.DoOnce(context.Background(), "http://"+l.Addr().String(), Call{Op: "order", Method: http.MethodPost, Path: "/", Body: 1, Write: true})
+	_, sent, err := client.DoOnce(context.Background(), "http://"+listener.Addr().String(), Call{Op: "order", Method: http.MethodPost, Path: "/", Body: 1, Write: true})
 	assert.Assert(t, err != nil && sent)
 	err = <-ended
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "got %v", err)
