--- a/internal/infra/etcdjson/etcdjson.go
+++ b/internal/infra/etcdjson/etcdjson.go
@@ -1,6 +1,6 @@
-// Package etcdjson holds the messages of the etcd v3 JSON gateway's published
-// protocol, as far as the project speaks it: keys and values are base64,
-// 64-bit integers are strings, fields at their default are left out.
+// Package etcdjson defines the messages of etcd's v3 JSON gateway, as far as
+// this project uses them. Keys and values are encoded in base64 and 64-bit
+// integers as strings; fields with their default value are omitted.
 package etcdjson
 
 import (
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// The paths of the calls; each is a POST.
+// The paths of the calls. The method is always POST.
 const (
 	PathRange     = "/v3/kv/range"
 	PathPut       = "/v3/kv/put"
@@ -20,10 +20,10 @@
 	PathWatch     = "/v3/watch"
 )
 
-// Code is a gRPC status code, as error bodies carry it.
+// Code is a gRPC status code, as contained in error bodies.
 type Code int
 
-// The codes that the service uses.
+// The status codes that the service returns.
 const (
 	CodeUnknown           Code = 2
 	CodeInvalidArgument   Code = 3
@@ -36,11 +36,13 @@
 	CodeUnavailable       Code = 14
 )
 
-// MessageTooLarge is the service's message for a request over its size limit.
-// The code alone does not tell it from other invalid arguments.
+// MessageTooLarge is the service's message for a request that exceeds its size
+// limit. The code, CodeInvalidArgument, doesn't distinguish this error from
+// others.
 const MessageTooLarge = "etcdserver: request is too large"
 
-// Int64 is a 64-bit integer: a string on the wire, read from numbers too.
+// Int64 is a 64-bit integer that is encoded as a JSON string. JSON numbers are
+// accepted when decoding.
 type Int64 int64
 
 // MarshalJSON implements json.Marshaler.
@@ -55,21 +57,21 @@
 	return err
 }
 
-// Error is the body of an answer that is not 200, and the last message of a
-// stream that failed.
+// Error is the body of a response whose status is not 200, and the last message
+// of a stream that failed.
 type Error struct {
 	Error   string `json:"error"`
 	Code    Code   `json:"code"`
 	Message string `json:"message,omitempty"`
 }
 
-// Header opens every answer. Its identifiers of cluster and member, unsigned
-// and over the range of Int64, are of no use here and not read.
+// Header is part of every response. Its cluster and member IDs are not decoded:
+// they are unsigned, may exceed the range of Int64, and are not needed.
 type Header struct {
 	Revision Int64 `json:"revision,omitempty"`
 }
 
-// KeyValue is one key.
+// KeyValue is a key with its value, revisions and lease.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	CreateRevision Int64  `json:"create_revision,omitempty"`
@@ -79,54 +81,57 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// RangeRequest reads Key, or every key from Key up to RangeEnd.
+// RangeRequest reads Key or, if RangeEnd is set, all keys from Key up to but not
+// including RangeEnd.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// RangeResponse answers a RangeRequest.
+// RangeResponse is the response to a RangeRequest.
 type RangeResponse struct {
 	Header *Header    `json:"header,omitempty"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
 	Count  Int64      `json:"count,omitempty"`
 }
 
-// PutRequest writes one key.
+// PutRequest writes one key and attaches it to Lease, if that is not 0.
 type PutRequest struct {
 	Key   []byte `json:"key"`
 	Value []byte `json:"value,omitempty"`
 	Lease Int64  `json:"lease,omitempty"`
 }
 
-// PutResponse answers a PutRequest.
+// PutResponse is the response to a PutRequest.
 type PutResponse struct {
 	Header *Header `json:"header,omitempty"`
 }
 
-// DeleteRangeRequest deletes one key.
+// DeleteRangeRequest deletes Key or, if RangeEnd is set, all keys from Key up to
+// but not including RangeEnd.
 type DeleteRangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// DeleteRangeResponse answers a DeleteRangeRequest.
+// DeleteRangeResponse is the response to a DeleteRangeRequest.
 type DeleteRangeResponse struct {
 	Header  *Header `json:"header,omitempty"`
 	Deleted Int64   `json:"deleted,omitempty"`
 }
 
-// Target is what a Compare looks at.
+// Target is the property of a key that a Compare tests.
 type Target string
 
-// The targets. An absent key has 0 for each of the first three.
+// The targets. Each is 0 for a key that does not exist.
 const (
 	TargetVersion Target = "VERSION"
 	TargetCreate  Target = "CREATE"
 	TargetMod     Target = "MOD"
 )
 
-// ResultEqual is the only comparison the project uses; it is the default.
+// ResultEqual is the only comparison operator used here; it is the protocol's
+// default.
 const ResultEqual = "EQUAL"
 
 // Compare is one condition of a transaction.
@@ -139,60 +144,63 @@
 	ModRevision    Int64  `json:"mod_revision,omitempty"`
 }
 
-// RequestOp is one operation of a transaction; one field is set.
+// RequestOp is one operation of a transaction. Exactly one field is set.
 type RequestOp struct {
 	Range       *RangeRequest       `json:"request_range,omitempty"`
 	Put         *PutRequest         `json:"request_put,omitempty"`
 	DeleteRange *DeleteRangeRequest `json:"request_delete_range,omitempty"`
 }
 
-// ResponseOp answers a RequestOp; one field is set.
+// ResponseOp is the response to a RequestOp. Exactly one field is set.
 type ResponseOp struct {
 	Range       *RangeResponse       `json:"response_range,omitempty"`
 	Put         *PutResponse         `json:"response_put,omitempty"`
 	DeleteRange *DeleteRangeResponse `json:"response_delete_range,omitempty"`
 }
 
-// TxnRequest applies Success where every Compare holds, else Failure.
+// TxnRequest applies Success if every condition of Compare holds, otherwise
+// Failure.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// TxnResponse answers a TxnRequest.
+// TxnResponse is the response to a TxnRequest. Succeeded reports whether Success
+// was applied.
 type TxnResponse struct {
 	Header    *Header      `json:"header,omitempty"`
 	Succeeded bool         `json:"succeeded,omitempty"`
 	Responses []ResponseOp `json:"responses,omitempty"`
 }
 
-// GrantRequest makes a lease of TTL seconds.
+// GrantRequest creates a lease of TTL seconds. The service chooses the ID if it
+// is 0.
 type GrantRequest struct {
 	TTL Int64 `json:"TTL"`
 	ID  Int64 `json:"ID,omitempty"`
 }
 
-// LeaseRequest names a lease to renew or revoke.
+// LeaseRequest renews or revokes the lease ID.
 type LeaseRequest struct {
 	ID Int64 `json:"ID"`
 }
 
-// LeaseResponse answers a grant or one renewal. A renewal with TTL 0 says
-// that the lease does not exist any more.
+// LeaseResponse is the response to a grant or a renewal. TTL is in seconds; 0
+// after a renewal means that the lease no longer exists.
 type LeaseResponse struct {
 	Header *Header `json:"header,omitempty"`
 	ID     Int64   `json:"ID,omitempty"`
 	TTL    Int64   `json:"TTL,omitempty"`
 }
 
-// KeepAliveMessage is one message of the stream that answers a renewal.
+// KeepAliveMessage is a message of the response stream of a renewal.
 type KeepAliveMessage struct {
 	Result *LeaseResponse `json:"result,omitempty"`
 	Error  *StreamError   `json:"error,omitempty"`
 }
 
-// StreamError is how a stream reports a failure.
+// StreamError is an error reported in a response stream.
 type StreamError struct {
 	GRPCCode Code   `json:"grpc_code,omitempty"`
 	HTTPCode int    `json:"http_code,omitempty"`
@@ -204,7 +212,7 @@
 	Create *WatchCreate `json:"create_request,omitempty"`
 }
 
-// WatchCreate says what to watch, and from which revision on.
+// WatchCreate specifies the keys to watch and the first revision to report.
 type WatchCreate struct {
 	Key            []byte `json:"key"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
@@ -212,13 +220,14 @@
 	ProgressNotify bool   `json:"progress_notify,omitempty"`
 }
 
-// WatchMessage is one message of the stream that answers a watch.
+// WatchMessage is a message of the response stream of a watch.
 type WatchMessage struct {
 	Result *WatchResponse `json:"result,omitempty"`
 	Error  *StreamError   `json:"error,omitempty"`
 }
 
-// WatchResponse carries events, or news of the watch itself.
+// WatchResponse contains events, or reports that the watch was created, was
+// canceled or made progress.
 type WatchResponse struct {
 	Header          *Header `json:"header,omitempty"`
 	Created         bool    `json:"created,omitempty"`
@@ -228,17 +237,18 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// EventDelete is the Type of a deletion; a put has the default, empty.
+// EventDelete is the Type of a deletion. The Type of a put is the default, an
+// empty string.
 const EventDelete = "DELETE"
 
-// Event is one change.
+// Event is one change of a key.
 type Event struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
 }
 
-// PrefixEnd returns the range_end that makes key a prefix: the first key
-// after all that begin with it.
+// PrefixEnd returns the range end for reading all keys that begin with prefix:
+// the first key after them, or a zero byte, which means the end of the store.
 func PrefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/infra/etcdjson/etcdjson_test.go
+++ b/internal/infra/etcdjson/etcdjson_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// words are all strings of up to n alphabet.
-func words(alphabet []string, n int) []string {
+// allStrings returns all concatenations of up to n elements of alphabet.
+func allStrings(alphabet []string, n int) []string {
 	if n == 0 {
 		return []string{""}
 	}
-	shorter := words(alphabet, n-1)
+	shorter := allStrings(alphabet, n-1)
 	all := append([]string{}, shorter...)
 	for _, w := range shorter {
 		if len(w) != n-1 {
@@ -26,12 +26,12 @@
 	return all
 }
 
-// A range from the prefix to its end must hold the keys with that prefix and
-// no other: one key more, and a VM of another pool is drained.
+// The range from a prefix to PrefixEnd must contain exactly the keys with that
+// prefix. With one key too many, a VM of another pool could be drained.
 func TestPrefixEnd(t *testing.T) {
 	alphabet := []string{"\x00", "a", "b", "\xfe", "\xff"}
-	keys := words(alphabet, 4)
-	for _, prefix := range words(alphabet, 3) {
+	keys := allStrings(alphabet, 4)
+	for _, prefix := range allStrings(alphabet, 3) {
 		end := string(PrefixEnd(prefix))
 		for _, key := range keys {
 			within := key >= prefix && (end == "\x00" || key < end)
@@ -49,8 +49,8 @@
 		{name: "a string", wire: `"9223372036854775807"`, want: 1<<63 - 1},
 		{name: "a number", wire: `7`, want: 7},
 		{name: "negative", wire: `"-1"`, want: -1},
-		{name: "over the range", wire: `"9223372036854775808"`, fails: true},
-		{name: "no number", wire: `"x"`, fails: true},
+		{name: "out of range", wire: `"9223372036854775808"`, fails: true},
+		{name: "not a number", wire: `"x"`, fails: true},
 	} {
 		var got Int64
 		err := json.Unmarshal([]byte(c.wire), &got)
