--- a/internal/infra/machineapi/client.go
+++ b/internal/infra/machineapi/client.go
@@ -12,21 +12,21 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Client is a infra.Machines. It is safe for concurrent use.
+// Client implements infra.Machines. It is safe for concurrent use.
 type Client struct{ http *httpcall.Client }
 
 var _ infra.Machines = (*Client)(nil)
 
-// Options say how to reach the machines' control.
+// Options configure a Client.
 type Options = httpcall.Options
 
-// New returns a client. It opens no connection before the first call.
+// New returns a Client. It opens no connection before the first call.
 func New(o Options) *Client { return &Client{http: httpcall.New(o)} }
 
 // List implements infra.Machines.
 func (c *Client) List(ctx context.Context) (infra.MachineList, error) {
 	var res MachineList
-	if err := c.ask(ctx, "list", PathMachines, &res); err != nil {
+	if err := c.get(ctx, "list", PathMachines, &res); err != nil {
 		return infra.MachineList{}, err
 	}
 	out := infra.MachineList{AsOf: res.AsOf}
@@ -38,50 +38,50 @@
 
 // Drain implements infra.Machines.
 func (c *Client) Drain(ctx context.Context, vm model.VMID, attempt model.AttemptID) error {
-	return c.effect(ctx, "drain", fill(PathDrain, string(vm)), MachineRequest{attempt})
+	return c.post(ctx, "drain", expandPath(PathDrain, string(vm)), MachineRequest{attempt})
 }
 
 // Undrain implements infra.Machines.
 func (c *Client) Undrain(ctx context.Context, vm model.VMID, attempt model.AttemptID) error {
-	return c.effect(ctx, "undrain", fill(PathUndrain, string(vm)), MachineRequest{attempt})
+	return c.post(ctx, "undrain", expandPath(PathUndrain, string(vm)), MachineRequest{attempt})
 }
 
 // Reboot implements infra.Machines.
 func (c *Client) Reboot(ctx context.Context, vm model.VMID, attempt model.AttemptID) error {
-	return c.effect(ctx, "reboot", fill(PathReboot, string(vm)), MachineRequest{attempt})
+	return c.post(ctx, "reboot", expandPath(PathReboot, string(vm)), MachineRequest{attempt})
 }
 
 // InFlight implements infra.Machines.
 func (c *Client) InFlight(ctx context.Context, vm model.VMID) (int, error) {
 	var res InFlight
-	err := c.ask(ctx, "in-flight", fill(PathInFlight, string(vm)), &res)
+	err := c.get(ctx, "in-flight", expandPath(PathInFlight, string(vm)), &res)
 	return res.Count, err
 }
 
 // StartTask implements infra.Machines.
 func (c *Client) StartTask(ctx context.Context, task infra.Task) error {
-	return c.effect(ctx, "start task", PathTasks, TaskToWire(task))
+	return c.post(ctx, "start task", PathTasks, TaskToWire(task))
 }
 
 // RenewTask implements infra.Machines.
 func (c *Client) RenewTask(ctx context.Context, attempt model.AttemptID) error {
-	return c.effect(ctx, "renew task", fill(PathRenew, string(attempt)), nil)
+	return c.post(ctx, "renew task", expandPath(PathRenew, string(attempt)), nil)
 }
 
 // StopTask implements infra.Machines.
 func (c *Client) StopTask(ctx context.Context, attempt model.AttemptID, checkpoint bool) error {
-	return c.effect(ctx, "stop task", fill(PathStop, string(attempt)), StopRequest{checkpoint})
+	return c.post(ctx, "stop task", expandPath(PathStop, string(attempt)), StopRequest{checkpoint})
 }
 
 // ThrottleTask implements infra.Machines.
 func (c *Client) ThrottleTask(ctx context.Context, attempt model.AttemptID, milliCPU int64) error {
-	return c.effect(ctx, "throttle task", fill(PathThrottle, string(attempt)), ThrottleRequest{milliCPU})
+	return c.post(ctx, "throttle task", expandPath(PathThrottle, string(attempt)), ThrottleRequest{milliCPU})
 }
 
 // Tasks implements infra.Machines.
 func (c *Client) Tasks(ctx context.Context) ([]infra.Task, error) {
 	var res TaskList
-	err := c.ask(ctx, "tasks", PathTasks, &res)
+	err := c.get(ctx, "tasks", PathTasks, &res)
 	var out []infra.Task
 	for _, t := range res.Tasks {
 		out = append(out, TaskFromWire(t))
@@ -92,7 +92,7 @@
 // Usage implements infra.Machines.
 func (c *Client) Usage(ctx context.Context) ([]infra.Usage, error) {
 	var res UsageList
-	err := c.ask(ctx, "usage", PathUsage, &res)
+	err := c.get(ctx, "usage", PathUsage, &res)
 	var out []infra.Usage
 	for _, u := range res.Reports {
 		out = append(out, infra.Usage{Attempt: u.Attempt, VM: u.VM, Used: model.Resources(u.Used), At: u.At})
@@ -100,41 +100,44 @@
 	return out, err
 }
 
-func (c *Client) ask(ctx context.Context, op, path string, into any) error {
+// get sends a GET request and decodes the response into into.
+func (c *Client) get(ctx context.Context, op, path string, into any) error {
 	call := httpcall.Call{Op: op, Method: http.MethodGet, Path: path}
 	a, err := c.http.Do(ctx, call)
 	if err != nil {
 		return err
 	}
 	if a.Status != http.StatusOK {
-		return refusal(call, a)
+		return statusError(call, a)
 	}
 	return httpcall.Decode(call, a, into)
 }
 
-func (c *Client) effect(ctx context.Context, op, path string, body any) error {
+// post sends a request that changes state. A nil body is sent as no body.
+func (c *Client) post(ctx context.Context, op, path string, body any) error {
 	call := httpcall.Call{Op: op, Method: http.MethodPost, Path: path, Body: body, Write: true}
 	a, err := c.http.Do(ctx, call)
 	if err != nil {
 		return err
 	}
 	if a.Status != http.StatusOK {
-		return refusal(call, a)
+		return statusError(call, a)
 	}
 	return httpcall.Decode(call, a, &struct{}{})
 }
 
-// refusal turns an answer that is not 200 into an error. A status that says
-// nothing of the effect leaves a write's outcome open.
-func refusal(call httpcall.Call, a httpcall.Response) error {
+// statusError returns the error for a response whose status is not 200.
+func statusError(call httpcall.Call, a httpcall.Response) error {
 	var p Problem
 	if err := json.Unmarshal(a.Body, &p); err != nil {
-		p.Message = "no further word"
+		p.Message = "no error message in response body"
 	}
-	return infra.Errorf(call.Op, kindOf(call, a.Status), "status %d: %s", a.Status, p.Message)
+	return infra.Errorf(call.Op, kindOfStatus(call, a.Status), "status %d: %s", a.Status, p.Message)
 }
 
-func kindOf(call httpcall.Call, status int) infra.Kind {
+// kindOfStatus returns the kind of error for a status. With a status that
+// doesn't rule out an effect, the outcome of a write is unknown.
+func kindOfStatus(call httpcall.Call, status int) infra.Kind {
 	switch status {
 	case http.StatusBadRequest:
 		return infra.KindInvalid
@@ -153,8 +156,8 @@
 	return infra.KindUnavailable
 }
 
-// fill puts an identifier into a path.
-func fill(path, id string) string {
+// expandPath replaces the placeholder in path by id, escaped.
+func expandPath(path, id string) string {
 	before, rest, _ := strings.Cut(path, "{")
 	_, after, _ := strings.Cut(rest, "}")
 	return before + url.PathEscape(id) + after
--- a/internal/infra/machineapi/wire.go
+++ b/internal/infra/machineapi/wire.go
@@ -1,4 +1,5 @@
-// Package machineapi is infra.Machines over plain HTTP and JSON.
+// Package machineapi implements infra.Machines over HTTP and JSON, and defines
+// the messages of that protocol.
 package machineapi
 
 import (
@@ -8,7 +9,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// The paths of the calls. {vm} and {attempt} stand for identifiers.
+// The paths of the calls. {vm} and {attempt} are placeholders for IDs.
 const (
 	PathMachines = "/machines"
 	PathDrain    = "/machines/{vm}/drain"
@@ -22,7 +23,7 @@
 	PathUsage    = "/usage"
 )
 
-// Machine is one VM in the list.
+// Machine is an entry of MachineList.
 type Machine struct {
 	VM      model.VMID `json:"vm"`
 	Live    bool       `json:"live"`
@@ -31,30 +32,30 @@
 	Tasks   int        `json:"tasks"`
 }
 
-// MachineList answers GET PathMachines.
+// MachineList is the response to GET PathMachines.
 type MachineList struct {
 	AsOf     time.Time `json:"as_of"`
 	Machines []Machine `json:"machines"`
 }
 
-// MachineRequest is the body of drain, undrain and reboot.
+// MachineRequest is the body of a drain, undrain or reboot request.
 type MachineRequest struct {
 	Attempt model.AttemptID `json:"attempt"`
 }
 
-// InFlight answers GET PathInFlight.
+// InFlight is the response to GET PathInFlight.
 type InFlight struct {
 	Count int `json:"count"`
 }
 
-// Resources are amounts on a worker.
+// Resources are amounts of a worker's resources.
 type Resources struct {
 	MilliCPU     int64 `json:"milli_cpu"`
 	MemoryMB     int64 `json:"memory_mb"`
 	Accelerators int64 `json:"accelerators,omitempty"`
 }
 
-// Task is one task: the body of POST PathTasks and an entry of its list.
+// Task is the body of POST PathTasks and an entry of TaskList.
 type Task struct {
 	Attempt model.AttemptID `json:"attempt"`
 	Job     model.JobID     `json:"job"`
@@ -65,22 +66,22 @@
 	Reason  string          `json:"reason,omitempty"`
 }
 
-// TaskList answers GET PathTasks.
+// TaskList is the response to GET PathTasks.
 type TaskList struct {
 	Tasks []Task `json:"tasks"`
 }
 
-// StopRequest is the body of a stop.
+// StopRequest is the body of a request to stop a task.
 type StopRequest struct {
 	Checkpoint bool `json:"checkpoint,omitempty"`
 }
 
-// ThrottleRequest is the body of a throttle.
+// ThrottleRequest is the body of a request to limit a task to MilliCPU.
 type ThrottleRequest struct {
 	MilliCPU int64 `json:"milli_cpu"`
 }
 
-// Usage is one usage report.
+// Usage is the resource usage of one task at time At.
 type Usage struct {
 	Attempt model.AttemptID `json:"attempt"`
 	VM      model.VMID      `json:"vm"`
@@ -88,17 +89,17 @@
 	At      time.Time       `json:"at"`
 }
 
-// UsageList answers GET PathUsage.
+// UsageList is the response to GET PathUsage.
 type UsageList struct {
 	Reports []Usage `json:"reports"`
 }
 
-// Problem is the body of an answer that is not 200.
+// Problem is the body of a response whose status is not 200.
 type Problem struct {
 	Message string `json:"message"`
 }
 
-// TaskToWire turns a task into its message.
+// TaskToWire converts a task to its wire format.
 func TaskToWire(t infra.Task) Task {
 	return Task{
 		Attempt: t.Attempt, Job: t.Job, VM: t.VM, Size: Resources(t.Size),
@@ -106,7 +107,7 @@
 	}
 }
 
-// TaskFromWire turns a message into a task.
+// TaskFromWire converts a task from its wire format.
 func TaskFromWire(t Task) infra.Task {
 	return infra.Task{
 		Attempt: t.Attempt, Job: t.Job, VM: t.VM, Size: model.Resources(t.Size),
