--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -197,8 +197,8 @@
 	return count(s, nil), nil
 }
 
-// Foresee implements query.Planner.
-func (Planner) Foresee(_ context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
+// Forecast implements query.Planner.
+func (Planner) Forecast(_ context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
 	out := make(map[model.VMID]bool)
 	forecast := query.Forecast{Allowed: true}
 	for _, vm := range append(append([]model.VMID{}, h.Drain...), h.Lose...) {
--- a/internal/operator/wiring/planner.go
+++ b/internal/operator/wiring/planner.go
@@ -40,8 +40,8 @@
 	return rows, nil
 }
 
-// Foresee implements query.Planner.
-func (p Planner) Foresee(ctx context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
+// Forecast implements query.Planner.
+func (p Planner) Forecast(ctx context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
 	now, err := p.present(ctx, s)
 	if err != nil {
 		return query.Forecast{}, err
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -15,8 +15,8 @@
 	// Budgets counts every service's budget, the whole service first, then
 	// each zone where it has VMs.
 	Budgets(ctx context.Context, s *view.Snapshot) ([]Headroom, error)
-	// Foresee returns what would happen.
-	Foresee(ctx context.Context, s *view.Snapshot, h Hypothesis) (Forecast, error)
+	// Forecast returns what would happen.
+	Forecast(ctx context.Context, s *view.Snapshot, h Hypothesis) (Forecast, error)
 }
 
 // Headroom is what a service has left of its budget.
--- a/internal/query/whatif.go
+++ b/internal/query/whatif.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := e.Planner.Foresee(ctx, s, h)
+	f, err := e.Planner.Forecast(ctx, s, h)
 	if err != nil {
 		return nil, unavailable("what would happen", err)
 	}
