--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -207,7 +207,7 @@
 	}
 	before, after := count(s, nil), count(s, out)
 	for i := range before {
-		forecast.Budgets = append(forecast.Budgets, query.BudgetShift{Before: before[i], After: after[i]})
+		forecast.Budgets = append(forecast.Budgets, query.BudgetChange{Before: before[i], After: after[i]})
 	}
 	return forecast, nil
 }
--- a/internal/operator/wiring/planner.go
+++ b/internal/operator/wiring/planner.go
@@ -134,8 +134,8 @@
 
 // shifts returns the budgets that differ between two states, services in
 // order, each whole before its zones.
-func shifts(before, after state) []query.BudgetShift {
-	var all []query.BudgetShift
+func shifts(before, after state) []query.BudgetChange {
+	var all []query.BudgetChange
 	for i := range after.d.Services {
 		s := &after.d.Services[i]
 		old := before.d.Service(s.Name)
@@ -143,12 +143,12 @@
 			old = &model.Service{Name: s.Name}
 		}
 		b, a := before.tally(old), after.tally(s)
-		changed := []query.BudgetShift{{
+		changed := []query.BudgetChange{{
 			Before: query.Headroom{Service: s.Name, VMs: b.Total, Available: b.Up, Need: b.Required},
 			After:  query.Headroom{Service: s.Name, VMs: a.Total, Available: a.Up, Need: a.Required},
 		}}
 		for _, z := range after.d.Zones {
-			changed = append(changed, query.BudgetShift{Before: inZone(s.Name, z, b), After: inZone(s.Name, z, a)})
+			changed = append(changed, query.BudgetChange{Before: inZone(s.Name, z, b), After: inZone(s.Name, z, a)})
 		}
 		for _, c := range changed {
 			if c.Before != c.After {
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -39,7 +39,7 @@
 }
 
 func (s *sources) Forecast(context.Context, *view.Snapshot, Hypothesis) (Forecast, error) {
-	return Forecast{Allowed: true, Steps: []Step{{VM: "v1", Done: true}, {VM: "v2"}}, Budgets: []BudgetShift{{
+	return Forecast{Allowed: true, Steps: []Step{{VM: "v1", Done: true}, {VM: "v2"}}, Budgets: []BudgetChange{{
 		Before: Headroom{Service: "web", Available: 2, Need: 1}, After: Headroom{Service: "web", Need: 1},
 	}}}, s.down
 }
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -60,7 +60,7 @@
 	Holds   bool          `json:"holds"`   // every budget that holds before holds after
 	Refusal string        `json:"refusal,omitempty"`
 	Steps   []Step        `json:"steps,omitempty"`
-	Budgets []BudgetShift `json:"budgets,omitempty"`
+	Budgets []BudgetChange `json:"budgets,omitempty"`
 	Moves   int           `json:"moves"` // VMs that change pool
 	Jobs    int           `json:"jobs"`  // jobs that have to go elsewhere
 	// Takes is how long until all of it is done; 0 where it is not known.
@@ -77,8 +77,8 @@
 	Reason string     `json:"reason,omitempty"`
 }
 
-// BudgetShift is a budget before and after.
-type BudgetShift struct {
+// BudgetChange is a budget before and after.
+type BudgetChange struct {
 	Before Headroom `json:"before"`
 	After  Headroom `json:"after"`
 }
--- a/internal/query/whatif.go
+++ b/internal/query/whatif.go
@@ -78,7 +78,7 @@
 }
 
 // holdsAfter reports whether every budget that holds before holds after.
-func holdsAfter(shifts []BudgetShift) bool {
+func holdsAfter(shifts []BudgetChange) bool {
 	for _, b := range shifts {
 		if b.Before.Spare() >= 0 && b.After.Spare() < 0 {
 			return false
