--- a/cmd/pumicestage/print.go
+++ b/cmd/pumicestage/print.go
@@ -100,7 +100,7 @@
 	switch {
 	case !f.Allowed:
 		return "would be refused: " + f.Refusal
-	case !f.Holds:
+	case !f.BudgetsHold:
 		return "a budget would break"
 	}
 	return "every budget would hold"
--- a/internal/operator/wiring/wiring_test.go
+++ b/internal/operator/wiring/wiring_test.go
@@ -257,9 +257,9 @@
 func TestForecastsOfLossAndDeclaration(t *testing.T) {
 	w := newWorld(t, "lautan-kru")
 	rack := w.foresee(t, "lose rack my-a-r1")
-	assert.Assert(t, rack.Holds)
+	assert.Assert(t, rack.BudgetsHold)
 	zone := w.foresee(t, "lose zone my-a")
-	assert.Assert(t, !zone.Holds)
+	assert.Assert(t, !zone.BudgetsHold)
 	assert.Equal(t, len(zone.Steps), 13)
 
 	fewer := *w.decl
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -57,7 +57,7 @@
 type Forecast struct {
 	What    string        `json:"what"`
 	Allowed bool          `json:"allowed"` // the order would not be refused as a whole
-	Holds   bool          `json:"holds"`   // every budget that holds before holds after
+	BudgetsHold   bool          `json:"holds"`   // every budget that holds before holds after
 	Refusal string        `json:"refusal,omitempty"`
 	Steps   []Step        `json:"steps,omitempty"`
 	Budgets []BudgetChange `json:"budgets,omitempty"`
--- a/internal/query/whatif.go
+++ b/internal/query/whatif.go
@@ -21,7 +21,7 @@
 		return nil, unavailable("what would happen", err)
 	}
 	f.What = what
-	f.Holds = holdsAfter(f.Budgets)
+	f.BudgetsHold = holdsAfter(f.Budgets)
 	if f.Jobs, err = e.jobsOn(ctx, f.Steps); err != nil {
 		f.Notes = append(f.Notes, err.Error())
 	}
