--- a/cmd/pumicestage/print.go
+++ b/cmd/pumicestage/print.go
@@ -87,8 +87,8 @@
 		printTable(w, []string{"service", "zone", "need", "available", "then", "headroom", "then"}, rows)
 	}
 	fmt.Fprintf(w, "VMs that change pool: %d, jobs that go elsewhere: %d", f.Moves, f.Jobs)
-	if f.Takes > 0 {
-		fmt.Fprintf(w, ", takes about %s", f.Takes.Round(time.Second))
+	if f.Duration > 0 {
+		fmt.Fprintf(w, ", takes about %s", f.Duration.Round(time.Second))
 	}
 	fmt.Fprintln(w)
 	for _, n := range f.Notes {
--- a/internal/operator/wiring/planner.go
+++ b/internal/operator/wiring/planner.go
@@ -229,7 +229,7 @@
 	if err != nil {
 		return query.Forecast{}, err
 	}
-	f := query.Forecast{Allowed: true, Takes: plan.Forecast}
+	f := query.Forecast{Allowed: true, Duration: plan.Forecast}
 	for _, vm := range plan.Stops {
 		f.Steps = append(f.Steps, query.Step{VM: vm, Action: "reboot", Batch: 1, Done: true})
 	}
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -63,8 +63,8 @@
 	Budgets []BudgetChange `json:"budgets,omitempty"`
 	Moves   int           `json:"moves"` // VMs that change pool
 	Jobs    int           `json:"jobs"`  // jobs that have to go elsewhere
-	// Takes is how long until all of it is done; 0 where it is not known.
-	Takes time.Duration `json:"takesNanoseconds,omitempty"`
+	// Duration is how long until all of it is done; 0 where it is not known.
+	Duration time.Duration `json:"takesNanoseconds,omitempty"`
 	Notes []string      `json:"notes,omitempty"`
 }
 
