--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -88,10 +88,10 @@
 
 func (peers) Self() model.EntryID { return "e1" }
 
-func (p peers) Heard() []query.PeerHeard {
-	var heard []query.PeerHeard
+func (p peers) Heard() []query.PeerStatus {
+	var heard []query.PeerStatus
 	for _, e := range p.f.View.Load().Entries {
-		heard = append(heard, query.PeerHeard{Entry: e.ID, Zone: e.Zone, At: p.f.Clock.Now()})
+		heard = append(heard, query.PeerStatus{Entry: e.ID, Zone: e.Zone, At: p.f.Clock.Now()})
 	}
 	return heard
 }
--- a/internal/operator/wiring/peers.go
+++ b/internal/operator/wiring/peers.go
@@ -28,13 +28,13 @@
 func (p Peers) Self() model.EntryID { return p.Record.ID }
 
 // Heard implements query.Peers.
-func (p Peers) Heard() []query.PeerHeard {
+func (p Peers) Heard() []query.PeerStatus {
 	s := p.View.Load()
-	heard := []query.PeerHeard{{
+	heard := []query.PeerStatus{{
 		Entry: p.Record.ID, Zone: p.Record.Zone, At: p.Clock.Now(), Generation: s.Generation(), Revision: s.Revision,
 	}}
 	for _, st := range p.Mesh.Peers() {
-		heard = append(heard, query.PeerHeard{
+		heard = append(heard, query.PeerStatus{
 			Entry: st.Entry, Zone: st.Zone, At: st.Heard, Generation: st.Generation, Revision: st.Revision,
 		})
 	}
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -22,7 +22,7 @@
 
 // sources is every part an Engine asks, as a test sets it.
 type sources struct {
-	heard   []PeerHeard
+	heard   []PeerStatus
 	budgets []Headroom
 	waves   []WaveStatus
 	jobs    []JobStatus
@@ -32,7 +32,7 @@
 
 func (s *sources) Self() model.EntryID { return "e1" }
 
-func (s *sources) Heard() []PeerHeard { return s.heard }
+func (s *sources) Heard() []PeerStatus { return s.heard }
 
 func (s *sources) Budgets(context.Context, *view.Snapshot) ([]Headroom, error) {
 	return s.budgets, s.down
@@ -54,7 +54,7 @@
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(epoch)
 	src := &sources{
-		heard:   []PeerHeard{{Entry: "e1", Zone: "a", At: epoch, Generation: 3}, {Entry: "e2", Zone: "b", At: epoch.Add(-time.Minute)}},
+		heard:   []PeerStatus{{Entry: "e1", Zone: "a", At: epoch, Generation: 3}, {Entry: "e2", Zone: "b", At: epoch.Add(-time.Minute)}},
 		budgets: []Headroom{{Service: "web", VMs: 3, Available: 2, Need: 2}, {Service: "web", Zone: "a", VMs: 2, Available: 1, Need: 1}},
 		waves: []WaveStatus{{Name: "spring", State: "running", Pools: []model.PoolName{"web"}, Total: 3, Done: 1, Out: 1,
 			Reason: "service web has no headroom", Started: epoch.Add(-time.Hour), By: "ana", Change: "c-1", Forecast: 5 * time.Minute}},
--- a/internal/query/show.go
+++ b/internal/query/show.go
@@ -264,7 +264,7 @@
 }
 
 func (e *Engine) listEntries(s *view.Snapshot) [][]string {
-	heard := make(map[model.EntryID]PeerHeard)
+	heard := make(map[model.EntryID]PeerStatus)
 	for _, p := range e.heard() {
 		heard[p.Entry] = p
 	}
@@ -277,7 +277,7 @@
 	return rows
 }
 
-func (e *Engine) heard() []PeerHeard {
+func (e *Engine) heard() []PeerStatus {
 	if e.Peers == nil {
 		return nil
 	}
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -125,11 +125,11 @@
 	Self() model.EntryID
 	// Heard returns each entry VM ever heard, this one included with the
 	// present time.
-	Heard() []PeerHeard
+	Heard() []PeerStatus
 }
 
-// PeerHeard is when an entry VM was heard last, and what it then had.
-type PeerHeard struct {
+// PeerStatus is when an entry VM was heard last, and what it then had.
+type PeerStatus struct {
 	Entry      model.EntryID
 	Zone       model.ZoneName
 	At         time.Time
