--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -88,7 +88,7 @@
 
 func (peers) Self() model.EntryID { return "e1" }
 
-func (p peers) Heard() []query.PeerStatus {
+func (p peers) Statuses() []query.PeerStatus {
 	var heard []query.PeerStatus
 	for _, e := range p.f.View.Load().Entries {
 		heard = append(heard, query.PeerStatus{Entry: e.ID, Zone: e.Zone, At: p.f.Clock.Now()})
--- a/internal/operator/wiring/peers.go
+++ b/internal/operator/wiring/peers.go
@@ -27,8 +27,8 @@
 // Self implements query.Peers.
 func (p Peers) Self() model.EntryID { return p.Record.ID }
 
-// Heard implements query.Peers.
-func (p Peers) Heard() []query.PeerStatus {
+// Statuses implements query.Peers.
+func (p Peers) Statuses() []query.PeerStatus {
 	s := p.View.Load()
 	heard := []query.PeerStatus{{
 		Entry: p.Record.ID, Zone: p.Record.Zone, At: p.Clock.Now(), Generation: s.Generation(), Revision: s.Revision,
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -182,7 +182,7 @@
 	}
 	info.Entry = e.Peers.Self()
 	heard := make(map[model.ZoneName]time.Time)
-	for _, p := range e.Peers.Heard() {
+	for _, p := range e.Peers.Statuses() {
 		if p.At.After(heard[p.Zone]) {
 			heard[p.Zone] = p.At
 		}
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -32,7 +32,7 @@
 
 func (s *sources) Self() model.EntryID { return "e1" }
 
-func (s *sources) Heard() []PeerStatus { return s.heard }
+func (s *sources) Statuses() []PeerStatus { return s.heard }
 
 func (s *sources) Budgets(context.Context, *view.Snapshot) ([]Headroom, error) {
 	return s.budgets, s.down
--- a/internal/query/show.go
+++ b/internal/query/show.go
@@ -281,7 +281,7 @@
 	if e.Peers == nil {
 		return nil
 	}
-	return e.Peers.Heard()
+	return e.Peers.Statuses()
 }
 
 func (e *Engine) listTeams(s *view.Snapshot) [][]string {
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -123,9 +123,9 @@
 // Peers tells of the entry VMs this one hears.
 type Peers interface {
 	Self() model.EntryID
-	// Heard returns each entry VM ever heard, this one included with the
+	// Statuses returns each entry VM ever heard, this one included with the
 	// present time.
-	Heard() []PeerStatus
+	Statuses() []PeerStatus
 }
 
 // PeerStatus is when an entry VM was heard last, and what it then had.
