--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -91,7 +91,7 @@
 func (p peers) Statuses() []query.PeerStatus {
 	var heard []query.PeerStatus
 	for _, e := range p.f.View.Load().Entries {
-		heard = append(heard, query.PeerStatus{Entry: e.ID, Zone: e.Zone, At: p.f.Clock.Now()})
+		heard = append(heard, query.PeerStatus{Entry: e.ID, Zone: e.Zone, LastHeard: p.f.Clock.Now()})
 	}
 	return heard
 }
--- a/internal/operator/wiring/peers.go
+++ b/internal/operator/wiring/peers.go
@@ -31,11 +31,11 @@
 func (p Peers) Statuses() []query.PeerStatus {
 	s := p.View.Load()
 	heard := []query.PeerStatus{{
-		Entry: p.Record.ID, Zone: p.Record.Zone, At: p.Clock.Now(), Generation: s.Generation(), Revision: s.Revision,
+		Entry: p.Record.ID, Zone: p.Record.Zone, LastHeard: p.Clock.Now(), Generation: s.Generation(), Revision: s.Revision,
 	}}
 	for _, st := range p.Mesh.Peers() {
 		heard = append(heard, query.PeerStatus{
-			Entry: st.Entry, Zone: st.Zone, At: st.Heard, Generation: st.Generation, Revision: st.Revision,
+			Entry: st.Entry, Zone: st.Zone, LastHeard: st.Heard, Generation: st.Generation, Revision: st.Revision,
 		})
 	}
 	return heard
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -183,8 +183,8 @@
 	info.Entry = e.Peers.Self()
 	heard := make(map[model.ZoneName]time.Time)
 	for _, p := range e.Peers.Statuses() {
-		if p.At.After(heard[p.Zone]) {
-			heard[p.Zone] = p.At
+		if p.LastHeard.After(heard[p.Zone]) {
+			heard[p.Zone] = p.LastHeard
 		}
 	}
 	for _, z := range s.Declaration.Zones {
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(epoch)
 	src := &sources{
-		heard:   []PeerStatus{{Entry: "e1", Zone: "a", At: epoch, Generation: 3}, {Entry: "e2", Zone: "b", At: epoch.Add(-time.Minute)}},
+		heard:   []PeerStatus{{Entry: "e1", Zone: "a", LastHeard: epoch, Generation: 3}, {Entry: "e2", Zone: "b", LastHeard: epoch.Add(-time.Minute)}},
 		budgets: []Headroom{{Service: "web", VMs: 3, Available: 2, Need: 2}, {Service: "web", Zone: "a", VMs: 2, Available: 1, Need: 1}},
 		waves: []WaveStatus{{Name: "spring", State: "running", Pools: []model.PoolName{"web"}, Total: 3, Done: 1, Out: 1,
 			Reason: "service web has no headroom", Started: epoch.Add(-time.Hour), By: "ana", Change: "c-1", Forecast: 5 * time.Minute}},
@@ -186,7 +186,7 @@
 	assert.DeepEqual(t, answer.View.MissingZones, []MissingZone{{Zone: "b", Heard: epoch.Add(-time.Minute)}, {Zone: "c"}})
 
 	clock.Advance(StaleAfter + time.Second)
-	src.heard[0].At = clock.Now()
+	src.heard[0].LastHeard = clock.Now()
 	answer, err = ask(t, e, "show vms")
 	assert.NilError(t, err)
 	assert.Assert(t, answer.View.Stale)
--- a/internal/query/show.go
+++ b/internal/query/show.go
@@ -162,8 +162,8 @@
 	}
 	heard := make(map[model.ZoneName]time.Time)
 	for _, p := range e.heard() {
-		if p.At.After(heard[p.Zone]) {
-			heard[p.Zone] = p.At
+		if p.LastHeard.After(heard[p.Zone]) {
+			heard[p.Zone] = p.LastHeard
 		}
 	}
 	var rows [][]string
@@ -271,7 +271,7 @@
 	var rows [][]string
 	for _, entry := range s.Entries {
 		p := heard[entry.ID]
-		rows = append(rows, []string{string(entry.ID), string(entry.Zone), strconv.FormatUint(p.Generation, 10), e.since(p.At)})
+		rows = append(rows, []string{string(entry.ID), string(entry.Zone), strconv.FormatUint(p.Generation, 10), e.since(p.LastHeard)})
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i][0] < rows[j][0] })
 	return rows
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -132,7 +132,7 @@
 type PeerStatus struct {
 	Entry      model.EntryID
 	Zone       model.ZoneName
-	At         time.Time
+	LastHeard         time.Time
 	Generation uint64
 	Revision   infra.Revision
 }
