--- a/cmd/pumicestage/print.go
+++ b/cmd/pumicestage/print.go
@@ -113,7 +113,7 @@
 		fmt.Fprintf(w, "WARNING: this view is %s old, things may have changed since\n", v.Age.Truncate(time.Second))
 	}
 	for _, z := range v.MissingZones {
-		fmt.Fprintf(w, "WARNING: zone %s is not heard %s, what is said of it may be over\n", z.Zone, sinceText(z.Heard))
+		fmt.Fprintf(w, "WARNING: zone %s is not heard %s, what is said of it may be over\n", z.Zone, sinceText(z.LastHeard))
 	}
 	fmt.Fprintf(w, "view of %s, %s old, generation %d, revision %d, answered by %s\n",
 		v.AsOf.UTC().Format("2006-01-02 15:04:05"), v.Age.Truncate(time.Millisecond), v.Generation, v.Revision, orUnknown(string(v.Entry)))
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -100,7 +100,7 @@
 // answer says of it may be over.
 type MissingZone struct {
 	Zone  model.ZoneName `json:"zone"`
-	Heard time.Time      `json:"heard,omitzero"` // zero: not since this entry VM started
+	LastHeard time.Time      `json:"heard,omitzero"` // zero: not since this entry VM started
 }
 
 const (
@@ -189,7 +189,7 @@
 	}
 	for _, z := range s.Declaration.Zones {
 		if now.Sub(heard[z]) > zoneSilence {
-			info.MissingZones = append(info.MissingZones, MissingZone{Zone: z, Heard: heard[z]})
+			info.MissingZones = append(info.MissingZones, MissingZone{Zone: z, LastHeard: heard[z]})
 		}
 	}
 	return info
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -183,7 +183,7 @@
 	answer, err := ask(t, e, "show vms")
 	assert.NilError(t, err)
 	assert.Assert(t, !answer.View.Stale)
-	assert.DeepEqual(t, answer.View.MissingZones, []MissingZone{{Zone: "b", Heard: epoch.Add(-time.Minute)}, {Zone: "c"}})
+	assert.DeepEqual(t, answer.View.MissingZones, []MissingZone{{Zone: "b", LastHeard: epoch.Add(-time.Minute)}, {Zone: "c"}})
 
 	clock.Advance(StaleAfter + time.Second)
 	src.heard[0].LastHeard = clock.Now()
