--- a/internal/operator/wiring/waves.go
+++ b/internal/operator/wiring/waves.go
@@ -25,7 +25,7 @@
 		r := s.Record
 		found[i] = query.WaveStatus{
 			Name: r.Name, State: string(r.State), Pools: r.Pools,
-			Total: s.Progress.Total, Done: s.Progress.Done, Out: s.Progress.Out, Failed: s.Progress.Failed,
+			Total: s.Progress.Total, Done: s.Progress.Done, OutOfService: s.Progress.Out, Failed: s.Progress.Failed,
 			Reason: s.Hold, Started: r.Started, Ended: r.Ended, Forecast: s.Forecast, By: r.Actor, Change: r.Change,
 		}
 	}
--- a/internal/query/explain.go
+++ b/internal/query/explain.go
@@ -156,7 +156,7 @@
 }
 
 func (e *Engine) addWave(s *view.Snapshot, x *Explanation, w WaveStatus) {
-	x.Now = fmt.Sprintf("%s, %d of %d VMs done, %d out, %d failed", w.State, w.Done, w.Total, w.Out, w.Failed)
+	x.Now = fmt.Sprintf("%s, %d of %d VMs done, %d out, %d failed", w.State, w.Done, w.Total, w.OutOfService, w.Failed)
 	x.add(time.Time{}, "goes through pools %s", joined(w.Pools))
 	if !w.Started.IsZero() {
 		x.add(w.Started, "started%s%s", byWhom(w.By), because("", w.Change))
--- a/internal/query/show.go
+++ b/internal/query/show.go
@@ -205,7 +205,7 @@
 	var rows [][]string
 	for _, w := range waves {
 		rows = append(rows, []string{
-			string(w.Name), w.State, strconv.Itoa(w.Done), strconv.Itoa(w.Out), strconv.Itoa(w.Total), joined(w.Pools), w.Reason,
+			string(w.Name), w.State, strconv.Itoa(w.Done), strconv.Itoa(w.OutOfService), strconv.Itoa(w.Total), joined(w.Pools), w.Reason,
 		})
 	}
 	return rows, "", nil
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -95,7 +95,7 @@
 	Pools    []model.PoolName
 	Total    int
 	Done     int
-	Out      int // VMs out of service for it now
+	OutOfService      int // VMs out of service for it now
 	Failed   int
 	Reason   string // what holds it back or paused it
 	Started  time.Time
