--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -156,7 +156,7 @@
 		s.VM = r.VM
 	}
 	for _, h := range r.History {
-		s.Chain = append(s.Chain, query.Reason{At: h.At, Text: h.Text})
+		s.History = append(s.History, query.Reason{At: h.At, Text: h.Text})
 	}
 	return s
 }
--- a/internal/jobs/jobsport/jobsport_test.go
+++ b/internal/jobs/jobsport/jobsport_test.go
@@ -70,7 +70,7 @@
 	left, err := QueryAdapter{j}.Jobs(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, left[0].State, "waiting")
-	assert.Equal(t, len(left[1].Chain), 2)
+	assert.Equal(t, len(left[1].History), 2)
 }
 
 func TestMatches(t *testing.T) {
--- a/internal/query/explain.go
+++ b/internal/query/explain.go
@@ -205,7 +205,7 @@
 			x.Now += " on VM " + string(j.VM)
 		}
 		x.add(j.SubmittedAt, "submitted by team %s, kind %s, class %s", j.Team, j.Kind, j.Class)
-		x.Reasons = append(x.Reasons, j.Chain...)
+		x.Reasons = append(x.Reasons, j.History...)
 		if j.Reason != "" {
 			x.add(j.Since, "%s", j.Reason)
 		}
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -117,7 +117,7 @@
 	VM     model.VMID
 	Since  time.Time
 	Reason string   // what binds or what it waits for
-	Chain  []Reason // what happened to it, oldest first
+	History  []Reason // what happened to it, oldest first
 }
 
 // Peers tells of the entry VMs this one hears.
