--- a/internal/query/budgets.go
+++ b/internal/query/budgets.go
@@ -36,14 +36,14 @@
 		for _, p := range svc.Pools {
 			members = append(members, byPool[p]...)
 		}
-		rows = append(rows, Rows(budget.Count(svc, members), s.Declaration.Zones)...)
+		rows = append(rows, Headrooms(budget.Count(svc, members), s.Declaration.Zones)...)
 	}
 	return rows
 }
 
-// Rows returns a service's count as headrooms: the whole service, then each
+// Headrooms returns a service's count as headrooms: the whole service, then each
 // zone where it has VMs.
-func Rows(t *budget.Tally, zones []model.ZoneName) []Headroom {
+func Headrooms(t *budget.Tally, zones []model.ZoneName) []Headroom {
 	rows := []Headroom{{Service: t.Service, VMs: t.Total, Available: t.Up, Need: t.Required}}
 	for _, z := range zones {
 		if d, ok := t.Zones[z]; ok {
