--- a/cmd/pumicestage/print.go
+++ b/cmd/pumicestage/print.go
@@ -78,7 +78,7 @@
 			zone = "all"
 		}
 		rows = append(rows, []string{
-			string(b.After.Service), zone, fmt.Sprint(b.After.Need),
+			string(b.After.Service), zone, fmt.Sprint(b.After.Required),
 			fmt.Sprint(b.Before.Available), fmt.Sprint(b.After.Available),
 			fmt.Sprint(b.Before.Spare()), fmt.Sprint(b.After.Spare()),
 		})
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -225,7 +225,7 @@
 				h.Available++
 			}
 		}
-		h.Need = svc.Budget.MinAvailable.Of(h.VMs)
+		h.Required = svc.Budget.MinAvailable.Of(h.VMs)
 		rows = append(rows, h)
 	}
 	return rows
--- a/internal/operator/wiring/planner.go
+++ b/internal/operator/wiring/planner.go
@@ -30,10 +30,10 @@
 	}
 	var rows []query.Headroom
 	for _, b := range all {
-		rows = append(rows, query.Headroom{Service: b.Service, VMs: b.Total, Available: b.Up, Need: b.Required})
+		rows = append(rows, query.Headroom{Service: b.Service, VMs: b.Total, Available: b.Up, Required: b.Required})
 		for _, z := range s.Declaration.Zones {
 			if d, ok := b.Zones[z]; ok {
-				rows = append(rows, query.Headroom{Service: b.Service, Zone: z, VMs: d.Total, Available: d.Up, Need: d.Required})
+				rows = append(rows, query.Headroom{Service: b.Service, Zone: z, VMs: d.Total, Available: d.Up, Required: d.Required})
 			}
 		}
 	}
@@ -144,8 +144,8 @@
 		}
 		b, a := before.tally(old), after.tally(s)
 		changed := []query.BudgetChange{{
-			Before: query.Headroom{Service: s.Name, VMs: b.Total, Available: b.Up, Need: b.Required},
-			After:  query.Headroom{Service: s.Name, VMs: a.Total, Available: a.Up, Need: a.Required},
+			Before: query.Headroom{Service: s.Name, VMs: b.Total, Available: b.Up, Required: b.Required},
+			After:  query.Headroom{Service: s.Name, VMs: a.Total, Available: a.Up, Required: a.Required},
 		}}
 		for _, z := range after.d.Zones {
 			changed = append(changed, query.BudgetChange{Before: inZone(s.Name, z, b), After: inZone(s.Name, z, a)})
@@ -162,7 +162,7 @@
 func inZone(s model.ServiceName, z model.ZoneName, t *budget.Tally) query.Headroom {
 	h := query.Headroom{Service: s, Zone: z}
 	if d, ok := t.Zones[z]; ok {
-		h.VMs, h.Available, h.Need = d.Total, d.Up, d.Required
+		h.VMs, h.Available, h.Required = d.Total, d.Up, d.Required
 	}
 	return h
 }
--- a/internal/query/budgets.go
+++ b/internal/query/budgets.go
@@ -44,10 +44,10 @@
 // Headrooms returns a service's count as headrooms: the whole service, then each
 // zone where it has VMs.
 func Headrooms(t *budget.Tally, zones []model.ZoneName) []Headroom {
-	rows := []Headroom{{Service: t.Service, VMs: t.Total, Available: t.Up, Need: t.Required}}
+	rows := []Headroom{{Service: t.Service, VMs: t.Total, Available: t.Up, Required: t.Required}}
 	for _, z := range zones {
 		if d, ok := t.Zones[z]; ok {
-			rows = append(rows, Headroom{Service: t.Service, Zone: z, VMs: d.Total, Available: d.Up, Need: d.Required})
+			rows = append(rows, Headroom{Service: t.Service, Zone: z, VMs: d.Total, Available: d.Up, Required: d.Required})
 		}
 	}
 	return rows
--- a/internal/query/explain.go
+++ b/internal/query/explain.go
@@ -128,7 +128,7 @@
 	if h.Zone != "" {
 		where = " in zone " + string(h.Zone)
 	}
-	text := fmt.Sprintf("service %s has %d of %d VMs available%s and needs %d", h.Service, h.Available, h.VMs, where, h.Need)
+	text := fmt.Sprintf("service %s has %d of %d VMs available%s and needs %d", h.Service, h.Available, h.VMs, where, h.Required)
 	switch spare := h.Spare(); {
 	case spare < 0:
 		return fmt.Sprintf("%s: its budget is broken by %d", text, -spare)
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -40,7 +40,7 @@
 
 func (s *sources) Forecast(context.Context, *view.Snapshot, Hypothesis) (Forecast, error) {
 	return Forecast{Allowed: true, Steps: []Step{{VM: "v1", Done: true}, {VM: "v2"}}, Budgets: []BudgetChange{{
-		Before: Headroom{Service: "web", Available: 2, Need: 1}, After: Headroom{Service: "web", Need: 1},
+		Before: Headroom{Service: "web", Available: 2, Required: 1}, After: Headroom{Service: "web", Required: 1},
 	}}}, s.down
 }
 
@@ -55,7 +55,7 @@
 	clock := clockwork.NewFakeClockAt(epoch)
 	src := &sources{
 		heard:   []PeerStatus{{Entry: "e1", Zone: "a", LastHeard: epoch, Generation: 3}, {Entry: "e2", Zone: "b", LastHeard: epoch.Add(-time.Minute)}},
-		budgets: []Headroom{{Service: "web", VMs: 3, Available: 2, Need: 2}, {Service: "web", Zone: "a", VMs: 2, Available: 1, Need: 1}},
+		budgets: []Headroom{{Service: "web", VMs: 3, Available: 2, Required: 2}, {Service: "web", Zone: "a", VMs: 2, Available: 1, Required: 1}},
 		waves: []WaveStatus{{Name: "spring", State: "running", Pools: []model.PoolName{"web"}, Total: 3, Done: 1, OutOfService: 1,
 			Reason: "service web has no headroom", Started: epoch.Add(-time.Hour), By: "ana", Change: "c-1", Forecast: 5 * time.Minute}},
 		jobs: []JobStatus{{Job: model.Job{ID: "j9", Team: "t", Kind: "k", SubmittedAt: epoch.Add(-time.Hour)}, State: "unplaceable",
--- a/internal/query/show.go
+++ b/internal/query/show.go
@@ -188,7 +188,7 @@
 			zone = allZones
 		}
 		rows = append(rows, []string{
-			string(b.Service), zone, strconv.Itoa(b.Need), strconv.Itoa(b.Available), strconv.Itoa(b.Spare()), strconv.Itoa(b.VMs),
+			string(b.Service), zone, strconv.Itoa(b.Required), strconv.Itoa(b.Available), strconv.Itoa(b.Spare()), strconv.Itoa(b.VMs),
 		})
 	}
 	return rows, note, nil
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -25,11 +25,11 @@
 	Zone      model.ZoneName    `json:"zone,omitempty"` // empty for the whole service
 	VMs       int               `json:"vms"`
 	Available int               `json:"available"` // certainly in service
-	Need      int               `json:"need"`
+	Required      int               `json:"need"`
 }
 
 // Spare returns how many more VMs may go; negative where the budget is broken.
-func (h Headroom) Spare() int { return h.Available - h.Need }
+func (h Headroom) Spare() int { return h.Available - h.Required }
 
 // Hypothesis is what a what-if supposes. Exactly one of Drain, Move, Wave,
 // Lose and Declaration is set.
