--- a/cmd/pumicestage/print.go
+++ b/cmd/pumicestage/print.go
@@ -52,7 +52,7 @@
 }
 
 func printExplanation(w io.Writer, x *query.Explanation) {
-	fmt.Fprintf(w, "%s %s: %s\n", x.Subject, x.Name, x.Now)
+	fmt.Fprintf(w, "%s %s: %s\n", x.Subject, x.Name, x.CurrentState)
 	for _, r := range x.Reasons {
 		at := "always"
 		if !r.At.IsZero() {
--- a/internal/query/explain.go
+++ b/internal/query/explain.go
@@ -59,7 +59,7 @@
 	if !ok {
 		return e.explainUnknownVM(s, x)
 	}
-	x.Now = fmt.Sprintf("%s, pool %s, %s as this entry VM sees it", vm.State, vm.Pool, e.Health(vm.ID))
+	x.CurrentState = fmt.Sprintf("%s, pool %s, %s as this entry VM sees it", vm.State, vm.Pool, e.Health(vm.ID))
 	for _, decl := range s.Declaration.VMs {
 		if decl.ID == vm.ID {
 			x.add(time.Time{}, "declared in pool %s, rack %s, zone %s (generation %d)", decl.Pool, decl.Rack, decl.Zone, s.Generation())
@@ -83,7 +83,7 @@
 func (e *Engine) explainUnknownVM(s *view.Snapshot, x *Explanation) error {
 	for _, decl := range s.Declaration.VMs {
 		if string(decl.ID) == x.Name {
-			x.Now = "declared, not yet taken into the fleet"
+			x.CurrentState = "declared, not yet taken into the fleet"
 			x.add(time.Time{}, "declared in pool %s, rack %s, zone %s (generation %d)", decl.Pool, decl.Rack, decl.Zone, s.Generation())
 			return nil
 		}
@@ -156,7 +156,7 @@
 }
 
 func (e *Engine) addWave(s *view.Snapshot, x *Explanation, w WaveStatus) {
-	x.Now = fmt.Sprintf("%s, %d of %d VMs done, %d out, %d failed", w.State, w.Done, w.Total, w.OutOfService, w.Failed)
+	x.CurrentState = fmt.Sprintf("%s, %d of %d VMs done, %d out, %d failed", w.State, w.Done, w.Total, w.OutOfService, w.Failed)
 	x.add(time.Time{}, "goes through pools %s", joined(w.Pools))
 	if !w.Started.IsZero() {
 		x.add(w.Started, "started%s%s", byWhom(w.By), because("", w.Change))
@@ -200,9 +200,9 @@
 		if string(j.ID) != x.Name {
 			continue
 		}
-		x.Now = j.State
+		x.CurrentState = j.State
 		if j.VM != "" {
-			x.Now += " on VM " + string(j.VM)
+			x.CurrentState += " on VM " + string(j.VM)
 		}
 		x.add(j.SubmittedAt, "submitted by team %s, kind %s, class %s", j.Team, j.Kind, j.Class)
 		x.Reasons = append(x.Reasons, j.History...)
@@ -219,7 +219,7 @@
 	if svc == nil {
 		return notFound("no service %q; declared are %s", x.Name, serviceNames(s.Declaration))
 	}
-	x.Now = fmt.Sprintf("pools %s, limit %d", joined(svc.Pools), svc.Limit)
+	x.CurrentState = fmt.Sprintf("pools %s, limit %d", joined(svc.Pools), svc.Limit)
 	x.add(time.Time{}, "its budget: %s", budgetText(svc))
 	for _, vm := range sortedVMs(s) {
 		down := vm.State != model.VMInPool || e.Health(vm.ID) != model.HealthHealthy
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -75,7 +75,7 @@
 type Explanation struct {
 	Subject lang.Subject `json:"subject"`
 	Name    string       `json:"name"`
-	Now     string       `json:"now"`
+	CurrentState     string       `json:"now"`
 	Reasons []Reason     `json:"reasons"`
 }
 
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -162,7 +162,7 @@
 			answer, err := ask(t, e, tc.text)
 			assert.NilError(t, err)
 			x := answer.Explanation
-			assert.Assert(t, strings.HasPrefix(x.Now, tc.now), x.Now)
+			assert.Assert(t, strings.HasPrefix(x.CurrentState, tc.now), x.CurrentState)
 			for i, part := range tc.want {
 				assert.Assert(t, strings.Contains(x.Reasons[i].Text, part), "%d: %q", i, x.Reasons[i].Text)
 				assert.Assert(t, i == 0 || !x.Reasons[i].At.Before(x.Reasons[i-1].At))
