--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -120,7 +120,7 @@
 			x := New(Options{Fleet: s, Jobs: s, Members: s, Trail: s, Clock: clockwork.NewFakeClockAt(epoch)})
 			o, err := lang.ParseOrder(tc.order)
 			assert.NilError(t, err)
-			res, err := x.Do(ctx, Request{Change: "c-1", By: ana, Text: tc.order, Order: o})
+			res, err := x.Execute(ctx, Request{Change: "c-1", By: ana, Text: tc.order, Order: o})
 			if tc.err == "" {
 				assert.NilError(t, err)
 			} else {
@@ -141,10 +141,10 @@
 func TestOutcomeNotEnteredIsAWarning(t *testing.T) {
 	s := &scripted{mute: map[Stage]bool{StageDone: true}}
 	x := New(Options{Fleet: s, Members: s, Trail: s, Clock: clockwork.NewFakeClockAt(epoch)})
-	res, err := x.Do(ctx, Request{Change: "c-1", Text: "drain rack r1", Order: lang.Drain{Scope: lang.Scope{Subject: lang.SubjectRack, Name: "r1"}}})
+	res, err := x.Execute(ctx, Request{Change: "c-1", Text: "drain rack r1", Order: lang.Drain{Scope: lang.Scope{Subject: lang.SubjectRack, Name: "r1"}}})
 	assert.NilError(t, err)
 	assert.Equal(t, res.Warning, "the outcome could not be entered in the audit trail: trail out of reach")
-	_, err = x.Do(ctx, Request{Order: lang.CancelJobs{Job: "j1"}, Change: "c-2"})
+	_, err = x.Execute(ctx, Request{Order: lang.CancelJobs{Job: "j1"}, Change: "c-2"})
 	assert.Error(t, err, "refused (not-found): this deployment runs no jobs")
 }
 
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -43,13 +43,13 @@
 	return &Executor{o}
 }
 
-// Do carries out one order. Its error is a *Refusal (certainly nothing was
+// Execute carries out one order. Its error is a *Refusal (certainly nothing was
 // changed) or an *UncertainError. An order on several things is done for each
 // that allows it; Result tells which were refused.
 //
 // The order is entered in the trail before anything is changed: were it
 // entered after, a crash in between would leave a change that nobody made.
-func (x *Executor) Do(ctx context.Context, req Request) (Result, error) {
+func (x *Executor) Execute(ctx context.Context, req Request) (Result, error) {
 	if req.Change == "" {
 		return Result{}, &Refusal{Code: CodeInvalid, Detail: "an order needs a change ID"}
 	}
--- a/internal/jobs/jobsport/jobsport_test.go
+++ b/internal/jobs/jobsport/jobsport_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	order, err := lang.ParseOrder(text)
 	assert.NilError(t, err)
-	return x.Do(context.Background(), command.Request{Change: change, Text: text, Order: order})
+	return x.Execute(context.Background(), command.Request{Change: change, Text: text, Order: order})
 }
 
 func TestCancelJobsByCommand(t *testing.T) {
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -144,7 +144,7 @@
 			return nil, err
 		}
 	}
-	res, err := s.Commands.Do(ctx, command.Request{Change: req.Change, By: actor(r, who), IfRevision: req.IfRevision, Text: req.Text, Order: order})
+	res, err := s.Commands.Execute(ctx, command.Request{Change: req.Change, By: actor(r, who), IfRevision: req.IfRevision, Text: req.Text, Order: order})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/wiring/wiring_test.go
+++ b/internal/operator/wiring/wiring_test.go
@@ -128,7 +128,7 @@
 	t.Helper()
 	o, err := lang.ParseOrder(text)
 	assert.NilError(t, err)
-	return w.port.Commands.Do(ctx, command.Request{Change: change, By: command.Actor{Name: "ana"}, Text: text, Order: o})
+	return w.port.Commands.Execute(ctx, command.Request{Change: change, By: command.Actor{Name: "ana"}, Text: text, Order: o})
 }
 
 // verdicts of a forecast and of an order, as "v01 done" or "v01 refused".
