--- a/internal/command/bulk.go
+++ b/internal/command/bulk.go
@@ -11,7 +11,7 @@
 type BulkJobs interface {
 	Jobs
 	// CancelAll cancels the jobs and returns an effect for each, in order.
-	CancelAll(ctx context.Context, jobs []model.JobID, t Terms) ([]Effect, error)
+	CancelAll(ctx context.Context, jobs []model.JobID, t OrderMeta) ([]Effect, error)
 }
 
 // cancelTogether makes the steps of an order that cancels many. The first step
@@ -19,7 +19,7 @@
 func cancelTogether(jobs BulkJobs, ids []model.JobID) []step {
 	var effects []Effect
 	var failed error
-	all := func(ctx context.Context, t Terms) ([]Effect, error) {
+	all := func(ctx context.Context, t OrderMeta) ([]Effect, error) {
 		if effects == nil && failed == nil {
 			effects, failed = jobs.CancelAll(ctx, ids, t)
 		}
@@ -27,7 +27,7 @@
 	}
 	steps := make([]step, len(ids))
 	for i, id := range ids {
-		steps[i] = step{"job " + string(id), func(ctx context.Context, t Terms) (Effect, error) {
+		steps[i] = step{"job " + string(id), func(ctx context.Context, t OrderMeta) (Effect, error) {
 			done, err := all(ctx, t)
 			if err != nil {
 				return Effect{}, err
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -27,8 +27,8 @@
 	Order      lang.Order
 }
 
-// Terms go with every call to a part that carries out orders.
-type Terms struct {
+// OrderMeta go with every call to a part that carries out orders.
+type OrderMeta struct {
 	Change     model.ChangeID
 	Actor      string
 	Reason     string
@@ -67,28 +67,28 @@
 // Fleet carries out orders on VMs and waves. Errors are *Refusal where
 // certainly nothing was changed, and *UncertainError.
 type Fleet interface {
-	Drain(ctx context.Context, vm model.VMID, cut bool, t Terms) (Effect, error)
-	Undrain(ctx context.Context, vm model.VMID, t Terms) (Effect, error)
-	Move(ctx context.Context, vm model.VMID, to model.PoolName, t Terms) (Effect, error)
-	StartWave(ctx context.Context, wave model.WaveName, pools []model.PoolName, t Terms) (Effect, error)
-	PauseWave(ctx context.Context, wave model.WaveName, t Terms) (Effect, error)
-	ResumeWave(ctx context.Context, wave model.WaveName, t Terms) (Effect, error)
-	CancelWave(ctx context.Context, wave model.WaveName, t Terms) (Effect, error)
+	Drain(ctx context.Context, vm model.VMID, cut bool, t OrderMeta) (Effect, error)
+	Undrain(ctx context.Context, vm model.VMID, t OrderMeta) (Effect, error)
+	Move(ctx context.Context, vm model.VMID, to model.PoolName, t OrderMeta) (Effect, error)
+	StartWave(ctx context.Context, wave model.WaveName, pools []model.PoolName, t OrderMeta) (Effect, error)
+	PauseWave(ctx context.Context, wave model.WaveName, t OrderMeta) (Effect, error)
+	ResumeWave(ctx context.Context, wave model.WaveName, t OrderMeta) (Effect, error)
+	CancelWave(ctx context.Context, wave model.WaveName, t OrderMeta) (Effect, error)
 }
 
 // Jobs carries out orders on jobs. Errors are as Fleet's.
 type Jobs interface {
 	// Submit takes a job in; one of the ID that is there already is refused
 	// unless it is the same order.
-	Submit(ctx context.Context, job model.Job, t Terms) (Effect, error)
-	Cancel(ctx context.Context, job model.JobID, t Terms) (Effect, error)
+	Submit(ctx context.Context, job model.Job, t OrderMeta) (Effect, error)
+	Cancel(ctx context.Context, job model.JobID, t OrderMeta) (Effect, error)
 	// Select returns the jobs that fulfil all conditions.
 	Select(ctx context.Context, where []lang.Condition) ([]model.JobID, error)
 }
 
 // Settings carries out orders on the declaration in force.
 type Settings interface {
-	SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t Terms) (Effect, error)
+	SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t OrderMeta) (Effect, error)
 }
 
 // Members tells which VMs a scope means.
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -36,17 +36,17 @@
 	mute  map[Stage]bool
 }
 
-func (s *scripted) Drain(_ context.Context, vm model.VMID, _ bool, t Terms) (Effect, error) {
+func (s *scripted) Drain(_ context.Context, vm model.VMID, _ bool, t OrderMeta) (Effect, error) {
 	s.done = append(s.done, fmt.Sprintf("%s drain %s", t.Change, vm))
 	return Effect{Before: "in-pool", After: "leaving"}, s.fail[string(vm)]
 }
 
-func (s *scripted) Submit(_ context.Context, job model.Job, t Terms) (Effect, error) {
+func (s *scripted) Submit(_ context.Context, job model.Job, t OrderMeta) (Effect, error) {
 	s.done = append(s.done, fmt.Sprintf("%s submit %s at %s", t.Change, job.ID, job.SubmittedAt.Format(time.TimeOnly)))
 	return Effect{}, nil
 }
 
-func (s *scripted) Cancel(_ context.Context, job model.JobID, t Terms) (Effect, error) {
+func (s *scripted) Cancel(_ context.Context, job model.JobID, t OrderMeta) (Effect, error) {
 	s.done = append(s.done, fmt.Sprintf("%s cancel %s", t.Change, job))
 	return Effect{}, s.fail[string(job)]
 }
@@ -196,7 +196,7 @@
 				apply("c-rival", func(next *model.Declaration) { next.Service("portal").Timeout = time.Minute })
 			})
 			stored := Stored{Store: store, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
-			effect, err := stored.SetLimit(ctx, "preview", 40, ana, Terms{Change: "c-2"})
+			effect, err := stored.SetLimit(ctx, "preview", 40, ana, OrderMeta{Change: "c-2"})
 			assert.NilError(t, err)
 			assert.Equal(t, effect.After, "limit 40, generation 3")
 			now, _, err := config.Read(ctx, inner)
@@ -205,7 +205,7 @@
 			assert.Equal(t, now.Service("preview").Limit, 40)
 
 			apply("c-3", func(next *model.Declaration) { next.Services = next.Services[:2] })
-			_, err = stored.SetLimit(ctx, "preview", 40, ana, Terms{Change: "c-2"})
+			_, err = stored.SetLimit(ctx, "preview", 40, ana, OrderMeta{Change: "c-2"})
 			assert.NilError(t, err)
 		})
 	}
@@ -215,20 +215,20 @@
 	inner := memstore.New(clockwork.NewFakeClockAt(epoch))
 	way := faulty.Wrap(inner)
 	stored := Stored{Store: way, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
-	code := func(terms Terms) Code {
+	code := func(terms OrderMeta) Code {
 		_, err := stored.SetLimit(ctx, "preview", 40, ana, terms)
 		var refusal *Refusal
 		assert.Assert(t, errors.As(err, &refusal), "%v", err)
 		return refusal.Code
 	}
-	assert.Equal(t, code(Terms{Change: "c-1"}), CodeInvalid) // nothing is declared yet
+	assert.Equal(t, code(OrderMeta{Change: "c-1"}), CodeInvalid) // nothing is declared yet
 	d, err := config.Load("../../examples/encuesta-viva")
 	assert.NilError(t, err)
 	_, err = config.Apply(ctx, inner, d, config.ApplyOptions{Change: "c-2", By: "ana"})
 	assert.NilError(t, err)
-	assert.Equal(t, code(Terms{Change: "c-3", IfRevision: 1}), CodeConflict)
+	assert.Equal(t, code(OrderMeta{Change: "c-3", IfRevision: 1}), CodeConflict)
 	way.SetDown(true)
-	assert.Equal(t, code(Terms{Change: "c-4"}), CodeUnavailable)
+	assert.Equal(t, code(OrderMeta{Change: "c-4"}), CodeUnavailable)
 }
 
 // The store was restored from an old copy, so the order goes by the declaration
@@ -241,7 +241,7 @@
 	h := view.NewHolder()
 	h.Publish(&view.Snapshot{Declaration: d})
 	stored := Stored{Store: memstore.New(clockwork.NewFakeClockAt(epoch)), Clock: clockwork.NewFakeClockAt(epoch), View: h}
-	effect, err := stored.SetLimit(ctx, "preview", 40, ana, Terms{Change: "c-1"})
+	effect, err := stored.SetLimit(ctx, "preview", 40, ana, OrderMeta{Change: "c-1"})
 	assert.NilError(t, err)
 	assert.Equal(t, effect.After, "limit 40, generation 8")
 	assert.Equal(t, d.Service("preview").Limit, 0)
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -71,7 +71,7 @@
 // step is one effect to be made.
 type step struct {
 	what string // "vm v17"
-	do   func(ctx context.Context, t Terms) (Effect, error)
+	do   func(ctx context.Context, t OrderMeta) (Effect, error)
 }
 
 // plan turns an order into the steps that carry it out.
@@ -80,19 +80,19 @@
 	case lang.Drain:
 		return x.planDrain(o)
 	case lang.Undrain:
-		return one(vmText(o.VM), func(ctx context.Context, t Terms) (Effect, error) { return x.Fleet.Undrain(ctx, o.VM, t) }), nil
+		return one(vmText(o.VM), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.Undrain(ctx, o.VM, t) }), nil
 	case lang.Move:
-		return one(vmText(o.VM), func(ctx context.Context, t Terms) (Effect, error) { return x.Fleet.Move(ctx, o.VM, o.Pool, t) }), nil
+		return one(vmText(o.VM), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.Move(ctx, o.VM, o.Pool, t) }), nil
 	case lang.StartWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t Terms) (Effect, error) { return x.Fleet.StartWave(ctx, o.Wave, o.Pools, t) }), nil
+		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.StartWave(ctx, o.Wave, o.Pools, t) }), nil
 	case lang.PauseWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t Terms) (Effect, error) { return x.Fleet.PauseWave(ctx, o.Wave, t) }), nil
+		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.PauseWave(ctx, o.Wave, t) }), nil
 	case lang.ResumeWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t Terms) (Effect, error) { return x.Fleet.ResumeWave(ctx, o.Wave, t) }), nil
+		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.ResumeWave(ctx, o.Wave, t) }), nil
 	case lang.CancelWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t Terms) (Effect, error) { return x.Fleet.CancelWave(ctx, o.Wave, t) }), nil
+		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.CancelWave(ctx, o.Wave, t) }), nil
 	case lang.SetLimit:
-		return one("service "+string(o.Service), func(ctx context.Context, t Terms) (Effect, error) {
+		return one("service "+string(o.Service), func(ctx context.Context, t OrderMeta) (Effect, error) {
 			return x.Settings.SetLimit(ctx, o.Service, o.Limit, req.By, t)
 		}), nil
 	case lang.CancelJobs:
@@ -103,7 +103,7 @@
 	return nil, &Refusal{Code: CodeInvalid, Detail: fmt.Sprintf("no such order: %T", req.Order)}
 }
 
-func one(what string, do func(ctx context.Context, t Terms) (Effect, error)) []step {
+func one(what string, do func(ctx context.Context, t OrderMeta) (Effect, error)) []step {
 	return []step{{what: what, do: do}}
 }
 
@@ -118,7 +118,7 @@
 	}
 	steps := make([]step, len(vms))
 	for i, vm := range vms {
-		steps[i] = step{vmText(vm), func(ctx context.Context, t Terms) (Effect, error) { return x.Fleet.Drain(ctx, vm, o.Cut, t) }}
+		steps[i] = step{vmText(vm), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.Drain(ctx, vm, o.Cut, t) }}
 	}
 	return steps, nil
 }
@@ -134,7 +134,7 @@
 	}
 	job := o.Job
 	job.SubmittedAt = x.Clock.Now().UTC()
-	return one("job "+string(job.ID), func(ctx context.Context, t Terms) (Effect, error) { return x.Jobs.Submit(ctx, job, t) }), nil
+	return one("job "+string(job.ID), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Jobs.Submit(ctx, job, t) }), nil
 }
 
 func (x *Executor) planCancelJobs(ctx context.Context, o lang.CancelJobs) ([]step, error) {
@@ -157,7 +157,7 @@
 	}
 	steps := make([]step, len(ids))
 	for i, id := range ids {
-		steps[i] = step{"job " + string(id), func(ctx context.Context, t Terms) (Effect, error) { return x.Jobs.Cancel(ctx, id, t) }}
+		steps[i] = step{"job " + string(id), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Jobs.Cancel(ctx, id, t) }}
 	}
 	return steps, nil
 }
@@ -168,7 +168,7 @@
 func (x *Executor) run(ctx context.Context, req Request, steps []step) (Result, error) {
 	res := Result{Change: req.Change}
 	for i, s := range steps {
-		t := Terms{Change: req.Change, Actor: req.By.Name, Reason: req.Order.Why(), IfRevision: req.IfRevision}
+		t := OrderMeta{Change: req.Change, Actor: req.By.Name, Reason: req.Order.Why(), IfRevision: req.IfRevision}
 		if len(steps) > 1 {
 			t.Change = model.ChangeID(fmt.Sprintf("%s.%d", req.Change, i+1))
 		}
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -33,7 +33,7 @@
 }
 
 // SetLimit implements Settings.
-func (d Stored) SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t Terms) (Effect, error) {
+func (d Stored) SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t OrderMeta) (Effect, error) {
 	var before int
 	opts := config.ApplyOptions{Change: t.Change, By: by.Name, From: by.From, At: d.Clock.Now().UTC(), InForce: d.View.Load().Declaration, IfRevision: t.IfRevision}
 	res, err := config.Edit(ctx, d.Store, opts, func(decl *model.Declaration) error {
--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -22,7 +22,7 @@
 
 // Cancel implements command.Jobs. A job has only the revision of its group, which
 // also changes with the other jobs of the group, so if-revision is refused.
-func (o CommandAdapter) Cancel(ctx context.Context, job model.JobID, t command.Terms) (command.Effect, error) {
+func (o CommandAdapter) Cancel(ctx context.Context, job model.JobID, t command.OrderMeta) (command.Effect, error) {
 	effects, err := o.CancelAll(ctx, []model.JobID{job}, t)
 	if err != nil {
 		return command.Effect{}, err
@@ -34,7 +34,7 @@
 }
 
 // CancelAll implements command.BulkJobs. It refuses if-revision as Cancel does.
-func (o CommandAdapter) CancelAll(ctx context.Context, ids []model.JobID, t command.Terms) ([]command.Effect, error) {
+func (o CommandAdapter) CancelAll(ctx context.Context, ids []model.JobID, t command.OrderMeta) ([]command.Effect, error) {
 	if t.IfRevision != 0 {
 		return nil, &command.Refusal{Code: command.CodeRevision, Detail: "jobs have no revision of their own"}
 	}
--- a/internal/jobs/jobsport/submit.go
+++ b/internal/jobs/jobsport/submit.go
@@ -11,7 +11,7 @@
 // Submit implements command.Jobs. The name that the operator gave the job is the
 // change ID of its submit: a repeat finds the existing job, and another job under
 // the same name is refused.
-func (o CommandAdapter) Submit(ctx context.Context, job model.Job, t command.Terms) (command.Effect, error) {
+func (o CommandAdapter) Submit(ctx context.Context, job model.Job, t command.OrderMeta) (command.Effect, error) {
 	ids, err := o.Executor.Submit(ctx, model.ChangeID(job.ID), []model.Job{job})
 	if err != nil {
 		return command.Effect{}, CommandError(t.Change, err)
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -101,13 +101,13 @@
 type Fleet struct {
 	mu      sync.Mutex
 	Orders  []string
-	Terms   []command.Terms
+	Terms   []command.OrderMeta
 	Refuse  map[model.VMID]*command.Refusal
 	Failure error
 	Before  func() // called at each order, if set
 }
 
-func (f *Fleet) take(ctx context.Context, order string, vm model.VMID, t command.Terms) (command.Effect, error) {
+func (f *Fleet) take(ctx context.Context, order string, vm model.VMID, t command.OrderMeta) (command.Effect, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.Before != nil {
@@ -125,7 +125,7 @@
 }
 
 // Drain implements command.Fleet.
-func (f *Fleet) Drain(ctx context.Context, vm model.VMID, cut bool, t command.Terms) (command.Effect, error) {
+func (f *Fleet) Drain(ctx context.Context, vm model.VMID, cut bool, t command.OrderMeta) (command.Effect, error) {
 	order := "drain "
 	if cut {
 		order = "cut "
@@ -134,17 +134,17 @@
 }
 
 // Undrain implements command.Fleet.
-func (f *Fleet) Undrain(ctx context.Context, vm model.VMID, t command.Terms) (command.Effect, error) {
+func (f *Fleet) Undrain(ctx context.Context, vm model.VMID, t command.OrderMeta) (command.Effect, error) {
 	return f.take(ctx, "undrain "+string(vm), vm, t)
 }
 
 // Move implements command.Fleet.
-func (f *Fleet) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.OrderMeta) (command.Effect, error) {
 	return f.take(ctx, "move "+string(vm)+" to "+string(to), vm, t)
 }
 
 // StartWave implements command.Fleet.
-func (f *Fleet) StartWave(ctx context.Context, w model.WaveName, pools []model.PoolName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) StartWave(ctx context.Context, w model.WaveName, pools []model.PoolName, t command.OrderMeta) (command.Effect, error) {
 	order := "start " + string(w)
 	for _, p := range pools {
 		order += " " + string(p)
@@ -153,17 +153,17 @@
 }
 
 // PauseWave implements command.Fleet.
-func (f *Fleet) PauseWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) PauseWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	return f.take(ctx, "pause "+string(w), "", t)
 }
 
 // ResumeWave implements command.Fleet.
-func (f *Fleet) ResumeWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) ResumeWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	return f.take(ctx, "resume "+string(w), "", t)
 }
 
 // CancelWave implements command.Fleet.
-func (f *Fleet) CancelWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) CancelWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	return f.take(ctx, "cancel "+string(w), "", t)
 }
 
--- a/internal/operator/wiring/orders.go
+++ b/internal/operator/wiring/orders.go
@@ -19,7 +19,7 @@
 // Drain implements command.Fleet. A drain that may cut is a drain and, once
 // the VM is leaving, the order that lets it go on; a VM that leaves already
 // for something else only gets the second.
-func (o Orders) Drain(ctx context.Context, vm model.VMID, cut bool, t command.Terms) (command.Effect, error) {
+func (o Orders) Drain(ctx context.Context, vm model.VMID, cut bool, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.Drain(ctx, vm, order(t))
 	if !cut {
 		return effect(string(model.VMInPool), out, t, err)
@@ -35,46 +35,46 @@
 }
 
 // Undrain implements command.Fleet.
-func (o Orders) Undrain(ctx context.Context, vm model.VMID, t command.Terms) (command.Effect, error) {
+func (o Orders) Undrain(ctx context.Context, vm model.VMID, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.Undrain(ctx, vm, order(t))
 	return effect("drained", out, t, err)
 }
 
 // Move implements command.Fleet.
-func (o Orders) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.Terms) (command.Effect, error) {
+func (o Orders) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.Move(ctx, vm, to, order(t))
 	return effect(string(model.VMInPool), out, t, err)
 }
 
 // StartWave implements command.Fleet.
-func (o Orders) StartWave(ctx context.Context, w model.WaveName, pools []model.PoolName, t command.Terms) (command.Effect, error) {
+func (o Orders) StartWave(ctx context.Context, w model.WaveName, pools []model.PoolName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.StartWave(ctx, w, pools, order(t))
 	return effect("not running", out, t, err)
 }
 
 // PauseWave implements command.Fleet.
-func (o Orders) PauseWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (o Orders) PauseWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.PauseWave(ctx, w, order(t))
 	return effect(string(fleet.WaveRunning), out, t, err)
 }
 
 // ResumeWave implements command.Fleet.
-func (o Orders) ResumeWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (o Orders) ResumeWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.ResumeWave(ctx, w, order(t))
 	return effect(string(fleet.WavePaused), out, t, err)
 }
 
 // CancelWave implements command.Fleet.
-func (o Orders) CancelWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (o Orders) CancelWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.CancelWave(ctx, w, order(t))
 	return effect("running or paused", out, t, err)
 }
 
-func order(t command.Terms) fleet.Order {
+func order(t command.OrderMeta) fleet.Order {
 	return fleet.Order{Change: t.Change, Actor: t.Actor, IfRevision: t.IfRevision, Reason: t.Reason}
 }
 
-func effect(before string, out fleet.Outcome, t command.Terms, err error) (command.Effect, error) {
+func effect(before string, out fleet.Outcome, t command.OrderMeta, err error) (command.Effect, error) {
 	if err != nil {
 		return command.Effect{}, fromFleet(t.Change, err)
 	}
