--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -91,8 +91,8 @@
 	SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t OrderMeta) (Effect, error)
 }
 
-// Members tells which VMs a scope means.
-type Members interface {
+// ScopeResolver tells which VMs a scope means.
+type ScopeResolver interface {
 	// In returns the VMs of a VM, rack or zone by name, sorted; none where
 	// nothing of the name exists.
 	In(scope lang.Scope) []model.VMID
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -25,7 +25,7 @@
 	Jobs     Jobs
 	Settings Settings
 	Declarer Declarer
-	Members  Members
+	Members  ScopeResolver
 	Trail    Trail
 	Clock    clockwork.Clock // the real one if nil
 }
