--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -117,7 +117,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &tc.script
-			x := New(Options{Fleet: s, Jobs: s, Members: s, Trail: s, Clock: clockwork.NewFakeClockAt(epoch)})
+			x := New(Options{Fleet: s, Jobs: s, Scopes: s, Trail: s, Clock: clockwork.NewFakeClockAt(epoch)})
 			o, err := lang.ParseOrder(tc.order)
 			assert.NilError(t, err)
 			res, err := x.Execute(ctx, Request{Change: "c-1", By: ana, Text: tc.order, Order: o})
@@ -140,7 +140,7 @@
 // both, and not that it failed.
 func TestOutcomeNotEnteredIsAWarning(t *testing.T) {
 	s := &scripted{mute: map[Stage]bool{StageDone: true}}
-	x := New(Options{Fleet: s, Members: s, Trail: s, Clock: clockwork.NewFakeClockAt(epoch)})
+	x := New(Options{Fleet: s, Scopes: s, Trail: s, Clock: clockwork.NewFakeClockAt(epoch)})
 	res, err := x.Execute(ctx, Request{Change: "c-1", Text: "drain rack r1", Order: lang.Drain{Scope: lang.Scope{Subject: lang.SubjectRack, Name: "r1"}}})
 	assert.NilError(t, err)
 	assert.Equal(t, res.Warning, "the outcome could not be entered in the audit trail: trail out of reach")
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -25,7 +25,7 @@
 	Jobs     Jobs
 	Settings Settings
 	Declarer Declarer
-	Members  ScopeResolver
+	Scopes  ScopeResolver
 	Trail    Trail
 	Clock    clockwork.Clock // the real one if nil
 }
@@ -112,7 +112,7 @@
 func waveText(wave model.WaveName) string { return "wave " + string(wave) }
 
 func (x *Executor) planDrain(o lang.Drain) ([]step, error) {
-	vms := x.Members.In(o.Scope)
+	vms := x.Scopes.In(o.Scope)
 	if len(vms) == 0 {
 		return nil, &Refusal{Code: CodeNotFound, Detail: fmt.Sprintf("no VM in %s %s", o.Scope.Subject, o.Scope.Name)}
 	}
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -63,7 +63,7 @@
 		Jobs:     p.Jobs,
 		Settings: stored,
 		Declarer: stored,
-		Members:  scope.Holder{View: p.View},
+		Scopes:  scope.Holder{View: p.View},
 		Trail:    operator.CommandTrail{Trail: trail},
 		Clock:    p.Clock,
 	})
