--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -10,8 +10,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Declarer applies whole declarations to the store.
-type Declarer interface {
+// DeclarationApplier applies whole declarations to the store.
+type DeclarationApplier interface {
 	Apply(ctx context.Context, d *model.Declaration, opts config.ApplyOptions) (config.ApplyResult, error)
 }
 
