--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -195,7 +195,7 @@
 			store := moment(inner, func() {
 				apply("c-rival", func(next *model.Declaration) { next.Service("portal").Timeout = time.Minute })
 			})
-			stored := Stored{Store: store, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
+			stored := DeclarationStore{Store: store, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
 			effect, err := stored.SetLimit(ctx, "preview", 40, ana, OrderMeta{Change: "c-2"})
 			assert.NilError(t, err)
 			assert.Equal(t, effect.After, "limit 40, generation 3")
@@ -214,7 +214,7 @@
 func TestSetLimitRefused(t *testing.T) {
 	inner := memstore.New(clockwork.NewFakeClockAt(epoch))
 	way := faulty.Wrap(inner)
-	stored := Stored{Store: way, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
+	stored := DeclarationStore{Store: way, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
 	code := func(terms OrderMeta) Code {
 		_, err := stored.SetLimit(ctx, "preview", 40, ana, terms)
 		var refusal *Refusal
@@ -240,7 +240,7 @@
 	d.Generation = 7
 	h := view.NewHolder()
 	h.Publish(&view.Snapshot{Declaration: d})
-	stored := Stored{Store: memstore.New(clockwork.NewFakeClockAt(epoch)), Clock: clockwork.NewFakeClockAt(epoch), View: h}
+	stored := DeclarationStore{Store: memstore.New(clockwork.NewFakeClockAt(epoch)), Clock: clockwork.NewFakeClockAt(epoch), View: h}
 	effect, err := stored.SetLimit(ctx, "preview", 40, ana, OrderMeta{Change: "c-1"})
 	assert.NilError(t, err)
 	assert.Equal(t, effect.After, "limit 40, generation 8")
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -14,15 +14,15 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Stored carries out Settings and Declarer on the declaration in the store.
-type Stored struct {
+// DeclarationStore carries out Settings and Declarer on the declaration in the store.
+type DeclarationStore struct {
 	Store infra.Store
 	Clock clockwork.Clock
 	View  *view.Holder // what this entry VM holds in force
 }
 
 // Apply implements Declarer.
-func (d Stored) Apply(ctx context.Context, decl *model.Declaration, opts config.ApplyOptions) (config.ApplyResult, error) {
+func (d DeclarationStore) Apply(ctx context.Context, decl *model.Declaration, opts config.ApplyOptions) (config.ApplyResult, error) {
 	s := d.View.Load()
 	opts.InForce = s.Declaration
 	opts.Live = make(map[model.VMID]model.VM, len(s.VMs))
@@ -33,7 +33,7 @@
 }
 
 // SetLimit implements Settings.
-func (d Stored) SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t OrderMeta) (Effect, error) {
+func (d DeclarationStore) SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t OrderMeta) (Effect, error) {
 	var before int
 	opts := config.ApplyOptions{Change: t.Change, By: by.Name, From: by.From, At: d.Clock.Now().UTC(), InForce: d.View.Load().Declaration, IfRevision: t.IfRevision}
 	res, err := config.Edit(ctx, d.Store, opts, func(decl *model.Declaration) error {
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -48,7 +48,7 @@
 	f.Way = faulty.Wrap(f.Engine)
 	f.Trail = audit.New(audit.Options{Store: f.Way, Self: "e1", Clock: f.Clock, Pace: -1, Log: logr.Discard()})
 	f.Publish(d)
-	stored := command.Stored{Store: f.Way, Clock: f.Clock, View: f.View}
+	stored := command.DeclarationStore{Store: f.Way, Clock: f.Clock, View: f.View}
 	f.Handler = operator.New(operator.Options{
 		Store: f.Way,
 		View:  f.View,
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -57,7 +57,7 @@
 	if trail == nil {
 		trail = audit.New(audit.Options{Store: p.Store, Self: p.Self.ID, Clock: p.Clock, Log: p.Log.WithName("audit")})
 	}
-	stored := command.Stored{Store: p.Store, Clock: p.Clock, View: p.View}
+	stored := command.DeclarationStore{Store: p.Store, Clock: p.Clock, View: p.View}
 	commands := command.New(command.Options{
 		Fleet:    Orders{Fleet: p.Fleet},
 		Jobs:     p.Jobs,
