--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -37,7 +37,7 @@
 
 // Effect is what an order did to one thing.
 type Effect struct {
-	What     string         // "vm v17", "wave spring"
+	Subject     string         // "vm v17", "wave spring"
 	Before   string         // its state before, as the audit trail gives it
 	After    string         // its state after
 	Revision infra.Revision // of its key now
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -173,7 +173,7 @@
 			t.Change = model.ChangeID(fmt.Sprintf("%s.%d", req.Change, i+1))
 		}
 		effect, err := s.do(ctx, t)
-		effect.What = s.what
+		effect.Subject = s.what
 		var refusal *Refusal
 		if errors.As(err, &refusal) && len(steps) > 1 {
 			effect.Refused = refusal
@@ -213,8 +213,8 @@
 	var was, is []string
 	for _, e := range effects {
 		if e.Refused == nil {
-			was = append(was, e.What+": "+e.Before)
-			is = append(is, e.What+": "+e.After)
+			was = append(was, e.Subject+": "+e.Before)
+			is = append(is, e.Subject+": "+e.After)
 		}
 	}
 	return strings.Join(was, "; "), strings.Join(is, "; ")
@@ -224,7 +224,7 @@
 	var all []string
 	for _, e := range effects {
 		if e.Refused != nil {
-			all = append(all, e.What+": "+e.Refused.Error())
+			all = append(all, e.Subject+": "+e.Refused.Error())
 		}
 	}
 	return strings.Join(all, "; ")
--- a/internal/jobs/jobsport/jobsport.go
+++ b/internal/jobs/jobsport/jobsport.go
@@ -50,7 +50,7 @@
 }
 
 func effect(c *jobs.Cancellation) command.Effect {
-	e := command.Effect{What: "job " + string(c.Job), Before: string(c.Before), After: string(c.After)}
+	e := command.Effect{Subject: "job " + string(c.Job), Before: string(c.Before), After: string(c.After)}
 	if c.Stopping {
 		e.After += " once its task has stopped"
 	}
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -154,7 +154,7 @@
 func doReply(res command.Result) api.DoReply {
 	reply := api.DoReply{Change: res.Change, Refused: res.Refused(), Warning: res.Warning}
 	for _, e := range res.Effects {
-		effect := api.Effect{What: e.What, Before: e.Before, After: e.After, Revision: e.Revision}
+		effect := api.Effect{What: e.Subject, Before: e.Before, After: e.After, Revision: e.Revision}
 		if e.Refused != nil {
 			effect.Refused = e.Refused.Error()
 		}
--- a/internal/operator/wiring/wiring_test.go
+++ b/internal/operator/wiring/wiring_test.go
@@ -150,7 +150,7 @@
 	}
 	var lines []string
 	for _, e := range res.Effects {
-		lines = append(lines, verdict(strings.TrimPrefix(e.What, "vm "), e.Refused == nil))
+		lines = append(lines, verdict(strings.TrimPrefix(e.Subject, "vm "), e.Refused == nil))
 	}
 	return strings.Join(lines, ", ")
 }
