--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -49,7 +49,7 @@
 	if req.Change == "" {
 		return Applied{}, &Refusal{Code: CodeInvalid, Detail: "an order needs a change ID"}
 	}
-	event := Event{Change: req.Change, By: req.By, What: applyText, Stage: StageAsked, At: opts.At}
+	event := Event{Change: req.Change, By: req.By, Action: applyText, Stage: StageAsked, At: opts.At}
 	if err := x.Trail.Record(ctx, event); err != nil {
 		return Applied{}, &Refusal{Code: CodeUnavailable, Detail: "not applied, it could not be entered in the audit trail: " + err.Error()}
 	}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -102,7 +102,7 @@
 type Event struct {
 	Change model.ChangeID
 	By     Actor
-	What   string
+	Action   string
 	Before string
 	After  string
 	Detail string
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -71,7 +71,7 @@
 }
 
 func (s *scripted) Note(e Event) {
-	line := string(e.Stage) + ": " + e.What
+	line := string(e.Stage) + ": " + e.Action
 	if e.Detail != "" {
 		line += " | " + e.Detail
 	}
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -188,12 +188,12 @@
 }
 
 func (x *Executor) asked(req Request) Event {
-	return Event{Change: req.Change, By: req.By, What: req.Text, Detail: req.Order.Why(), Stage: StageAsked, At: x.Clock.Now().UTC()}
+	return Event{Change: req.Change, By: req.By, Action: req.Text, Detail: req.Order.Why(), Stage: StageAsked, At: x.Clock.Now().UTC()}
 }
 
 // event tells what became of the order.
 func (x *Executor) event(req Request, res Result, err error) Event {
-	e := Event{Change: req.Change, By: req.By, What: req.Text, Stage: StageDone, At: x.Clock.Now().UTC()}
+	e := Event{Change: req.Change, By: req.By, Action: req.Text, Stage: StageDone, At: x.Clock.Now().UTC()}
 	e.Before, e.After = states(res.Effects)
 	var refusal *Refusal
 	switch {
--- a/internal/operator/trail.go
+++ b/internal/operator/trail.go
@@ -31,7 +31,7 @@
 func entryOf(e command.Event) audit.Entry {
 	return audit.Entry{
 		At: e.At, Who: e.By.Name, From: e.By.From, Change: e.Change,
-		What: e.What, Before: e.Before, After: e.After, Result: stageResult[e.Stage], Detail: e.Detail,
+		What: e.Action, Before: e.Before, After: e.After, Result: stageResult[e.Stage], Detail: e.Detail,
 	}
 }
 
