--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -168,7 +168,7 @@
 func (x *Executor) run(ctx context.Context, req Request, steps []step) (Result, error) {
 	res := Result{Change: req.Change}
 	for i, s := range steps {
-		t := OrderMeta{Change: req.Change, Actor: req.By.Name, Reason: req.Order.Why(), IfRevision: req.IfRevision}
+		t := OrderMeta{Change: req.Change, Actor: req.By.Name, Reason: req.Order.ReasonText(), IfRevision: req.IfRevision}
 		if len(steps) > 1 {
 			t.Change = model.ChangeID(fmt.Sprintf("%s.%d", req.Change, i+1))
 		}
@@ -188,7 +188,7 @@
 }
 
 func (x *Executor) asked(req Request) Event {
-	return Event{Change: req.Change, By: req.By, Action: req.Text, Detail: req.Order.Why(), Stage: StageAsked, At: x.Clock.Now().UTC()}
+	return Event{Change: req.Change, By: req.By, Action: req.Text, Detail: req.Order.ReasonText(), Stage: StageAsked, At: x.Clock.Now().UTC()}
 }
 
 // event tells what became of the order.
--- a/internal/lang/nodes.go
+++ b/internal/lang/nodes.go
@@ -18,8 +18,8 @@
 // Order asks for a change.
 type Order interface {
 	Statement
-	// Why returns the operator's reason; empty where none was given.
-	Why() string
+	// ReasonText returns the operator's reason; empty where none was given.
+	ReasonText() string
 }
 
 // Kind is what a Show lists.
@@ -103,8 +103,8 @@
 	Text string
 }
 
-// Why implements Order.
-func (r Reason) Why() string { return r.Text }
+// ReasonText implements Order.
+func (r Reason) ReasonText() string { return r.Text }
 
 // Drain takes VMs out of service, gracefully unless Cut.
 type Drain struct {
