--- a/cmd/pumicestage/print.go
+++ b/cmd/pumicestage/print.go
@@ -63,7 +63,7 @@
 }
 
 func printForecast(w io.Writer, f *query.Forecast) {
-	fmt.Fprintf(w, "%s: %s\n", f.What, verdict(f))
+	fmt.Fprintf(w, "%s: %s\n", f.Description, verdict(f))
 	var rows [][]string
 	for _, s := range f.Steps {
 		rows = append(rows, []string{string(s.VM), s.Action, yesNo(s.Done), s.Reason})
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -228,7 +228,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Forecast.Jobs, 1)
 	assert.Assert(t, answer.Forecast.Allowed && !answer.Forecast.BudgetsHold)
-	assert.Equal(t, answer.Forecast.What, "drain rack r1")
+	assert.Equal(t, answer.Forecast.Description, "drain rack r1")
 	_, err = ask(t, e, "what-if declaration")
 	assertCode(t, err, CodeInvalid)
 }
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -55,7 +55,7 @@
 
 // Forecast is what would happen.
 type Forecast struct {
-	What    string        `json:"what"`
+	Description    string        `json:"what"`
 	Allowed bool          `json:"allowed"` // the order would not be refused as a whole
 	BudgetsHold   bool          `json:"holds"`   // every budget that holds before holds after
 	Refusal string        `json:"refusal,omitempty"`
--- a/internal/query/whatif.go
+++ b/internal/query/whatif.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, unavailable("what would happen", err)
 	}
-	f.What = what
+	f.Description = what
 	f.BudgetsHold = holdsAfter(f.Budgets)
 	if f.Jobs, err = e.jobsOn(ctx, f.Steps); err != nil {
 		f.Notes = append(f.Notes, err.Error())
