--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -101,7 +101,7 @@
 	Started  time.Time
 	Ended    time.Time
 	Forecast time.Duration // until its end
-	By       string
+	StartedBy       string
 	Change   model.ChangeID
 }
 
