--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -43,7 +43,7 @@
 		IfGeneration: req.IfGeneration, ConfirmRemoval: req.ConfirmRemoval, DryRun: req.DryRun,
 	}
 	if req.DryRun {
-		res, err := x.Declarer.Apply(ctx, req.Declaration, opts)
+		res, err := x.Declarations.Apply(ctx, req.Declaration, opts)
 		return Applied{ApplyResult: res}, err
 	}
 	if req.Change == "" {
@@ -53,7 +53,7 @@
 	if err := x.Trail.Record(ctx, event); err != nil {
 		return Applied{}, &Refusal{Code: CodeUnavailable, Detail: "not applied, it could not be entered in the audit trail: " + err.Error()}
 	}
-	res, err := x.Declarer.Apply(ctx, req.Declaration, opts)
+	res, err := x.Declarations.Apply(ctx, req.Declaration, opts)
 	event.At = x.Clock.Now().UTC()
 	out := Applied{ApplyResult: res}
 	if failed := x.Trail.Record(ctx, applied(event, res, err)); failed != nil {
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -24,7 +24,7 @@
 	Fleet    Fleet
 	Jobs     Jobs
 	Settings Settings
-	Declarer DeclarationApplier
+	Declarations DeclarationApplier
 	Scopes  ScopeResolver
 	Trail    Trail
 	Clock    clockwork.Clock // the real one if nil
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -53,7 +53,7 @@
 		Store: f.Way,
 		View:  f.View,
 		Commands: command.New(command.Options{
-			Fleet: f.Fleet, Settings: stored, Declarer: stored, Scopes: scope.Holder{View: f.View},
+			Fleet: f.Fleet, Settings: stored, Declarations: stored, Scopes: scope.Holder{View: f.View},
 			Trail: operator.CommandTrail{Trail: f.Trail}, Clock: f.Clock,
 		}),
 		Queries: query.New(query.Options{
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -62,7 +62,7 @@
 		Fleet:    Orders{Fleet: p.Fleet},
 		Jobs:     p.Jobs,
 		Settings: stored,
-		Declarer: stored,
+		Declarations: stored,
 		Scopes:  scope.Holder{View: p.View},
 		Trail:    operator.CommandTrail{Trail: trail},
 		Clock:    p.Clock,
