--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -37,7 +37,7 @@
 
 // Effect is what an order did to one thing.
 type Effect struct {
-	Subject     string         // "vm v17", "wave spring"
+	Subject  string         // "vm v17", "wave spring"
 	Before   string         // its state before, as the audit trail gives it
 	After    string         // its state after
 	Revision infra.Revision // of its key now
@@ -102,7 +102,7 @@
 type Event struct {
 	Change model.ChangeID
 	By     Actor
-	Action   string
+	Action string
 	Before string
 	After  string
 	Detail string
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -21,13 +21,13 @@
 // Options are what an Executor works with. Jobs may be nil where the
 // deployment runs none.
 type Options struct {
-	Fleet    Fleet
-	Jobs     Jobs
-	Settings Settings
+	Fleet        Fleet
+	Jobs         Jobs
+	Settings     Settings
 	Declarations DeclarationApplier
-	Scopes  ScopeResolver
-	Trail    Trail
-	Clock    clockwork.Clock // the real one if nil
+	Scopes       ScopeResolver
+	Trail        Trail
+	Clock        clockwork.Clock // the real one if nil
 }
 
 // Executor carries out orders. It is safe for concurrent use.
@@ -84,7 +84,9 @@
 	case lang.Move:
 		return one(vmText(o.VM), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.Move(ctx, o.VM, o.Pool, t) }), nil
 	case lang.StartWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.StartWave(ctx, o.Wave, o.Pools, t) }), nil
+		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) {
+			return x.Fleet.StartWave(ctx, o.Wave, o.Pools, t)
+		}), nil
 	case lang.PauseWave:
 		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.PauseWave(ctx, o.Wave, t) }), nil
 	case lang.ResumeWave:
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -59,13 +59,13 @@
 	}
 	stored := command.DeclarationStore{Store: p.Store, Clock: p.Clock, View: p.View}
 	commands := command.New(command.Options{
-		Fleet:    Orders{Fleet: p.Fleet},
-		Jobs:     p.Jobs,
-		Settings: stored,
+		Fleet:        Orders{Fleet: p.Fleet},
+		Jobs:         p.Jobs,
+		Settings:     stored,
 		Declarations: stored,
-		Scopes:  scope.Holder{View: p.View},
-		Trail:    operator.CommandTrail{Trail: trail},
-		Clock:    p.Clock,
+		Scopes:       scope.Holder{View: p.View},
+		Trail:        operator.CommandTrail{Trail: trail},
+		Clock:        p.Clock,
 	})
 	queries := query.New(query.Options{
 		View:    p.View,
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -73,10 +73,10 @@
 // Explanation is the answer to an explain: the state now, and the reasons for
 // it, oldest first.
 type Explanation struct {
-	Subject lang.Subject `json:"subject"`
-	Name    string       `json:"name"`
-	CurrentState     string       `json:"now"`
-	Reasons []Reason     `json:"reasons"`
+	Subject      lang.Subject `json:"subject"`
+	Name         string       `json:"name"`
+	CurrentState string       `json:"now"`
+	Reasons      []Reason     `json:"reasons"`
 }
 
 // Reason is one link of the chain; At is zero for what holds all the time.
@@ -99,7 +99,7 @@
 // MissingZone is a zone none of whose entry VMs was heard of late: what an
 // answer says of it may be over.
 type MissingZone struct {
-	Zone  model.ZoneName `json:"zone"`
+	Zone      model.ZoneName `json:"zone"`
 	LastHeard time.Time      `json:"heard,omitzero"` // zero: not since this entry VM started
 }
 
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -25,7 +25,7 @@
 	Zone      model.ZoneName    `json:"zone,omitempty"` // empty for the whole service
 	VMs       int               `json:"vms"`
 	Available int               `json:"available"` // certainly in service
-	Required      int               `json:"need"`
+	Required  int               `json:"need"`
 }
 
 // Spare returns how many more VMs may go; negative where the budget is broken.
@@ -55,17 +55,17 @@
 
 // Forecast is what would happen.
 type Forecast struct {
-	Description    string        `json:"what"`
-	Allowed bool          `json:"allowed"` // the order would not be refused as a whole
-	BudgetsHold   bool          `json:"holds"`   // every budget that holds before holds after
-	Refusal string        `json:"refusal,omitempty"`
-	Steps   []Step        `json:"steps,omitempty"`
-	Budgets []BudgetChange `json:"budgets,omitempty"`
-	Moves   int           `json:"moves"` // VMs that change pool
-	Jobs    int           `json:"jobs"`  // jobs that have to go elsewhere
+	Description string         `json:"what"`
+	Allowed     bool           `json:"allowed"` // the order would not be refused as a whole
+	BudgetsHold bool           `json:"holds"`   // every budget that holds before holds after
+	Refusal     string         `json:"refusal,omitempty"`
+	Steps       []Step         `json:"steps,omitempty"`
+	Budgets     []BudgetChange `json:"budgets,omitempty"`
+	Moves       int            `json:"moves"` // VMs that change pool
+	Jobs        int            `json:"jobs"`  // jobs that have to go elsewhere
 	// Duration is how long until all of it is done; 0 where it is not known.
 	Duration time.Duration `json:"takesNanoseconds,omitempty"`
-	Notes []string      `json:"notes,omitempty"`
+	Notes    []string      `json:"notes,omitempty"`
 }
 
 // Step is what would happen to one VM.
@@ -90,19 +90,19 @@
 
 // WaveStatus is where a wave stands.
 type WaveStatus struct {
-	Name     model.WaveName
-	State    string // "running", "paused", "finished", "cancelled"; "declared" before its first start
-	Pools    []model.PoolName
-	Total    int
-	Done     int
-	OutOfService      int // VMs out of service for it now
-	Failed   int
-	Reason   string // what holds it back or paused it
-	Started  time.Time
-	Ended    time.Time
-	Forecast time.Duration // until its end
-	StartedBy       string
-	Change   model.ChangeID
+	Name         model.WaveName
+	State        string // "running", "paused", "finished", "cancelled"; "declared" before its first start
+	Pools        []model.PoolName
+	Total        int
+	Done         int
+	OutOfService int // VMs out of service for it now
+	Failed       int
+	Reason       string // what holds it back or paused it
+	Started      time.Time
+	Ended        time.Time
+	Forecast     time.Duration // until its end
+	StartedBy    string
+	Change       model.ChangeID
 }
 
 // Jobs tells of submitted jobs.
@@ -113,11 +113,11 @@
 // JobStatus is where a job stands.
 type JobStatus struct {
 	model.Job
-	State  string // "waiting", "running", "unplaceable", "succeeded", ...
-	VM     model.VMID
-	Since  time.Time
-	Reason string   // what binds or what it waits for
-	History  []Reason // what happened to it, oldest first
+	State   string // "waiting", "running", "unplaceable", "succeeded", ...
+	VM      model.VMID
+	Since   time.Time
+	Reason  string   // what binds or what it waits for
+	History []Reason // what happened to it, oldest first
 }
 
 // Peers tells of the entry VMs this one hears.
@@ -132,7 +132,7 @@
 type PeerStatus struct {
 	Entry      model.EntryID
 	Zone       model.ZoneName
-	LastHeard         time.Time
+	LastHeard  time.Time
 	Generation uint64
 	Revision   infra.Revision
 }
