--- a/internal/operator/trail.go
+++ b/internal/operator/trail.go
@@ -43,8 +43,8 @@
 	Trail *audit.Trail
 }
 
-// About implements query.History.
-func (h QueryHistory) About(ctx context.Context, subject string) ([]query.Reason, error) {
+// Reasons implements query.History.
+func (h QueryHistory) Reasons(ctx context.Context, subject string) ([]query.Reason, error) {
 	entries, _, err := h.Trail.Read(ctx, audit.Filter{Subject: subject, Limit: historyLimit})
 	if err != nil {
 		return nil, err
--- a/internal/query/explain.go
+++ b/internal/query/explain.go
@@ -42,7 +42,7 @@
 	if e.History == nil {
 		return
 	}
-	past, err := e.History.About(ctx, string(x.Subject)+" "+x.Name)
+	past, err := e.History.Reasons(ctx, string(x.Subject)+" "+x.Name)
 	if err != nil {
 		x.add(time.Time{}, "the audit trail cannot be read now: %v", err)
 		return
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -48,7 +48,7 @@
 
 func (s *sources) Jobs(context.Context) ([]JobStatus, error) { return s.jobs, s.down }
 
-func (s *sources) About(context.Context, string) ([]Reason, error) { return s.past, s.down }
+func (s *sources) Reasons(context.Context, string) ([]Reason, error) { return s.past, s.down }
 
 func newEngine(t *testing.T) (*Engine, *sources, *clockwork.FakeClock) {
 	t.Helper()
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -139,5 +139,5 @@
 
 // History tells what the audit trail has on a subject, oldest first.
 type History interface {
-	About(ctx context.Context, subject string) ([]Reason, error)
+	Reasons(ctx context.Context, subject string) ([]Reason, error)
 }
