--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -93,9 +93,9 @@
 
 // ScopeResolver tells which VMs a scope means.
 type ScopeResolver interface {
-	// In returns the VMs of a VM, rack or zone by name, sorted; none where
+	// Resolve returns the VMs of a VM, rack or zone by name, sorted; none where
 	// nothing of the name exists.
-	In(scope lang.Scope) []model.VMID
+	Resolve(scope lang.Scope) []model.VMID
 }
 
 // Event is what an order's entries in the audit trail tell.
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -55,7 +55,7 @@
 	return s.jobs, nil
 }
 
-func (s *scripted) In(sc lang.Scope) []model.VMID {
+func (s *scripted) Resolve(sc lang.Scope) []model.VMID {
 	if sc.Name != "r1" {
 		return nil
 	}
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -114,7 +114,7 @@
 func waveText(wave model.WaveName) string { return "wave " + string(wave) }
 
 func (x *Executor) planDrain(o lang.Drain) ([]step, error) {
-	vms := x.Scopes.In(o.Scope)
+	vms := x.Scopes.Resolve(o.Scope)
 	if len(vms) == 0 {
 		return nil, &Refusal{Code: CodeNotFound, Detail: fmt.Sprintf("no VM in %s %s", o.Scope.Subject, o.Scope.Name)}
 	}
--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -16,7 +16,7 @@
 }
 
 // In returns the VMs of the scope in the newest snapshot, sorted.
-func (h Holder) In(s lang.Scope) []model.VMID { return In(h.View.Load(), s) }
+func (h Holder) Resolve(s lang.Scope) []model.VMID { return In(h.View.Load(), s) }
 
 // In returns the VMs that the scope means in the snapshot, sorted.
 func In(s *view.Snapshot, sc lang.Scope) []model.VMID {
