--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -125,6 +125,6 @@
 type Trail interface {
 	// Record returns nil once the event is certain to be in the trail.
 	Record(ctx context.Context, e Event) error
-	// Note enters the event in the background.
-	Note(e Event)
+	// RecordAsync enters the event in the background.
+	RecordAsync(e Event)
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -66,11 +66,11 @@
 	if s.mute[e.Stage] {
 		return errors.New("trail out of reach")
 	}
-	s.Note(e)
+	s.RecordAsync(e)
 	return nil
 }
 
-func (s *scripted) Note(e Event) {
+func (s *scripted) RecordAsync(e Event) {
 	line := string(e.Stage) + ": " + e.Action
 	if e.Detail != "" {
 		line += " | " + e.Detail
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -55,7 +55,7 @@
 	}
 	steps, err := x.plan(ctx, req)
 	if err != nil {
-		x.Trail.Note(x.event(req, Result{}, err))
+		x.Trail.RecordAsync(x.event(req, Result{}, err))
 		return Result{}, err
 	}
 	if err := x.Trail.Record(ctx, x.asked(req)); err != nil {
