--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -15,7 +15,7 @@
 	View *view.Holder
 }
 
-// In returns the VMs of the scope in the newest snapshot, sorted.
+// Resolve returns the VMs of the scope in the newest snapshot, sorted.
 func (h Holder) Resolve(s lang.Scope) []model.VMID { return In(h.View.Load(), s) }
 
 // In returns the VMs that the scope means in the snapshot, sorted.
