--- a/internal/query/budgets.go
+++ b/internal/query/budgets.go
@@ -8,10 +8,11 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// budgets asks the planner and, where it cannot answer, counts from this entry
-// VM's view. The planner needs the platform's store and list of VMs; with the
-// platform down an operator must still see how the services stand, and must
-// see that this is a lesser count.
+// budgets returns the budget status of every service as the planner counts it.
+// If the planner fails, it falls back to a count from this entry VM's view and
+// returns a note that says so: the planner needs the platform's store and VM
+// list, and during a platform outage operators must still see the state of the
+// services and know that the figures are less reliable.
 func (e *Engine) budgets(ctx context.Context, s *view.Snapshot) (rows []Headroom, note string) {
 	rows, err := e.Planner.Budgets(ctx, s)
 	if err == nil {
@@ -20,8 +21,8 @@
 	return e.countBudgets(s), "budgets are counted from this entry VM's view and health checks alone: " + err.Error()
 }
 
-// countBudgets counts by state and health. Planned stops are seen by the VMs'
-// states only, as far as the view has them.
+// countBudgets counts budgets from the VM states and health checks in the view.
+// It knows of a planned stop only if the VM's state in the view shows it.
 func (e *Engine) countBudgets(s *view.Snapshot) []Headroom {
 	byPool := make(map[model.PoolName][]budget.Member)
 	for _, vm := range s.VMs {
@@ -41,8 +42,8 @@
 	return rows
 }
 
-// Headrooms returns a service's count as headrooms: the whole service, then each
-// zone where it has VMs.
+// Headrooms converts a service's tally to headrooms: first the whole service,
+// then each zone in which it has VMs, in the order of zones.
 func Headrooms(t *budget.Tally, zones []model.ZoneName) []Headroom {
 	rows := []Headroom{{Service: t.Service, VMs: t.Total, Available: t.Up, Required: t.Required}}
 	for _, z := range zones {
--- a/internal/query/explain.go
+++ b/internal/query/explain.go
@@ -12,6 +12,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
+// explain sets the answer's explanation: the current state of the subject and
+// the reasons for it, sorted by time.
 func (e *Engine) explain(ctx context.Context, s *view.Snapshot, q lang.Explain, a *Answer) error {
 	x := &Explanation{Subject: q.Subject, Name: q.Name}
 	var err error
@@ -36,8 +38,9 @@
 	return nil
 }
 
-// addHistory adds what the audit trail has. An explanation without it is still
-// of use, so a trail out of reach is said and does not fail the question.
+// addHistory adds the audit trail's entries on the subject. An explanation is
+// useful without them, so a read error becomes a reason in the explanation
+// instead of failing the question.
 func (e *Engine) addHistory(ctx context.Context, x *Explanation) {
 	if e.History == nil {
 		return
@@ -65,7 +68,7 @@
 			x.add(time.Time{}, "declared in pool %s, rack %s, zone %s (generation %d)", decl.Pool, decl.Rack, decl.Zone, s.Generation())
 		}
 	}
-	x.add(vm.Since, "%s since then%s", vm.State, because(vm.Reason, vm.Change))
+	x.add(vm.Since, "%s since then%s", vm.State, reasonSuffix(vm.Reason, vm.Change))
 	if vm.Holder != "" {
 		x.add(vm.Since, "held by %s", vm.Holder)
 	}
@@ -91,7 +94,8 @@
 	return notFound("no VM %q", x.Name)
 }
 
-// addHolder says where the wave stands that holds the VM.
+// addHolder adds the progress of the wave that holds the VM. It does nothing if
+// the holder is not a wave.
 func (e *Engine) addHolder(ctx context.Context, s *view.Snapshot, x *Explanation, holder string) {
 	name, isWave := strings.CutPrefix(holder, "wave ")
 	if !isWave {
@@ -104,12 +108,13 @@
 	}
 	for _, w := range waves {
 		if string(w.Name) == name {
-			x.add(w.Started, "wave %s started%s; it is %s, %d of %d VMs done%s", w.Name, byWhom(w.StartedBy), w.State, w.Done, w.Total, because(w.Reason, ""))
+			x.add(w.Started, "wave %s started%s; it is %s, %d of %d VMs done%s", w.Name, actorSuffix(w.StartedBy), w.State, w.Done, w.Total, reasonSuffix(w.Reason, ""))
 		}
 	}
 }
 
-// addBudgets adds how the services' budgets stand, and returns the note on it.
+// addBudgets adds the budget status of the services and returns the note from
+// budgets. An empty zone selects the budgets of all zones.
 func (e *Engine) addBudgets(ctx context.Context, s *view.Snapshot, x *Explanation, services []*model.Service, zone model.ZoneName) string {
 	budgets, note := e.budgets(ctx, s)
 	for _, svc := range services {
@@ -123,6 +128,7 @@
 	return note
 }
 
+// sentence describes the headroom for an explanation.
 func (h Headroom) sentence() string {
 	where := ""
 	if h.Zone != "" {
@@ -157,13 +163,13 @@
 
 func (e *Engine) addWave(s *view.Snapshot, x *Explanation, w WaveStatus) {
 	x.CurrentState = fmt.Sprintf("%s, %d of %d VMs done, %d out, %d failed", w.State, w.Done, w.Total, w.OutOfService, w.Failed)
-	x.add(time.Time{}, "goes through pools %s", joined(w.Pools))
+	x.add(time.Time{}, "goes through pools %s", joinNames(w.Pools))
 	if !w.Started.IsZero() {
-		x.add(w.Started, "started%s%s", byWhom(w.StartedBy), because("", w.Change))
+		x.add(w.Started, "started%s%s", actorSuffix(w.StartedBy), reasonSuffix("", w.Change))
 	}
 	for _, vm := range sortedVMs(s) {
 		if vm.Holder == "wave "+x.Name {
-			x.add(vm.Since, "VM %s is %s%s", vm.ID, vm.State, because(vm.Reason, ""))
+			x.add(vm.Since, "VM %s is %s%s", vm.ID, vm.State, reasonSuffix(vm.Reason, ""))
 		}
 	}
 	if w.Reason != "" {
@@ -177,6 +183,7 @@
 	}
 }
 
+// servicesOf returns the services that run in any of the pools, each once.
 func servicesOf(d *model.Declaration, pools []model.PoolName) []*model.Service {
 	seen := make(map[model.ServiceName]bool)
 	var found []*model.Service
@@ -219,12 +226,12 @@
 	if svc == nil {
 		return notFound("no service %q; declared are %s", x.Name, serviceNames(s.Declaration))
 	}
-	x.CurrentState = fmt.Sprintf("pools %s, limit %d", joined(svc.Pools), svc.Limit)
+	x.CurrentState = fmt.Sprintf("pools %s, limit %d", joinNames(svc.Pools), svc.Limit)
 	x.add(time.Time{}, "its budget: %s", budgetText(svc))
 	for _, vm := range sortedVMs(s) {
 		down := vm.State != model.VMInPool || e.Health(vm.ID) != model.HealthHealthy
 		if down && inPools(svc.Pools, vm.Pool) {
-			x.add(vm.Since, "VM %s does not count: %s, %s%s", vm.ID, vm.State, e.Health(vm.ID), because(vm.Reason, ""))
+			x.add(vm.Since, "VM %s does not count: %s, %s%s", vm.ID, vm.State, e.Health(vm.ID), reasonSuffix(vm.Reason, ""))
 		}
 	}
 	a.note(e.addBudgets(ctx, s, x, []*model.Service{svc}, ""))
@@ -240,7 +247,9 @@
 	return false
 }
 
-func because(reason string, change model.ChangeID) string {
+// reasonSuffix formats a reason and a change ID to follow a state; either may
+// be empty.
+func reasonSuffix(reason string, change model.ChangeID) string {
 	text := ""
 	if reason != "" {
 		text = ": " + reason
@@ -251,7 +260,9 @@
 	return text
 }
 
-func byWhom(by string) string {
+// actorSuffix formats the name of who acted, to follow a verb; it is empty if
+// the name is.
+func actorSuffix(by string) string {
 	if by == "" {
 		return ""
 	}
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,6 +1,6 @@
 // Package query answers operators' questions from a snapshot of the fleet. It
-// never changes state. Every answer says how old its view is and which zones
-// are missing from it.
+// is read-only. Every answer reports the age of its view and the zones whose
+// entry VMs have not been heard from recently.
 package query
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Options are what an Engine works with. View and Planner are required; the
-// others may be nil where the deployment has no such part.
+// Options configures an Engine. View and Planner are required; the other fields
+// may be nil if the deployment lacks that component.
 type Options struct {
 	View    *view.Holder
 	Planner Planner
@@ -25,9 +25,10 @@
 	Jobs    Jobs
 	Peers   Peers
 	History History
-	// Health returns what this entry VM knows of a VM first hand.
+	// Health returns the result of this entry VM's own health checks of a VM.
+	// If nil, the health of every VM is unknown.
 	Health func(model.VMID) model.Health
-	Clock  clockwork.Clock // the real one if nil
+	Clock  clockwork.Clock // the system clock if nil
 }
 
 // Engine answers questions. It is safe for concurrent use.
@@ -35,7 +36,7 @@
 	Options
 }
 
-// New returns an Engine.
+// New returns an Engine with the given options and their defaults filled in.
 func New(o Options) *Engine {
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
@@ -46,32 +47,34 @@
 	return &Engine{o}
 }
 
-// Answer is what a question gets; exactly one of Table, Explanation and
-// Forecast is set.
+// Answer is the answer to a question. Exactly one of Table, Explanation and
+// Forecast is set unless Ask returned an error.
 type Answer struct {
 	View        ViewInfo     `json:"view"`
 	Table       *Table       `json:"table,omitempty"`
 	Explanation *Explanation `json:"explanation,omitempty"`
 	Forecast    *Forecast    `json:"forecast,omitempty"`
-	// Notes say what makes the answer less than it could be.
+	// Notes describe the limitations of the answer, such as a data source that
+	// could not be read.
 	Notes []string `json:"notes,omitempty"`
 }
 
+// note adds a note unless the text is empty.
 func (a *Answer) note(text string) {
 	if text != "" {
 		a.Notes = append(a.Notes, text)
 	}
 }
 
-// Table is the answer to a show. Rows have one cell for each column.
+// Table is the answer to a show statement. Each row has one cell per column.
 type Table struct {
 	Kind    lang.Kind  `json:"kind"`
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
 }
 
-// Explanation is the answer to an explain: the state now, and the reasons for
-// it, oldest first.
+// Explanation is the answer to an explain statement: the current state of the
+// subject and the reasons for it, oldest first.
 type Explanation struct {
 	Subject      lang.Subject `json:"subject"`
 	Name         string       `json:"name"`
@@ -79,53 +82,56 @@
 	Reasons      []Reason     `json:"reasons"`
 }
 
-// Reason is one link of the chain; At is zero for what holds all the time.
+// Reason is one reason of an explanation. At is zero for a reason that is not
+// tied to a time, such as a declared setting.
 type Reason struct {
 	At   time.Time `json:"at,omitzero"`
 	Text string    `json:"text"`
 }
 
-// ViewInfo says how far an answer can be trusted.
+// ViewInfo describes the snapshot behind an answer: how old it is and which
+// zones it may be out of date for.
 type ViewInfo struct {
-	Entry        model.EntryID  `json:"entry,omitempty"` // that answers
+	Entry        model.EntryID  `json:"entry,omitempty"` // the entry VM that answers
 	AsOf         time.Time      `json:"asOf"`
 	Age          time.Duration  `json:"ageNanoseconds"`
-	Stale        bool           `json:"stale"` // older than StaleAfter
+	Stale        bool           `json:"stale"` // Age exceeds StaleAfter
 	Generation   uint64         `json:"generation"`
 	Revision     infra.Revision `json:"revision"`
 	MissingZones []MissingZone  `json:"missingZones,omitempty"`
 }
 
-// MissingZone is a zone none of whose entry VMs was heard of late: what an
-// answer says of it may be over.
+// MissingZone is a zone of whose entry VMs none has been heard from recently:
+// what an answer reports about the zone may be out of date.
 type MissingZone struct {
 	Zone      model.ZoneName `json:"zone"`
-	LastHeard time.Time      `json:"heard,omitzero"` // zero: not since this entry VM started
+	LastHeard time.Time      `json:"heard,omitzero"` // zero if never since this entry VM started
 }
 
 const (
-	// StaleAfter is when a view is called stale. Watches deliver within a
-	// second; five are several missed in a row.
+	// StaleAfter is the age above which a view is reported as stale. Watches
+	// deliver within 1 s, so 5 s means that several updates in a row are missing.
 	StaleAfter = 5 * time.Second
-	// zoneSilence is when a zone counts as missing: several heartbeats.
-	zoneSilence = 5 * time.Second
+	// zoneMissingAfter is the time without a message from any entry VM of a zone
+	// after which the zone is reported as missing. It spans several heartbeats.
+	zoneMissingAfter = 5 * time.Second
 )
 
-// Error reports a question that has no answer.
+// Error reports that a question cannot be answered. Err is the cause, or nil.
 type Error struct {
 	Code   Code
 	Detail string
 	Err    error
 }
 
-// Code says why a question has no answer.
+// Code classifies an Error.
 type Code string
 
 // The codes of an Error.
 const (
-	CodeNotFound    Code = "not-found"   // nothing of the name
-	CodeUnavailable Code = "unavailable" // what the answer needs is out of reach
-	CodeInvalid     Code = "invalid"     // the question makes no sense as given
+	CodeNotFound    Code = "not-found"   // nothing has this name
+	CodeUnavailable Code = "unavailable" // a data source that the answer needs cannot be reached
+	CodeInvalid     Code = "invalid"     // the question is malformed or incomplete
 )
 
 // Error implements error.
@@ -136,7 +142,7 @@
 	return e.Detail + ": " + e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.Err }
 
 func notFound(format string, args ...any) error {
@@ -147,8 +153,9 @@
 	return &Error{Code: CodeUnavailable, Detail: what + " cannot be told now", Err: err}
 }
 
-// Ask answers a question. The declaration is the one that a
-// "what-if declaration" is about, else nil. Errors are *Error.
+// Ask answers a question. d is the declaration that a "what-if declaration"
+// question evaluates, and nil for all other questions. Errors are of type
+// *Error; the returned answer then still has its View set.
 func (e *Engine) Ask(ctx context.Context, q lang.Question, d *model.Declaration) (Answer, error) {
 	s := e.View.Load()
 	answer := Answer{View: e.info(s)}
@@ -169,7 +176,7 @@
 	return answer, err
 }
 
-// Info says how far an answer given now could be trusted.
+// Info returns the ViewInfo of an answer given now.
 func (e *Engine) Info() ViewInfo { return e.info(e.View.Load()) }
 
 func (e *Engine) info(s *view.Snapshot) ViewInfo {
@@ -188,7 +195,7 @@
 		}
 	}
 	for _, z := range s.Declaration.Zones {
-		if now.Sub(heard[z]) > zoneSilence {
+		if now.Sub(heard[z]) > zoneMissingAfter {
 			info.MissingZones = append(info.MissingZones, MissingZone{Zone: z, LastHeard: heard[z]})
 		}
 	}
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -20,40 +20,42 @@
 	epoch = time.Date(2026, 3, 1, 3, 0, 0, 0, time.UTC)
 )
 
-// sources is every part an Engine asks, as a test sets it.
-type sources struct {
-	heard   []PeerStatus
-	budgets []Headroom
-	waves   []WaveStatus
-	jobs    []JobStatus
-	past    []Reason
-	down    error // of everything that needs the platform
+// fakeSources implements every data source of an Engine with fixed answers.
+type fakeSources struct {
+	heard       []PeerStatus
+	budgets     []Headroom
+	waves       []WaveStatus
+	jobs        []JobStatus
+	past        []Reason
+	platformErr error // returned by every call that needs the platform
 }
 
-func (s *sources) Self() model.EntryID { return "e1" }
+func (s *fakeSources) Self() model.EntryID { return "e1" }
 
-func (s *sources) Statuses() []PeerStatus { return s.heard }
+func (s *fakeSources) Statuses() []PeerStatus { return s.heard }
 
-func (s *sources) Budgets(context.Context, *view.Snapshot) ([]Headroom, error) {
-	return s.budgets, s.down
+func (s *fakeSources) Budgets(context.Context, *view.Snapshot) ([]Headroom, error) {
+	return s.budgets, s.platformErr
 }
 
-func (s *sources) Forecast(context.Context, *view.Snapshot, Hypothesis) (Forecast, error) {
+func (s *fakeSources) Forecast(context.Context, *view.Snapshot, Hypothesis) (Forecast, error) {
 	return Forecast{Allowed: true, Steps: []Step{{VM: "v1", Done: true}, {VM: "v2"}}, Budgets: []BudgetChange{{
 		Before: Headroom{Service: "web", Available: 2, Required: 1}, After: Headroom{Service: "web", Required: 1},
-	}}}, s.down
+	}}}, s.platformErr
 }
 
-func (s *sources) Waves(context.Context) ([]WaveStatus, error) { return s.waves, s.down }
+func (s *fakeSources) Waves(context.Context) ([]WaveStatus, error) { return s.waves, s.platformErr }
 
-func (s *sources) Jobs(context.Context) ([]JobStatus, error) { return s.jobs, s.down }
+func (s *fakeSources) Jobs(context.Context) ([]JobStatus, error) { return s.jobs, s.platformErr }
 
-func (s *sources) Reasons(context.Context, string) ([]Reason, error) { return s.past, s.down }
+func (s *fakeSources) Reasons(context.Context, string) ([]Reason, error) {
+	return s.past, s.platformErr
+}
 
-func newEngine(t *testing.T) (*Engine, *sources, *clockwork.FakeClock) {
+func newEngine(t *testing.T) (*Engine, *fakeSources, *clockwork.FakeClock) {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(epoch)
-	src := &sources{
+	src := &fakeSources{
 		heard:   []PeerStatus{{Entry: "e1", Zone: "a", LastHeard: epoch, Generation: 3}, {Entry: "e2", Zone: "b", LastHeard: epoch.Add(-time.Minute)}},
 		budgets: []Headroom{{Service: "web", VMs: 3, Available: 2, Required: 2}, {Service: "web", Zone: "a", VMs: 2, Available: 1, Required: 1}},
 		waves: []WaveStatus{{Name: "spring", State: "running", Pools: []model.PoolName{"web"}, Total: 3, Done: 1, OutOfService: 1,
@@ -176,8 +178,9 @@
 	}
 }
 
-// An operator asks a cut-off entry VM. What it says may be long over; the
-// answer must say how old its view is and which zones it does not hear.
+// Guards against an answer from a partitioned entry VM being taken for current.
+// Its view stops being updated, so the answer must state the age of the view
+// and the zones that the entry VM receives no messages from.
 func TestNoStaleAnswerLooksFresh(t *testing.T) {
 	e, src, clock := newEngine(t)
 	answer, err := ask(t, e, "show vms")
@@ -193,11 +196,12 @@
 	assert.Equal(t, answer.View.Age, StaleAfter+time.Second)
 }
 
-// The platform is down at three in the morning: what is known here is still
-// told, and what it lacks is said.
+// Guards against questions failing altogether during a platform outage. What
+// the entry VM knows itself must still be answered, with a note on what is
+// missing; only questions that need the platform fail, as unavailable.
 func TestPlatformDown(t *testing.T) {
 	e, src, _ := newEngine(t)
-	src.down = errors.New("service down")
+	src.platformErr = errors.New("service down")
 	answer, err := ask(t, e, "show services")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answer.Table.Rows[0][4:7], []string{"3", "2", "0"})
--- a/internal/query/show.go
+++ b/internal/query/show.go
@@ -13,12 +13,12 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// lister makes all rows of a kind, sorted, with the columns of lang.Fields,
-// and a note on what they lack.
+// lister returns all rows of a kind, sorted, with the columns of lang.Fields,
+// and a note on their limitations, empty if there are none.
 type lister func(ctx context.Context, s *view.Snapshot) (rows [][]string, note string, err error)
 
-// plain makes a lister of one that needs nothing but the view.
-func plain(list func(s *view.Snapshot) [][]string) lister {
+// viewLister adapts a function that needs only the view to a lister.
+func viewLister(list func(s *view.Snapshot) [][]string) lister {
 	return func(_ context.Context, s *view.Snapshot) ([][]string, string, error) {
 		return list(s), "", nil
 	}
@@ -26,19 +26,20 @@
 
 func (e *Engine) listers() map[lang.Kind]lister {
 	return map[lang.Kind]lister{
-		lang.ShowVMs:      plain(e.listVMs),
+		lang.ShowVMs:      viewLister(e.listVMs),
 		lang.ShowServices: e.listServices,
-		lang.ShowPools:    plain(e.listPools),
+		lang.ShowPools:    viewLister(e.listPools),
 		lang.ShowWaves:    e.listWaves,
 		lang.ShowJobs:     e.listJobs,
 		lang.ShowBudgets:  e.listBudgets,
-		lang.ShowEntries:  plain(e.listEntries),
-		lang.ShowZones:    plain(e.listZones),
-		lang.ShowRacks:    plain(e.listRacks),
-		lang.ShowTeams:    plain(e.listTeams),
+		lang.ShowEntries:  viewLister(e.listEntries),
+		lang.ShowZones:    viewLister(e.listZones),
+		lang.ShowRacks:    viewLister(e.listRacks),
+		lang.ShowTeams:    viewLister(e.listTeams),
 	}
 }
 
+// show sets the answer's table to the rows that match the conditions.
 func (e *Engine) show(ctx context.Context, s *view.Snapshot, q lang.Show, a *Answer) error {
 	if q.Service != "" && s.Declaration.Service(q.Service) == nil {
 		return notFound("no service %q; declared are %s", q.Service, serviceNames(s.Declaration))
@@ -66,7 +67,7 @@
 	for _, vm := range sortedVMs(s) {
 		rows = append(rows, []string{
 			string(vm.ID), string(vm.Zone), string(vm.Rack), string(vm.Pool), string(vm.State),
-			e.Health(vm.ID).String(), vm.Holder, string(vm.Wave), vm.Address, e.since(vm.Since),
+			e.Health(vm.ID).String(), vm.Holder, string(vm.Wave), vm.Address, e.elapsed(vm.Since),
 		})
 	}
 	return rows
@@ -74,17 +75,17 @@
 
 func (e *Engine) listServices(ctx context.Context, s *view.Snapshot) ([][]string, string, error) {
 	budgets, note := e.budgets(ctx, s)
-	whole := make(map[model.ServiceName]Headroom)
+	byService := make(map[model.ServiceName]Headroom)
 	for _, b := range budgets {
 		if b.Zone == "" {
-			whole[b.Service] = b
+			byService[b.Service] = b
 		}
 	}
 	var rows [][]string
 	for _, svc := range s.Declaration.Services {
-		b := whole[svc.Name]
+		b := byService[svc.Name]
 		rows = append(rows, []string{
-			string(svc.Name), svc.Class.String(), yesNo(svc.Repeatable), joined(svc.Pools),
+			string(svc.Name), svc.Class.String(), yesNo(svc.Repeatable), joinNames(svc.Pools),
 			strconv.Itoa(b.VMs), strconv.Itoa(b.Available), strconv.Itoa(b.Spare()),
 			strconv.Itoa(svc.Limit), svc.Timeout.String(),
 		})
@@ -101,9 +102,9 @@
 	pools     map[model.PoolName]bool
 }
 
-// groups counts VMs by a key. Available is counted as everywhere: what is not
-// certainly in service is down.
-func (e *Engine) groups(s *view.Snapshot, key func(view.VMRecord) string) map[string]*group {
+// groupVMs counts VMs by key. A VM is available only if it is certainly in
+// service, as in the budget counts: an unknown state or health counts as down.
+func (e *Engine) groupVMs(s *view.Snapshot, key func(view.VMRecord) string) map[string]*group {
 	found := make(map[string]*group)
 	for _, vm := range sortedVMs(s) {
 		g := found[key(vm)]
@@ -124,7 +125,7 @@
 }
 
 func (e *Engine) listPools(s *view.Snapshot) [][]string {
-	groups := e.groups(s, func(vm view.VMRecord) string { return string(vm.Pool) })
+	groups := e.groupVMs(s, func(vm view.VMRecord) string { return string(vm.Pool) })
 	var rows [][]string
 	for _, p := range s.Declaration.Pools {
 		g := groups[string(p.Name)]
@@ -143,7 +144,7 @@
 }
 
 func (e *Engine) listRacks(s *view.Snapshot) [][]string {
-	groups := e.groups(s, func(vm view.VMRecord) string { return string(vm.Rack) })
+	groups := e.groupVMs(s, func(vm view.VMRecord) string { return string(vm.Rack) })
 	var rows [][]string
 	for _, name := range sortedKeys(groups) {
 		g := groups[name]
@@ -155,13 +156,13 @@
 }
 
 func (e *Engine) listZones(s *view.Snapshot) [][]string {
-	groups := e.groups(s, func(vm view.VMRecord) string { return string(vm.Zone) })
+	groups := e.groupVMs(s, func(vm view.VMRecord) string { return string(vm.Zone) })
 	entries := make(map[model.ZoneName]int)
 	for _, entry := range s.Entries {
 		entries[entry.Zone]++
 	}
 	heard := make(map[model.ZoneName]time.Time)
-	for _, p := range e.heard() {
+	for _, p := range e.peerStatuses() {
 		if p.LastHeard.After(heard[p.Zone]) {
 			heard[p.Zone] = p.LastHeard
 		}
@@ -173,7 +174,7 @@
 			g = &group{}
 		}
 		rows = append(rows, []string{
-			string(z), strconv.Itoa(g.total), strconv.Itoa(g.available), strconv.Itoa(entries[z]), e.since(heard[z]),
+			string(z), strconv.Itoa(g.total), strconv.Itoa(g.available), strconv.Itoa(entries[z]), e.elapsed(heard[z]),
 		})
 	}
 	return rows
@@ -194,7 +195,7 @@
 	return rows, note, nil
 }
 
-// allZones stands in the zone column for a budget over the whole service.
+// allZones is the value of the zone column for the budget of a whole service.
 const allZones = "all"
 
 func (e *Engine) listWaves(ctx context.Context, s *view.Snapshot) ([][]string, string, error) {
@@ -205,13 +206,14 @@
 	var rows [][]string
 	for _, w := range waves {
 		rows = append(rows, []string{
-			string(w.Name), w.State, strconv.Itoa(w.Done), strconv.Itoa(w.OutOfService), strconv.Itoa(w.Total), joined(w.Pools), w.Reason,
+			string(w.Name), w.State, strconv.Itoa(w.Done), strconv.Itoa(w.OutOfService), strconv.Itoa(w.Total), joinNames(w.Pools), w.Reason,
 		})
 	}
 	return rows, "", nil
 }
 
-// waves returns the started waves and, as "declared", those never started.
+// waves returns the started waves and, with the state "declared", the declared
+// waves that were never started. They are sorted by name.
 func (e *Engine) waves(ctx context.Context, s *view.Snapshot) ([]WaveStatus, error) {
 	var found []WaveStatus
 	if e.Waves != nil {
@@ -234,7 +236,7 @@
 	return found, nil
 }
 
-// waveDeclared is the state of a wave that was never started.
+// waveDeclared is the state of a declared wave that was never started.
 const waveDeclared = "declared"
 
 func (e *Engine) listJobs(ctx context.Context, _ *view.Snapshot) ([][]string, string, error) {
@@ -251,6 +253,8 @@
 	return rows, "", nil
 }
 
+// jobs returns the submitted jobs sorted by ID; none if the deployment runs no
+// jobs.
 func (e *Engine) jobs(ctx context.Context) ([]JobStatus, error) {
 	if e.Jobs == nil {
 		return nil, nil
@@ -265,19 +269,19 @@
 
 func (e *Engine) listEntries(s *view.Snapshot) [][]string {
 	heard := make(map[model.EntryID]PeerStatus)
-	for _, p := range e.heard() {
+	for _, p := range e.peerStatuses() {
 		heard[p.Entry] = p
 	}
 	var rows [][]string
 	for _, entry := range s.Entries {
 		p := heard[entry.ID]
-		rows = append(rows, []string{string(entry.ID), string(entry.Zone), strconv.FormatUint(p.Generation, 10), e.since(p.LastHeard)})
+		rows = append(rows, []string{string(entry.ID), string(entry.Zone), strconv.FormatUint(p.Generation, 10), e.elapsed(p.LastHeard)})
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i][0] < rows[j][0] })
 	return rows
 }
 
-func (e *Engine) heard() []PeerStatus {
+func (e *Engine) peerStatuses() []PeerStatus {
 	if e.Peers == nil {
 		return nil
 	}
@@ -295,8 +299,8 @@
 	return rows
 }
 
-// since writes how long ago something was.
-func (e *Engine) since(at time.Time) string {
+// elapsed formats the time since at in whole seconds; "never" if at is zero.
+func (e *Engine) elapsed(at time.Time) string {
 	if at.IsZero() {
 		return "never"
 	}
@@ -321,7 +325,7 @@
 	return keys
 }
 
-func joined[T ~string](names []T) string {
+func joinNames[T ~string](names []T) string {
 	parts := make([]string, len(names))
 	for i, n := range names {
 		parts[i] = string(n)
@@ -334,7 +338,7 @@
 	for i, s := range d.Services {
 		names[i] = s.Name
 	}
-	return joined(names)
+	return joinNames(names)
 }
 
 func yesNo(b bool) string {
@@ -344,6 +348,7 @@
 	return "no"
 }
 
+// budgetText describes the availability budget of a service.
 func budgetText(s *model.Service) string {
 	text := "at least " + config.QuantityText(s.Budget.MinAvailable)
 	if s.Budget.MinPerZone != (model.Quantity{}) {
--- a/internal/query/whatif.go
+++ b/internal/query/whatif.go
@@ -11,8 +11,10 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
+// whatIf forecasts the effect of the hypothesis. d is the declaration sent with
+// the question, or nil. A failure to list jobs becomes a note.
 func (e *Engine) whatIf(ctx context.Context, s *view.Snapshot, q lang.WhatIf, d *model.Declaration) (*Forecast, error) {
-	h, what, err := hypothesis(s, q, d)
+	h, what, err := newHypothesis(s, q, d)
 	if err != nil {
 		return nil, err
 	}
@@ -21,8 +23,8 @@
 		return nil, unavailable("what would happen", err)
 	}
 	f.Description = what
-	f.BudgetsHold = holdsAfter(f.Budgets)
-	if f.Jobs, err = e.jobsOn(ctx, f.Steps); err != nil {
+	f.BudgetsHold = budgetsHold(f.Budgets)
+	if f.Jobs, err = e.countJobsOn(ctx, f.Steps); err != nil {
 		f.Notes = append(f.Notes, err.Error())
 	}
 	if h.Declaration != nil {
@@ -31,8 +33,9 @@
 	return &f, nil
 }
 
-// jobsOn counts the jobs on the VMs that the steps take out.
-func (e *Engine) jobsOn(ctx context.Context, steps []Step) (int, error) {
+// countJobsOn counts the jobs on the VMs that the steps take out of service.
+// Steps that would be refused or have to wait are not counted.
+func (e *Engine) countJobsOn(ctx context.Context, steps []Step) (int, error) {
 	out := make(map[model.VMID]bool, len(steps))
 	for _, s := range steps {
 		out[s.VM] = s.Done
@@ -47,19 +50,20 @@
 	return n, err
 }
 
-func hypothesis(s *view.Snapshot, q lang.WhatIf, d *model.Declaration) (Hypothesis, string, error) {
+// newHypothesis converts a what-if question to a hypothesis and its description.
+func newHypothesis(s *view.Snapshot, q lang.WhatIf, d *model.Declaration) (Hypothesis, string, error) {
 	switch {
 	case q.Declaration && d == nil:
 		return Hypothesis{}, "", &Error{Code: CodeInvalid, Detail: "no declaration was sent with the question"}
 	case q.Declaration:
 		return Hypothesis{Declaration: d}, "declaration", nil
 	case q.Lose != nil:
-		vms, err := scoped(s, *q.Lose)
+		vms, err := vmsInScope(s, *q.Lose)
 		return Hypothesis{Lose: vms}, fmt.Sprintf("lose %s %s", q.Lose.Subject, q.Lose.Name), err
 	}
 	switch o := q.Order.(type) {
 	case lang.Drain:
-		vms, err := scoped(s, o.Scope)
+		vms, err := vmsInScope(s, o.Scope)
 		return Hypothesis{Drain: vms}, fmt.Sprintf("drain %s %s", o.Scope.Subject, o.Scope.Name), err
 	case lang.Move:
 		return Hypothesis{Move: &MoveOrder{VM: o.VM, To: o.Pool}}, fmt.Sprintf("move vm %s to pool %s", o.VM, o.Pool), nil
@@ -69,7 +73,8 @@
 	return Hypothesis{}, "", &Error{Code: CodeInvalid, Detail: "that cannot be foreseen"}
 }
 
-func scoped(s *view.Snapshot, sc lang.Scope) ([]model.VMID, error) {
+// vmsInScope returns the VMs of the scope, or an *Error if there are none.
+func vmsInScope(s *view.Snapshot, sc lang.Scope) ([]model.VMID, error) {
 	vms := scope.In(s, sc)
 	if len(vms) == 0 {
 		return nil, notFound("no VM in %s %s", sc.Subject, sc.Name)
@@ -77,8 +82,9 @@
 	return vms, nil
 }
 
-// holdsAfter reports whether every budget that holds before holds after.
-func holdsAfter(shifts []BudgetChange) bool {
+// budgetsHold reports whether every budget that is met before the change is
+// still met after it.
+func budgetsHold(shifts []BudgetChange) bool {
 	for _, b := range shifts {
 		if b.Before.Spare() >= 0 && b.After.Spare() < 0 {
 			return false
@@ -87,7 +93,9 @@
 	return true
 }
 
-// declarationNotes gives what apply would say of the declaration.
+// declarationNotes returns what applying the declaration would report:
+// validation problems, differences from the declaration in force, and budgets
+// that the removal of VMs would violate.
 func declarationNotes(s *view.Snapshot, d *model.Declaration) []string {
 	var notes []string
 	for _, p := range config.Validate(d) {
--- a/internal/query/where.go
+++ b/internal/query/where.go
@@ -9,16 +9,18 @@
 	"github.com/pumicestage/pumicestage/internal/lang"
 )
 
-// matches reports whether the row fulfils every condition.
+// matches reports whether the row satisfies every condition.
 func matches(columns, row []string, where []lang.Condition) bool {
 	for _, c := range where {
-		if !holds(c, cell(columns, row, c.Field)) {
+		if !satisfies(c, cell(columns, row, c.Field)) {
 			return false
 		}
 	}
 	return true
 }
 
+// cell returns the row's value in the column of the field; empty if there is no
+// such column.
 func cell(columns, row []string, field string) string {
 	for i, c := range columns {
 		if c == field {
@@ -28,13 +30,15 @@
 	return ""
 }
 
-func holds(c lang.Condition, value string) bool {
+// satisfies reports whether the value satisfies the condition. For a cell that
+// lists several names, Equal means that the list contains the name.
+func satisfies(c lang.Condition, value string) bool {
 	order := compare(value, c.Value)
 	switch c.Comparison {
 	case lang.Equal:
-		return order == 0 || hasPart(value, c.Value)
+		return order == 0 || listContains(value, c.Value)
 	case lang.NotEqual:
-		return order != 0 && !hasPart(value, c.Value)
+		return order != 0 && !listContains(value, c.Value)
 	case lang.Less:
 		return order < 0
 	case lang.LessOrEqual:
@@ -47,26 +51,26 @@
 	return false
 }
 
-// compare orders two values as numbers or durations where both are, else as
-// text.
+// compare orders two values as numbers or as durations if both parse as such,
+// and otherwise as strings.
 func compare(a, b string) int {
-	if x, y, ok := both(a, b, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) }); ok {
+	if x, y, ok := parseBoth(a, b, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) }); ok {
 		return cmp.Compare(x, y)
 	}
-	if x, y, ok := both(a, b, time.ParseDuration); ok {
+	if x, y, ok := parseBoth(a, b, time.ParseDuration); ok {
 		return cmp.Compare(x, y)
 	}
 	return cmp.Compare(a, b)
 }
 
-func both[T any](a, b string, parse func(string) (T, error)) (x, y T, ok bool) {
+func parseBoth[T any](a, b string, parse func(string) (T, error)) (x, y T, ok bool) {
 	x, errX := parse(a)
 	y, errY := parse(b)
 	return x, y, errX == nil && errY == nil
 }
 
-// hasPart reports whether a cell that lists names has the name among them.
-func hasPart(value, name string) bool {
+// listContains reports whether a cell that lists several names contains name.
+func listContains(value, name string) bool {
 	if !strings.Contains(value, ", ") {
 		return false
 	}
