--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -10,12 +10,14 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// DeclarationApplier applies whole declarations to the store.
+// DeclarationApplier applies complete declarations to the store.
 type DeclarationApplier interface {
 	Apply(ctx context.Context, d *model.Declaration, opts config.ApplyOptions) (config.ApplyResult, error)
 }
 
-// ApplyRequest is a whole declaration to be put in force.
+// ApplyRequest asks to put a complete declaration in force. IfGeneration, if not
+// nil, must be the generation in force. ConfirmRemoval permits the removal of VMs
+// that violates an availability budget.
 type ApplyRequest struct {
 	Change         model.ChangeID
 	By             Actor
@@ -25,18 +27,18 @@
 	DryRun         bool
 }
 
-// Applied is what became of a declaration.
+// Applied is the outcome of an ApplyRequest.
 type Applied struct {
 	config.ApplyResult
-	Warning string // as Result's
+	Warning string // as in Result
 }
 
-// applyText is what the audit trail says was ordered.
-const applyText = "apply declaration"
+// applyAction is the Action of an apply's events in the audit trail.
+const applyAction = "apply declaration"
 
-// Apply puts a declaration in force. Its errors are those of package config,
-// and *Refusal where the order could not be entered in the audit trail. A dry
-// run changes nothing and is not entered.
+// Apply puts a declaration in force. Errors are those of package config, and
+// *Refusal if the request has no change ID or could not be recorded in the audit
+// trail. A dry run changes nothing and is not recorded.
 func (x *Executor) Apply(ctx context.Context, req ApplyRequest) (Applied, error) {
 	opts := config.ApplyOptions{
 		Change: req.Change, By: req.By.Name, From: req.By.From, At: x.Clock.Now().UTC(),
@@ -49,21 +51,21 @@
 	if req.Change == "" {
 		return Applied{}, &Refusal{Code: CodeInvalid, Detail: "an order needs a change ID"}
 	}
-	event := Event{Change: req.Change, By: req.By, Action: applyText, Stage: StageAsked, At: opts.At}
+	event := Event{Change: req.Change, By: req.By, Action: applyAction, Stage: StageAsked, At: opts.At}
 	if err := x.Trail.Record(ctx, event); err != nil {
 		return Applied{}, &Refusal{Code: CodeUnavailable, Detail: "not applied, it could not be entered in the audit trail: " + err.Error()}
 	}
 	res, err := x.Declarations.Apply(ctx, req.Declaration, opts)
 	event.At = x.Clock.Now().UTC()
 	out := Applied{ApplyResult: res}
-	if failed := x.Trail.Record(ctx, applied(event, res, err)); failed != nil {
-		out.Warning = outcomeNotEntered + failed.Error()
+	if failed := x.Trail.Record(ctx, applyOutcome(event, res, err)); failed != nil {
+		out.Warning = outcomeNotRecorded + failed.Error()
 	}
 	return out, err
 }
 
-// applied tells what became of an apply.
-func applied(e Event, res config.ApplyResult, err error) Event {
+// applyOutcome completes the event with the outcome of an apply.
+func applyOutcome(e Event, res config.ApplyResult, err error) Event {
 	var unknown *config.UnknownError
 	switch {
 	case errors.As(err, &unknown):
@@ -76,14 +78,14 @@
 		e.Stage, e.After, e.Detail = StageDone, generationText(res.Generation), "the same was in force already"
 	default:
 		e.Stage, e.Before, e.After = StageDone, generationText(res.Generation-1), generationText(res.Generation)
-		e.Detail = differText(res.Differ)
+		e.Detail = differencesText(res.Differ)
 	}
 	return e
 }
 
 func generationText(g uint64) string { return fmt.Sprintf("generation %d", g) }
 
-func differText(differ []config.Difference) string {
+func differencesText(differ []config.Difference) string {
 	lines := make([]string, len(differ))
 	for i, d := range differ {
 		lines[i] = d.String()
--- a/internal/command/bulk.go
+++ b/internal/command/bulk.go
@@ -6,17 +6,20 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// BulkJobs is a Jobs that cancels many jobs with far fewer writes than one
-// each: thousands cancelled one by one would take minutes of the store's rate.
+// BulkJobs is implemented by a Jobs that can cancel many jobs with far fewer
+// writes than one per job. At the store's write rate, cancelling thousands of
+// jobs one by one would take minutes.
 type BulkJobs interface {
 	Jobs
-	// CancelAll cancels the jobs and returns an effect for each, in order.
+	// CancelAll cancels the jobs and returns one effect per job, in the same
+	// order. An error applies to all of the jobs.
 	CancelAll(ctx context.Context, jobs []model.JobID, t OrderMeta) ([]Effect, error)
 }
 
-// cancelTogether makes the steps of an order that cancels many. The first step
-// cancels them all, the others tell what became of theirs.
-func cancelTogether(jobs BulkJobs, ids []model.JobID) []step {
+// bulkCancelSteps returns the steps of an order that cancels many jobs. The
+// first step to run cancels all of them; each step reports the effect on its own
+// job.
+func bulkCancelSteps(jobs BulkJobs, ids []model.JobID) []step {
 	var effects []Effect
 	var failed error
 	all := func(ctx context.Context, t OrderMeta) ([]Effect, error) {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,6 +1,6 @@
-// Package command carries out operators' orders. An order is checked, entered
-// in the audit trail, carried out by the part that owns what it changes, and
-// its outcome is entered as well.
+// Package command executes operators' orders. An order is validated, recorded in
+// the audit trail and executed by the component that owns the state it changes;
+// its outcome is then recorded as well.
 package command
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Actor is who gives an order, and from where.
+// Actor is the operator who gives an order, and the address it came from.
 type Actor struct {
 	Name string
 	From string
@@ -20,14 +20,15 @@
 
 // Request is one order.
 type Request struct {
-	Change     model.ChangeID // a repeat with the same ID is the same order
+	Change     model.ChangeID // a retry with the same ID is the same order
 	By         Actor
-	IfRevision infra.Revision // refuse unless the key that decides has it; 0 for any
-	Text       string         // as the operator gave it
+	IfRevision infra.Revision // refuse unless the key that the order changes has this revision; 0 for any
+	Text       string         // as entered by the operator
 	Order      lang.Order
 }
 
-// OrderMeta go with every call to a part that carries out orders.
+// OrderMeta is the metadata of an order that is passed along with each of its
+// effects. Change identifies the single effect.
 type OrderMeta struct {
 	Change     model.ChangeID
 	Actor      string
@@ -35,25 +36,25 @@
 	IfRevision infra.Revision
 }
 
-// Effect is what an order did to one thing.
+// Effect is the change that an order made to one VM, wave, job or service.
 type Effect struct {
 	Subject  string         // "vm v17", "wave spring"
-	Before   string         // its state before, as the audit trail gives it
+	Before   string         // its state before, as recorded in the audit trail
 	After    string         // its state after
-	Revision infra.Revision // of its key now
-	Refused  *Refusal       // nil where it was done
+	Revision infra.Revision // of its key after the change
+	Refused  *Refusal       // nil if the change was made
 }
 
-// Result is what became of an order.
+// Result is the outcome of an order.
 type Result struct {
 	Change  model.ChangeID
 	Effects []Effect
-	// Warning tells of what went wrong beside the order: its outcome could
-	// not be entered in the audit trail.
+	// Warning is set if the order was executed but its outcome could not be
+	// recorded in the audit trail.
 	Warning string
 }
 
-// Refused returns how many effects were refused.
+// Refused returns the number of refused effects.
 func (r *Result) Refused() int {
 	n := 0
 	for _, e := range r.Effects {
@@ -64,9 +65,11 @@
 	return n
 }
 
-// Fleet carries out orders on VMs and waves. Errors are *Refusal where
-// certainly nothing was changed, and *UncertainError.
+// Fleet executes orders on VMs and waves. Errors are *Refusal if it is certain
+// that nothing was changed, and *UncertainError otherwise.
 type Fleet interface {
+	// Drain takes a VM out of service. With cut, work that is still running on
+	// the VM is stopped.
 	Drain(ctx context.Context, vm model.VMID, cut bool, t OrderMeta) (Effect, error)
 	Undrain(ctx context.Context, vm model.VMID, t OrderMeta) (Effect, error)
 	Move(ctx context.Context, vm model.VMID, to model.PoolName, t OrderMeta) (Effect, error)
@@ -76,29 +79,31 @@
 	CancelWave(ctx context.Context, wave model.WaveName, t OrderMeta) (Effect, error)
 }
 
-// Jobs carries out orders on jobs. Errors are as Fleet's.
+// Jobs executes orders on jobs. Errors are as for Fleet.
 type Jobs interface {
-	// Submit takes a job in; one of the ID that is there already is refused
-	// unless it is the same order.
+	// Submit accepts a job. If a job with its ID exists already, it is refused
+	// unless the existing one was submitted by the same order.
 	Submit(ctx context.Context, job model.Job, t OrderMeta) (Effect, error)
 	Cancel(ctx context.Context, job model.JobID, t OrderMeta) (Effect, error)
-	// Select returns the jobs that fulfil all conditions.
+	// Select returns the jobs that satisfy all conditions.
 	Select(ctx context.Context, where []lang.Condition) ([]model.JobID, error)
 }
 
-// Settings carries out orders on the declaration in force.
+// Settings executes orders that change single settings of the declaration in
+// force.
 type Settings interface {
+	// SetLimit sets the limit of requests in flight of a service.
 	SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t OrderMeta) (Effect, error)
 }
 
-// ScopeResolver tells which VMs a scope means.
+// ScopeResolver resolves scopes to VMs.
 type ScopeResolver interface {
-	// Resolve returns the VMs of a VM, rack or zone by name, sorted; none where
-	// nothing of the name exists.
+	// Resolve returns the VMs of the named VM, rack or zone, sorted; none if
+	// nothing of that name exists.
 	Resolve(scope lang.Scope) []model.VMID
 }
 
-// Event is what an order's entries in the audit trail tell.
+// Event is an entry of an order in the audit trail.
 type Event struct {
 	Change model.ChangeID
 	By     Actor
@@ -110,7 +115,7 @@
 	At     time.Time
 }
 
-// Stage is how far an order has come.
+// Stage is the stage of an order's execution.
 type Stage string
 
 // The stages of an Event.
@@ -121,10 +126,10 @@
 	StageUnknown Stage = "unknown"
 )
 
-// Trail is the audit trail as orders need it.
+// Trail records events in the audit trail.
 type Trail interface {
-	// Record returns nil once the event is certain to be in the trail.
+	// Record returns nil only once the event is durably in the audit trail.
 	Record(ctx context.Context, e Event) error
-	// RecordAsync enters the event in the background.
+	// RecordAsync records the event in the background.
 	RecordAsync(e Event)
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -26,14 +26,15 @@
 	ana   = Actor{Name: "ana", From: "10.0.0.7"}
 )
 
-// scripted is a Fleet, Jobs, Members and Trail that answers by script.
+// scripted implements Fleet, Jobs, ScopeResolver and Trail with preset answers
+// and records the calls.
 type scripted struct {
-	Fleet // what a test does not use panics
-	fail  map[string]error
-	done  []string // "c-1.2 drain v2"
-	jobs  []model.JobID
-	trail []string // "asked: drain rack r1"
-	mute  map[Stage]bool
+	Fleet      // nil: methods that are not overridden panic
+	fail       map[string]error
+	done       []string // "c-1.2 drain v2"
+	jobs       []model.JobID
+	trail      []string // "asked: drain rack r1"
+	failStages map[Stage]bool
 }
 
 func (s *scripted) Drain(_ context.Context, vm model.VMID, _ bool, t OrderMeta) (Effect, error) {
@@ -63,7 +64,7 @@
 }
 
 func (s *scripted) Record(_ context.Context, e Event) error {
-	if s.mute[e.Stage] {
+	if s.failStages[e.Stage] {
 		return errors.New("trail out of reach")
 	}
 	s.RecordAsync(e)
@@ -102,7 +103,7 @@
 		{"stops where an outcome is unknown", "drain rack r1", scripted{fail: map[string]error{"v2": lost}},
 			[]string{"c-1.1 drain v1", "c-1.2 drain v2"}, 0, "outcome unknown: repeat under change c-1.2",
 			[]string{"asked: drain rack r1", "unknown: drain rack r1 | outcome unknown"}},
-		{"nothing of the name", "drain rack r9", scripted{}, nil, 0, "refused (not-found): no VM in rack r9",
+		{"no VM of that name", "drain rack r9", scripted{}, nil, 0, "refused (not-found): no VM in rack r9",
 			[]string{"refused: drain rack r9 | refused (not-found)"}},
 		{"submit", "submit job j1 team t kind k", scripted{}, []string{"c-1 submit j1 at 03:00:00"}, 0, "",
 			[]string{"asked: submit job j1 team t kind k", "done: submit job j1 team t kind k"}},
@@ -111,7 +112,7 @@
 			[]string{"asked: cancel jobs where team = t", "done: cancel jobs where team = t"}},
 		{"no jobs", "cancel jobs where team = t", scripted{}, nil, 0, "refused (not-found): 0 jobs",
 			[]string{"refused: cancel jobs where team = t | refused"}},
-		{"not without its entry", "drain rack r1", scripted{mute: map[Stage]bool{StageAsked: true}}, nil, 0,
+		{"refused if it cannot be recorded", "drain rack r1", scripted{failStages: map[Stage]bool{StageAsked: true}}, nil, 0,
 			"refused (unavailable): not done, it could not be entered in the audit trail", nil},
 	}
 	for _, tc := range cases {
@@ -136,10 +137,11 @@
 	}
 }
 
-// The order is done but its outcome cannot be entered: the operator is told
-// both, and not that it failed.
+// Guards against reporting an executed order as failed because its outcome
+// could not be recorded in the audit trail. The operator must get the result and
+// a warning.
 func TestOutcomeNotEnteredIsAWarning(t *testing.T) {
-	s := &scripted{mute: map[Stage]bool{StageDone: true}}
+	s := &scripted{failStages: map[Stage]bool{StageDone: true}}
 	x := New(Options{Fleet: s, Scopes: s, Trail: s, Clock: clockwork.NewFakeClockAt(epoch)})
 	res, err := x.Execute(ctx, Request{Change: "c-1", Text: "drain rack r1", Order: lang.Drain{Scope: lang.Scope{Subject: lang.SubjectRack, Name: "r1"}}})
 	assert.NilError(t, err)
@@ -148,7 +150,7 @@
 	assert.Error(t, err, "refused (not-found): this deployment runs no jobs")
 }
 
-// beforeRead runs f before the nth read of a store.
+// beforeRead is a store that runs f before its nth read.
 type beforeRead struct {
 	infra.Store
 	nth, seen int
@@ -162,24 +164,25 @@
 	return s.Store.Get(ctx, key)
 }
 
-// An order changes one key of the declaration while another operator applies a
-// whole one, at each moment of the order. It must not undo the other's change,
-// which it never saw; a repeat of it is the same order whatever came after.
-func TestSetLimitKeepsARivalsChange(t *testing.T) {
+// Guards against a lost update: an order changes one key of the declaration
+// while another operator applies a complete declaration, between any two steps
+// of the order. The order must not undo that change, which it has not read, and
+// a retry must be recognised as the same order whatever was applied since.
+func TestSetLimitKeepsConcurrentChange(t *testing.T) {
 	d, err := config.Load("../../examples/encuesta-viva")
 	assert.NilError(t, err)
-	for name, moment := range map[string]func(store infra.Store, rival func()) infra.Store{
-		"after it has read": func(store infra.Store, rival func()) infra.Store {
-			return &beforeRead{Store: store, nth: 2, f: rival}
+	for name, interleave := range map[string]func(store infra.Store, concurrent func()) infra.Store{
+		"after it has read": func(store infra.Store, concurrent func()) infra.Store {
+			return &beforeRead{Store: store, nth: 2, f: concurrent}
 		},
-		"as it writes": func(store infra.Store, rival func()) infra.Store {
-			way, writes := faulty.Wrap(store), 0
-			way.Before(func(string, infra.Txn) {
+		"as it writes": func(store infra.Store, concurrent func()) infra.Store {
+			hooked, writes := faulty.Wrap(store), 0
+			hooked.Before(func(string, infra.Txn) {
 				if writes++; writes == 1 {
-					rival()
+					concurrent()
 				}
 			})
-			return way
+			return hooked
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -192,7 +195,7 @@
 				assert.NilError(t, err)
 			}
 			apply("c-1", func(*model.Declaration) {})
-			store := moment(inner, func() {
+			store := interleave(inner, func() {
 				apply("c-rival", func(next *model.Declaration) { next.Service("portal").Timeout = time.Minute })
 			})
 			stored := DeclarationStore{Store: store, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
@@ -213,8 +216,8 @@
 
 func TestSetLimitRefused(t *testing.T) {
 	inner := memstore.New(clockwork.NewFakeClockAt(epoch))
-	way := faulty.Wrap(inner)
-	stored := DeclarationStore{Store: way, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
+	flaky := faulty.Wrap(inner)
+	stored := DeclarationStore{Store: flaky, Clock: clockwork.NewFakeClockAt(epoch), View: view.NewHolder()}
 	code := func(terms OrderMeta) Code {
 		_, err := stored.SetLimit(ctx, "preview", 40, ana, terms)
 		var refusal *Refusal
@@ -227,13 +230,13 @@
 	_, err = config.Apply(ctx, inner, d, config.ApplyOptions{Change: "c-2", By: "ana"})
 	assert.NilError(t, err)
 	assert.Equal(t, code(OrderMeta{Change: "c-3", IfRevision: 1}), CodeConflict)
-	way.SetDown(true)
+	flaky.SetDown(true)
 	assert.Equal(t, code(OrderMeta{Change: "c-4"}), CodeUnavailable)
 }
 
-// The store was restored from an old copy, so the order goes by the declaration
-// that this entry VM holds. That one serves requests meanwhile and must not be
-// written to.
+// Guards against an order modifying the declaration that this entry VM is
+// serving requests from. After the store was restored from an old backup, the
+// order is based on that declaration instead of the store's, and must copy it.
 func TestSetLimitLeavesTheViewAlone(t *testing.T) {
 	d, err := config.Load("../../examples/encuesta-viva")
 	assert.NilError(t, err)
--- a/internal/command/errors.go
+++ b/internal/command/errors.go
@@ -7,27 +7,27 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Code says why an order was refused.
+// Code classifies a Refusal.
 type Code string
 
 // The codes of a Refusal.
 const (
 	CodeNotFound    Code = "not-found"   // no such VM, pool, wave, service or job
-	CodeConflict    Code = "conflict"    // something else holds it; Winner names it
-	CodeRevision    Code = "revision"    // if-revision does not hold
-	CodeBudget      Code = "budget"      // an availability budget would break
+	CodeConflict    Code = "conflict"    // another wave or order holds it; Winner names it
+	CodeRevision    Code = "revision"    // the revision is not the one given as IfRevision
+	CodeBudget      Code = "budget"      // an availability budget would be violated
 	CodeState       Code = "state"       // nothing to pause, resume, undrain, ...
-	CodeUnavailable Code = "unavailable" // the platform or a fresh view is out of reach
-	CodeInvalid     Code = "invalid"     // the order makes no sense as given
+	CodeUnavailable Code = "unavailable" // the platform, or a fresh view, cannot be reached
+	CodeInvalid     Code = "invalid"     // the order is malformed or incomplete
 )
 
-// Refusal reports an order, or one effect of it, that certainly changed
-// nothing.
+// Refusal reports that an order, or one of its effects, was rejected. It is
+// certain that nothing was changed.
 type Refusal struct {
 	Code     Code
-	Winner   string         // what holds the thing: "wave spring", "order c-17"
-	Revision infra.Revision // of the key that decided
-	Detail   string         // a sentence a person reads
+	Winner   string         // what holds the VM or setting: "wave spring", "order c-17"; empty if nothing does
+	Revision infra.Revision // of the key that led to the refusal
+	Detail   string         // a sentence for the operator
 }
 
 // Error implements error.
@@ -38,8 +38,9 @@
 	return fmt.Sprintf("refused (%s): %s; held by %s at revision %d", r.Code, r.Detail, r.Winner, r.Revision)
 }
 
-// UncertainError reports an order that may be in effect or come into effect.
-// Repeating it under its change ID tells.
+// UncertainError reports an order whose outcome is unknown: it may have taken
+// effect, or may still do so. Repeating it under the same change ID is safe and
+// returns its outcome.
 type UncertainError struct {
 	Change model.ChangeID
 	Err    error
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -12,14 +12,15 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// maxTargets bounds the VMs or jobs that one order may touch.
+// maxTargets is the maximum number of jobs that one order may cancel.
 const maxTargets = 10_000
 
-// outcomeNotEntered starts the warning of an order that was carried out.
-const outcomeNotEntered = "the outcome could not be entered in the audit trail: "
+// outcomeNotRecorded is the start of the Warning for an order that was executed
+// but whose outcome is missing from the audit trail.
+const outcomeNotRecorded = "the outcome could not be entered in the audit trail: "
 
-// Options are what an Executor works with. Jobs may be nil where the
-// deployment runs none.
+// Options configures an Executor. Jobs may be nil if the deployment runs no jobs;
+// the fields without a default are required.
 type Options struct {
 	Fleet        Fleet
 	Jobs         Jobs
@@ -27,15 +28,15 @@
 	Declarations DeclarationApplier
 	Scopes       ScopeResolver
 	Trail        Trail
-	Clock        clockwork.Clock // the real one if nil
+	Clock        clockwork.Clock // the system clock if nil
 }
 
-// Executor carries out orders. It is safe for concurrent use.
+// Executor executes orders. It is safe for concurrent use.
 type Executor struct {
 	Options
 }
 
-// New returns an Executor.
+// New returns an Executor with the given options and their defaults filled in.
 func New(o Options) *Executor {
 	if o.Clock == nil {
 		o.Clock = clockwork.NewRealClock()
@@ -43,58 +44,59 @@
 	return &Executor{o}
 }
 
-// Execute carries out one order. Its error is a *Refusal (certainly nothing was
-// changed) or an *UncertainError. An order on several things is done for each
-// that allows it; Result tells which were refused.
+// Execute executes one order. Its error is a *Refusal (it is certain that nothing
+// was changed) or an *UncertainError. An order on several VMs or jobs is applied
+// to each one that permits it; Result tells which ones were refused.
 //
-// The order is entered in the trail before anything is changed: were it
-// entered after, a crash in between would leave a change that nobody made.
+// The order is recorded in the audit trail before anything is changed. If it were
+// recorded afterwards, a crash in between would leave a change without any record
+// of who made it.
 func (x *Executor) Execute(ctx context.Context, req Request) (Result, error) {
 	if req.Change == "" {
 		return Result{}, &Refusal{Code: CodeInvalid, Detail: "an order needs a change ID"}
 	}
 	steps, err := x.plan(ctx, req)
 	if err != nil {
-		x.Trail.RecordAsync(x.event(req, Result{}, err))
+		x.Trail.RecordAsync(x.outcomeEvent(req, Result{}, err))
 		return Result{}, err
 	}
-	if err := x.Trail.Record(ctx, x.asked(req)); err != nil {
+	if err := x.Trail.Record(ctx, x.requestEvent(req)); err != nil {
 		return Result{}, &Refusal{Code: CodeUnavailable, Detail: "not done, it could not be entered in the audit trail: " + err.Error()}
 	}
 	res, err := x.run(ctx, req, steps)
-	if failed := x.Trail.Record(ctx, x.event(req, res, err)); failed != nil {
-		res.Warning = outcomeNotEntered + failed.Error()
+	if failed := x.Trail.Record(ctx, x.outcomeEvent(req, res, err)); failed != nil {
+		res.Warning = outcomeNotRecorded + failed.Error()
 	}
 	return res, err
 }
 
-// step is one effect to be made.
+// step is one effect of an order, not yet executed.
 type step struct {
 	what string // "vm v17"
 	do   func(ctx context.Context, t OrderMeta) (Effect, error)
 }
 
-// plan turns an order into the steps that carry it out.
+// plan converts an order to the steps that execute it.
 func (x *Executor) plan(ctx context.Context, req Request) ([]step, error) {
 	switch o := req.Order.(type) {
 	case lang.Drain:
 		return x.planDrain(o)
 	case lang.Undrain:
-		return one(vmText(o.VM), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.Undrain(ctx, o.VM, t) }), nil
+		return singleStep(vmText(o.VM), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.Undrain(ctx, o.VM, t) }), nil
 	case lang.Move:
-		return one(vmText(o.VM), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.Move(ctx, o.VM, o.Pool, t) }), nil
+		return singleStep(vmText(o.VM), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.Move(ctx, o.VM, o.Pool, t) }), nil
 	case lang.StartWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) {
+		return singleStep(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) {
 			return x.Fleet.StartWave(ctx, o.Wave, o.Pools, t)
 		}), nil
 	case lang.PauseWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.PauseWave(ctx, o.Wave, t) }), nil
+		return singleStep(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.PauseWave(ctx, o.Wave, t) }), nil
 	case lang.ResumeWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.ResumeWave(ctx, o.Wave, t) }), nil
+		return singleStep(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.ResumeWave(ctx, o.Wave, t) }), nil
 	case lang.CancelWave:
-		return one(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.CancelWave(ctx, o.Wave, t) }), nil
+		return singleStep(waveText(o.Wave), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Fleet.CancelWave(ctx, o.Wave, t) }), nil
 	case lang.SetLimit:
-		return one("service "+string(o.Service), func(ctx context.Context, t OrderMeta) (Effect, error) {
+		return singleStep("service "+string(o.Service), func(ctx context.Context, t OrderMeta) (Effect, error) {
 			return x.Settings.SetLimit(ctx, o.Service, o.Limit, req.By, t)
 		}), nil
 	case lang.CancelJobs:
@@ -105,7 +107,8 @@
 	return nil, &Refusal{Code: CodeInvalid, Detail: fmt.Sprintf("no such order: %T", req.Order)}
 }
 
-func one(what string, do func(ctx context.Context, t OrderMeta) (Effect, error)) []step {
+// singleStep returns the steps of an order with a single effect.
+func singleStep(what string, do func(ctx context.Context, t OrderMeta) (Effect, error)) []step {
 	return []step{{what: what, do: do}}
 }
 
@@ -125,23 +128,24 @@
 	return steps, nil
 }
 
-// noJobs refuses orders on jobs where the deployment runs none.
-func noJobs() error {
+// jobsNotSupported returns the Refusal of an order on jobs in a deployment that
+// runs none.
+func jobsNotSupported() error {
 	return &Refusal{Code: CodeNotFound, Detail: "this deployment runs no jobs"}
 }
 
 func (x *Executor) planSubmit(o lang.SubmitJob) ([]step, error) {
 	if x.Jobs == nil {
-		return nil, noJobs()
+		return nil, jobsNotSupported()
 	}
 	job := o.Job
 	job.SubmittedAt = x.Clock.Now().UTC()
-	return one("job "+string(job.ID), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Jobs.Submit(ctx, job, t) }), nil
+	return singleStep("job "+string(job.ID), func(ctx context.Context, t OrderMeta) (Effect, error) { return x.Jobs.Submit(ctx, job, t) }), nil
 }
 
 func (x *Executor) planCancelJobs(ctx context.Context, o lang.CancelJobs) ([]step, error) {
 	if x.Jobs == nil {
-		return nil, noJobs()
+		return nil, jobsNotSupported()
 	}
 	ids := []model.JobID{o.Job}
 	if o.Job == "" {
@@ -155,7 +159,7 @@
 		return nil, &Refusal{Code: CodeNotFound, Detail: fmt.Sprintf("%d jobs fulfil this, 1 to %d may be cancelled at once", len(ids), maxTargets)}
 	}
 	if bulk, ok := x.Jobs.(BulkJobs); ok && len(ids) > 1 {
-		return cancelTogether(bulk, ids), nil
+		return bulkCancelSteps(bulk, ids), nil
 	}
 	steps := make([]step, len(ids))
 	for i, id := range ids {
@@ -164,9 +168,9 @@
 	return steps, nil
 }
 
-// run makes the steps one after the other. Each step of several has a change
-// ID of its own, derived from the order's, so that a repeat of the order
-// repeats each step as itself.
+// run executes the steps one after the other and stops at the first unknown
+// outcome. If there are several steps, each has its own change ID, derived from
+// the order's, so that a retry of the order retries each step under the same ID.
 func (x *Executor) run(ctx context.Context, req Request, steps []step) (Result, error) {
 	res := Result{Change: req.Change}
 	for i, s := range steps {
@@ -189,12 +193,13 @@
 	return res, nil
 }
 
-func (x *Executor) asked(req Request) Event {
+// requestEvent returns the event that records the order before its execution.
+func (x *Executor) requestEvent(req Request) Event {
 	return Event{Change: req.Change, By: req.By, Action: req.Text, Detail: req.Order.ReasonText(), Stage: StageAsked, At: x.Clock.Now().UTC()}
 }
 
-// event tells what became of the order.
-func (x *Executor) event(req Request, res Result, err error) Event {
+// outcomeEvent returns the event that records the outcome of the order.
+func (x *Executor) outcomeEvent(req Request, res Result, err error) Event {
 	e := Event{Change: req.Change, By: req.By, Action: req.Text, Stage: StageDone, At: x.Clock.Now().UTC()}
 	e.Before, e.After = states(res.Effects)
 	var refusal *Refusal
@@ -211,6 +216,7 @@
 	return e
 }
 
+// states lists the states before and after of the effects that were not refused.
 func states(effects []Effect) (before, after string) {
 	var was, is []string
 	for _, e := range effects {
@@ -222,6 +228,7 @@
 	return strings.Join(was, "; "), strings.Join(is, "; ")
 }
 
+// refusals lists the refused effects with their reasons.
 func refusals(effects []Effect) string {
 	var all []string
 	for _, e := range effects {
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -14,14 +14,15 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// DeclarationStore carries out Settings and Declarer on the declaration in the store.
+// DeclarationStore implements Settings and DeclarationApplier on the declaration
+// in the store.
 type DeclarationStore struct {
 	Store infra.Store
 	Clock clockwork.Clock
-	View  *view.Holder // what this entry VM holds in force
+	View  *view.Holder // this entry VM's view, with the declaration that it has in force
 }
 
-// Apply implements Declarer.
+// Apply implements DeclarationApplier.
 func (d DeclarationStore) Apply(ctx context.Context, decl *model.Declaration, opts config.ApplyOptions) (config.ApplyResult, error) {
 	s := d.View.Load()
 	opts.InForce = s.Declaration
@@ -51,7 +52,8 @@
 	return Effect{Before: "limit " + strconv.Itoa(before), After: fmt.Sprintf("limit %d, generation %d", limit, res.Generation), Revision: res.Revision}, nil
 }
 
-// fromConfig turns errors of the declaration's layer into this one's.
+// fromConfig converts an error of package config to a *Refusal or, if the outcome
+// is unknown, an *UncertainError.
 func fromConfig(change model.ChangeID, err error) error {
 	var refusal *Refusal
 	var conflict *config.ConflictError
