--- a/internal/lang/bench_test.go
+++ b/internal/lang/bench_test.go
@@ -9,9 +9,9 @@
 	cases := []struct{ name, line string }{
 		{"question", "show vms where pool = tabulation and zone = gt-a and state != healthy"},
 		{"order", `move vm v17 to pool weighting reason "disk"`},
-		{"slip", "show vms where pool tabulation"},
+		{"syntax error", "show vms where pool tabulation"},
 		{"longest", "start wave w on pool " + strings.Repeat("a,", 60) + "a"},
-		{"longest slip", "start wave w on pool " + strings.Repeat("a,", 60) + "a b"},
+		{"syntax error in longest", "start wave w on pool " + strings.Repeat("a,", 60) + "a b"},
 	}
 	for _, tc := range cases {
 		b.Run(tc.name, func(b *testing.B) {
--- a/internal/lang/fields.go
+++ b/internal/lang/fields.go
@@ -1,7 +1,7 @@
 package lang
 
-// fields are the words that may stand in a where clause, by what is shown.
-// Package query answers each of them.
+// fields lists the fields that a where clause may use, by the kind of objects
+// shown. Package query provides a column for each of them.
 var fields = map[Kind][]string{
 	ShowVMs:      {"vm", "zone", "rack", "pool", "state", "health", "holder", "wave", "address", "since"},
 	ShowServices: {"service", "class", "repeatable", "pools", "vms", "available", "headroom", "limit", "timeout"},
@@ -15,8 +15,8 @@
 	ShowTeams:    {"team", "cpu", "memory-mb", "accelerators"},
 }
 
-// Fields returns the fields of a kind, which are also the columns of its
-// table, in order.
+// Fields returns the fields of a kind, which are also the columns of its table in
+// this order. It returns nil for an unknown kind.
 func Fields(kind Kind) []string { return fields[kind] }
 
 func hasField(kind Kind, name string) bool {
--- a/internal/lang/fuzz_test.go
+++ b/internal/lang/fuzz_test.go
@@ -6,8 +6,8 @@
 	"unicode/utf8"
 )
 
-// FuzzParse: whatever is typed is a statement or a *SyntaxError that points
-// into the line.
+// FuzzParse checks that every input yields either a statement or a *SyntaxError
+// whose offset lies within the line and whose text is valid UTF-8 if the line is.
 func FuzzParse(f *testing.F) {
 	for _, line := range []string{
 		"", " ", "show vms", "show vms where pool = \"a b\" and zone != c", "what-if lose rack r3",
--- a/internal/lang/grammar.go
+++ b/internal/lang/grammar.go
@@ -5,9 +5,9 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The grammar. Every alternative starts with a word of its own, so that one
-// token of lookahead decides and an error stands where the operator's line
-// first leaves the grammar.
+// The grammar. Every alternative starts with a distinct word, so that one token of
+// lookahead selects it and an error is reported at the first word that doesn't
+// conform to the grammar.
 type (
 	line struct {
 		Show    *showLine    `parser:"'show' @@"`
@@ -120,14 +120,14 @@
 
 type (
 	submitLine struct {
-		Job    word          `parser:"'job' @@"`
-		Team   word          `parser:"'team' @@"`
-		Kind   word          `parser:"'kind' @@"`
-		Parts  []*submitPart `parser:"@@*"`
-		Reason *reasonPart   `parser:"@@?"`
+		Job     word            `parser:"'job' @@"`
+		Team    word            `parser:"'team' @@"`
+		Kind    word            `parser:"'kind' @@"`
+		Options []*submitOption `parser:"@@*"`
+		Reason  *reasonPart     `parser:"@@?"`
 	}
 
-	submitPart struct {
+	submitOption struct {
 		Pos   lexer.Position
 		Key   string `parser:"( @( 'class' | 'pool' | 'zone' | 'cpu' | 'memory-mb' | 'accelerators' | 'run-time' )"`
 		Value word   `parser:"@@"`
@@ -135,8 +135,8 @@
 	}
 )
 
-// keywords are all literal words of the grammar, for the hints of what may
-// stand at a place.
+// keywords lists all literal words and signs of the grammar. Hints tries each of
+// them, so a word that is missing here is never suggested.
 var keywords = []string{
 	"show", "explain", "what-if", "drain", "undrain", "move", "start", "pause", "resume", "cancel", "set", "submit",
 	"vms", "services", "pools", "waves", "jobs", "budgets", "entries", "zones", "racks", "teams", "budget",
@@ -153,5 +153,5 @@
 	{Name: "Word", Pattern: `[A-Za-z0-9][A-Za-z0-9_.:%+-]*`},
 })
 
-// parser is given words that lex has made ready.
+// parser parses the tokens that lex returns; it is not given text directly.
 var parser = participle.MustBuild[line](participle.Lexer(tokens))
--- a/internal/lang/hints.go
+++ b/internal/lang/hints.go
@@ -8,10 +8,11 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Class is a class of words that may stand at a place.
+// Class is a class of words, such as the names of pools, that the grammar accepts
+// at some position.
 type Class string
 
-// The classes, as a phrase of an error message.
+// The classes. Each value is the phrase for it in error messages.
 const (
 	ClassVM      Class = "the ID of a VM"
 	ClassJob     Class = "the ID of a job"
@@ -28,13 +29,13 @@
 	ClassEnd     Class = "the end of the line"
 )
 
-// Hint is one thing that may stand at a place: a word of the language, or any
-// word of a class.
+// Hint is one possible continuation of a line: a keyword, or any word of a class.
 type Hint struct {
-	Word  string // empty where Class is set
+	Word  string // empty if Class is set
 	Class Class
 }
 
+// phrase returns the hint as listed in an error message.
 func (h Hint) phrase() string {
 	if h.Word != "" {
 		return h.Word
@@ -42,39 +43,41 @@
 	return string(h.Class)
 }
 
-// Probes stand for whole classes of words when Hints tries what the grammar
-// takes.
+// The probes represent all names and all quoted strings when Hints tries what the
+// grammar accepts.
 const (
 	probeWord   = "x0"
 	probeString = `"x"`
 )
 
-// Hints returns what may follow the prefix, which ends between two words. The
-// grammar itself is asked: each keyword and class of words is tried at the end
-// of the prefix, so hints and completion cannot differ from what Parse takes.
+// Hints returns what may follow the prefix, which must end between two words. It
+// returns nil if the prefix can't be split into words. Hints are derived from the
+// grammar itself by trying each keyword and class of words after the prefix, so
+// that error messages and completion cannot differ from what Parse accepts.
 func Hints(prefix string) []Hint {
 	words, err := lex(prefix)
 	if err != nil {
 		return nil
 	}
-	if takes(words, probes[probeWord]) {
+	if accepts(words, probes[probeWord]) {
 		return []Hint{{Class: classOf(words)}}
 	}
 	var hints []Hint
 	for _, k := range keywords {
-		if takes(words, probes[k]) {
+		if accepts(words, probes[k]) {
 			hints = append(hints, Hint{Word: k})
 		}
 	}
-	if takes(words, probes[probeString]) {
+	if accepts(words, probes[probeString]) {
 		hints = append(hints, Hint{Class: ClassText})
 	}
-	if _, err := parseWords(&replay{words: words, count: true}); err == nil {
+	if _, err := parseWords(&tokenReader{tokens: words, ordinalPos: true}); err == nil {
 		hints = append(hints, Hint{Class: ClassEnd})
 	}
 	return hints
 }
 
+// expected returns the phrases of the hints for the prefix.
 func expected(prefix string) []string {
 	var phrases []string
 	for _, h := range Hints(prefix) {
@@ -83,9 +86,9 @@
 	return phrases
 }
 
-// probes are the tokens that Hints tries. They are made once, and a prefix is
-// lexed once for all of them: an error in a long line would else cost its
-// length sixty times over.
+// probes holds the tokens that Hints tries, by their text. They are created once,
+// and a prefix is lexed once for all of them: lexing it for each of the about
+// sixty probes would make an error in a long line correspondingly slower.
 var probes = makeProbes()
 
 func makeProbes() map[string]lexer.Token {
@@ -93,15 +96,15 @@
 	for _, text := range append([]string{probeWord, probeString}, keywords...) {
 		words, err := lex(text)
 		if err != nil {
-			panic("lang: a keyword that the lexer does not know: " + text)
+			panic("lang: lexer rejects keyword: " + text)
 		}
 		made[text] = words[0]
 	}
 	return made
 }
 
-// lex returns the words of a text without the spaces and the end; texts in
-// quotes without the quotes.
+// lex splits a text into tokens, without white space and the end-of-file token.
+// Quoted strings are unquoted.
 func lex(text string) ([]lexer.Token, error) {
 	lx, err := tokens.LexString("", text)
 	if err != nil {
@@ -132,33 +135,34 @@
 	stringType = tokens.Symbols()["String"]
 )
 
-// replay is a lexer of words at hand. With count, their positions are their
-// places in the list, which is all that takes asks for.
-type replay struct {
-	words []lexer.Token
-	next  int
-	end   lexer.Position
-	count bool
+// tokenReader is a lexer over a list of tokens. With ordinalPos, the offset of a
+// token's position is its index in the list, which is all that accepts needs;
+// otherwise tokens keep their positions, and end is the position of the end.
+type tokenReader struct {
+	tokens     []lexer.Token
+	next       int
+	end        lexer.Position
+	ordinalPos bool
 }
 
 // Next implements lexer.Lexer.
-func (r *replay) Next() (lexer.Token, error) {
+func (r *tokenReader) Next() (lexer.Token, error) {
 	place := lexer.Position{Offset: r.next}
-	if r.next == len(r.words) {
-		if r.count {
+	if r.next == len(r.tokens) {
+		if r.ordinalPos {
 			return lexer.EOFToken(place), nil
 		}
 		return lexer.EOFToken(r.end), nil
 	}
-	tok := r.words[r.next]
-	if r.count {
+	tok := r.tokens[r.next]
+	if r.ordinalPos {
 		tok.Pos = place
 	}
 	r.next++
 	return tok, nil
 }
 
-func parseWords(r *replay) (*line, error) {
+func parseWords(r *tokenReader) (*line, error) {
 	peeking, err := lexer.Upgrade(r)
 	if err != nil {
 		return nil, err
@@ -166,22 +170,23 @@
 	return parser.ParseFromLexer(peeking)
 }
 
-// takes reports whether the grammar takes the word after the others, also
-// where it then misses more words.
-func takes(words []lexer.Token, word lexer.Token) bool {
-	_, err := parseWords(&replay{words: append(words[:len(words):len(words)], word), count: true})
+// accepts reports whether the grammar accepts the word after the others, even if
+// the statement is still incomplete after it.
+func accepts(words []lexer.Token, word lexer.Token) bool {
+	_, err := parseWords(&tokenReader{tokens: append(words[:len(words):len(words)], word), ordinalPos: true})
 	var located participle.Error
 	return err == nil || errors.As(err, &located) && located.Position().Offset > len(words)
 }
 
-// classAfter gives the class of the name that follows a word.
+// classAfter is the class of the name or value that follows a keyword or sign.
 var classAfter = map[string]Class{
 	"vm": ClassVM, "job": ClassJob, "rack": ClassRack, "zone": ClassZone, "wave": ClassWave,
 	"service": ClassService, "budget": ClassService, "pool": ClassPool, ",": ClassPool,
 	"limit": ClassNumber, "memory-mb": ClassNumber, "accelerators": ClassNumber, "team": ClassTeam, "where": ClassField, "and": ClassField,
 }
 
-// classOf names the class of words that may follow the last one.
+// classOf returns the class of the words that may follow the last one; ClassValue
+// if classAfter has no entry for it.
 func classOf(words []lexer.Token) Class {
 	if len(words) == 0 {
 		return ClassValue
@@ -192,8 +197,8 @@
 	return ClassValue
 }
 
-// FieldsAfter returns the fields that a where clause at the end of the prefix
-// may use.
+// FieldsAfter returns the fields that a where clause at the end of the prefix may
+// use. It returns nil if the prefix names no kind.
 func FieldsAfter(prefix string) []string {
 	words, err := lex(prefix)
 	if err != nil {
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -87,7 +87,7 @@
   show vms where pool tabulation
                       ^^^^^^^^^^
 expected one of: =, !=, <, <=, >, >=`},
-		{"word too many", "undrain vm v1 now", `unexpected "now"
+		{"extra word", "undrain vm v1 now", `unexpected "now"
   undrain vm v1 now
                 ^^^
 expected one of: reason, the end of the line`},
@@ -99,15 +99,15 @@
   set service a limit many
                       ^^^^
 expected a whole number of at least 0`},
-		{"a job's part twice", "submit job j team t kind k spread cpu 1 spread", `unexpected "spread"
+		{"job option given twice", "submit job j team t kind k spread cpu 1 spread", `unexpected "spread"
   submit job j team t kind k spread cpu 1 spread
                                           ^^^^^^
 expected spread once`},
-		{"a job's part out of range", "submit job j team t kind k cpu NaN", `unexpected "NaN"
+		{"job option out of range", "submit job j team t kind k cpu NaN", `unexpected "NaN"
   submit job j team t kind k cpu NaN
                                  ^^^
 expected a number of cores above 0, such as 4 or 0.5`},
-		{"a sign of no meaning", "show vms where pool ~ a", `unexpected "~"
+		{"unknown sign", "show vms where pool ~ a", `unexpected "~"
   show vms where pool ~ a
                       ^
 expected one of: =, !=, <, <=, >, >=`},
@@ -115,7 +115,7 @@
 expected at most 128`},
 		{"empty line", "", `unexpected the end of the line
 expected one of: show, explain, what-if, drain, undrain, move, start, pause, resume, cancel, set, submit`},
-		{"open quotes", `drain vm v1 reason "disk`, `unexpected "\"disk"
+		{"unterminated string", `drain vm v1 reason "disk`, `unexpected "\"disk"
   drain vm v1 reason "disk
                      ^^^^^
 expected a text in double quotes`},
--- a/internal/lang/nodes.go
+++ b/internal/lang/nodes.go
@@ -1,5 +1,5 @@
-// Package lang is the operators' language: one line a statement. A statement
-// is a question, which never changes state, or an order, which does.
+// Package lang parses the operators' command language. Each line is one statement:
+// a question, which is read-only, or an order, which changes state.
 package lang
 
 import "github.com/pumicestage/pumicestage/policy/model"
@@ -15,14 +15,15 @@
 	question()
 }
 
-// Order asks for a change.
+// Order requests a change.
 type Order interface {
 	Statement
-	// ReasonText returns the operator's reason; empty where none was given.
+	// ReasonText returns the operator's reason for the order; empty if none was
+	// given.
 	ReasonText() string
 }
 
-// Kind is what a Show lists.
+// Kind is the kind of objects that a Show lists.
 type Kind string
 
 // The kinds of Show.
@@ -52,21 +53,22 @@
 	GreaterOrEqual Comparison = ">="
 )
 
-// Condition is one comparison of a where clause; all must hold.
+// Condition is one comparison of a where clause. A clause matches if all of its
+// conditions do.
 type Condition struct {
 	Field      string
 	Comparison Comparison
 	Value      string
 }
 
-// Show lists things of one kind.
+// Show lists the objects of one kind that satisfy all conditions.
 type Show struct {
 	Kind    Kind
 	Service model.ServiceName // "show budget SERVICE": only this service's
 	Where   []Condition
 }
 
-// Subject is what an Explain or a Scope names.
+// Subject is the kind of object that an Explain or a Scope names.
 type Subject string
 
 // The subjects.
@@ -79,7 +81,7 @@
 	SubjectService Subject = "service"
 )
 
-// Explain asks for the chain of reasons behind one thing's state.
+// Explain asks for the reasons for the current state of one object.
 type Explain struct {
 	Subject Subject
 	Name    string
@@ -91,14 +93,15 @@
 	Name    string
 }
 
-// WhatIf asks what an order or a loss would do. Exactly one field is set.
+// WhatIf asks for the effect of an order, a loss of VMs or a new declaration.
+// Exactly one field is set.
 type WhatIf struct {
 	Order       Order  // Drain, Move or StartWave
 	Lose        *Scope // the loss of a VM, rack or zone
 	Declaration bool   // the declaration sent along with the question
 }
 
-// Reason is embedded in every order.
+// Reason is the operator's reason for an order. It is embedded in every order.
 type Reason struct {
 	Text string
 }
@@ -106,20 +109,20 @@
 // ReasonText implements Order.
 func (r Reason) ReasonText() string { return r.Text }
 
-// Drain takes VMs out of service, gracefully unless Cut.
+// Drain takes VMs out of service, gracefully unless Cut is set.
 type Drain struct {
 	Reason
 	Scope Scope
-	Cut   bool // stop what still runs; only an explicit order may
+	Cut   bool // stop work that is still running; only an explicit order may do that
 }
 
-// Undrain takes a drain back.
+// Undrain cancels a drain and returns the VM to service.
 type Undrain struct {
 	Reason
 	VM model.VMID
 }
 
-// Move takes a VM to another pool.
+// Move moves a VM to another pool.
 type Move struct {
 	Reason
 	VM   model.VMID
@@ -139,26 +142,27 @@
 	Wave model.WaveName
 }
 
-// ResumeWave lets a paused wave go on.
+// ResumeWave continues a paused wave.
 type ResumeWave struct {
 	Reason
 	Wave model.WaveName
 }
 
-// CancelWave ends a wave; VMs it has taken out come back.
+// CancelWave ends a wave. VMs that the wave took out of service return to service.
 type CancelWave struct {
 	Reason
 	Wave model.WaveName
 }
 
-// SetLimit sets a service's limit of requests in flight; 0 takes it away.
+// SetLimit sets a service's limit of requests in flight; 0 removes the limit.
 type SetLimit struct {
 	Reason
 	Service model.ServiceName
 	Limit   int
 }
 
-// CancelJobs cancels one job, or all that fulfil the conditions.
+// CancelJobs cancels one job or, if Job is empty, all jobs that satisfy the
+// conditions.
 type CancelJobs struct {
 	Reason
 	Job   model.JobID
--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -10,18 +10,19 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// A line is bounded, since what may stand at an error is found by parsing what
-// is before it some fifty times. An operator's line is a sentence; a slip in
-// the longest line costs some milliseconds.
+// The length of a line is limited because reporting a syntax error parses the
+// text before the error some fifty times to find what is expected there. Lines
+// that operators type are far shorter; an error at the end of a line of maximum
+// length costs some milliseconds.
 const (
 	maxLineBytes = 4096
 	maxWords     = 128
 )
 
-// maxLimit bounds a service's limit of requests in flight.
+// maxLimit is the maximum of a service's limit of requests in flight.
 const maxLimit = 1_000_000_000
 
-// Parse reads one line. Its error is a *SyntaxError.
+// Parse parses one line. Its error is a *SyntaxError.
 func Parse(input string) (Statement, error) {
 	if len(input) > maxLineBytes {
 		return nil, tooLong(len(input), "bytes", maxLineBytes)
@@ -33,18 +34,18 @@
 	if len(words) > maxWords {
 		return nil, tooLong(len(words), "words", maxWords)
 	}
-	tree, err := parseWords(&replay{words: words, end: lexer.Position{Offset: len(input)}})
+	tree, err := parseWords(&tokenReader{tokens: words, end: lexer.Position{Offset: len(input)}})
 	if err != nil {
 		return nil, syntaxError(input, err)
 	}
 	return convert(input, tree)
 }
 
-func tooLong(n int, of string, most int) *SyntaxError {
-	return &SyntaxError{Found: fmt.Sprintf("a line of %d %s", n, of), Expected: []string{fmt.Sprintf("at most %d", most)}}
+func tooLong(n int, of string, limit int) *SyntaxError {
+	return &SyntaxError{Found: fmt.Sprintf("a line of %d %s", n, of), Expected: []string{fmt.Sprintf("at most %d", limit)}}
 }
 
-// ParseQuestion is Parse for a place where only questions may stand.
+// ParseQuestion is like Parse but accepts only questions.
 func ParseQuestion(input string) (Question, error) {
 	st, err := Parse(input)
 	if err != nil {
@@ -52,12 +53,12 @@
 	}
 	q, ok := st.(Question)
 	if !ok {
-		return nil, misplaced(input, questionWords)
+		return nil, wrongStatementKind(input, questionWords)
 	}
 	return q, nil
 }
 
-// ParseOrder is Parse for a place where only orders may stand.
+// ParseOrder is like Parse but accepts only orders.
 func ParseOrder(input string) (Order, error) {
 	st, err := Parse(input)
 	if err != nil {
@@ -65,7 +66,7 @@
 	}
 	o, ok := st.(Order)
 	if !ok {
-		return nil, misplaced(input, orderWords)
+		return nil, wrongStatementKind(input, orderWords)
 	}
 	return o, nil
 }
@@ -75,6 +76,8 @@
 	orderWords    = []string{"drain", "undrain", "move", "start", "pause", "resume", "cancel", "set", "submit"}
 )
 
+// convert converts the parse tree of a line to its statement. input is the text
+// of the line, for errors.
 func convert(input string, tree *line) (Statement, error) {
 	switch {
 	case tree.Show != nil:
@@ -122,7 +125,7 @@
 	var conditions []Condition
 	for _, c := range where.Conditions {
 		if !hasField(kind, c.Field.Text) {
-			return nil, atWord(input, c.Field, Fields(kind))
+			return nil, errorAtWord(input, c.Field, Fields(kind))
 		}
 		conditions = append(conditions, Condition{Field: c.Field.Text, Comparison: Comparison(c.Comparison), Value: c.Value.Text})
 	}
@@ -162,7 +165,7 @@
 func convertSet(input string, s *setLine) (Statement, error) {
 	limit, err := strconv.Atoi(s.Limit.Text)
 	if err != nil || limit < 0 || limit > maxLimit {
-		return nil, atWord(input, s.Limit, []string{"a whole number of at least 0"})
+		return nil, errorAtWord(input, s.Limit, []string{"a whole number of at least 0"})
 	}
 	return SetLimit{Reason: reason(s.Reason), Service: model.ServiceName(s.Service.Text), Limit: limit}, nil
 }
--- a/internal/lang/syntax.go
+++ b/internal/lang/syntax.go
@@ -10,16 +10,16 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// SyntaxError reports a line that is not of the language.
+// SyntaxError reports a line that is not a valid statement.
 type SyntaxError struct {
 	Input    string
-	Offset   int      // byte of Input where the offending word starts
-	Found    string   // the word; empty for the end of the line
-	Expected []string // what may stand there instead
+	Offset   int      // in bytes of Input, of the start of the offending word
+	Found    string   // the offending word; empty for the end of the line
+	Expected []string // what is valid at this position
 }
 
-// Error implements error: the line, a caret under the word, and what may
-// stand there.
+// Error implements error. The text shows the line, carets under the offending
+// word, and what is valid there.
 func (e *SyntaxError) Error() string {
 	var b strings.Builder
 	found := fmt.Sprintf("%q", e.Found)
@@ -28,7 +28,7 @@
 	}
 	fmt.Fprintf(&b, "unexpected %s", found)
 	if e.Input != "" {
-		fmt.Fprintf(&b, "\n  %s\n  %s%s", flat(e.Input), e.indent(), e.carets())
+		fmt.Fprintf(&b, "\n  %s\n  %s%s", singleLine(e.Input), e.indent(), e.carets())
 	}
 	if len(e.Expected) > 0 {
 		fmt.Fprintf(&b, "\nexpected %s", oneOf(e.Expected))
@@ -37,16 +37,16 @@
 }
 
 func (e *SyntaxError) indent() string {
-	return strings.Repeat(" ", utf8.RuneCountInString(flat(e.Input[:e.Offset])))
+	return strings.Repeat(" ", utf8.RuneCountInString(singleLine(e.Input[:e.Offset])))
 }
 
 func (e *SyntaxError) carets() string {
 	return strings.Repeat("^", max(1, utf8.RuneCountInString(e.Found)))
 }
 
-// flat puts the line on one line of the terminal and keeps control characters
-// out of it.
-func flat(s string) string {
+// singleLine replaces control characters with spaces, so that the text takes one
+// line on a terminal and can't send it control sequences.
+func singleLine(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return ' '
@@ -62,10 +62,11 @@
 	return "one of: " + strings.Join(words, ", ")
 }
 
+// syntaxError converts an error of the lexer or parser.
 func syntaxError(input string, err error) *SyntaxError {
 	offset := offsetOf(input, err)
-	// The lexer stops at a character it has no word for also where an earlier
-	// word has left the grammar already; the first mistake is the one to tell.
+	// The lexer fails at the first invalid character even if an earlier word
+	// already violates the grammar. Report the first error of the line.
 	if earlier := firstError(input[:offset]); earlier != nil {
 		offset = min(offset, offsetOf(input[:offset], earlier))
 	}
@@ -77,15 +78,18 @@
 	}
 }
 
+// firstError returns the first lexer or parser error in the input, or nil.
 func firstError(input string) error {
 	words, err := lex(input)
 	if err != nil {
 		return err
 	}
-	_, err = parseWords(&replay{words: words, end: lexer.Position{Offset: len(input)}})
+	_, err = parseWords(&tokenReader{tokens: words, end: lexer.Position{Offset: len(input)}})
 	return err
 }
 
+// offsetOf returns the byte offset of the error within the input; the end of the
+// input if the error has no position.
 func offsetOf(input string, err error) int {
 	var located participle.Error
 	if !errors.As(err, &located) {
@@ -94,8 +98,8 @@
 	return min(max(located.Position().Offset, 0), len(input))
 }
 
-// wordAt returns the word that starts at the offset, as the lexer or, where
-// that has no word for it, the eye would take it.
+// wordAt returns the text from the offset to the next white space, whether or not
+// the lexer accepts it as a word.
 func wordAt(input string, offset int) string {
 	rest := input[offset:]
 	if rest == "" {
@@ -107,11 +111,15 @@
 	return strings.TrimRight(rest, " \t\r\n")
 }
 
-func atWord(input string, w word, expected []string) *SyntaxError {
+// errorAtWord returns the error for a word that the grammar accepts but whose
+// value is invalid.
+func errorAtWord(input string, w word, expected []string) *SyntaxError {
 	return &SyntaxError{Input: input, Offset: w.Pos.Offset, Found: w.Text, Expected: expected}
 }
 
-func misplaced(input string, expected []string) *SyntaxError {
+// wrongStatementKind returns the error for a question where an order is required,
+// or the reverse. expected lists the words that may start the line.
+func wrongStatementKind(input string, expected []string) *SyntaxError {
 	offset := len(input) - len(strings.TrimLeft(input, " \t\r\n"))
 	return &SyntaxError{Input: input, Offset: offset, Found: wordAt(input, offset), Expected: append([]string{}, expected...)}
 }
