--- a/internal/operator/trail.go
+++ b/internal/operator/trail.go
@@ -19,7 +19,7 @@
 }
 
 // RecordAsync implements command.Trail.
-func (t CommandTrail) RecordAsync(e command.Event) { t.Trail.Note(entryOf(e)) }
+func (t CommandTrail) RecordAsync(e command.Event) { t.Trail.RecordLimited(entryOf(e)) }
 
 var stageResult = map[command.Stage]audit.Result{
 	command.StageAsked:   audit.Asked,
--- a/internal/query/whatif.go
+++ b/internal/query/whatif.go
@@ -75,7 +75,7 @@
 
 // vmsInScope returns the VMs of the scope, or an *Error if there are none.
 func vmsInScope(s *view.Snapshot, sc lang.Scope) ([]model.VMID, error) {
-	vms := scope.In(s, sc)
+	vms := scope.Resolve(s, sc)
 	if len(vms) == 0 {
 		return nil, notFound("no VM in %s %s", sc.Subject, sc.Name)
 	}
