--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -130,6 +130,8 @@
 type Trail interface {
 	// Record returns nil only once the event is durably in the audit trail.
 	Record(ctx context.Context, e Event) error
-	// RecordAsync records the event in the background.
-	RecordAsync(e Event)
+	// RecordLimited records the event in the background. It is used for orders
+	// that were refused before execution, which one source may cause in large
+	// numbers; the trail may limit their rate.
+	RecordLimited(e Event)
 }
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -67,11 +67,11 @@
 	if s.failStages[e.Stage] {
 		return errors.New("trail out of reach")
 	}
-	s.RecordAsync(e)
+	s.RecordLimited(e)
 	return nil
 }
 
-func (s *scripted) RecordAsync(e Event) {
+func (s *scripted) RecordLimited(e Event) {
 	line := string(e.Stage) + ": " + e.Action
 	if e.Detail != "" {
 		line += " | " + e.Detail
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -57,7 +57,7 @@
 	}
 	steps, err := x.plan(ctx, req)
 	if err != nil {
-		x.Trail.RecordAsync(x.outcomeEvent(req, Result{}, err))
+		x.Trail.RecordLimited(x.outcomeEvent(req, Result{}, err))
 		return Result{}, err
 	}
 	if err := x.Trail.Record(ctx, x.requestEvent(req)); err != nil {
--- a/internal/jobs/jobsport/jobsport_test.go
+++ b/internal/jobs/jobsport/jobsport_test.go
@@ -22,7 +22,7 @@
 type discardTrail struct{}
 
 func (discardTrail) Record(context.Context, command.Event) error { return nil }
-func (discardTrail) RecordAsync(command.Event)                   {}
+func (discardTrail) RecordLimited(command.Event)                 {}
 
 func newExecutor(t *testing.T) (*jobs.Jobs, *command.Executor, *faulty.Store) {
 	clock := clockwork.NewFakeClock()
--- a/internal/operator/trail.go
+++ b/internal/operator/trail.go
@@ -18,8 +18,8 @@
 	return t.Trail.Record(ctx, entryOf(e))
 }
 
-// RecordAsync implements command.Trail.
-func (t CommandTrail) RecordAsync(e command.Event) { t.Trail.RecordLimited(entryOf(e)) }
+// RecordLimited implements command.Trail.
+func (t CommandTrail) RecordLimited(e command.Event) { t.Trail.RecordLimited(entryOf(e)) }
 
 var stageResult = map[command.Stage]audit.Result{
 	command.StageAsked:   audit.Asked,
