--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -58,8 +58,8 @@
 	res, err := x.Declarations.Apply(ctx, req.Declaration, opts)
 	event.At = x.Clock.Now().UTC()
 	out := Applied{ApplyResult: res}
-	if failed := x.Trail.Record(ctx, applyOutcome(event, res, err)); failed != nil {
-		out.Warning = outcomeNotRecorded + failed.Error()
+	if recordErr := x.Trail.Record(ctx, applyOutcome(event, res, err)); recordErr != nil {
+		out.Warning = outcomeNotRecorded + recordErr.Error()
 	}
 	return out, err
 }
@@ -85,9 +85,9 @@
 
 func generationText(g uint64) string { return fmt.Sprintf("generation %d", g) }
 
-func differencesText(differ []config.Difference) string {
-	lines := make([]string, len(differ))
-	for i, d := range differ {
+func differencesText(differences []config.Difference) string {
+	lines := make([]string, len(differences))
+	for i, d := range differences {
 		lines[i] = d.String()
 	}
 	return strings.Join(lines, "; ")
--- a/internal/command/bulk.go
+++ b/internal/command/bulk.go
@@ -21,17 +21,17 @@
 // job.
 func bulkCancelSteps(jobs BulkJobs, ids []model.JobID) []step {
 	var effects []Effect
-	var failed error
-	all := func(ctx context.Context, t OrderMeta) ([]Effect, error) {
-		if effects == nil && failed == nil {
-			effects, failed = jobs.CancelAll(ctx, ids, t)
+	var cancelErr error
+	cancelAll := func(ctx context.Context, t OrderMeta) ([]Effect, error) {
+		if effects == nil && cancelErr == nil {
+			effects, cancelErr = jobs.CancelAll(ctx, ids, t)
 		}
-		return effects, failed
+		return effects, cancelErr
 	}
 	steps := make([]step, len(ids))
 	for i, id := range ids {
 		steps[i] = step{"job " + string(id), func(ctx context.Context, t OrderMeta) (Effect, error) {
-			done, err := all(ctx, t)
+			done, err := cancelAll(ctx, t)
 			if err != nil {
 				return Effect{}, err
 			}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -80,27 +80,27 @@
 }
 
 func TestDo(t *testing.T) {
-	held := &Refusal{Code: CodeConflict, Winner: "wave spring", Revision: 9, Detail: "VM v2 is leaving"}
-	lost := &UncertainError{Change: "c-1.2", Err: errors.New("reply lost")}
+	conflict := &Refusal{Code: CodeConflict, Winner: "wave spring", Revision: 9, Detail: "VM v2 is leaving"}
+	uncertain := &UncertainError{Change: "c-1.2", Err: errors.New("reply lost")}
 	cases := []struct {
 		name    string
 		order   string
 		script  scripted
 		done    []string
 		refused int
-		err     string // its start
+		err     string // prefix of the error
 		trail   []string
 	}{
 		{"each of several has a change ID of its own", "drain rack r1", scripted{},
 			[]string{"c-1.1 drain v1", "c-1.2 drain v2", "c-1.3 drain v3"}, 0, "",
 			[]string{"asked: drain rack r1", "done: drain rack r1"}},
-		{"one of several refused", "drain rack r1", scripted{fail: map[string]error{"v2": held}},
+		{"one of several refused", "drain rack r1", scripted{fail: map[string]error{"v2": conflict}},
 			[]string{"c-1.1 drain v1", "c-1.2 drain v2", "c-1.3 drain v3"}, 1, "",
 			[]string{"asked: drain rack r1", "done: drain rack r1 | 1 of 3 refused: vm v2: refused (conflict): VM v2 is leaving; held by wave spring at revision 9"}},
-		{"all refused", "drain rack r1", scripted{fail: map[string]error{"v1": held, "v2": held, "v3": held}},
+		{"all refused", "drain rack r1", scripted{fail: map[string]error{"v1": conflict, "v2": conflict, "v3": conflict}},
 			[]string{"c-1.1 drain v1", "c-1.2 drain v2", "c-1.3 drain v3"}, 3, "",
 			[]string{"asked: drain rack r1", "refused: drain rack r1 | vm v1: refused"}},
-		{"stops where an outcome is unknown", "drain rack r1", scripted{fail: map[string]error{"v2": lost}},
+		{"stops where an outcome is unknown", "drain rack r1", scripted{fail: map[string]error{"v2": uncertain}},
 			[]string{"c-1.1 drain v1", "c-1.2 drain v2"}, 0, "outcome unknown: repeat under change c-1.2",
 			[]string{"asked: drain rack r1", "unknown: drain rack r1 | outcome unknown"}},
 		{"no VM of that name", "drain rack r9", scripted{}, nil, 0, "refused (not-found): no VM in rack r9",
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -64,16 +64,16 @@
 		return Result{}, &Refusal{Code: CodeUnavailable, Detail: "not done, it could not be entered in the audit trail: " + err.Error()}
 	}
 	res, err := x.run(ctx, req, steps)
-	if failed := x.Trail.Record(ctx, x.outcomeEvent(req, res, err)); failed != nil {
-		res.Warning = outcomeNotRecorded + failed.Error()
+	if recordErr := x.Trail.Record(ctx, x.outcomeEvent(req, res, err)); recordErr != nil {
+		res.Warning = outcomeNotRecorded + recordErr.Error()
 	}
 	return res, err
 }
 
 // step is one effect of an order, not yet executed.
 type step struct {
-	what string // "vm v17"
-	do   func(ctx context.Context, t OrderMeta) (Effect, error)
+	subject string // "vm v17"
+	do      func(ctx context.Context, t OrderMeta) (Effect, error)
 }
 
 // plan converts an order to the steps that execute it.
@@ -108,8 +108,8 @@
 }
 
 // singleStep returns the steps of an order with a single effect.
-func singleStep(what string, do func(ctx context.Context, t OrderMeta) (Effect, error)) []step {
-	return []step{{what: what, do: do}}
+func singleStep(subject string, do func(ctx context.Context, t OrderMeta) (Effect, error)) []step {
+	return []step{{subject: subject, do: do}}
 }
 
 func vmText(vm model.VMID) string { return "vm " + string(vm) }
@@ -179,7 +179,7 @@
 			t.Change = model.ChangeID(fmt.Sprintf("%s.%d", req.Change, i+1))
 		}
 		effect, err := s.do(ctx, t)
-		effect.Subject = s.what
+		effect.Subject = s.subject
 		var refusal *Refusal
 		if errors.As(err, &refusal) && len(steps) > 1 {
 			effect.Refused = refusal
@@ -218,14 +218,14 @@
 
 // states lists the states before and after of the effects that were not refused.
 func states(effects []Effect) (before, after string) {
-	var was, is []string
+	var beforeStates, afterStates []string
 	for _, e := range effects {
 		if e.Refused == nil {
-			was = append(was, e.Subject+": "+e.Before)
-			is = append(is, e.Subject+": "+e.After)
+			beforeStates = append(beforeStates, e.Subject+": "+e.Before)
+			afterStates = append(afterStates, e.Subject+": "+e.After)
 		}
 	}
-	return strings.Join(was, "; "), strings.Join(is, "; ")
+	return strings.Join(beforeStates, "; "), strings.Join(afterStates, "; ")
 }
 
 // refusals lists the refused effects with their reasons.
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestParse(t *testing.T) {
-	because := Reason{Text: "disk"}
+	diskReason := Reason{Text: "disk"}
 	cases := []struct {
 		name string
 		line string
@@ -30,18 +30,18 @@
 		{"what-if wave", "what-if wave spring on pool tabulation", WhatIf{Order: StartWave{Wave: "spring", Pools: pools("tabulation")}}},
 		{"what-if loss", "what-if lose zone gt-a", WhatIf{Lose: &Scope{SubjectZone, "gt-a"}}},
 		{"what-if declaration", "what-if declaration", WhatIf{Declaration: true}},
-		{"drain", `drain vm v17 reason "disk"`, Drain{Reason: because, Scope: Scope{SubjectVM, "v17"}}},
-		{"drain and cut", `drain vm v17 cut reason "disk"`, Drain{Reason: because, Scope: Scope{SubjectVM, "v17"}, Cut: true}},
+		{"drain", `drain vm v17 reason "disk"`, Drain{Reason: diskReason, Scope: Scope{SubjectVM, "v17"}}},
+		{"drain and cut", `drain vm v17 cut reason "disk"`, Drain{Reason: diskReason, Scope: Scope{SubjectVM, "v17"}, Cut: true}},
 		{"undrain", "undrain vm v17", Undrain{VM: "v17"}},
 		{"move", "move vm v17 to pool weighting", Move{VM: "v17", Pool: "weighting"}},
 		{"start", "start wave spring on pool tabulation", StartWave{Wave: "spring", Pools: pools("tabulation")}},
 		{"start on two pools", "start wave spring on pool a, b", StartWave{Wave: "spring", Pools: pools("a", "b")}},
 		{"start as declared", "start wave spring", StartWave{Wave: "spring"}},
-		{"pause", `pause wave spring reason "disk"`, PauseWave{Reason: because, Wave: "spring"}},
+		{"pause", `pause wave spring reason "disk"`, PauseWave{Reason: diskReason, Wave: "spring"}},
 		{"resume", "resume wave spring", ResumeWave{Wave: "spring"}},
 		{"cancel", "cancel wave spring", CancelWave{Wave: "spring"}},
 		{"cancel a job", "cancel job j9", CancelJobs{Job: "j9"}},
-		{"cancel many jobs", `cancel jobs where team = panel reason "disk"`, CancelJobs{Reason: because, Where: []Condition{{"team", Equal, "panel"}}}},
+		{"cancel many jobs", `cancel jobs where team = panel reason "disk"`, CancelJobs{Reason: diskReason, Where: []Condition{{"team", Equal, "panel"}}}},
 		{"submit", "submit job j9 team analysts kind crosstab cpu 0.5 memory-mb 512 class urgent run-time 10m repeatable zone gt-a", SubmitJob{Job: model.Job{
 			ID: "j9", Team: "analysts", Kind: "crosstab", Class: model.ClassUrgent, Zone: "gt-a", Repeatable: true,
 			Declared: model.Resources{MilliCPU: 500, MemoryMB: 512}, RunTime: 10 * time.Minute}}},
--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -176,8 +176,8 @@
 	return Move{Reason: reason(m.Reason), VM: model.VMID(m.VM.Text), Pool: model.PoolName(m.Pool.Text)}
 }
 
-func start(r *runPart, why *reasonPart) StartWave {
-	st := StartWave{Reason: reason(why), Wave: waveName(r.Name)}
+func start(r *runPart, clause *reasonPart) StartWave {
+	st := StartWave{Reason: reason(clause), Wave: waveName(r.Name)}
 	for _, p := range r.Pools {
 		st.Pools = append(st.Pools, model.PoolName(p.Text))
 	}
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -26,7 +26,7 @@
 	budgets     []Headroom
 	waves       []WaveStatus
 	jobs        []JobStatus
-	past        []Reason
+	history     []Reason
 	platformErr error // returned by every call that needs the platform
 }
 
@@ -49,7 +49,7 @@
 func (s *fakeSources) Jobs(context.Context) ([]JobStatus, error) { return s.jobs, s.platformErr }
 
 func (s *fakeSources) Reasons(context.Context, string) ([]Reason, error) {
-	return s.past, s.platformErr
+	return s.history, s.platformErr
 }
 
 func newEngine(t *testing.T) (*Engine, *fakeSources, *clockwork.FakeClock) {
@@ -62,7 +62,7 @@
 			Reason: "service web has no headroom", Started: epoch.Add(-time.Hour), StartedBy: "ana", Change: "c-1", Forecast: 5 * time.Minute}},
 		jobs: []JobStatus{{Job: model.Job{ID: "j9", Team: "t", Kind: "k", SubmittedAt: epoch.Add(-time.Hour)}, State: "unplaceable",
 			Since: epoch, Reason: "needs 9 cores, the largest worker has 8"}},
-		past: []Reason{{At: epoch.Add(-2 * time.Hour), Text: "done: drain vm v9 by ana"}},
+		history: []Reason{{At: epoch.Add(-2 * time.Hour), Text: "done: drain vm v9 by ana"}},
 	}
 	s := &view.Snapshot{
 		AsOf: epoch, Revision: 7,
@@ -141,7 +141,7 @@
 		name string
 		text string
 		now  string
-		want []string // reasons in order, by a part of each
+		want []string // a substring of each reason, in order
 	}{
 		{"VM that a wave holds", "explain vm v3", "rebooting, pool web, healthy as this entry VM sees it", []string{
 			"service web has 2 of 3 VMs available and needs 2: no planned stop may start",
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -66,7 +66,7 @@
 	Budgets     []BudgetChange `json:"budgets,omitempty"`
 	Moves       int            `json:"moves"` // VMs that change pool
 	Jobs        int            `json:"jobs"`  // jobs that would have to move to other VMs
-	// Duration is how long until all of it is done; 0 where it is not known.
+	// Duration is the estimated time until all steps are done; 0 if unknown.
 	Duration time.Duration `json:"takesNanoseconds,omitempty"`
 	Notes    []string      `json:"notes,omitempty"`
 }
--- a/internal/query/whatif.go
+++ b/internal/query/whatif.go
@@ -84,8 +84,8 @@
 
 // budgetsHold reports whether every budget that is met before the change is
 // still met after it.
-func budgetsHold(shifts []BudgetChange) bool {
-	for _, b := range shifts {
+func budgetsHold(changes []BudgetChange) bool {
+	for _, b := range changes {
 		if b.Before.Spare() >= 0 && b.After.Spare() < 0 {
 			return false
 		}
