--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -177,7 +177,7 @@
 		},
 		"as it writes": func(store infra.Store, concurrent func()) infra.Store {
 			hooked, writes := faulty.Wrap(store), 0
-			hooked.Before(func(string, infra.Txn) {
+			hooked.BeforeWrite(func(string, infra.Txn) {
 				if writes++; writes == 1 {
 					concurrent()
 				}
