--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -59,7 +59,7 @@
 		heard:   []PeerStatus{{Entry: "e1", Zone: "a", LastHeard: epoch, Generation: 3}, {Entry: "e2", Zone: "b", LastHeard: epoch.Add(-time.Minute)}},
 		budgets: []Headroom{{Service: "web", VMs: 3, Available: 2, Required: 2}, {Service: "web", Zone: "a", VMs: 2, Available: 1, Required: 1}},
 		waves: []WaveStatus{{Name: "spring", State: "running", Pools: []model.PoolName{"web"}, Total: 3, Done: 1, OutOfService: 1,
-			Reason: "service web has no headroom", Started: epoch.Add(-time.Hour), StartedBy: "ana", Change: "c-1", Forecast: 5 * time.Minute}},
+			Reason: "service web has no headroom", Started: epoch.Add(-time.Hour), Actor: "ana", Change: "c-1", Forecast: 5 * time.Minute}},
 		jobs: []JobStatus{{Job: model.Job{ID: "j9", Team: "t", Kind: "k", SubmittedAt: epoch.Add(-time.Hour)}, State: "unplaceable",
 			Since: epoch, Reason: "needs 9 cores, the largest worker has 8"}},
 		history: []Reason{{At: epoch.Add(-2 * time.Hour), Text: "done: drain vm v9 by ana"}},
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -104,7 +104,7 @@
 	Started      time.Time
 	Ended        time.Time
 	Forecast     time.Duration // estimated time to its end; 0 if unknown
-	StartedBy    string
+	Actor        string
 	Change       model.ChangeID
 }
 
