--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -22,7 +22,7 @@
 type Request struct {
 	Change     model.ChangeID // a retry with the same ID is the same order
 	By         Actor
-	IfRevision infra.Revision // refuse unless the key that the order depends on has this revision; 0 for any
+	IfRevision infra.Revision // refuse unless the key of the VM, wave or declaration to change has this revision; 0 for any
 	Text       string         // as entered by the operator
 	Order      lang.Order
 }
--- a/internal/command/executor.go
+++ b/internal/command/executor.go
@@ -12,8 +12,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// maxTargets is the maximum number of jobs that one order may cancel.
-const maxTargets = 10_000
+// maxCancelledJobs is the maximum number of jobs that one order may cancel.
+const maxCancelledJobs = 10_000
 
 // outcomeNotRecorded is the start of the Warning for an order that was executed
 // but whose outcome is missing from the audit trail.
@@ -155,8 +155,8 @@
 		}
 		ids = found
 	}
-	if len(ids) == 0 || len(ids) > maxTargets {
-		return nil, &Refusal{Code: CodeNotFound, Detail: fmt.Sprintf("%d jobs fulfil this, 1 to %d may be cancelled at once", len(ids), maxTargets)}
+	if len(ids) == 0 || len(ids) > maxCancelledJobs {
+		return nil, &Refusal{Code: CodeNotFound, Detail: fmt.Sprintf("%d jobs fulfil this, 1 to %d may be cancelled at once", len(ids), maxCancelledJobs)}
 	}
 	if bulk, ok := x.Jobs.(BulkJobs); ok && len(ids) > 1 {
 		return bulkCancelSteps(bulk, ids), nil
--- a/internal/query/sources.go
+++ b/internal/query/sources.go
@@ -103,9 +103,9 @@
 	Reason       string // why it is delayed or paused
 	Started      time.Time
 	Ended        time.Time
-	Forecast     time.Duration // estimated time to its end; 0 if unknown
-	Actor        string
-	Change       model.ChangeID
+	Forecast     time.Duration  // estimated time to its end; 0 if unknown
+	Actor        string         // who requested State: an operator or an entry VM
+	Change       model.ChangeID // the change that wrote State
 }
 
 // Jobs lists submitted jobs.
