--- a/internal/infra/standin/standin_test.go
+++ b/internal/infra/standin/standin_test.go
@@ -30,8 +30,8 @@
 	return srv, url, clock
 }
 
-// call sends a request as any client of the service would, and returns status
-// and body; status 0 is a connection that broke off.
+// call sends a request as any client of the service would, and returns the status
+// and the body. Status 0 means that the connection broke.
 func call(t *testing.T, method, url, zone, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -47,7 +47,8 @@
 	return resp.StatusCode, strings.TrimSpace(string(raw))
 }
 
-// The published protocol, byte by byte, as clients other than ours speak it.
+// The stand-in must answer in the published protocol byte for byte, so that other
+// clients than this project's can use it.
 func TestPublishedProtocol(t *testing.T) {
 	_, url, _ := serve(t)
 	for _, c := range []struct{ name, path, body, want string }{
@@ -83,6 +84,8 @@
 	}
 }
 
+// A watch stream carries one message per event of the watched key, and ends with a
+// cancellation if its start revision has been compacted.
 func TestWatchIsAStreamOfMessages(t *testing.T) {
 	srv, url, _ := serve(t)
 	put(t, srv, "foo")
@@ -106,9 +109,9 @@
 	assert.Equal(t, last, `{"result":{"header":{"revision":"4"},"canceled":true,"compact_revision":"4","cancel_reason":"mvcc: required revision has been compacted"}}`)
 }
 
-// The operators of the example deployments plan with several hundred writes
-// and two thousand reads a second; a design that needs more must be told so
-// here and not on the day.
+// The example deployments are planned for several hundred writes and two thousand
+// reads per second. A design that needs more must be rejected in tests by the
+// stand-in's limits, not in production by the service's.
 func TestLimitsAndCounts(t *testing.T) {
 	srv, url, clock := serve(t)
 	srv.Counts.SetLimits(2, 3)
@@ -134,8 +137,8 @@
 	assert.Equal(t, len(srv.Counts.Counts().Calls), 0)
 }
 
-// One zone's clients lose the platform while the others' go on, also where the
-// fault is switched from another process.
+// A fault set over HTTP, as by another process, must affect the clients of its zone
+// only.
 func TestFaultsOfOneZoneOverHTTP(t *testing.T) {
 	_, url, _ := serve(t)
 	read := func(zone string) int {
@@ -152,17 +155,17 @@
 	assert.Equal(t, read("zone-a"), http.StatusOK)
 }
 
-// A slow service acts late, on the stand-in's clock, also where its client has
-// left in between.
+// A delayed call must execute after the delay on the stand-in's clock, even if its
+// client has disconnected in the meantime.
 func TestSlowCallTakesEffectLate(t *testing.T) {
 	srv, url, clock := serve(t)
 	srv.Faults.Set(standin.AnyZone, standin.Fault{Slow: time.Minute})
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v3/kv/put", strings.NewReader(`{"key":"YQ=="}`))
 	assert.NilError(t, err)
-	gone := make(chan struct{})
+	clientDone := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(clientDone)
 		if resp, err := http.DefaultClient.Do(req); err == nil {
 			_ = resp.Body.Close()
 		}
@@ -171,7 +174,7 @@
 	defer stop()
 	assert.NilError(t, clock.BlockUntilContext(bounded, 2)) // the lease ticker and the call
 	cancel()
-	<-gone
+	<-clientDone
 	before := srv.Store.Revision()
 	clock.Advance(time.Minute)
 	for srv.Store.Revision() == before && bounded.Err() == nil {
@@ -180,15 +183,15 @@
 	assert.Equal(t, srv.Store.Revision(), before+1)
 }
 
-// Two zones lose each other: what is open between them breaks, what is new is
-// refused, and each still reaches the platform and itself.
+// A cut between two zones must close open connections and refuse new ones, while
+// each zone still reaches the platform and itself.
 func TestNetworkCutsZonesFromEachOther(t *testing.T) {
 	srv, url, _ := serve(t)
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	defer peer.Close()
 	addr := peer.Listener.Addr().String()
 	srv.Network.Place(addr, "zone-b")
-	reach := func(from, addr string) bool {
+	canDial := func(from, addr string) bool {
 		conn, err := srv.Network.Dialer(from)(context.Background(), "tcp", addr)
 		if err == nil {
 			assert.NilError(t, conn.Close())
@@ -202,18 +205,18 @@
 
 	_, err = open.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, net.ErrClosed)
-	assert.Assert(t, !reach("zone-a", addr))
-	assert.Assert(t, reach("zone-b", addr) && reach("zone-c", addr))
-	assert.Assert(t, reach("zone-a", strings.TrimPrefix(url, "http://")))
+	assert.Assert(t, !canDial("zone-a", addr))
+	assert.Assert(t, canDial("zone-b", addr) && canDial("zone-c", addr))
+	assert.Assert(t, canDial("zone-a", strings.TrimPrefix(url, "http://")))
 	srv.Network.Heal("zone-a", "zone-b")
-	assert.Assert(t, reach("zone-a", addr))
+	assert.Assert(t, canDial("zone-a", addr))
 	srv.Network.Isolate("zone-b", true)
-	assert.Assert(t, !reach("zone-c", addr) && reach("zone-b", addr))
+	assert.Assert(t, !canDial("zone-c", addr) && canDial("zone-b", addr))
 }
 
-// Packets between two zones vanish without a word, as under a broken switch.
-// Nothing is refused: calls hang until their deadline, and what was sent
-// arrives late.
+// A drop between two zones discards packets silently, as a broken switch does. No
+// connection is refused: calls block until their deadline, and data sent meanwhile
+// arrives after the drop ends.
 func TestNetworkDropsPacketsSilently(t *testing.T) {
 	srv, _, _ := serve(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -229,33 +232,33 @@
 	conn, err := dial(context.Background(), "tcp", ln.Addr().String())
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, conn.Close()) }()
-	say := func(word string) { _, err := conn.Write([]byte(word)); assert.NilError(t, err) }
-	hear := func(d time.Duration) (string, error) {
+	send := func(text string) { _, err := conn.Write([]byte(text)); assert.NilError(t, err) }
+	receive := func(d time.Duration) (string, error) {
 		assert.NilError(t, conn.SetReadDeadline(time.Now().Add(d)))
 		buf := make([]byte, 8)
 		n, err := conn.Read(buf)
 		return string(buf[:n]), err
 	}
-	say("one")
-	got, err := hear(20 * time.Second)
+	send("one")
+	got, err := receive(20 * time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, got, "one")
 
 	srv.Network.Drop("zone-a", "zone-b")
-	say("two")
-	_, err = hear(20 * time.Millisecond)
+	send("two")
+	_, err = receive(20 * time.Millisecond)
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	hasty, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err = dial(hasty, "tcp", ln.Addr().String())
+	_, err = dial(shortCtx, "tcp", ln.Addr().String())
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 
 	srv.Network.Heal("zone-a", "zone-b")
-	got, err = hear(20 * time.Second)
+	got, err = receive(20 * time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, got, "two")
 	srv.Network.Mute("zone-b", true)
-	_, err = hear(20 * time.Millisecond)
+	_, err = receive(20 * time.Millisecond)
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
