--- a/internal/infra/standin/conn.go
+++ b/internal/infra/standin/conn.go
@@ -9,66 +9,69 @@
 )
 
 const (
-	// dropPoll is how often what waits for the end of a drop looks for it.
-	dropPoll = 2 * time.Millisecond
-	// sendBuffer is what a connection takes while packets are dropped, as the
-	// buffers of a kernel do; then writes wait.
-	sendBuffer = 64 << 10
+	// dropPollInterval is how often blocked dials, reads and writes poll for the
+	// end of a packet drop.
+	dropPollInterval = 2 * time.Millisecond
+	// sendBufferBytes is how much a connection buffers while packets are dropped,
+	// as a kernel's socket buffer does; further writes block.
+	sendBufferBytes = 64 << 10
 )
 
-// conn is one end of a connection; it stands for the way to the other.
+// conn is the client's end of a connection opened through a Network. It
+// simulates the link in both directions.
 type conn struct {
 	net.Conn
-	between pair
-	network *Network
-
-	reading sync.Mutex // one Read at a time
-	mu      sync.Mutex
-	unsent  []byte // written while packets were dropped
-	unread  []byte // arrived while packets were dropped
-	readErr error  // arrived after unread
-	closed  bool
-	readBy  time.Time
-	writeBy time.Time
+	endpoints pair
+	network   *Network
+
+	readMu        sync.Mutex // one Read at a time
+	mu            sync.Mutex
+	unsent        []byte // written while packets were dropped, not sent yet
+	unread        []byte // received while packets were dropped, not returned to the reader yet
+	readErr       error  // returned once unread is empty
+	closed        bool
+	readDeadline  time.Time
+	writeDeadline time.Time
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	if !c.holdsUnread() {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if !c.hasUnread() {
 		n, err := c.Conn.Read(p)
 		c.network.received.Add(int64(n))
-		if !c.network.isDropped(c.between) || n == 0 && isLocal(err) {
+		if !c.network.isDropped(c.endpoints) || n == 0 && isLocal(err) {
 			return n, err
 		}
-		c.hold(p[:n], err)
+		c.bufferUnread(p[:n], err)
 	}
-	if err := c.await(&c.readBy); err != nil {
+	if err := c.waitForDelivery(&c.readDeadline); err != nil {
 		return 0, err
 	}
-	return c.takeUnread(p)
+	return c.readUnread(p)
 }
 
-// isLocal reports whether an error comes from this end, and so needs no packet.
+// isLocal reports whether err arises at this end of the connection. Such an
+// error needs no packet, so a drop does not delay it.
 func isLocal(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed)
 }
 
-func (c *conn) holdsUnread() bool {
+func (c *conn) hasUnread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.unread) > 0 || c.readErr != nil
 }
 
-func (c *conn) hold(p []byte, err error) {
+func (c *conn) bufferUnread(p []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unread = append(c.unread, p...)
 	c.readErr = err
 }
 
-func (c *conn) takeUnread(p []byte) (int, error) {
+func (c *conn) readUnread(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := copy(p, c.unread)
@@ -87,29 +90,29 @@
 	if c.buffer(p) {
 		return len(p), nil
 	}
-	if err := c.await(&c.writeBy); err != nil {
+	if err := c.waitForDelivery(&c.writeDeadline); err != nil {
 		return 0, err
 	}
 	c.flush()
 	return c.Conn.Write(p)
 }
 
-// buffer keeps p while packets are dropped, and room is left. It looks under
-// the lock that flush takes after the drop has ended, so that nothing is kept
-// that nobody sends on.
+// buffer stores p and returns true if packets are dropped and p fits into the
+// send buffer. It checks for the drop under the lock that flush takes after the
+// drop has ended, so that no data is buffered after the last flush.
 func (c *conn) buffer(p []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.network.isDropped(c.between) || c.closed || len(c.unsent)+len(p) > sendBuffer {
+	if !c.network.isDropped(c.endpoints) || c.closed || len(c.unsent)+len(p) > sendBufferBytes {
 		return false
 	}
 	c.unsent = append(c.unsent, p...)
 	return true
 }
 
-// flush sends what was held back, if packets get through again.
+// flush sends the buffered writes unless packets are still dropped.
 func (c *conn) flush() {
-	if c.network.isDropped(c.between) {
+	if c.network.isDropped(c.endpoints) {
 		return
 	}
 	c.mu.Lock()
@@ -117,47 +120,49 @@
 	if len(c.unsent) == 0 || c.closed {
 		return
 	}
-	_, _ = c.Conn.Write(c.unsent) // a failure shows at the next call
+	_, _ = c.Conn.Write(c.unsent) // the next call on the connection returns the failure
 	c.unsent = nil
 }
 
-// await waits for the end of the drop, the connection or the deadline.
-func (c *conn) await(deadline *time.Time) error {
-	for c.network.isDropped(c.between) {
+// waitForDelivery blocks until packets are no longer dropped. It returns
+// net.ErrClosed if the connection is closed first, and os.ErrDeadlineExceeded if
+// the deadline passes first; a zero deadline means none.
+func (c *conn) waitForDelivery(deadline *time.Time) error {
+	for c.network.isDropped(c.endpoints) {
 		c.mu.Lock()
-		closed, by := c.closed, *deadline
+		closed, until := c.closed, *deadline
 		c.mu.Unlock()
 		if closed {
 			return net.ErrClosed
 		}
-		if !by.IsZero() && !time.Now().Before(by) {
+		if !until.IsZero() && !time.Now().Before(until) {
 			return os.ErrDeadlineExceeded
 		}
-		time.Sleep(dropPoll)
+		time.Sleep(dropPollInterval)
 	}
 	return nil
 }
 
 // SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
-	c.note(&c.readBy, t)
-	c.note(&c.writeBy, t)
+	c.storeDeadline(&c.readDeadline, t)
+	c.storeDeadline(&c.writeDeadline, t)
 	return c.Conn.SetDeadline(t)
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.note(&c.readBy, t)
+	c.storeDeadline(&c.readDeadline, t)
 	return c.Conn.SetReadDeadline(t)
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.note(&c.writeBy, t)
+	c.storeDeadline(&c.writeDeadline, t)
 	return c.Conn.SetWriteDeadline(t)
 }
 
-func (c *conn) note(deadline *time.Time, t time.Time) {
+func (c *conn) storeDeadline(deadline *time.Time, t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*deadline = t
--- a/internal/infra/standin/counter.go
+++ b/internal/infra/standin/counter.go
@@ -7,7 +7,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Kind is a kind of call, as the service's limits see it.
+// Kind is a kind of API call. Calls are counted by kind, and the kind decides
+// which rate limit applies.
 type Kind string
 
 // The kinds of call.
@@ -18,12 +19,13 @@
 	KindRevoke    Kind = "revoke"
 	KindKeepAlive Kind = "keepalive"
 	KindWatch     Kind = "watch"
-	KindMachines  Kind = "machines" // questions to the machines
-	KindEffect    Kind = "effect"   // orders to the machines
+	KindMachines  Kind = "machines" // reads of the machines API
+	KindEffect    Kind = "effect"   // state-changing calls of the machines API
 )
 
-// writes reports whether the call changes something, so that its reply can be
-// lost after the effect.
+// writes reports whether calls of this kind change state. They count against
+// the limit of writes, and the faults that lose requests or replies apply to
+// them only.
 func (k Kind) writes() bool {
 	switch k {
 	case KindWrite, KindGrant, KindRevoke, KindEffect:
@@ -32,16 +34,17 @@
 	return false
 }
 
-// Counts is what the stand-in was asked since it began or since Reset.
+// Counts holds the calls that the stand-in received since its start or the last
+// Reset.
 type Counts struct {
 	Calls    map[Kind]int
-	Refused  int   // calls refused because of the limits
-	Waiting  int   // watches that wait now
-	BytesIn  int64 // bodies of requests
-	BytesOut int64 // bodies of answers and streams
+	Refused  int   // calls rejected by the rate limits
+	Waiting  int   // watches open now
+	BytesIn  int64 // request bodies, in bytes
+	BytesOut int64 // response bodies and watch streams, in bytes
 }
 
-// Counter counts calls and enforces limits.
+// Counter counts calls and enforces rate limits.
 type Counter struct {
 	clock clockwork.Clock
 
@@ -58,22 +61,23 @@
 	return c
 }
 
-// SetLimits enforces so many writes and reads a second, with bursts of as
-// many; a waiting watch and a renewal count as reads. Zero is no limit.
+// SetLimits sets the writes and reads allowed per second, with bursts of the
+// same size. Opening a watch and renewing a lease count as reads. Zero means no
+// limit.
 func (c *Counter) SetLimits(writes, reads int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.writes, c.reads = limiter(writes), limiter(reads)
+	c.writes, c.reads = newLimiter(writes), newLimiter(reads)
 }
 
-func limiter(perSecond int) *rate.Limiter {
+func newLimiter(perSecond int) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// Reset sets the counts to zero, except for the watches that wait.
+// Reset sets the counts to zero, except for the number of open watches.
 func (c *Counter) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +96,7 @@
 	return out
 }
 
-// allow counts a call and reports whether the limits let it pass.
+// allow counts a call and reports whether the rate limits admit it.
 func (c *Counter) allow(kind Kind) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,13 +112,13 @@
 	return false
 }
 
-func (c *Counter) waiting(delta int) {
+func (c *Counter) addWaiting(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Waiting += delta
 }
 
-func (c *Counter) bytes(in, out int64) {
+func (c *Counter) addBytes(in, out int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.BytesIn += in
--- a/internal/infra/standin/faults.go
+++ b/internal/infra/standin/faults.go
@@ -9,38 +9,41 @@
 	"github.com/pumicestage/pumicestage/internal/infra/httpcall"
 )
 
-// PathFaults is where the faults are read (GET) and switched (PUT) over HTTP.
+// PathFaults is the HTTP path on which the injected faults are read (GET) and
+// set (PUT).
 const PathFaults = "/faults"
 
-// AnyZone selects the clients of all zones, and those that name none.
+// AnyZone selects all clients: those of every zone and those that send no zone
+// header.
 const AnyZone = ""
 
-// Fault is what goes wrong for the clients of one zone.
+// Fault describes the faults injected for the clients of one zone.
 type Fault struct {
-	// Down closes every connection unread. Clients that dial through the
-	// Network are refused unsent instead.
+	// Down aborts every call without a reply. Clients that dial through the
+	// Network are refused the connection instead, before they send anything.
 	Down bool `json:"down,omitempty"`
-	// Paused holds every call, and carries it out when the pause ends, also
-	// where its client has given up.
+	// Paused holds every call and executes it when the pause ends, even if its
+	// client has given up.
 	Paused bool `json:"paused,omitempty"`
-	// Slow delays every call before its effect, on the stand-in's clock.
+	// Slow delays every call before it executes, on the stand-in's clock.
 	Slow time.Duration `json:"slow,omitempty"`
-	// LoseReplies is how many more writes take effect without a reply.
+	// LoseReplies is how many further writes take effect but get no reply.
 	LoseReplies int `json:"lose_replies,omitempty"`
-	// LoseRequests is how many more writes vanish without effect or reply.
+	// LoseRequests is how many further writes are lost: no effect, no reply.
 	LoseRequests int `json:"lose_requests,omitempty"`
-	// Garble is how many more calls take effect and get a reply cut short.
+	// Garble is how many further calls, other than watches, take effect but get
+	// a truncated reply.
 	Garble int `json:"garble,omitempty"`
-	// StaleList freezes the list of machines as it is now.
+	// StaleList freezes the list of machines at its current state.
 	StaleList bool `json:"stale_list,omitempty"`
 }
 
-// Faults are the switched faults by the zone of the client.
+// Faults holds the injected faults by the zone of the client.
 type Faults struct {
 	network *Network
 
 	mu     sync.Mutex
-	held   int // calls that wait for the end of a pause
+	held   int // calls waiting for the end of a pause
 	byZone map[string]*Fault
 	change chan struct{} // closed and replaced at each change
 }
@@ -49,18 +52,20 @@
 	return &Faults{byZone: make(map[string]*Fault), change: make(chan struct{})}
 }
 
-// Set replaces the faults of the clients of zone, or of all with AnyZone.
+// Set replaces the faults of the clients of zone. With AnyZone it replaces those
+// that apply to all clients in addition to their zone's.
 func (f *Faults) Set(zone string, fault Fault) {
 	f.mu.Lock()
 	f.byZone[zone] = &fault
 	close(f.change)
 	f.change = make(chan struct{})
 	f.mu.Unlock()
-	f.cutOff(zone, fault.Down)
+	f.applyDown(zone, fault.Down)
 }
 
-// cutOff makes clients that dial through the Network see a refused dial.
-func (f *Faults) cutOff(zone string, down bool) {
+// applyDown makes the Network refuse connections from zone to the platform, or
+// allows them again.
+func (f *Faults) applyDown(zone string, down bool) {
 	switch {
 	case zone == AnyZone:
 		f.network.Isolate(PlatformZone, down)
@@ -71,20 +76,20 @@
 	}
 }
 
-// Held returns how many calls wait for the end of a pause.
+// Held returns the number of calls waiting for the end of a pause.
 func (f *Faults) Held() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.held
 }
 
-func (f *Faults) hold(delta int) {
+func (f *Faults) addHeld(delta int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.held += delta
 }
 
-// Clear switches every fault off.
+// Clear removes all faults.
 func (f *Faults) Clear() {
 	for zone := range f.All() {
 		f.Set(zone, Fault{})
@@ -102,13 +107,13 @@
 	return out
 }
 
-// state is what is wrong for zone now, and a channel that says when to look
-// again.
+// state returns the faults that apply to zone now, except for the counted ones,
+// and a channel that is closed when any fault changes.
 func (f *Faults) state(zone string) (Fault, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var sum Fault
-	for _, fault := range f.selectLocked(zone) {
+	for _, fault := range f.matchingLocked(zone) {
 		sum.Down = sum.Down || fault.Down
 		sum.Paused = sum.Paused || fault.Paused
 		sum.Slow += fault.Slow
@@ -117,38 +122,40 @@
 	return sum, f.change
 }
 
-// fate is what becomes of one call.
-type fate int8
+// outcome tells how a counted fault alters one call.
+type outcome int8
 
 const (
-	fatePass fate = iota
-	fateLoseRequest
-	fateLoseReply
-	fateGarble
+	outcomeNormal outcome = iota
+	outcomeLoseRequest
+	outcomeLoseReply
+	outcomeTruncateReply
 )
 
-// draw uses up one of the counted faults of zone, if there is one for a call
-// of the kind.
-func (f *Faults) draw(zone string, kind Kind) fate {
+// takeOutcome decides the outcome of a call of the given kind. It uses up one of
+// the counted faults of zone if one applies.
+func (f *Faults) takeOutcome(zone string, kind Kind) outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, fault := range f.selectLocked(zone) {
+	for _, fault := range f.matchingLocked(zone) {
 		switch {
 		case kind.writes() && fault.LoseRequests > 0:
 			fault.LoseRequests--
-			return fateLoseRequest
+			return outcomeLoseRequest
 		case kind.writes() && fault.LoseReplies > 0:
 			fault.LoseReplies--
-			return fateLoseReply
+			return outcomeLoseReply
 		case kind != KindWatch && fault.Garble > 0:
 			fault.Garble--
-			return fateGarble
+			return outcomeTruncateReply
 		}
 	}
-	return fatePass
+	return outcomeNormal
 }
 
-func (f *Faults) selectLocked(zone string) []*Fault {
+// matchingLocked returns the faults that apply to clients of zone: its own and
+// those of AnyZone.
+func (f *Faults) matchingLocked(zone string) []*Fault {
 	var found []*Fault
 	if fault, ok := f.byZone[zone]; ok {
 		found = append(found, fault)
@@ -159,33 +166,35 @@
 	return found
 }
 
-// guarded puts the limits and the faults in front of a handler of one call.
-func (s *Server) guarded(kind Kind, h http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps the handler of one kind of call with rate limits and fault
+// injection.
+func (s *Server) withFaults(kind Kind, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.Header.Get(httpcall.ZoneHeader)
-		body := readAll(w, r)
-		s.await(zone)
+		body := readBody(w, r)
+		s.waitWhileFaulty(zone)
 		if !s.Counts.allow(kind) {
 			writeError(w, http.StatusTooManyRequests, etcdjson.CodeResourceExhausted, "etcdserver: too many requests")
 			return
 		}
-		fate := s.Faults.draw(zone, kind)
-		if fate == fateLoseRequest {
+		outcome := s.Faults.takeOutcome(zone, kind)
+		if outcome == outcomeLoseRequest {
 			panic(http.ErrAbortHandler) // closes the connection without a reply
 		}
-		out := newOutput(w, fate)
+		out := newResponseWriter(w, outcome)
 		h(out, r)
-		if kind != KindWatch { // a watch counts what it sends as it goes
-			s.Counts.bytes(int64(body), out.size)
+		if kind != KindWatch { // a watch counts its bytes as it sends them
+			s.Counts.addBytes(int64(body), out.size)
 		}
 		out.finish()
 	}
 }
 
-// await holds a call while its zone's faults say so. It does not look at the
-// client: a service that was slow or paused carries out what it has read, also
-// when nobody waits for the answer any more.
-func (s *Server) await(zone string) {
+// waitWhileFaulty delays a call while its zone is paused or slow, and aborts it if
+// the zone is down or the server closes. It ignores whether the client is still
+// connected: a slow or paused service also executes the requests it has read if
+// their clients have given up.
+func (s *Server) waitWhileFaulty(zone string) {
 	slept := false
 	for {
 		fault, change := s.Faults.state(zone)
@@ -193,10 +202,10 @@
 		case fault.Down:
 			panic(http.ErrAbortHandler)
 		case fault.Paused:
-			s.Faults.hold(1)
+			s.Faults.addHeld(1)
 			select {
 			case <-change:
-				s.Faults.hold(-1)
+				s.Faults.addHeld(-1)
 			case <-s.done:
 				panic(http.ErrAbortHandler)
 			}
@@ -217,7 +226,8 @@
 	writeJSON(w, http.StatusOK, s.Faults.All())
 }
 
-// putFaults replaces the faults of the zones that the body names.
+// putFaults replaces the faults of the zones in the body and leaves other zones
+// unchanged.
 func (s *Server) putFaults(w http.ResponseWriter, r *http.Request) {
 	faults := make(map[string]Fault)
 	if !readJSON(w, r, &faults) {
--- a/internal/infra/standin/machines.go
+++ b/internal/infra/standin/machines.go
@@ -12,56 +12,60 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Machines are the VMs and tasks. It is a infra.Machines by itself, and
-// the control by which a test makes VMs, fails them and says how tasks behave.
+// Machines simulates the platform's VMs and the tasks on them. It implements
+// infra.Machines directly; its other methods let a test add VMs, make them fail
+// and set how tasks behave.
 type Machines struct {
 	clock clockwork.Clock
 
-	mu         sync.Mutex
-	vms        map[model.VMID]*vm
-	done       map[effect]bool
-	tasks      map[model.AttemptID]*task
-	progress   map[model.JobID]time.Duration // kept by checkpoints
-	behaviour  map[model.JobID]Behaviour
-	listLag    time.Duration
-	frozenAt   time.Time // zero where the list moves on
-	usageEvery time.Duration
-	rebootTime time.Duration
-	tally      Tally
+	mu            sync.Mutex
+	vms           map[model.VMID]*vm
+	applied       map[effect]bool
+	tasks         map[model.AttemptID]*task
+	progress      map[model.JobID]time.Duration // as of the last checkpoint, at full speed
+	behaviour     map[model.JobID]Behaviour
+	listLag       time.Duration
+	frozenAt      time.Time // zero unless the list is frozen
+	usageInterval time.Duration
+	rebootTime    time.Duration
+	tally         Tally
 }
 
-// Tally is what happened to work on the machines, counted here and not by
-// whoever gave the orders.
+// Tally counts what happened to the work on the machines. The stand-in counts
+// it itself, so that a test does not rely on the counts of the code under test.
 type Tally struct {
-	CutByReboot int // requests that an ordered reboot cut
-	CutByCrash  int // requests that an unplanned stop cut
-	TasksCut    int // tasks that an ordered reboot ended
-	Reboots     int
+	CutByReboot int                 // requests aborted by a requested reboot
+	CutByCrash  int                 // requests aborted by the failure of a VM
+	TasksCut    int                 // tasks ended by a requested reboot
+	Reboots     int                 // requested reboots
 	Starts      map[model.JobID]int // tasks started, by job
-	Finished    map[model.JobID]int // tasks that ran to their end, by job
+	Finished    map[model.JobID]int // tasks that succeeded, by job
 }
 
+// vm is a simulated VM. Machines.mu guards the fields that change.
 type vm struct {
-	id       model.VMID
-	capacity model.Resources
-	runner   Runner
-	turn     sync.Mutex // held while the runner is called
-	live     bool
-	leaving  bool
-	draining bool
-	allFail  bool
-	boots    int
-	tasks    map[*task]struct{} // those that run
-	history  []moment
+	id         model.VMID
+	capacity   model.Resources
+	runner     Runner
+	runnerMu   sync.Mutex // serializes calls of the runner
+	live       bool
+	leaving    bool
+	draining   bool
+	failsTasks bool
+	boots      int
+	tasks      map[*task]struct{} // running tasks
+	history    []snapshot
 }
 
-// moment is a VM as it was from then on, for the lagging list.
-type moment struct {
+// snapshot is the state of a VM from a point in time until the next snapshot.
+// List reads it when it reports an earlier state.
+type snapshot struct {
 	from    time.Time
 	machine infra.Machine
 }
 
-// effect identifies one effect on one VM; a repeat of it is already done.
+// effect identifies one operation on one VM within one attempt. A repeated call
+// with the same values has no further effect.
 type effect struct {
 	op      string
 	vm      model.VMID
@@ -74,7 +78,7 @@
 	return &Machines{
 		clock:     clock,
 		vms:       make(map[model.VMID]*vm),
-		done:      make(map[effect]bool),
+		applied:   make(map[effect]bool),
 		tasks:     make(map[model.AttemptID]*task),
 		progress:  make(map[model.JobID]time.Duration),
 		behaviour: make(map[model.JobID]Behaviour),
@@ -82,7 +86,7 @@
 	}
 }
 
-// Add makes a live VM; runner may be nil.
+// Add adds a live VM. A nil runner means one that does nothing.
 func (m *Machines) Add(id model.VMID, capacity model.Resources, runner Runner) {
 	if runner == nil {
 		runner = Hooks{}
@@ -91,20 +95,20 @@
 	defer m.mu.Unlock()
 	v := &vm{id: id, capacity: capacity, runner: runner, live: true, tasks: make(map[*task]struct{})}
 	m.vms[id] = v
-	m.noteLocked(v)
+	m.recordLocked(v)
 }
 
-// SetLeaving marks a VM as one that the platform itself will take away.
+// SetLeaving sets whether the platform is about to remove the VM on its own.
 func (m *Machines) SetLeaving(id model.VMID, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if v, ok := m.vms[id]; ok {
 		v.leaving = leaving
-		m.noteLocked(v)
+		m.recordLocked(v)
 	}
 }
 
-// Fail stops a VM without warning; its tasks are lost.
+// Fail stops a live VM without warning. Its tasks are lost.
 func (m *Machines) Fail(id model.VMID) {
 	m.mu.Lock()
 	v, ok := m.vms[id]
@@ -120,24 +124,25 @@
 	m.mu.Unlock()
 }
 
-// Recover starts a VM that failed.
+// Recover starts a VM that is down.
 func (m *Machines) Recover(id model.VMID) { m.start(id) }
 
-// SetListLag makes the list show the VMs as they were so long ago.
+// SetListLag sets how far the state that List returns lags behind.
 func (m *Machines) SetListLag(lag time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.listLag = lag
 }
 
-// SetRebootTime makes a reboot keep the VM down for so long.
+// SetRebootTime sets how long a reboot keeps the VM down. Zero or less restarts
+// it at once.
 func (m *Machines) SetRebootTime(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rebootTime = d
 }
 
-// Tally returns what happened so far.
+// Tally returns a copy of the counts so far.
 func (m *Machines) Tally() Tally {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,7 +179,7 @@
 	return list, nil
 }
 
-// freeze stops the list, or lets it move on.
+// freeze makes List keep returning the current list, or the live one again.
 func (m *Machines) freeze(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -197,12 +202,12 @@
 }
 
 func (m *Machines) setDraining(e effect, draining bool) error {
-	v, fresh, err := m.begin(e)
+	v, fresh, err := m.beginEffect(e)
 	if err != nil || !fresh {
 		return err
 	}
-	v.turn.Lock()
-	defer v.turn.Unlock()
+	v.runnerMu.Lock()
+	defer v.runnerMu.Unlock()
 	m.mu.Lock()
 	v.draining = draining
 	m.mu.Unlock()
@@ -233,7 +238,7 @@
 
 // Reboot implements infra.Machines.
 func (m *Machines) Reboot(_ context.Context, id model.VMID, attempt model.AttemptID) error {
-	v, fresh, err := m.begin(effect{"reboot", id, attempt})
+	v, fresh, err := m.beginEffect(effect{"reboot", id, attempt})
 	if err != nil || !fresh {
 		return err
 	}
@@ -256,9 +261,11 @@
 	return nil
 }
 
-// begin notes an effect before it happens and reports whether it is the first
-// of its attempt.
-func (m *Machines) begin(e effect) (v *vm, fresh bool, err error) {
+// beginEffect records an effect before it is applied. It returns the VM and
+// whether this is the first call for the effect; a repeated one must not be
+// applied again. It returns KindNotFound for an unknown VM and KindInvalid for an
+// empty attempt.
+func (m *Machines) beginEffect(e effect) (v *vm, fresh bool, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v, ok := m.vms[e.vm]
@@ -268,15 +275,15 @@
 	if e.attempt == "" {
 		return nil, false, infra.Errorf(e.op, infra.KindInvalid, "no attempt")
 	}
-	if m.done[e] {
+	if m.applied[e] {
 		return v, false, nil
 	}
-	m.done[e] = true
+	m.applied[e] = true
 	return v, true, nil
 }
 
-// start starts a VM that is down. It is live only once its runner is, so that
-// whoever sees it live finds it working.
+// start starts a VM that is down. It marks the VM live only after its runner has
+// started, so that a VM listed as live accepts requests.
 func (m *Machines) start(id model.VMID) {
 	m.mu.Lock()
 	v, ok := m.vms[id]
@@ -284,8 +291,8 @@
 	if !ok {
 		return
 	}
-	v.turn.Lock()
-	defer v.turn.Unlock()
+	v.runnerMu.Lock()
+	defer v.runnerMu.Unlock()
 	if m.isLive(v) {
 		return
 	}
@@ -294,7 +301,7 @@
 	defer m.mu.Unlock()
 	v.live, v.draining = true, false
 	v.boots++
-	m.noteLocked(v)
+	m.recordLocked(v)
 }
 
 func (m *Machines) isLive(v *vm) bool {
@@ -303,24 +310,28 @@
 	return v.live
 }
 
+// stop stops the runner and returns how many requests that aborted.
 func (v *vm) stop() int {
-	v.turn.Lock()
-	defer v.turn.Unlock()
+	v.runnerMu.Lock()
+	defer v.runnerMu.Unlock()
 	return v.runner.Stop()
 }
 
+// stopLocked marks the VM as down and its tasks as lost. The caller then stops
+// the runner with stop, after it has released the lock.
 func (m *Machines) stopLocked(v *vm, reason string) {
 	for t := range v.tasks {
 		t.end(infra.TaskLost, reason)
 	}
 	v.live = false
-	m.noteLocked(v)
+	m.recordLocked(v)
 }
 
-// noteLocked records the VM as it is now, and forgets what no list can show.
-func (m *Machines) noteLocked(v *vm) {
+// recordLocked adds a snapshot of the VM and discards those that are too old for
+// List to return. It discards none while the list is frozen.
+func (m *Machines) recordLocked(v *vm) {
 	now := m.clock.Now()
-	v.history = append(v.history, moment{from: now, machine: infra.Machine{
+	v.history = append(v.history, snapshot{from: now, machine: infra.Machine{
 		VM: v.id, Live: v.live, Leaving: v.leaving, Boots: v.boots, Tasks: len(v.tasks),
 	}})
 	if !m.frozenAt.IsZero() {
@@ -332,7 +343,7 @@
 	}
 }
 
-// at returns the VM as it was, if it was there.
+// at returns the state of the VM at time t, and false if it did not exist then.
 func (v *vm) at(t time.Time) (infra.Machine, bool) {
 	for i := len(v.history) - 1; i >= 0; i-- {
 		if !v.history[i].from.After(t) {
--- a/internal/infra/standin/machines_http.go
+++ b/internal/infra/standin/machines_http.go
@@ -20,7 +20,7 @@
 		machineapi.PathUsage:    s.listUsage,
 	}
 	for path, h := range get {
-		s.router.HandleFunc(path, s.guarded(KindMachines, h)).Methods(http.MethodGet)
+		s.router.HandleFunc(path, s.withFaults(KindMachines, h)).Methods(http.MethodGet)
 	}
 	post := map[string]http.HandlerFunc{
 		machineapi.PathDrain:    s.drain,
@@ -32,7 +32,7 @@
 		machineapi.PathThrottle: s.throttleTask,
 	}
 	for path, h := range post {
-		s.router.HandleFunc(path, s.guarded(KindEffect, h)).Methods(http.MethodPost)
+		s.router.HandleFunc(path, s.withFaults(KindEffect, h)).Methods(http.MethodPost)
 	}
 }
 
@@ -116,13 +116,14 @@
 	}
 }
 
-func vmOf(r *http.Request) model.VMID { return model.VMID(variable(r, "vm")) }
+func vmOf(r *http.Request) model.VMID { return model.VMID(pathVariable(r, "vm")) }
 
-func attemptOf(r *http.Request) model.AttemptID { return model.AttemptID(variable(r, "attempt")) }
+func attemptOf(r *http.Request) model.AttemptID { return model.AttemptID(pathVariable(r, "attempt")) }
 
-// variable undoes the escaping that keeps a slash in an identifier from
-// looking like one of the path.
-func variable(r *http.Request, name string) string {
+// pathVariable returns a path variable unescaped, or "" if it is malformed. The
+// router matches the encoded path, so that an escaped slash within an identifier
+// does not separate path segments.
+func pathVariable(r *http.Request, name string) string {
 	v, err := url.PathUnescape(mux.Vars(r)[name])
 	if err != nil {
 		return ""
@@ -130,6 +131,7 @@
 	return v
 }
 
+// statusOf maps kinds of error to HTTP statuses; others get 500.
 var statusOf = map[infra.Kind]int{
 	infra.KindInvalid:       http.StatusBadRequest,
 	infra.KindNotFound:      http.StatusNotFound,
--- a/internal/infra/standin/network.go
+++ b/internal/infra/standin/network.go
@@ -10,25 +10,28 @@
 	"time"
 )
 
-// PlatformZone is the platform's own place in the Network.
+// PlatformZone is the name under which the Network knows the platform, next to
+// the availability zones.
 const PlatformZone = "platform"
 
-// Network is the network between availability zones and the platform, as far
-// as connections are opened through it. Two places are parted in two ways: a
-// cut closes what is open between them and refuses what is new, unsent, as
-// where routers answer; a drop loses every packet without a word.
+// Network simulates the network between availability zones and the platform for
+// the connections dialled through it. A place is a zone or PlatformZone. There
+// are two kinds of partition between two places: a cut closes open connections
+// and refuses new ones before anything is sent, as routers do that report an
+// unreachable host; a drop silently discards every packet.
 type Network struct {
-	mu    sync.Mutex
-	zones map[string]string // by address
-	cuts  map[pair]bool
-	alone map[string]bool // places cut off from all others
-	drops map[pair]bool
-	mute  map[string]bool // places whose packets to all others are dropped
-	conns map[*conn]struct{}
+	mu         sync.Mutex
+	zoneByAddr map[string]string // by address, host:port
+	cuts       map[pair]bool
+	isolated   map[string]bool // places cut from all others
+	drops      map[pair]bool
+	dropsAll   map[string]bool // places whose packets to all others are dropped
+	conns      map[*conn]struct{}
 
 	sent, received atomic.Int64
 }
 
+// pair is an unordered pair of places; pairOf puts them in order.
 type pair struct{ a, b string }
 
 func pairOf(a, b string) pair {
@@ -40,24 +43,24 @@
 
 func newNetwork() *Network {
 	return &Network{
-		zones: make(map[string]string),
-		cuts:  make(map[pair]bool),
-		alone: make(map[string]bool),
-		drops: make(map[pair]bool),
-		mute:  make(map[string]bool),
-		conns: make(map[*conn]struct{}),
+		zoneByAddr: make(map[string]string),
+		cuts:       make(map[pair]bool),
+		isolated:   make(map[string]bool),
+		drops:      make(map[pair]bool),
+		dropsAll:   make(map[string]bool),
+		conns:      make(map[*conn]struct{}),
 	}
 }
 
-// Place says that addr (host:port) is in zone. Addresses that were never
-// placed belong to the platform.
+// Place assigns addr (host:port) to zone. Addresses without a zone belong to the
+// platform.
 func (n *Network) Place(addr, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.zones[addr] = zone
+	n.zoneByAddr[addr] = zone
 }
 
-// Cut parts two zones, or a zone and PlatformZone.
+// Cut closes the connections between two places and refuses new ones until Heal.
 func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,40 +68,42 @@
 	n.closeCutLocked()
 }
 
-// Drop loses what two places send each other until Heal: connections stay open
-// and new ones hang. What was sent meanwhile arrives late, as TCP repeats it.
+// Drop discards the packets between two places until Heal: connections stay open
+// and new dials block. Data sent meanwhile arrives after Heal, since TCP
+// retransmits it.
 func (n *Network) Drop(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.drops[pairOf(a, b)] = true
 }
 
-// Heal takes a Cut or a Drop back.
+// Heal ends a Cut and a Drop between two places.
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	delete(n.cuts, pairOf(a, b))
 	delete(n.drops, pairOf(a, b))
 	n.mu.Unlock()
-	n.deliver()
+	n.flushAll()
 }
 
-// Mute drops what a place and all others send each other, or takes that back.
+// Mute starts or ends dropping the packets between a place and all others.
 func (n *Network) Mute(place string, on bool) {
 	n.mu.Lock()
-	n.mute[place] = on
+	n.dropsAll[place] = on
 	n.mu.Unlock()
-	n.deliver()
+	n.flushAll()
 }
 
-// Isolate cuts a place off from all others, or takes that back.
+// Isolate starts or ends a cut between a place and all others.
 func (n *Network) Isolate(place string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.alone[place] = on
+	n.isolated[place] = on
 	n.closeCutLocked()
 }
 
-// IsCut reports whether a and b cannot reach each other.
+// IsCut reports whether connections between a and b are refused. It does not
+// report drops.
 func (n *Network) IsCut(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,28 +111,28 @@
 }
 
 func (n *Network) isCutLocked(p pair) bool {
-	return p.a != p.b && (n.cuts[p] || n.alone[p.a] || n.alone[p.b])
+	return p.a != p.b && (n.cuts[p] || n.isolated[p.a] || n.isolated[p.b])
 }
 
 func (n *Network) closeCutLocked() {
 	for c := range n.conns {
-		if n.isCutLocked(c.between) {
+		if n.isCutLocked(c.endpoints) {
 			delete(n.conns, c)
-			_ = c.Conn.Close() // the peer sees the cut either way
+			_ = c.Conn.Close() // the peer sees the connection end even if Close fails
 		}
 	}
 }
 
-// Dialer returns the way of a process in zone from to every address; it fits
-// net/http's Transport.DialContext.
+// Dialer returns a dial function for a process in zone from. It can be used as
+// DialContext of an http.Transport.
 func (n *Network) Dialer(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		return n.dial(ctx, from, network, addr)
 	}
 }
 
-// Client returns an HTTP client of a process in zone from, for the gateway's
-// and other adapters.
+// Client returns an HTTP client for a process in zone from, to be used by the
+// gateway and other adapters.
 func (n *Network) Client(from string) *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: n.Dialer(from), MaxIdleConnsPerHost: 16}}
 }
@@ -135,12 +140,12 @@
 func (n *Network) dial(ctx context.Context, from, network, addr string) (net.Conn, error) {
 	refused := &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 	n.mu.Lock()
-	to, ok := n.zones[addr]
+	to, ok := n.zoneByAddr[addr]
 	n.mu.Unlock()
 	if !ok {
 		to = PlatformZone
 	}
-	if err := n.awaitDelivery(ctx, pairOf(from, to)); err != nil {
+	if err := n.waitForDelivery(ctx, pairOf(from, to)); err != nil {
 		return nil, err
 	}
 	if n.IsCut(from, to) {
@@ -151,38 +156,41 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, between: pairOf(from, to), network: n}
+	c := &conn{Conn: raw, endpoints: pairOf(from, to), network: n}
 	if !n.track(c) {
-		_ = raw.Close() // cut while dialling; nothing was sent
+		_ = raw.Close() // cut during the dial; nothing was sent
 		return nil, refused
 	}
 	return c, nil
 }
 
-// awaitDelivery waits while packets are dropped, as a dial does.
-func (n *Network) awaitDelivery(ctx context.Context, p pair) error {
+// waitForDelivery blocks while packets are dropped, as a real dial would. It
+// returns a dial error if ctx ends first.
+func (n *Network) waitForDelivery(ctx context.Context, p pair) error {
 	for n.isDropped(p) {
 		select {
 		case <-ctx.Done():
 			return &net.OpError{Op: "dial", Net: "tcp", Err: ctx.Err()}
-		case <-time.After(dropPoll):
+		case <-time.After(dropPollInterval):
 		}
 	}
 	return nil
 }
 
+// track registers an open connection. It returns false if its endpoints have been
+// cut from each other in the meantime.
 func (n *Network) track(c *conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.isCutLocked(c.between) {
+	if n.isCutLocked(c.endpoints) {
 		return false
 	}
 	n.conns[c] = struct{}{}
 	return true
 }
 
-// Bytes returns how much was sent and received over connections opened
-// through the Network, with the headers of HTTP and without those of TCP.
+// Bytes returns the number of bytes sent and received over connections opened
+// through the Network. HTTP headers are included, TCP headers are not.
 func (n *Network) Bytes() (sent, received int64) {
 	return n.sent.Load(), n.received.Load()
 }
@@ -190,11 +198,12 @@
 func (n *Network) isDropped(p pair) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return p.a != p.b && (n.drops[p] || n.mute[p.a] || n.mute[p.b])
+	return p.a != p.b && (n.drops[p] || n.dropsAll[p.a] || n.dropsAll[p.b])
 }
 
-// deliver sends on what was held back on connections that are healed.
-func (n *Network) deliver() {
+// flushAll sends the buffered writes of all connections whose packets are no
+// longer dropped.
+func (n *Network) flushAll() {
 	n.mu.Lock()
 	var open []*conn
 	for c := range n.conns {
--- a/internal/infra/standin/response_writer.go
+++ b/internal/infra/standin/response_writer.go
@@ -6,58 +6,61 @@
 	"net/http"
 )
 
-// readAll reads the body at once, so that a call that is held is a call the
-// service has read, whatever its client does. It returns the body's size.
-func readAll(w http.ResponseWriter, r *http.Request) int {
+// readBody reads the whole body into memory and returns its size in bytes. A call
+// that is then delayed can execute even if its client disconnects. It aborts the
+// call if the body cannot be read or is larger than maxBodyBytes.
+func readBody(w http.ResponseWriter, r *http.Request) int {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		panic(http.ErrAbortHandler) // the client left, or sent far too much
+		panic(http.ErrAbortHandler) // the client disconnected or the body is too large
 	}
 	r.Body = io.NopCloser(bytes.NewReader(raw))
 	return len(raw)
 }
 
-// output is an answer that the call's fate may still take away.
-type output struct {
+// responseWriter writes the response of a call. For an outcome other than
+// outcomeNormal it buffers the body, to suppress or truncate it in finish.
+type responseWriter struct {
 	http.ResponseWriter
-	fate fate
-	size int64
-	held bytes.Buffer
+	outcome  outcome
+	size     int64
+	buffered bytes.Buffer
 }
 
-func newOutput(w http.ResponseWriter, f fate) *output {
-	return &output{ResponseWriter: w, fate: f}
+func newResponseWriter(w http.ResponseWriter, o outcome) *responseWriter {
+	return &responseWriter{ResponseWriter: w, outcome: o}
 }
 
 // Write implements http.ResponseWriter.
-func (o *output) Write(p []byte) (int, error) {
+func (o *responseWriter) Write(p []byte) (int, error) {
 	o.size += int64(len(p))
-	if o.fate == fatePass {
+	if o.outcome == outcomeNormal {
 		return o.ResponseWriter.Write(p)
 	}
-	return o.held.Write(p)
+	return o.buffered.Write(p)
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (o *output) WriteHeader(status int) {
-	if o.fate != fateLoseReply {
+func (o *responseWriter) WriteHeader(status int) {
+	if o.outcome != outcomeLoseReply {
 		o.ResponseWriter.WriteHeader(status)
 	}
 }
 
 // Flush implements http.Flusher.
-func (o *output) Flush() {
-	if f, ok := o.ResponseWriter.(http.Flusher); ok && o.fate == fatePass {
+func (o *responseWriter) Flush() {
+	if f, ok := o.ResponseWriter.(http.Flusher); ok && o.outcome == outcomeNormal {
 		f.Flush()
 	}
 }
 
-// finish lets the fate of the reply happen, after the effect.
-func (o *output) finish() {
-	switch o.fate {
-	case fateLoseReply:
+// finish applies the outcome once the call has taken effect: it aborts the
+// connection for a lost reply and sends half the body of a truncated one.
+func (o *responseWriter) finish() {
+	switch o.outcome {
+	case outcomeLoseReply:
 		panic(http.ErrAbortHandler)
-	case fateGarble:
-		_, _ = o.ResponseWriter.Write(o.held.Bytes()[:o.held.Len()/2]) // cut on purpose
+	case outcomeTruncateReply:
+		_, _ = o.ResponseWriter.Write(o.buffered.Bytes()[:o.buffered.Len()/2]) // truncated on purpose
 	}
 }
--- a/internal/infra/standin/runner.go
+++ b/internal/infra/standin/runner.go
@@ -1,21 +1,23 @@
 package standin
 
-// Runner is what runs on a VM and is told what befalls it. Calls come one at
-// a time for each VM, without the stand-in's locks held.
+// Runner is the program on a VM. The stand-in calls it when the VM is drained,
+// stopped or started: one call at a time per VM, except for InFlight, and without
+// Machines.mu held.
 type Runner interface {
-	// Drain tells it to refuse new work and finish what it has.
+	// Drain makes it refuse new requests and finish those in flight.
 	Drain()
-	// Undrain takes a Drain back.
+	// Undrain makes it accept new requests again.
 	Undrain()
-	// InFlight returns the requests that it works on.
+	// InFlight returns the number of requests in progress.
 	InFlight() int
-	// Stop ends it at once; it returns how many requests that cut.
+	// Stop stops it immediately and returns the number of requests aborted.
 	Stop() (cut int)
-	// Start starts it anew, not draining.
+	// Start starts it again, accepting requests.
 	Start()
 }
 
-// Hooks is a Runner made of functions; those that are nil do nothing.
+// Hooks is a Runner that calls its functions. A nil function does nothing; a nil
+// Requests means no requests in flight, and a nil OnStop aborts those in flight.
 type Hooks struct {
 	OnDrain   func()
 	OnUndrain func()
@@ -25,13 +27,13 @@
 }
 
 // Drain implements Runner.
-func (h Hooks) Drain() { call(h.OnDrain) }
+func (h Hooks) Drain() { callIfSet(h.OnDrain) }
 
 // Undrain implements Runner.
-func (h Hooks) Undrain() { call(h.OnUndrain) }
+func (h Hooks) Undrain() { callIfSet(h.OnUndrain) }
 
 // Start implements Runner.
-func (h Hooks) Start() { call(h.OnStart) }
+func (h Hooks) Start() { callIfSet(h.OnStart) }
 
 // InFlight implements Runner.
 func (h Hooks) InFlight() int {
@@ -49,7 +51,7 @@
 	return h.OnStop()
 }
 
-func call(f func()) {
+func callIfSet(f func()) {
 	if f != nil {
 		f()
 	}
--- a/internal/infra/standin/standin.go
+++ b/internal/infra/standin/standin.go
@@ -1,7 +1,8 @@
-// Package standin is a small stand-in for the users' platform: the key-value
-// service behind the etcd v3 JSON gateway's protocol, and the machines behind
-// plain HTTP and JSON. Its faults are switched while it runs. It counts the
-// calls it gets and can enforce the service's limits.
+// Package standin simulates the users' platform for tests and the command dev: a
+// key-value service that speaks the protocol of the etcd v3 JSON gateway, and a
+// machines API in plain HTTP and JSON. Faults can be injected while it runs. It
+// counts the calls it receives and can enforce the rate limits of the real
+// service.
 package standin
 
 import (
@@ -19,37 +20,40 @@
 	"github.com/pumicestage/pumicestage/internal/infra/memstore"
 )
 
-// leaseTick is how often due leases are looked for while nobody calls, so
-// that watchers hear of a lapsed lease in time.
-const leaseTick = 100 * time.Millisecond
+// leaseCheckInterval is how often expired leases are removed even if no call
+// arrives, so that watchers learn of the expiry in time.
+const leaseCheckInterval = 100 * time.Millisecond
 
-// maxBodyBytes bounds a request's body: a value of 1 MB is 1.4 MB in base64.
+// maxBodyBytes limits the size of a request body. It leaves enough for a value of
+// 1 MB, which takes 1.4 MB in base64.
 const maxBodyBytes = 4 << 20
 
-// Server is the stand-in. It is an http.Handler, and its methods are the
-// control of its faults.
+// Server is the simulated platform. It is an http.Handler; tests control it
+// through its fields.
 type Server struct {
 	Faults   *Faults
 	Network  *Network
 	Machines *Machines
 	Counts   *Counter
-	// Store is the engine; a test may write or compact behind the API.
+	// Store holds the data of the key-value service. A test may write to it or
+	// compact it directly, bypassing the API.
 	Store *memstore.Store
 
-	clock  clockwork.Clock
-	router *mux.Router
-	done   chan struct{}
-	once   sync.Once
+	clock     clockwork.Clock
+	router    *mux.Router
+	done      chan struct{}
+	closeOnce sync.Once
 
 	mu      sync.Mutex
 	servers []*http.Server
 }
 
-// headerTimeout ends connections that never say what they want.
-const headerTimeout = 10 * time.Second
+// readHeaderTimeout closes connections that do not send their request headers in
+// time.
+const readHeaderTimeout = 10 * time.Second
 
-// New returns a running stand-in whose leases, machines and delays follow
-// clock. Close ends it.
+// New returns a running Server whose leases, machines, rate limits and delays
+// follow clock. Close releases its resources.
 func New(clock clockwork.Clock) *Server {
 	s := &Server{
 		Faults:   newFaults(),
@@ -66,18 +70,18 @@
 	s.routeMachines()
 	s.router.HandleFunc(PathFaults, s.getFaults).Methods(http.MethodGet)
 	s.router.HandleFunc(PathFaults, s.putFaults).Methods(http.MethodPut)
-	go s.tick()
+	go s.expireLeases()
 	return s
 }
 
-// Listen serves on addr, host:port with port 0 for any, and returns the base
-// address for clients.
+// Listen starts serving on addr (host:port; port 0 picks a free one) and returns
+// the base URL for clients.
 func (s *Server) Listen(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", trace.Wrap(err)
 	}
-	srv := &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
+	srv := &http.Server{Handler: s, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = srv.Serve(ln) }() // ends when Close closes the listener
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,13 +89,14 @@
 	return "http://" + ln.Addr().String(), nil
 }
 
-// Close ends every call and watch, and what Listen began.
+// Close stops the servers that Listen started and aborts watches and delayed
+// calls.
 func (s *Server) Close() {
-	s.once.Do(func() { close(s.done) })
+	s.closeOnce.Do(func() { close(s.done) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, srv := range s.servers {
-		_ = srv.Close() // clients see the cut
+		_ = srv.Close() // clients see their connections end even if Close fails
 	}
 	s.servers = nil
 }
@@ -101,8 +106,9 @@
 	s.router.ServeHTTP(w, r)
 }
 
-func (s *Server) tick() {
-	t := s.clock.NewTicker(leaseTick)
+// expireLeases removes expired leases every leaseCheckInterval until Close.
+func (s *Server) expireLeases() {
+	t := s.clock.NewTicker(leaseCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -117,9 +123,11 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client may be gone; it sees a cut answer
+	_ = json.NewEncoder(w).Encode(body) // fails if the client is gone, which has seen the connection end
 }
 
+// readJSON decodes the request body into the given value. If that fails, it answers
+// with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
--- a/internal/infra/standin/store.go
+++ b/internal/infra/standin/store.go
@@ -13,14 +13,14 @@
 
 func (s *Server) routeStore() {
 	routes := map[string]http.HandlerFunc{
-		etcdjson.PathRange:     s.guarded(KindRange, s.rangeKeys),
-		etcdjson.PathPut:       s.guarded(KindWrite, s.put),
-		etcdjson.PathTxn:       s.guarded(KindWrite, s.txn),
-		etcdjson.PathGrant:     s.guarded(KindGrant, s.grant),
-		etcdjson.PathKeepAlive: s.guarded(KindKeepAlive, s.keepAlive),
-		etcdjson.PathRevoke:    s.guarded(KindRevoke, s.revoke),
-		etcdjson.PathKVRevoke:  s.guarded(KindRevoke, s.revoke),
-		etcdjson.PathWatch:     s.guarded(KindWatch, s.watch),
+		etcdjson.PathRange:     s.withFaults(KindRange, s.rangeKeys),
+		etcdjson.PathPut:       s.withFaults(KindWrite, s.put),
+		etcdjson.PathTxn:       s.withFaults(KindWrite, s.txn),
+		etcdjson.PathGrant:     s.withFaults(KindGrant, s.grant),
+		etcdjson.PathKeepAlive: s.withFaults(KindKeepAlive, s.keepAlive),
+		etcdjson.PathRevoke:    s.withFaults(KindRevoke, s.revoke),
+		etcdjson.PathKVRevoke:  s.withFaults(KindRevoke, s.revoke),
+		etcdjson.PathWatch:     s.withFaults(KindWatch, s.watch),
 	}
 	for path, h := range routes {
 		s.router.HandleFunc(path, h).Methods(http.MethodPost)
@@ -32,21 +32,22 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	kvs, rev, err := s.find(r.Context(), req)
+	kvs, rev, err := s.readRange(r.Context(), req)
 	if err != nil {
 		writeStoreError(w, err)
 		return
 	}
 	res := etcdjson.RangeResponse{Header: header(rev), Count: etcdjson.Int64(len(kvs))}
 	for _, kv := range kvs {
-		res.KVs = append(res.KVs, toWire(kv))
+		res.KVs = append(res.KVs, kvToWire(kv))
 	}
 	writeJSON(w, http.StatusOK, res)
 }
 
-// find reads one key, a prefix, or any other range. The request was read
-// whole, so a client that leaves does not stop it.
-func (s *Server) find(ctx context.Context, req etcdjson.RangeRequest) ([]infra.KV, infra.Revision, error) {
+// readRange reads one key, a prefix, or any other range of keys. It ignores
+// cancellation of ctx: a request that was read completely is executed even if its
+// client disconnects.
+func (s *Server) readRange(ctx context.Context, req etcdjson.RangeRequest) ([]infra.KV, infra.Revision, error) {
 	ctx = context.WithoutCancel(ctx)
 	key := string(req.Key)
 	if len(req.RangeEnd) == 0 {
@@ -69,7 +70,9 @@
 	return found, rev, err
 }
 
-// inRange follows the protocol: an end of one zero byte means "to the last".
+// inRange reports whether k lies in the range from (inclusive) to end (exclusive).
+// In the etcd protocol an end of a single zero byte means that there is no upper
+// bound.
 func inRange(k, from string, end []byte) bool {
 	toLast := len(end) == 1 && end[0] == 0
 	return k >= from && (toLast || strings.Compare(k, string(end)) < 0)
@@ -117,7 +120,7 @@
 		writeStoreError(w, err)
 		return
 	}
-	res.TTL = etcdjson.Int64(ttl / time.Second) // a lapsed lease has TTL 0, by the protocol
+	res.TTL = etcdjson.Int64(ttl / time.Second) // the protocol reports an expired lease as TTL 0
 	writeJSON(w, http.StatusOK, etcdjson.KeepAliveMessage{Result: &res})
 }
 
@@ -133,7 +136,8 @@
 	writeJSON(w, http.StatusOK, etcdjson.PutResponse{Header: header(s.Store.Revision())})
 }
 
-// writeStoreError answers as the service does: a status, its code, its words.
+// writeStoreError answers with the HTTP status, gRPC code and message that the
+// real service sends for the same error.
 func writeStoreError(w http.ResponseWriter, err error) {
 	switch infra.KindOf(err) {
 	case infra.KindTooLarge:
@@ -153,7 +157,7 @@
 	return &etcdjson.Header{Revision: etcdjson.Int64(rev)}
 }
 
-func toWire(kv infra.KV) etcdjson.KeyValue {
+func kvToWire(kv infra.KV) etcdjson.KeyValue {
 	return etcdjson.KeyValue{
 		Key:            []byte(kv.Key),
 		Value:          kv.Value,
--- a/internal/infra/standin/tasks.go
+++ b/internal/infra/standin/tasks.go
@@ -9,55 +9,57 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// endedKept is how long an ended task stays in the list.
-const endedKept = 10 * time.Minute
+// endedTaskRetention is how long an ended task stays in the list.
+const endedTaskRetention = 10 * time.Minute
 
-// Behaviour is how a job's tasks really are, whatever was declared.
+// Behaviour sets how the tasks of a job actually behave, regardless of what the
+// job declares.
 type Behaviour struct {
-	Size    model.Resources // really used; zero for what the task set aside
-	RunTime time.Duration   // at full speed; zero for ever
-	Fails   bool            // fails at the end of RunTime
+	Size    model.Resources // actual use; zero means what the task reserved
+	RunTime time.Duration   // at full speed; zero means that it never ends
+	Fails   bool            // fails instead of succeeding after RunTime
 }
 
+// task is a task on a VM, running or ended, as of advancedTo.
 type task struct {
 	infra.Task
-	worker    *vm
-	behaviour Behaviour
-	expires   time.Time
-	seen      time.Time     // up to when done is worked out
-	done      time.Duration // progress at full speed
-	throttled int64         // thousandths of a processor; 0 for no cap
-	usedAt    time.Time     // the newest usage report
-	used      model.Resources
-	endedAt   time.Time
+	worker      *vm
+	behaviour   Behaviour
+	expires     time.Time
+	advancedTo  time.Time     // time up to which workDone is computed
+	workDone    time.Duration // run time at full speed that the work so far takes
+	milliCPUCap int64         // in thousandths of a processor; 0 means no cap
+	reportedAt  time.Time     // time of the latest usage report
+	reportedUse model.Resources
+	endedAt     time.Time
 }
 
-// SetBehaviour says how tasks of the job that start from now on behave.
+// SetBehaviour sets the behaviour of tasks of the job that start from now on.
 func (m *Machines) SetBehaviour(job model.JobID, b Behaviour) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.behaviour[job] = b
 }
 
-// SetWorkerFails makes every task that starts on the VM fail at once.
+// SetWorkerFails sets whether every task that starts on the VM fails at once.
 func (m *Machines) SetWorkerFails(id model.VMID, fails bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if v, ok := m.vms[id]; ok {
-		v.allFail = fails
+		v.failsTasks = fails
 	}
 }
 
-// SetUsageEvery sets how often workers report usage; a report is as old as
-// that at most. Zero reports at each question.
+// SetUsageEvery sets the interval at which workers report usage, which is also the
+// maximum age of a report. Zero means a new report for each query.
 func (m *Machines) SetUsageEvery(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.usageEvery = d
+	m.usageInterval = d
 }
 
-// StartTask implements infra.Machines. It refuses with KindConflict where
-// the VM is not live, is draining, or has set aside all it has.
+// StartTask implements infra.Machines. It returns KindConflict if the VM is not
+// live, is draining, or has too little unreserved capacity.
 func (m *Machines) StartTask(_ context.Context, t infra.Task) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,26 +82,28 @@
 	}
 	now := m.clock.Now()
 	t.State, t.Reason = infra.TaskRunning, ""
-	started := &task{Task: t, worker: v, behaviour: m.behaviour[t.Job], expires: now.Add(t.TTL), seen: now, usedAt: now, done: m.progress[t.Job]}
+	started := &task{Task: t, worker: v, behaviour: m.behaviour[t.Job], expires: now.Add(t.TTL), advancedTo: now, reportedAt: now, workDone: m.progress[t.Job]}
 	m.tasks[t.Attempt] = started
 	v.tasks[started] = struct{}{}
 	m.tally.Starts[t.Job]++
-	m.judgeLocked(v, started)
-	m.noteLocked(v)
+	m.failUnfitLocked(v, started)
+	m.recordLocked(v)
 	return nil
 }
 
-// judgeLocked ends a task that cannot live on its worker.
-func (m *Machines) judgeLocked(v *vm, t *task) {
-	used := t.realSize()
+// failUnfitLocked fails a task right after its start if its worker is set to fail
+// tasks, or if it uses more memory than it reserved.
+func (m *Machines) failUnfitLocked(v *vm, t *task) {
+	used := t.actualSize()
 	switch {
-	case v.allFail:
+	case v.failsTasks:
 		t.end(infra.TaskFailed, "the worker failed it")
 	case t.Size.MemoryMB > 0 && used.MemoryMB > t.Size.MemoryMB:
 		t.end(infra.TaskFailed, infra.ReasonMemoryGuard)
 	}
 }
 
+// freeLocked returns the VM's capacity less what its running tasks have reserved.
 func (m *Machines) freeLocked(v *vm) model.Resources {
 	free := v.capacity
 	for t := range v.tasks {
@@ -119,7 +123,7 @@
 	return err
 }
 
-// StopTask implements infra.Machines. Stopping an ended task does nothing.
+// StopTask implements infra.Machines. Stopping an ended task has no effect.
 func (m *Machines) StopTask(_ context.Context, attempt model.AttemptID, checkpoint bool) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,10 +137,10 @@
 	if !checkpoint {
 		t.end(infra.TaskStopped, "stopped")
 	} else {
-		m.progress[t.Job] = t.done
+		m.progress[t.Job] = t.workDone
 		t.end(infra.TaskCheckpointed, "stopped at a checkpoint")
 	}
-	m.noteLocked(t.worker)
+	m.recordLocked(t.worker)
 	return nil
 }
 
@@ -146,7 +150,7 @@
 	defer m.mu.Unlock()
 	t, err := m.runningTaskLocked("throttle task", attempt)
 	if err == nil {
-		t.throttled = milliCPU
+		t.milliCPUCap = milliCPU
 	}
 	return err
 }
@@ -171,14 +175,16 @@
 	m.advanceLocked()
 	var out []infra.Usage
 	for _, t := range m.tasks {
-		if t.State == infra.TaskRunning && t.used != (model.Resources{}) {
-			out = append(out, infra.Usage{Attempt: t.Attempt, VM: t.VM, Used: t.used, At: t.usedAt})
+		if t.State == infra.TaskRunning && t.reportedUse != (model.Resources{}) {
+			out = append(out, infra.Usage{Attempt: t.Attempt, VM: t.VM, Used: t.reportedUse, At: t.reportedAt})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Attempt < out[j].Attempt })
 	return out, nil
 }
 
+// runningTaskLocked returns a running task. It returns KindNotFound for an unknown
+// attempt and KindLeaseNotFound for an ended task.
 func (m *Machines) runningTaskLocked(op string, attempt model.AttemptID) (*task, error) {
 	m.advanceLocked()
 	t, ok := m.tasks[attempt]
@@ -191,36 +197,39 @@
 	return t, nil
 }
 
-// advanceLocked brings every task up to now.
+// advanceLocked updates every task to the current time and removes those that
+// ended more than endedTaskRetention ago.
 func (m *Machines) advanceLocked() {
 	now := m.clock.Now()
 	for attempt, t := range m.tasks {
 		if t.State != infra.TaskRunning {
-			if now.Sub(t.endedAt) > endedKept {
+			if now.Sub(t.endedAt) > endedTaskRetention {
 				delete(m.tasks, attempt)
 			}
 			continue
 		}
 		m.advanceTaskLocked(t, now)
 		if t.State != infra.TaskRunning {
-			m.noteLocked(t.worker)
+			m.recordLocked(t.worker)
 		}
 	}
 }
 
-// advanceTaskLocked works out what came first, the task's end or its lease's.
+// advanceTaskLocked updates a task to the current time, or to the expiry of its
+// lease if that comes first. A task that completes by then ends as usual; one whose
+// lease expires before it completes is lost.
 func (m *Machines) advanceTaskLocked(t *task, now time.Time) {
 	until := now
 	if t.expires.Before(now) {
 		until = t.expires
 	}
-	t.done += time.Duration(float64(until.Sub(t.seen)) * t.speed())
-	t.seen = until
-	t.report(now, m.usageEvery)
+	t.workDone += time.Duration(float64(until.Sub(t.advancedTo)) * t.speed())
+	t.advancedTo = until
+	t.updateUsage(now, m.usageInterval)
 	switch {
-	case t.behaviour.RunTime > 0 && t.done >= t.behaviour.RunTime && t.behaviour.Fails:
+	case t.behaviour.RunTime > 0 && t.workDone >= t.behaviour.RunTime && t.behaviour.Fails:
 		t.end(infra.TaskFailed, "the job failed")
-	case t.behaviour.RunTime > 0 && t.done >= t.behaviour.RunTime:
+	case t.behaviour.RunTime > 0 && t.workDone >= t.behaviour.RunTime:
 		t.end(infra.TaskSucceeded, "")
 		m.tally.Finished[t.Job]++
 	case !t.expires.After(now):
@@ -230,38 +239,41 @@
 
 func (t *task) end(state infra.TaskState, reason string) {
 	t.State, t.Reason = state, reason
-	t.endedAt = t.seen
+	t.endedAt = t.advancedTo
 	delete(t.worker.tasks, t)
 }
 
-func (t *task) realSize() model.Resources {
+// actualSize returns the resources that the task uses at full speed.
+func (t *task) actualSize() model.Resources {
 	if t.behaviour.Size == (model.Resources{}) {
 		return t.Size
 	}
 	return t.behaviour.Size
 }
 
-// speed is the share of full speed that the throttle leaves.
+// speed returns the fraction of full speed that the processor cap permits, from 0
+// to 1.
 func (t *task) speed() float64 {
-	want := t.realSize().MilliCPU
-	if t.throttled <= 0 || t.throttled >= want {
+	want := t.actualSize().MilliCPU
+	if t.milliCPUCap <= 0 || t.milliCPUCap >= want {
 		return 1
 	}
-	return float64(t.throttled) / float64(want)
+	return float64(t.milliCPUCap) / float64(want)
 }
 
-// report takes the newest usage report that is due.
-func (t *task) report(now time.Time, every time.Duration) {
-	age := now.Sub(t.usedAt)
-	if age < every {
+// updateUsage replaces the usage report by the latest one that is due at the given
+// interval. An interval of zero makes one at each call.
+func (t *task) updateUsage(now time.Time, interval time.Duration) {
+	age := now.Sub(t.reportedAt)
+	if age < interval {
 		return
 	}
-	t.usedAt = now
-	if every > 0 {
-		t.usedAt = now.Add(-(age % every))
+	t.reportedAt = now
+	if interval > 0 {
+		t.reportedAt = now.Add(-(age % interval))
 	}
-	t.used = t.realSize()
-	if t.throttled > 0 {
-		t.used.MilliCPU = min(t.used.MilliCPU, t.throttled)
+	t.reportedUse = t.actualSize()
+	if t.milliCPUCap > 0 {
+		t.reportedUse.MilliCPU = min(t.reportedUse.MilliCPU, t.milliCPUCap)
 	}
 }
--- a/internal/infra/standin/txn.go
+++ b/internal/infra/standin/txn.go
@@ -13,7 +13,7 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	txn, err := fromWire(req)
+	txn, err := txnFromWire(req)
 	if err != nil {
 		writeStoreError(w, err)
 		return
@@ -27,29 +27,30 @@
 	if !res.Succeeded {
 		ops = txn.Else
 	}
-	writeJSON(w, http.StatusOK, answerTxn(res, ops))
+	writeJSON(w, http.StatusOK, txnResponse(res, ops))
 }
 
-func fromWire(req etcdjson.TxnRequest) (infra.Txn, error) {
+func txnFromWire(req etcdjson.TxnRequest) (infra.Txn, error) {
 	var txn infra.Txn
 	for _, c := range req.Compare {
-		cond, err := condOf(c)
+		cond, err := condFromWire(c)
 		if err != nil {
 			return txn, err
 		}
 		txn.If = append(txn.If, cond)
 	}
 	var err error
-	if txn.Then, err = opsOf(req.Success); err != nil {
+	if txn.Then, err = opsFromWire(req.Success); err != nil {
 		return txn, err
 	}
-	txn.Else, err = opsOf(req.Failure)
+	txn.Else, err = opsFromWire(req.Failure)
 	return txn, err
 }
 
-// condOf knows equality of the revision of the last write, and absence, which
-// the protocol can say in three ways.
-func condOf(c etcdjson.Compare) (infra.Cond, error) {
+// condFromWire supports two conditions: that a key's last write has a given
+// revision, and that a key does not exist. The protocol can express the latter in
+// three ways: as a MOD revision, a CREATE revision or a VERSION of zero.
+func condFromWire(c etcdjson.Compare) (infra.Cond, error) {
 	if c.Result != "" && c.Result != etcdjson.ResultEqual {
 		return infra.Cond{}, infra.Errorf("txn", infra.KindInvalid, "comparison %q is not known here", c.Result)
 	}
@@ -65,7 +66,7 @@
 	return cond, infra.Errorf("txn", infra.KindInvalid, "target %q is known here for absent keys only", c.Target)
 }
 
-func opsOf(reqs []etcdjson.RequestOp) ([]infra.Op, error) {
+func opsFromWire(reqs []etcdjson.RequestOp) ([]infra.Op, error) {
 	var ops []infra.Op
 	for _, r := range reqs {
 		switch {
@@ -82,7 +83,7 @@
 	return ops, nil
 }
 
-func answerTxn(res infra.TxnResult, ops []infra.Op) etcdjson.TxnResponse {
+func txnResponse(res infra.TxnResult, ops []infra.Op) etcdjson.TxnResponse {
 	out := etcdjson.TxnResponse{Header: header(res.Revision), Succeeded: res.Succeeded}
 	reads := res.Reads
 	for _, op := range ops {
@@ -93,7 +94,7 @@
 		case infra.OpDelete:
 			one.DeleteRange = &etcdjson.DeleteRangeResponse{Header: header(res.Revision)}
 		case infra.OpGet:
-			one.Range = rangeOf(reads[0], res.Revision)
+			one.Range = rangeResponse(reads[0], res.Revision)
 			reads = reads[1:]
 		}
 		out.Responses = append(out.Responses, one)
@@ -101,10 +102,10 @@
 	return out
 }
 
-func rangeOf(kv infra.KV, rev infra.Revision) *etcdjson.RangeResponse {
+func rangeResponse(kv infra.KV, rev infra.Revision) *etcdjson.RangeResponse {
 	res := &etcdjson.RangeResponse{Header: header(rev)}
 	if kv.ModRevision != 0 {
-		res.KVs = []etcdjson.KeyValue{toWire(kv)}
+		res.KVs = []etcdjson.KeyValue{kvToWire(kv)}
 		res.Count = 1
 	}
 	return res
--- a/internal/infra/standin/watch.go
+++ b/internal/infra/standin/watch.go
@@ -11,8 +11,8 @@
 	"github.com/pumicestage/pumicestage/internal/infra/httpcall"
 )
 
-// watch answers with a stream of messages, one a line, until the client leaves
-// or a fault cuts it.
+// watch answers with a stream of JSON messages, one per line, until the client
+// disconnects, a fault aborts it or the server closes.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	var req etcdjson.WatchRequest
 	if !readJSON(w, r, &req) {
@@ -22,8 +22,8 @@
 		writeError(w, http.StatusBadRequest, etcdjson.CodeInvalidArgument, "a watch is for one key or one prefix here")
 		return
 	}
-	s.Counts.waiting(1)
-	defer s.Counts.waiting(-1)
+	s.Counts.addWaiting(1)
+	defer s.Counts.addWaiting(-1)
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	from := infra.Revision(req.Create.StartRevision)
@@ -43,8 +43,9 @@
 	s.stream(ctx, r.Header.Get(httpcall.ZoneHeader), *req.Create, batches, out)
 }
 
-// isPrefixOrKey also turns the protocol's "from the first key to the last",
-// two zero bytes, into the empty prefix.
+// isPrefixOrKey reports whether the watch covers a single key or a prefix. It
+// rewrites the protocol's form for all keys, a key and a range end of one zero
+// byte each, to the empty prefix.
 func isPrefixOrKey(c *etcdjson.WatchCreate) bool {
 	if string(c.Key) == "\x00" && string(c.RangeEnd) == "\x00" {
 		c.Key = nil
@@ -52,6 +53,8 @@
 	return len(c.RangeEnd) == 0 || bytes.Equal(c.RangeEnd, etcdjson.PrefixEnd(string(c.Key)))
 }
 
+// stream sends the events of batches to out. It sends nothing while zone is paused
+// and aborts the connection if zone goes down or the server closes.
 func (s *Server) stream(ctx context.Context, zone string, c etcdjson.WatchCreate, batches <-chan infra.WatchBatch, out *watchStream) {
 	for {
 		fault, change := s.Faults.state(zone)
@@ -79,13 +82,15 @@
 	}
 }
 
+// eventsOf converts a batch to a message. For a watch of a single key it leaves out
+// the other keys that have it as their prefix.
 func eventsOf(b infra.WatchBatch, c etcdjson.WatchCreate) etcdjson.WatchResponse {
 	res := etcdjson.WatchResponse{Header: header(b.Revision)}
 	for _, e := range b.Events {
 		if len(c.RangeEnd) == 0 && e.KV.Key != string(c.Key) {
 			continue
 		}
-		one := etcdjson.Event{KV: toWire(e.KV)}
+		one := etcdjson.Event{KV: kvToWire(e.KV)}
 		if e.Kind == infra.EventDelete {
 			one.Type = etcdjson.EventDelete
 		}
@@ -94,8 +99,8 @@
 	return res
 }
 
-// watchStream writes messages and flushes each, so that none waits for the
-// next.
+// watchStream writes messages and flushes each one, so that the client receives
+// it without delay.
 type watchStream struct {
 	w      http.ResponseWriter
 	counts *Counter
@@ -110,7 +115,7 @@
 	if err != nil {
 		panic(http.ErrAbortHandler) // the client is gone
 	}
-	o.counts.bytes(0, int64(n))
+	o.counts.addBytes(0, int64(n))
 	if f, ok := o.w.(http.Flusher); ok {
 		f.Flush()
 	}
