--- a/internal/dev/schedule_test.go
+++ b/internal/dev/schedule_test.go
@@ -118,8 +118,8 @@
 		net.Drop("za", "zb")
 		return func() { net.Heal("za", "zb") }
 	case 2:
-		net.Mute(zone, true)
-		return func() { net.Mute(zone, false) }
+		net.DropAll(zone, true)
+		return func() { net.DropAll(zone, false) }
 	case 3:
 		net.Isolate(zone, true)
 		return func() { net.Isolate(zone, false) }
--- a/internal/dev/worst_test.go
+++ b/internal/dev/worst_test.go
@@ -30,9 +30,9 @@
 		}},
 		// No connection breaks and nothing arrives: what was sent comes late.
 		{"a zone falls silent", func(c *cluster, _ *witness) {
-			c.platform.Network.Mute("zb", true)
+			c.platform.Network.DropAll("zb", true)
 			time.Sleep(4 * time.Second)
-			c.platform.Network.Mute("zb", false)
+			c.platform.Network.DropAll("zb", false)
 		}},
 		{"platform slow, then paused", func(c *cluster, _ *witness) {
 			c.platform.Faults.Set(standin.AnyZone, standin.Fault{Slow: 700 * time.Millisecond, LoseReplies: 10, Garble: 5})
--- a/internal/infra/standin/network.go
+++ b/internal/infra/standin/network.go
@@ -86,8 +86,8 @@
 	n.flushAll()
 }
 
-// Mute starts or ends dropping the packets between a place and all others.
-func (n *Network) Mute(place string, on bool) {
+// DropAll starts or ends dropping the packets between a place and all others.
+func (n *Network) DropAll(place string, on bool) {
 	n.mu.Lock()
 	n.dropsAll[place] = on
 	n.mu.Unlock()
--- a/internal/infra/standin/standin_test.go
+++ b/internal/infra/standin/standin_test.go
@@ -257,7 +257,7 @@
 	got, err = receive(20 * time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, got, "two")
-	srv.Network.Mute("zone-b", true)
+	srv.Network.DropAll("zone-b", true)
 	_, err = receive(20 * time.Millisecond)
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
