--- a/internal/infra/contract/tasks.go
+++ b/internal/infra/contract/tasks.go
@@ -130,7 +130,7 @@
 		addVM(m, "v1")
 		real := model.Resources{MilliCPU: 3000, MemoryMB: 100}
 		m.Control.SetBehaviour("job", standin.Behaviour{Size: real})
-		m.Control.SetUsageEvery(10 * time.Second)
+		m.Control.SetUsageInterval(10 * time.Second)
 		begun := listed(t, m).AsOf
 		start(t, m, sleeper("t1"))
 		m.Advance(9 * time.Second)
--- a/internal/infra/standin/tasks.go
+++ b/internal/infra/standin/tasks.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// SetUsageEvery sets the interval at which workers report usage, which is also the
+// SetUsageInterval sets the interval at which workers report usage, which is also the
 // maximum age of a report. Zero means a new report for each query.
-func (m *Machines) SetUsageEvery(d time.Duration) {
+func (m *Machines) SetUsageInterval(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.usageInterval = d
--- a/internal/jobs/bench_test.go
+++ b/internal/jobs/bench_test.go
@@ -158,7 +158,7 @@
 				if name != "learned" {
 					l.job = withOwnKind(job) // a kind with a single job has no usage history
 				}
-				l.platform.Machines.SetUsageEvery(10 * time.Second)
+				l.platform.Machines.SetUsageInterval(10 * time.Second)
 				got := l.simulate(20*time.Minute, 150)
 				b.ReportMetric(100*got.usedCPU, "cpu%")
 				b.ReportMetric(100*got.usedMemory, "mem%")
--- a/internal/jobs/decisions_test.go
+++ b/internal/jobs/decisions_test.go
@@ -115,7 +115,7 @@
 	// the workers' memory guard. Their memory is doubled at each retry, and later
 	// jobs of the kind get enough at their first start. No worker is blamed.
 	w := newTestCluster(t, 8, 1)
-	w.platform.Machines.SetUsageEvery(5 * time.Second)
+	w.platform.Machines.SetUsageInterval(5 * time.Second)
 	job := smallJob()
 	submit := func() []model.JobID {
 		ids := w.submit(copiesOf(6, job)...)
