--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -181,17 +181,17 @@
 		return err
 	}
 	d.mesh = peer.New(peer.Options{
-		Self:      d.self,
-		Cluster:   d.settings.Cluster,
-		Seeds:     d.settings.Seeds,
-		View:      d.view,
-		Listener:  d.peers,
-		Dial:      peerDial(o.Dial),
-		TLS:       server,
-		ClientTLS: client,
-		Fill:      d.fillDigest,
-		Watching:  func() bool { return d.relay.Watching() },
-		Log:       d.log.WithName("peer"),
+		Self:       d.self,
+		Cluster:    d.settings.Cluster,
+		Seeds:      d.settings.Seeds,
+		View:       d.view,
+		Listener:   d.peers,
+		Dial:       peerDial(o.Dial),
+		TLS:        server,
+		ClientTLS:  client,
+		FillDigest: d.fillDigest,
+		Watching:   func() bool { return d.relay.Watching() },
+		Log:        d.log.WithName("peer"),
 	})
 	ro := relay.Options{Self: d.self, Store: d.store, View: d.view, Peers: d.mesh, Log: d.log.WithName("relay")}
 	d.relay = relay.New(ro)
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -35,9 +35,9 @@
 	// ClientTLS returns the configuration of a connection to be dialled, so
 	// that it has the newest certificates; nil for that of TLS.
 	ClientTLS func() *tls.Config
-	// Fill sets in each digest what this entry VM knows beside its view: its
+	// FillDigest sets in each digest what this entry VM knows beside its view: its
 	// loads, its queue, what it lends, the VMs it asks; nil for nothing.
-	Fill func(*Digest)
+	FillDigest func(*Digest)
 	// Watching reports whether this entry VM holds the platform's watch; nil
 	// for never.
 	Watching func() bool
@@ -299,8 +299,8 @@
 		Revision: v.Revision, Generation: v.Generation(), AgeMillis: ageMillis(time.Since(v.AsOf)),
 		Clock: time.Now().UnixMilli(), Watching: m.opts.Watching(),
 	}
-	if m.opts.Fill != nil {
-		m.opts.Fill(&d)
+	if m.opts.FillDigest != nil {
+		m.opts.FillDigest(&d)
 	}
 	for _, l := range d.Loads {
 		d.InFlight += uint32(l.InFlight)
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -47,7 +47,7 @@
 		Self:    view.EntryRecord{ID: id, Zone: zone, Peer: string(id), Incarnation: incarnation},
 		Cluster: "test", Seeds: seeds, View: view.NewHolder(),
 		Listener: n.Listen(zone, string(id)), Dial: n.Dialer(zone),
-		Fill: d.fill, Log: logr.Discard(),
+		FillDigest: d.fill, Log: logr.Discard(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -57,8 +57,8 @@
 		n := &benchNode{view: view.NewHolder(), store: faulty.Wrap(f.store)}
 		n.mesh = peer.New(peer.Options{
 			Self: self, Seeds: seeds, View: n.view, Listener: ln,
-			Fill:     func(d *peer.Digest) { d.Loads = loads },
-			Watching: func() bool { return n.relay.Watching() }, Log: logr.Discard(),
+			FillDigest: func(d *peer.Digest) { d.Loads = loads },
+			Watching:   func() bool { return n.relay.Watching() }, Log: logr.Discard(),
 		})
 		opts := Options{Self: self, Store: n.store, View: n.view, Peers: n.mesh, Log: logr.Discard()}
 		n.relay, n.registry = New(opts), NewRegistry(opts)
