--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -120,7 +120,7 @@
 	m := s.dispatch.lendingMessage()
 	d.Wants, d.Loans, d.Borrowed = nil, nil, nil
 	for _, w := range m.Demands {
-		d.Wants = append(d.Wants, peer.SlotWant{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
+		d.Wants = append(d.Wants, peer.SlotDemand{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
 	}
 	for _, l := range m.Loans {
 		d.Loans = append(d.Loans, peer.SlotLoan{VM: l.VM, To: l.To, Slots: uint8(min(l.Slots, math.MaxUint8)), Version: l.Version})
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -39,7 +39,7 @@
 
 	// Slots that lie idle at one entry VM are lent to another, see
 	// policy/slots. Told to all zones; empty where nobody lends.
-	Wants    []SlotWant   `msgpack:"sw,omitempty"`
+	Wants    []SlotDemand `msgpack:"sw,omitempty"`
 	Loans    []SlotLoan   `msgpack:"sl,omitempty"`
 	Borrowed []SlotBorrow `msgpack:"sb,omitempty"`
 
@@ -71,8 +71,8 @@
 	LiveEntries(zone model.ZoneName) int
 }
 
-// SlotWant asks peers for slots of a service.
-type SlotWant struct {
+// SlotDemand asks peers for slots of a service.
+type SlotDemand struct {
 	Service model.ServiceName `msgpack:"s"`
 	Slots   uint16            `msgpack:"n"`
 }
