--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -100,7 +100,7 @@
 // messageOf converts a peer's digest to the slot lending message in it.
 func messageOf(d peer.Digest) slots.Message {
 	var m slots.Message
-	for _, w := range d.Wants {
+	for _, w := range d.Demands {
 		m.Demands = append(m.Demands, slots.Demand{Service: w.Service, Slots: int(w.Slots)})
 	}
 	for _, l := range d.Loans {
@@ -118,9 +118,9 @@
 	d.Loads = s.Loads()
 	d.Queued = uint32(s.Queued())
 	m := s.dispatch.lendingMessage()
-	d.Wants, d.Loans, d.Borrowed = nil, nil, nil
+	d.Demands, d.Loans, d.Borrowed = nil, nil, nil
 	for _, w := range m.Demands {
-		d.Wants = append(d.Wants, peer.SlotDemand{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
+		d.Demands = append(d.Demands, peer.SlotDemand{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
 	}
 	for _, l := range m.Loans {
 		d.Loans = append(d.Loans, peer.SlotLoan{VM: l.VM, To: l.To, Slots: uint8(min(l.Slots, math.MaxUint8)), Version: l.Version})
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -107,7 +107,7 @@
 		loads.digests = []peer.PeerDigest{{Digest: d, Heard: s.clock.Now()}}
 		s.server.dispatch.tick()
 	}
-	receive(peer.Digest{Wants: []peer.SlotDemand{{Service: "tabulation", Slots: 3}}})
+	receive(peer.Digest{Demands: []peer.SlotDemand{{Service: "tabulation", Slots: 3}}})
 	var sent peer.Digest
 	s.server.FillDigest(&sent)
 	lent := 0
--- a/internal/peer/delta.go
+++ b/internal/peer/delta.go
@@ -59,7 +59,7 @@
 		return
 	}
 	// Copies: who fills digests may use its slices again.
-	d.last.Wants = slices.Clone(next.Wants)
+	d.last.Demands = slices.Clone(next.Demands)
 	d.last.Loans = slices.Clone(next.Loans)
 	d.last.Borrowed = slices.Clone(next.Borrowed)
 	d.last.Vitals = Vitals{List: next.Vitals.List, Bits: bytes.Clone(next.Vitals.Bits)}
@@ -67,11 +67,11 @@
 
 // setExtras makes what is told of slots and vitals that of another digest.
 func (g *Digest) setExtras(of *Digest) {
-	g.Wants, g.Loans, g.Borrowed, g.Vitals = of.Wants, of.Loans, of.Borrowed, of.Vitals
+	g.Demands, g.Loans, g.Borrowed, g.Vitals = of.Demands, of.Loans, of.Borrowed, of.Vitals
 }
 
 func sameExtras(a, b *Digest) bool {
-	return slices.Equal(a.Wants, b.Wants) && slices.Equal(a.Loans, b.Loans) && slices.Equal(a.Borrowed, b.Borrowed) &&
+	return slices.Equal(a.Demands, b.Demands) && slices.Equal(a.Loans, b.Loans) && slices.Equal(a.Borrowed, b.Borrowed) &&
 		a.Vitals.List == b.Vitals.List && bytes.Equal(a.Vitals.Bits, b.Vitals.Bits)
 }
 
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -39,7 +39,7 @@
 
 	// Slots that lie idle at one entry VM are lent to another, see
 	// policy/slots. Told to all zones; empty where nobody lends.
-	Wants    []SlotDemand `msgpack:"sw,omitempty"`
+	Demands  []SlotDemand `msgpack:"sw,omitempty"`
 	Loans    []SlotLoan   `msgpack:"sl,omitempty"`
 	Borrowed []SlotBorrow `msgpack:"sb,omitempty"`
 
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -282,7 +282,7 @@
 			full := Digest{Seq: 1 << 20, Revision: 1 << 24, Generation: 5000, Loads: loads, InFlight: 1800, Clock: 1 << 40, AgeMillis: 2000}
 			if tc.lends {
 				full.Vitals = Vitals{List: 1 << 60, Bits: make([]byte, 75)} // 600 VMs in the zone
-				full.Wants = []SlotDemand{{Service: "crew-planning1", Slots: 300}}
+				full.Demands = []SlotDemand{{Service: "crew-planning1", Slots: 300}}
 				full.Loans = []SlotLoan{{VM: "worker-0000001", To: "entry-00000001", Slots: 8, Version: 70000}}
 				full.Borrowed = []SlotBorrow{{VM: "worker-0000001", From: "entry-00000001", Using: 8, Version: 70000}}
 			}
