--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -107,7 +107,7 @@
 		m.Loans = append(m.Loans, slots.Loan{VM: l.VM, To: l.To, Slots: int(l.Slots), Version: l.Version})
 	}
 	for _, b := range d.Borrowed {
-		m.Borrowed = append(m.Borrowed, slots.Borrow{VM: b.VM, From: b.From, InUse: int(b.Using), Version: b.Version})
+		m.Borrowed = append(m.Borrowed, slots.Borrow{VM: b.VM, From: b.From, InUse: int(b.InUse), Version: b.Version})
 	}
 	return m
 }
@@ -126,7 +126,7 @@
 		d.Loans = append(d.Loans, peer.SlotLoan{VM: l.VM, To: l.To, Slots: uint8(min(l.Slots, math.MaxUint8)), Version: l.Version})
 	}
 	for _, b := range m.Borrowed {
-		d.Borrowed = append(d.Borrowed, peer.SlotBorrow{VM: b.VM, From: b.From, Using: uint8(min(b.InUse, math.MaxUint8)), Version: b.Version})
+		d.Borrowed = append(d.Borrowed, peer.SlotBorrow{VM: b.VM, From: b.From, InUse: uint8(min(b.InUse, math.MaxUint8)), Version: b.Version})
 	}
 }
 
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -90,7 +90,7 @@
 type SlotBorrow struct {
 	VM      model.VMID    `msgpack:"v"`
 	From    model.EntryID `msgpack:"f"`
-	Using   uint8         `msgpack:"n"`
+	InUse   uint8         `msgpack:"n"`
 	Version uint32        `msgpack:"r"`
 }
 
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -284,7 +284,7 @@
 				full.Vitals = Vitals{List: 1 << 60, Bits: make([]byte, 75)} // 600 VMs in the zone
 				full.Demands = []SlotDemand{{Service: "crew-planning1", Slots: 300}}
 				full.Loans = []SlotLoan{{VM: "worker-0000001", To: "entry-00000001", Slots: 8, Version: 70000}}
-				full.Borrowed = []SlotBorrow{{VM: "worker-0000001", From: "entry-00000001", Using: 8, Version: 70000}}
+				full.Borrowed = []SlotBorrow{{VM: "worker-0000001", From: "entry-00000001", InUse: 8, Version: 70000}}
 			}
 			limit := func(bare int) int { return loadLimit(DefaultBytesPerSecond, tc.within, tc.across, bare) }
 			sums := newDelta(false)
