--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -92,7 +92,7 @@
 	}
 	var all []slots.PeerMessage
 	for _, d := range p.digests.PeerDigests() {
-		all = append(all, slots.PeerMessage{Entry: d.Entry, ReceivedAt: d.Heard, Message: messageOf(d.Digest)})
+		all = append(all, slots.PeerMessage{Entry: d.Entry, ReceivedAt: d.ReceivedAt, Message: messageOf(d.Digest)})
 	}
 	return all
 }
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -104,7 +104,7 @@
 	})
 	receive := func(d peer.Digest) {
 		d.Entry, d.Zone = "e2", "z1"
-		loads.digests = []peer.PeerDigest{{Digest: d, Heard: s.clock.Now()}}
+		loads.digests = []peer.PeerDigest{{Digest: d, ReceivedAt: s.clock.Now()}}
 		s.server.dispatch.tick()
 	}
 	receive(peer.Digest{Demands: []peer.SlotDemand{{Service: "tabulation", Slots: 3}}})
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -97,7 +97,7 @@
 // PeerDigest is the newest digest of one live peer; Loads may be left out.
 type PeerDigest struct {
 	Digest
-	Heard time.Time // when it came
+	ReceivedAt time.Time // when it came
 }
 
 // DigestSource is implemented by Loads that show the digests themselves.
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -103,7 +103,7 @@
 	order := p.order(vm.Zone)
 	for _, d := range p.opts.Peers.PeerDigests() {
 		relevant := d.Zone == vm.Zone && d.Vitals.List == order.hash
-		if relevant && time.Since(d.Heard) <= maxResultAge && d.Vitals.Healthy(order.index[id]) {
+		if relevant && time.Since(d.ReceivedAt) <= maxResultAge && d.Vitals.Healthy(order.index[id]) {
 			return model.HealthHealthy
 		}
 	}
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -47,7 +47,7 @@
 	order := orderOf([]model.VMID{"v1", "v2"})
 	up := peer.Vitals{List: order.hash, Bits: []byte{0b01}}
 	digest := func(zone model.ZoneName, v peer.Vitals, age time.Duration) peer.PeerDigest {
-		return peer.PeerDigest{Digest: peer.Digest{Entry: "e2", Zone: zone, Vitals: v}, Heard: time.Now().Add(-age)}
+		return peer.PeerDigest{Digest: peer.Digest{Entry: "e2", Zone: zone, Vitals: v}, ReceivedAt: time.Now().Add(-age)}
 	}
 	cases := []struct {
 		name   string
