--- a/internal/operator/wiring/peers.go
+++ b/internal/operator/wiring/peers.go
@@ -35,7 +35,7 @@
 	}}
 	for _, st := range p.Mesh.Peers() {
 		heard = append(heard, query.PeerHeard{
-			Entry: st.Entry, Zone: st.Zone, At: st.Heard, Generation: st.Generation, Revision: st.Revision,
+			Entry: st.Entry, Zone: st.Zone, At: st.LastSeen, Generation: st.Generation, Revision: st.Revision,
 		})
 	}
 	return heard
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -277,7 +277,7 @@
 	var live []PeerDigest
 	for _, p := range m.Peers() {
 		if p.Live {
-			live = append(live, PeerDigest{Digest: p.Digest, ReceivedAt: p.Heard})
+			live = append(live, PeerDigest{Digest: p.Digest, ReceivedAt: p.LastSeen})
 		}
 	}
 	return live
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -29,7 +29,7 @@
 	Digest      // the newest; Loads is left out
 	Address     string
 	Incarnation uint64
-	Heard       time.Time // when the newest digest came
+	LastSeen    time.Time // when the newest digest came
 	Live        bool
 	// ClockOffset is how far its clock is ahead of the one here, too low by
 	// the time the digest took.
@@ -89,7 +89,7 @@
 	next.status.Zone = model.ZoneName(h.Zone)
 	next.status.Address = h.Peer
 	next.status.Incarnation = h.Incarnation
-	next.status.Heard = t.now()
+	next.status.LastSeen = t.now()
 	if r != nil && r.status.Incarnation == h.Incarnation {
 		next.status.Digest = r.status.Digest
 	}
@@ -122,8 +122,8 @@
 	}
 	d.Entry, d.Zone, d.Loads = id, r.status.Zone, nil
 	r.status.Digest = d
-	r.status.Heard = t.now()
-	r.status.ClockOffset = time.UnixMilli(d.Clock).Sub(r.status.Heard)
+	r.status.LastSeen = t.now()
+	r.status.ClockOffset = time.UnixMilli(d.Clock).Sub(r.status.LastSeen)
 	return true
 }
 
@@ -134,7 +134,7 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	for id, r := range t.remotes {
-		silent := now.Sub(r.status.Heard)
+		silent := now.Sub(r.status.LastSeen)
 		if silent >= loadsFresh {
 			t.subtractLocked(r)
 		}
@@ -201,7 +201,7 @@
 	if r.status.Zone == t.zone {
 		window = liveWithinZone
 	}
-	return r.status.Seq > 0 && t.now().Sub(r.status.Heard) < window
+	return r.status.Seq > 0 && t.now().Sub(r.status.LastSeen) < window
 }
 
 func (t *table) list() []Status {
