--- a/internal/peer/delta.go
+++ b/internal/peer/delta.go
@@ -54,7 +54,7 @@
 // The vitals of a zone of 600 VMs alone would take a third of the bytes.
 func (d *delta) dropSame(next *Digest) {
 	if d.started && sameExtras(&d.last, next) {
-		next.Same = true
+		next.Unchanged = true
 		next.setExtras(&Digest{})
 		return
 	}
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -33,9 +33,9 @@
 	Clock      int64          `msgpack:"c"`           // the sender's wall clock, Unix milliseconds
 	AgeMillis  uint32         `msgpack:"a"`           // how old its view was when it wrote this
 
-	// Same: what is told of slots and vitals is as in the last digest, and left
+	// Unchanged: what is told of slots and vitals is as in the last digest, and left
 	// out on the wire. Receivers see it filled in.
-	Same bool `msgpack:"u,omitempty"`
+	Unchanged bool `msgpack:"u,omitempty"`
 
 	// Slots that lie idle at one entry VM are lent to another, see
 	// policy/slots. Told to all zones; empty where nobody lends.
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -117,7 +117,7 @@
 	for _, l := range d.Loads {
 		t.replaceLocked(r, l)
 	}
-	if d.Same {
+	if d.Unchanged {
 		d.setExtras(&r.status.Digest)
 	}
 	d.Entry, d.Zone, d.Loads = id, r.status.Zone, nil
