--- a/internal/peer/delta.go
+++ b/internal/peer/delta.go
@@ -62,7 +62,7 @@
 	d.last.Demands = slices.Clone(next.Demands)
 	d.last.Loans = slices.Clone(next.Loans)
 	d.last.Borrowed = slices.Clone(next.Borrowed)
-	d.last.Vitals = Vitals{List: next.Vitals.List, Bits: bytes.Clone(next.Vitals.Bits)}
+	d.last.Vitals = HealthBitmap{List: next.Vitals.List, Bits: bytes.Clone(next.Vitals.Bits)}
 }
 
 // setExtras makes what is told of slots and vitals that of another digest.
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -44,18 +44,18 @@
 	Borrowed []SlotBorrow `msgpack:"sb,omitempty"`
 
 	// Vitals are told to all zones.
-	Vitals Vitals `msgpack:"h,omitempty"`
+	Vitals HealthBitmap `msgpack:"h,omitempty"`
 }
 
-// Vitals say which VMs of its own zone the sender has seen healthy just now: a
+// HealthBitmap say which VMs of its own zone the sender has seen healthy just now: a
 // bit for each, in the order of their IDs. A VM that it does not ask has none.
-type Vitals struct {
+type HealthBitmap struct {
 	List uint64 `msgpack:"l,omitempty"` // hash of the zone's VM IDs in that order
 	Bits []byte `msgpack:"b,omitempty"`
 }
 
 // Healthy reports whether the VM at the index was seen healthy.
-func (v Vitals) Healthy(i int) bool {
+func (v HealthBitmap) Healthy(i int) bool {
 	return i/8 < len(v.Bits) && v.Bits[i/8]&(1<<(i%8)) != 0
 }
 
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -131,7 +131,7 @@
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
-	d.Vitals = peer.Vitals{List: order.hash, Bits: bits}
+	d.Vitals = peer.HealthBitmap{List: order.hash, Bits: bits}
 }
 
 // Run probes VMs every probeInterval until ctx is done.
