--- a/internal/peer/delta.go
+++ b/internal/peer/delta.go
@@ -62,17 +62,17 @@
 	d.last.Demands = slices.Clone(next.Demands)
 	d.last.Loans = slices.Clone(next.Loans)
 	d.last.Borrowed = slices.Clone(next.Borrowed)
-	d.last.Vitals = HealthBitmap{List: next.Vitals.List, Bits: bytes.Clone(next.Vitals.Bits)}
+	d.last.Health = HealthBitmap{List: next.Health.List, Bits: bytes.Clone(next.Health.Bits)}
 }
 
 // setExtras makes what is told of slots and vitals that of another digest.
 func (g *Digest) setExtras(of *Digest) {
-	g.Demands, g.Loans, g.Borrowed, g.Vitals = of.Demands, of.Loans, of.Borrowed, of.Vitals
+	g.Demands, g.Loans, g.Borrowed, g.Health = of.Demands, of.Loans, of.Borrowed, of.Health
 }
 
 func sameExtras(a, b *Digest) bool {
 	return slices.Equal(a.Demands, b.Demands) && slices.Equal(a.Loans, b.Loans) && slices.Equal(a.Borrowed, b.Borrowed) &&
-		a.Vitals.List == b.Vitals.List && bytes.Equal(a.Vitals.Bits, b.Vitals.Bits)
+		a.Health.List == b.Health.List && bytes.Equal(a.Health.Bits, b.Health.Bits)
 }
 
 func (d *delta) changes(loads []TargetLoad) []TargetLoad {
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -43,8 +43,8 @@
 	Loans    []SlotLoan   `msgpack:"sl,omitempty"`
 	Borrowed []SlotBorrow `msgpack:"sb,omitempty"`
 
-	// Vitals are told to all zones.
-	Vitals HealthBitmap `msgpack:"h,omitempty"`
+	// Health are told to all zones.
+	Health HealthBitmap `msgpack:"h,omitempty"`
 }
 
 // HealthBitmap say which VMs of its own zone the sender has seen healthy just now: a
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -285,8 +285,8 @@
 // bareBytes is what a digest takes without its loads.
 func bareBytes(d Digest) int {
 	n := digestBaseBytes + wantBytes*len(d.Demands) + loanBytes*(len(d.Loans)+len(d.Borrowed))
-	if len(d.Vitals.Bits) > 0 {
-		n += vitalsBytes + len(d.Vitals.Bits)
+	if len(d.Health.Bits) > 0 {
+		n += vitalsBytes + len(d.Health.Bits)
 	}
 	return n
 }
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -47,7 +47,7 @@
 	order := orderOf([]model.VMID{"v1", "v2"})
 	up := peer.HealthBitmap{List: order.hash, Bits: []byte{0b01}}
 	digest := func(zone model.ZoneName, v peer.HealthBitmap, age time.Duration) peer.PeerDigest {
-		return peer.PeerDigest{Digest: peer.Digest{Entry: "e2", Zone: zone, Vitals: v}, ReceivedAt: time.Now().Add(-age)}
+		return peer.PeerDigest{Digest: peer.Digest{Entry: "e2", Zone: zone, Health: v}, ReceivedAt: time.Now().Add(-age)}
 	}
 	cases := []struct {
 		name   string
@@ -95,7 +95,7 @@
 	assert.Equal(t, p.Health("gone"), model.HealthDown)
 	var d peer.Digest
 	p.FillDigest(&d)
-	assert.DeepEqual(t, d.Vitals.Bits, []byte{0b100})
+	assert.DeepEqual(t, d.Health.Bits, []byte{0b100})
 }
 
 // Whatever the number of entry VMs in a zone, each VM must have a prober, or its
@@ -158,5 +158,5 @@
 	for b.Loop() {
 		p.FillDigest(&d)
 	}
-	b.ReportMetric(float64(len(d.Vitals.Bits)), "bytes/digest")
+	b.ReportMetric(float64(len(d.Health.Bits)), "bytes/digest")
 }
