--- a/internal/peer/delta.go
+++ b/internal/peer/delta.go
@@ -62,7 +62,7 @@
 	d.last.Demands = slices.Clone(next.Demands)
 	d.last.Loans = slices.Clone(next.Loans)
 	d.last.Borrowed = slices.Clone(next.Borrowed)
-	d.last.Health = HealthBitmap{List: next.Health.List, Bits: bytes.Clone(next.Health.Bits)}
+	d.last.Health = HealthBitmap{VMListHash: next.Health.VMListHash, Bits: bytes.Clone(next.Health.Bits)}
 }
 
 // setExtras makes what is told of slots and vitals that of another digest.
@@ -72,7 +72,7 @@
 
 func sameExtras(a, b *Digest) bool {
 	return slices.Equal(a.Demands, b.Demands) && slices.Equal(a.Loans, b.Loans) && slices.Equal(a.Borrowed, b.Borrowed) &&
-		a.Health.List == b.Health.List && bytes.Equal(a.Health.Bits, b.Health.Bits)
+		a.Health.VMListHash == b.Health.VMListHash && bytes.Equal(a.Health.Bits, b.Health.Bits)
 }
 
 func (d *delta) changes(loads []TargetLoad) []TargetLoad {
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -50,8 +50,8 @@
 // HealthBitmap say which VMs of its own zone the sender has seen healthy just now: a
 // bit for each, in the order of their IDs. A VM that it does not ask has none.
 type HealthBitmap struct {
-	List uint64 `msgpack:"l,omitempty"` // hash of the zone's VM IDs in that order
-	Bits []byte `msgpack:"b,omitempty"`
+	VMListHash uint64 `msgpack:"l,omitempty"` // hash of the zone's VM IDs in that order
+	Bits       []byte `msgpack:"b,omitempty"`
 }
 
 // Healthy reports whether the VM at the index was seen healthy.
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -281,7 +281,7 @@
 			d := newDelta(true)
 			full := Digest{Seq: 1 << 20, Revision: 1 << 24, Generation: 5000, Loads: loads, InFlight: 1800, Clock: 1 << 40, AgeMillis: 2000}
 			if tc.lends {
-				full.Health = HealthBitmap{List: 1 << 60, Bits: make([]byte, 75)} // 600 VMs in the zone
+				full.Health = HealthBitmap{VMListHash: 1 << 60, Bits: make([]byte, 75)} // 600 VMs in the zone
 				full.Demands = []SlotDemand{{Service: "crew-planning1", Slots: 300}}
 				full.Loans = []SlotLoan{{VM: "worker-0000001", To: "entry-00000001", Slots: 8, Version: 70000}}
 				full.Borrowed = []SlotBorrow{{VM: "worker-0000001", From: "entry-00000001", InUse: 8, Version: 70000}}
@@ -342,7 +342,7 @@
 // until it changes or the connection is made anew.
 func TestSameIsLeftOut(t *testing.T) {
 	none := func(int) int { return 0 }
-	lent := Digest{Loans: []SlotLoan{{VM: "v", To: "e", Slots: 2}}, Health: HealthBitmap{List: 7, Bits: []byte{5}}}
+	lent := Digest{Loans: []SlotLoan{{VM: "v", To: "e", Slots: 2}}, Health: HealthBitmap{VMListHash: 7, Bits: []byte{5}}}
 	d := newDelta(false)
 	m := New(Options{View: view.NewHolder()})
 	receive := func(conn uint64, seq uint64, sent Digest) Digest {
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -102,7 +102,7 @@
 	}
 	order := p.order(vm.Zone)
 	for _, d := range p.opts.Peers.PeerDigests() {
-		relevant := d.Zone == vm.Zone && d.Health.List == order.hash
+		relevant := d.Zone == vm.Zone && d.Health.VMListHash == order.hash
 		if relevant && time.Since(d.ReceivedAt) <= maxResultAge && d.Health.Healthy(order.index[id]) {
 			return model.HealthHealthy
 		}
@@ -131,7 +131,7 @@
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
-	d.Health = peer.HealthBitmap{List: order.hash, Bits: bits}
+	d.Health = peer.HealthBitmap{VMListHash: order.hash, Bits: bits}
 }
 
 // Run probes VMs every probeInterval until ctx is done.
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -45,7 +45,7 @@
 func TestHealthFromDigests(t *testing.T) {
 	vms := vmsIn("zb", "v1", "v2")
 	order := orderOf([]model.VMID{"v1", "v2"})
-	up := peer.HealthBitmap{List: order.hash, Bits: []byte{0b01}}
+	up := peer.HealthBitmap{VMListHash: order.hash, Bits: []byte{0b01}}
 	digest := func(zone model.ZoneName, v peer.HealthBitmap, age time.Duration) peer.PeerDigest {
 		return peer.PeerDigest{Digest: peer.Digest{Entry: "e2", Zone: zone, Health: v}, ReceivedAt: time.Now().Add(-age)}
 	}
@@ -58,9 +58,9 @@
 		{"seen healthy", digest("zb", up, 0), "v1", model.HealthHealthy},
 		{"not seen healthy", digest("zb", up, 0), "v2", model.HealthUnknown},
 		{"old digest", digest("zb", up, 2*maxResultAge), "v1", model.HealthUnknown},
-		{"another order", digest("zb", peer.HealthBitmap{List: 7, Bits: []byte{0b11}}, 0), "v1", model.HealthUnknown},
+		{"another order", digest("zb", peer.HealthBitmap{VMListHash: 7, Bits: []byte{0b11}}, 0), "v1", model.HealthUnknown},
 		{"digest of another zone", digest("zc", up, 0), "v1", model.HealthUnknown},
-		{"short bits", digest("zb", peer.HealthBitmap{List: order.hash}, 0), "v1", model.HealthUnknown},
+		{"short bits", digest("zb", peer.HealthBitmap{VMListHash: order.hash}, 0), "v1", model.HealthUnknown},
 		{"unknown VM", digest("zb", up, 0), "v9", model.HealthUnknown},
 	}
 	for _, tc := range cases {
