--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -133,7 +133,7 @@
 		settle(3 * time.Second)
 		assert.Equal(t, b1.LiveEntries("z1"), 2)
 
-		n.Cut("z1", "z2")
+		n.Partition("z1", "z2")
 		settle(liveAcrossZones + maintainEvery)
 		assert.Equal(t, b1.LiveEntries("z1"), 0)
 		assert.Equal(t, a1.LiveEntries("z1"), 2, "within the zone nothing changes")
--- a/internal/peer/peertest/network.go
+++ b/internal/peer/peertest/network.go
@@ -45,10 +45,10 @@
 	return l
 }
 
-// Cut parts two zones. What is sent from now on is lost without notice, and
+// Partition parts two zones. What is sent from now on is lost without notice, and
 // dialling hangs until its deadline. A zone cut from itself loses its own
 // connections.
-func (n *Network) Cut(a, b model.ZoneName) { n.set(a, b, true) }
+func (n *Network) Partition(a, b model.ZoneName) { n.set(a, b, true) }
 
 // Heal joins two zones. Connections from before the cut stay dead: TCP would
 // try them again only after its long backoff.
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -292,7 +292,7 @@
 		switch {
 		case other == z:
 		case cut:
-			c.network.Cut(zoneName(z), zoneName(other))
+			c.network.Partition(zoneName(z), zoneName(other))
 		default:
 			c.network.Heal(zoneName(z), zoneName(other))
 		}
--- a/internal/relay/failure_test.go
+++ b/internal/relay/failure_test.go
@@ -216,8 +216,8 @@
 		time.Sleep(maxPropagationTime)
 		assert.Equal(t, started.firstGeneration.Load(), uint64(3))
 
-		c.network.Cut("lone", "z0")
-		c.network.Cut("lone", "z1")
+		c.network.Partition("lone", "z0")
+		c.network.Partition("lone", "z1")
 		started.link.SetDown(true)
 		c.apply(1)
 		lone := c.start("lone", "lone")
