--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -118,7 +118,7 @@
 	return model.HealthDown
 }
 
-// FillDigest sets the digest's Vitals to the health of the VMs that this entry VM
+// FillDigest sets the digest's Health to the health of the VMs that this entry VM
 // probes.
 func (p *Prober) FillDigest(d *peer.Digest) {
 	order := p.order(p.opts.Zone)
