--- a/internal/peer/peertest/network.go
+++ b/internal/peer/peertest/network.go
@@ -1,6 +1,6 @@
-// Package peertest is a network in memory for tests of entry VMs: its
-// connections can be cut between zones as a partition does it, without notice
-// to either end. It works within testing/synctest.
+// Package peertest provides an in-memory network for tests of entry VMs. Zones can
+// be partitioned from each other without notice to either end of a connection. It
+// works within testing/synctest.
 package peertest
 
 import (
@@ -16,27 +16,27 @@
 
 var errRefused = errors.New("peertest: connection refused")
 
-// longAgo as a deadline ends every call of a connection at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline, set as a deadline, makes every call on a connection fail at once.
+var pastDeadline = time.Unix(1, 0)
 
-// Network connects listeners of zones.
+// Network connects listeners that are each in a zone.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*Listener
-	cut       map[[2]model.ZoneName]bool
-	conns     map[*conn]struct{}
+	mu          sync.Mutex
+	listeners   map[string]*Listener
+	partitioned map[[2]model.ZoneName]bool
+	conns       map[*conn]struct{}
 }
 
-// New returns a network without cuts.
+// New returns a network without partitions.
 func New() *Network {
 	return &Network{
-		listeners: make(map[string]*Listener),
-		cut:       make(map[[2]model.ZoneName]bool),
-		conns:     make(map[*conn]struct{}),
+		listeners:   make(map[string]*Listener),
+		partitioned: make(map[[2]model.ZoneName]bool),
+		conns:       make(map[*conn]struct{}),
 	}
 }
 
-// Listen opens a listener at an address of the zone.
+// Listen opens a listener in the zone at an address.
 func (n *Network) Listen(zone model.ZoneName, address string) *Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,21 +45,21 @@
 	return l
 }
 
-// Partition parts two zones. What is sent from now on is lost without notice, and
-// dialling hangs until its deadline. A zone cut from itself loses its own
-// connections.
-func (n *Network) Partition(a, b model.ZoneName) { n.set(a, b, true) }
+// Partition separates two zones. Whatever is sent between them from now on is
+// silently lost, and dialing blocks until its context ends. Partitioning a zone
+// from itself breaks the connections within it.
+func (n *Network) Partition(a, b model.ZoneName) { n.setPartitioned(a, b, true) }
 
-// Heal joins two zones. Connections from before the cut stay dead: TCP would
-// try them again only after its long backoff.
-func (n *Network) Heal(a, b model.ZoneName) { n.set(a, b, false) }
+// Heal ends the partition of two zones. Connections from before it stay dead, since
+// TCP would retransmit on them only after its long backoff.
+func (n *Network) Heal(a, b model.ZoneName) { n.setPartitioned(a, b, false) }
 
-func (n *Network) set(a, b model.ZoneName, cut bool) {
+func (n *Network) setPartitioned(a, b model.ZoneName, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]model.ZoneName{a, b}] = cut
-	n.cut[[2]model.ZoneName{b, a}] = cut
-	if !cut {
+	n.partitioned[[2]model.ZoneName{a, b}] = partitioned
+	n.partitioned[[2]model.ZoneName{b, a}] = partitioned
+	if !partitioned {
 		return
 	}
 	for c := range n.conns {
@@ -69,22 +69,22 @@
 	}
 }
 
-// Dialer returns the way into the network from a zone.
+// Dialer returns a function that dials addresses of the network from a zone.
 func (n *Network) Dialer(from model.ZoneName) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		n.mu.Lock()
 		l := n.listeners[address]
-		cut := l != nil && n.cut[[2]model.ZoneName{from, l.zone}]
+		partitioned := l != nil && n.partitioned[[2]model.ZoneName{from, l.zone}]
 		n.mu.Unlock()
 		if l == nil {
 			return nil, errRefused
 		}
-		if cut {
+		if partitioned {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		near, far := net.Pipe()
-		ends := [2]*conn{n.end(near, from, l.zone), n.end(far, l.zone, from)}
+		local, remote := net.Pipe()
+		ends := [2]*conn{n.addEnd(local, from, l.zone), n.addEnd(remote, l.zone, from)}
 		select {
 		case l.queue <- ends[1]:
 			return ends[0], nil
@@ -96,7 +96,8 @@
 	}
 }
 
-func (n *Network) end(c net.Conn, from, to model.ZoneName) *conn {
+// addEnd wraps one end of a connection and registers it with the network.
+func (n *Network) addEnd(c net.Conn, from, to model.ZoneName) *conn {
 	end := &conn{Conn: c, network: n, from: from, to: to}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,15 +110,17 @@
 	net.Conn
 	network  *Network
 	from, to model.ZoneName
-	dead     atomic.Bool
+	dead     atomic.Bool // a partition has cut the connection
 	closed   atomic.Bool
 }
 
+// between reports whether the connection links zones a and b, in either
+// direction.
 func (c *conn) between(a, b model.ZoneName) bool {
 	return c.from == a && c.to == b || c.from == b && c.to == a
 }
 
-// Write loses what is sent over a dead connection.
+// Write writes p, or silently discards it if the connection is dead.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.dead.Load() {
 		return len(p), nil
@@ -125,34 +128,36 @@
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection; a dead one's other end does not hear of it.
+// Close closes this end of the connection. The other end is not notified if the
+// connection is dead.
 func (c *conn) Close() error {
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
 	c.network.mu.Unlock()
 	c.closed.Store(true)
 	if c.dead.Load() {
-		return c.Conn.SetDeadline(longAgo)
+		return c.Conn.SetDeadline(pastDeadline)
 	}
 	return c.Conn.Close()
 }
 
 // SetDeadline implements net.Conn.
-func (c *conn) SetDeadline(t time.Time) error { return c.deadline(c.Conn.SetDeadline, t) }
+func (c *conn) SetDeadline(t time.Time) error { return c.setDeadline(c.Conn.SetDeadline, t) }
 
 // SetReadDeadline implements net.Conn.
-func (c *conn) SetReadDeadline(t time.Time) error { return c.deadline(c.Conn.SetReadDeadline, t) }
+func (c *conn) SetReadDeadline(t time.Time) error { return c.setDeadline(c.Conn.SetReadDeadline, t) }
 
 // SetWriteDeadline implements net.Conn.
-func (c *conn) SetWriteDeadline(t time.Time) error { return c.deadline(c.Conn.SetWriteDeadline, t) }
+func (c *conn) SetWriteDeadline(t time.Time) error { return c.setDeadline(c.Conn.SetWriteDeadline, t) }
 
-// deadline keeps the deadline by which Close ended a dead connection.
-func (c *conn) deadline(set func(time.Time) error, t time.Time) error {
+// setDeadline sets a deadline, unless Close has ended a dead connection with
+// pastDeadline; it then restores that and returns net.ErrClosed.
+func (c *conn) setDeadline(set func(time.Time) error, t time.Time) error {
 	if err := set(t); err != nil {
 		return err
 	}
 	if c.closed.Load() {
-		c.Conn.SetDeadline(longAgo)
+		c.Conn.SetDeadline(pastDeadline)
 		return net.ErrClosed
 	}
 	return nil
@@ -194,6 +199,7 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return address(l.address) }
 
+// address is the net.Addr of a Listener.
 type address string
 
 func (a address) Network() string { return "peertest" }
