--- a/internal/peer/delta.go
+++ b/internal/peer/delta.go
@@ -8,86 +8,91 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// delta turns full digests into what one connection has not been told yet.
-// TCP delivers in order or breaks, so nothing need be repeated; a new
-// connection starts with a new delta.
-type delta struct {
-	sameZone bool
-	started  bool
-	last     Digest // what of slots and vitals was told last
-	told     map[model.VMID]TargetLoad
+// deltaEncoder reduces full digests to the changes that have not yet been sent
+// on one connection. TCP delivers in order or the connection breaks, so nothing
+// needs to be repeated; a new connection starts with a new deltaEncoder.
+type deltaEncoder struct {
+	sameZone  bool
+	sentFirst bool
+	lastSent  Digest // only the slot and health fields, as last sent
+	sentLoads map[model.VMID]TargetLoad
 }
 
-func newDelta(sameZone bool) *delta {
-	return &delta{sameZone: sameZone, told: make(map[model.VMID]TargetLoad)}
+func newDeltaEncoder(sameZone bool) *deltaEncoder {
+	return &deltaEncoder{sameZone: sameZone, sentLoads: make(map[model.VMID]TargetLoad)}
 }
 
-// next returns the digest to send, with at most limit loads. Where more have
-// changed, those that mislead the peer most go first and the others wait:
-// bytes per second stay bounded however many targets there are.
-func (d *delta) next(full Digest, limit func(bareBytes int) int) Digest {
-	full.Entry, full.Zone = "", "" // the hello told them
-	d.dropSame(&full)
-	full.Full = !d.started
-	d.started = true
+// next returns the digest to send for full. It carries at most as many loads as
+// limit allows for a digest whose other fields take baseBytes. If more loads
+// have changed, those whose last sent value is furthest off go first and the
+// rest wait for later digests, which bounds the bytes per second regardless of
+// the number of targets.
+func (d *deltaEncoder) next(full Digest, limit func(baseBytes int) int) Digest {
+	full.Entry, full.Zone = "", "" // already sent in the hello
+	d.omitUnchanged(&full)
+	full.Full = !d.sentFirst
+	d.sentFirst = true
 	if !d.sameZone {
 		full.Loads = nil
 		return full
 	}
-	changed := d.changes(full.Loads)
-	if most := limit(bareBytes(full)); len(changed) > most {
+	changed := d.changedLoads(full.Loads)
+	if maxLoads := limit(sizeWithoutLoads(full)); len(changed) > maxLoads {
 		slices.SortStableFunc(changed, d.byUrgency)
-		changed = changed[:most]
+		changed = changed[:maxLoads]
 	}
 	for _, l := range changed {
 		if l == (TargetLoad{VM: l.VM}) {
-			delete(d.told, l.VM)
+			delete(d.sentLoads, l.VM)
 		} else {
-			d.told[l.VM] = l
+			d.sentLoads[l.VM] = l
 		}
 	}
 	full.Loads = changed
 	return full
 }
 
-// dropSame leaves out what of slots and vitals this connection was told last.
-// The vitals of a zone of 600 VMs alone would take a third of the bytes.
-func (d *delta) dropSame(next *Digest) {
-	if d.started && sameExtras(&d.last, next) {
+// omitUnchanged clears the slot and health fields of next if they equal those
+// last sent on this connection. In a zone of 600 VMs, the health bitmap alone
+// would otherwise take a third of the bytes.
+func (d *deltaEncoder) omitUnchanged(next *Digest) {
+	if d.sentFirst && equalSlotsAndHealth(&d.lastSent, next) {
 		next.Unchanged = true
-		next.setExtras(&Digest{})
+		next.copySlotsAndHealth(&Digest{})
 		return
 	}
-	// Copies: who fills digests may use its slices again.
-	d.last.Demands = slices.Clone(next.Demands)
-	d.last.Loans = slices.Clone(next.Loans)
-	d.last.Borrowed = slices.Clone(next.Borrowed)
-	d.last.Health = HealthBitmap{VMListHash: next.Health.VMListHash, Bits: bytes.Clone(next.Health.Bits)}
+	// Cloned because the code that fills digests may reuse its slices.
+	d.lastSent.Demands = slices.Clone(next.Demands)
+	d.lastSent.Loans = slices.Clone(next.Loans)
+	d.lastSent.Borrowed = slices.Clone(next.Borrowed)
+	d.lastSent.Health = HealthBitmap{VMListHash: next.Health.VMListHash, Bits: bytes.Clone(next.Health.Bits)}
 }
 
-// setExtras makes what is told of slots and vitals that of another digest.
-func (g *Digest) setExtras(of *Digest) {
-	g.Demands, g.Loans, g.Borrowed, g.Health = of.Demands, of.Loans, of.Borrowed, of.Health
+// copySlotsAndHealth sets the slot and health fields of g to those of from.
+func (g *Digest) copySlotsAndHealth(from *Digest) {
+	g.Demands, g.Loans, g.Borrowed, g.Health = from.Demands, from.Loans, from.Borrowed, from.Health
 }
 
-func sameExtras(a, b *Digest) bool {
+func equalSlotsAndHealth(a, b *Digest) bool {
 	return slices.Equal(a.Demands, b.Demands) && slices.Equal(a.Loans, b.Loans) && slices.Equal(a.Borrowed, b.Borrowed) &&
 		a.Health.VMListHash == b.Health.VMListHash && bytes.Equal(a.Health.Bits, b.Health.Bits)
 }
 
-func (d *delta) changes(loads []TargetLoad) []TargetLoad {
+// changedLoads returns the loads that differ from the last sent ones. A target
+// that is missing from loads has become idle and is returned with zero values.
+func (d *deltaEncoder) changedLoads(loads []TargetLoad) []TargetLoad {
 	var changed []TargetLoad
-	idle := make(map[model.VMID]bool, len(d.told))
-	for vm := range d.told {
+	idle := make(map[model.VMID]bool, len(d.sentLoads))
+	for vm := range d.sentLoads {
 		idle[vm] = true
 	}
 	for _, l := range loads {
 		delete(idle, l.VM)
-		told, known := d.told[l.VM]
+		sent, known := d.sentLoads[l.VM]
 		if !known {
-			told = TargetLoad{VM: l.VM}
+			sent = TargetLoad{VM: l.VM}
 		}
-		if l != told {
+		if l != sent {
 			changed = append(changed, l)
 		}
 	}
@@ -97,19 +102,20 @@
 	return changed
 }
 
-// byUrgency orders flags before counts, then greater changes of count first.
-func (d *delta) byUrgency(a, b TargetLoad) int {
+// byUrgency sorts changed flags before changed counts, and larger changes of the
+// count before smaller ones.
+func (d *deltaEncoder) byUrgency(a, b TargetLoad) int {
 	return cmp.Compare(d.urgency(b), d.urgency(a))
 }
 
-func (d *delta) urgency(l TargetLoad) int {
+func (d *deltaEncoder) urgency(l TargetLoad) int {
 	const flagChanged = 1 << 20
-	told := d.told[l.VM]
-	n := int(l.InFlight) - int(told.InFlight)
+	sent := d.sentLoads[l.VM]
+	n := int(l.InFlight) - int(sent.InFlight)
 	if n < 0 {
 		n = -n
 	}
-	if l.Leaving != told.Leaving || l.Ejected != told.Ejected {
+	if l.Leaving != sent.Leaving || l.Ejected != sent.Ejected {
 		n += flagChanged
 	}
 	return n
--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -1,6 +1,6 @@
-// Package peer is the link between entry VMs: who is alive, and msgpack
-// digests of what each sends to which target. All of it is a view that may be
-// stale; nothing is agreed here.
+// Package peer connects the entry VMs with each other. It tracks which of them
+// are alive and exchanges msgpack digests of the load that each puts on each
+// target. All of this may be stale, and the package reaches no consensus.
 package peer
 
 import (
@@ -10,75 +10,82 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// TargetLoad is what one entry VM knows first hand of one target.
+// TargetLoad is what one entry VM has itself observed of one target. The zero
+// value, but for VM, means idle.
 type TargetLoad struct {
 	VM       model.VMID `msgpack:"v"`
-	InFlight uint16     `msgpack:"n"`           // its own requests there now
-	Leaving  bool       `msgpack:"l,omitempty"` // it has seen the target say that it leaves
-	Ejected  bool       `msgpack:"e,omitempty"` // it sends nothing there for failures
+	InFlight uint16     `msgpack:"n"`           // requests that this entry VM has in flight there
+	Leaving  bool       `msgpack:"l,omitempty"` // the target has told this entry VM that it is leaving
+	Ejected  bool       `msgpack:"e,omitempty"` // this entry VM sends no requests there because of failures
 }
 
-// Digest is what an entry VM tells its peers, in full within its zone.
+// Digest is the state that an entry VM periodically sends to its peers. Peers in
+// other zones get it without Loads.
 type Digest struct {
-	Entry      model.EntryID  `msgpack:"i,omitempty"` // on the wire left to the hello, as is Zone
+	Entry      model.EntryID  `msgpack:"i,omitempty"` // like Zone, sent only in the hello and filled in by the receiver
 	Zone       model.ZoneName `msgpack:"z,omitempty"`
-	Seq        uint64         `msgpack:"s"` // grows with each digest of one run of the daemon
-	Revision   infra.Revision `msgpack:"r"` // of its view; acknowledges everything up to it
-	Generation uint64         `msgpack:"g"` // of the declaration it has in force
+	Seq        uint64         `msgpack:"s"` // increases with each digest of one run of the daemon
+	Revision   infra.Revision `msgpack:"r"` // of the sender's view; acknowledges all revisions up to it
+	Generation uint64         `msgpack:"g"` // of the declaration that the sender has in force
 	Loads      []TargetLoad   `msgpack:"t,omitempty"`
-	Queued     uint32         `msgpack:"q,omitempty"`
-	InFlight   uint32         `msgpack:"n,omitempty"` // sum over all targets; all that other zones get of the loads
-	Full       bool           `msgpack:"f,omitempty"` // Loads is everything; otherwise it is what changed since the last digest
-	Watching   bool           `msgpack:"w,omitempty"` // it holds the platform's watch and relays
+	Queued     uint32         `msgpack:"q,omitempty"` // requests queued at the sender
+	InFlight   uint32         `msgpack:"n,omitempty"` // sum over all targets; stands in for Loads in other zones
+	Full       bool           `msgpack:"f,omitempty"` // Loads is complete; if false, it holds what changed since the last digest
+	Watching   bool           `msgpack:"w,omitempty"` // the sender holds the platform's watch and relays its events
 	Clock      int64          `msgpack:"c"`           // the sender's wall clock, Unix milliseconds
-	AgeMillis  uint32         `msgpack:"a"`           // how old its view was when it wrote this
+	AgeMillis  uint32         `msgpack:"a"`           // age of the sender's view when it wrote this digest
 
-	// Unchanged: what is told of slots and vitals is as in the last digest, and left
-	// out on the wire. Receivers see it filled in.
+	// Unchanged means that Demands, Loans, Borrowed and Health equal those of the
+	// previous digest and are omitted on the wire. The receiver fills them in.
 	Unchanged bool `msgpack:"u,omitempty"`
 
-	// Slots that lie idle at one entry VM are lent to another, see
-	// policy/slots. Told to all zones; empty where nobody lends.
+	// Demands, Loans and Borrowed lend the idle slots of one entry VM to
+	// another, see policy/slots. They are sent to all zones and are empty while
+	// nothing is lent.
 	Demands  []SlotDemand `msgpack:"sw,omitempty"`
 	Loans    []SlotLoan   `msgpack:"sl,omitempty"`
 	Borrowed []SlotBorrow `msgpack:"sb,omitempty"`
 
-	// Health are told to all zones.
+	// Health is sent to all zones.
 	Health HealthBitmap `msgpack:"h,omitempty"`
 }
 
-// HealthBitmap say which VMs of its own zone the sender has seen healthy just now: a
-// bit for each, in the order of their IDs. A VM that it does not ask has none.
+// HealthBitmap has one bit for each VM of the sender's zone, in the order of
+// their IDs. A bit is set if the sender has recently probed the VM and found it
+// healthy; it is clear for VMs that the sender does not probe.
 type HealthBitmap struct {
 	VMListHash uint64 `msgpack:"l,omitempty"` // hash of the zone's VM IDs in that order
 	Bits       []byte `msgpack:"b,omitempty"`
 }
 
-// Healthy reports whether the VM at the index was seen healthy.
+// Healthy reports whether the bit of the VM at index i is set.
 func (v HealthBitmap) Healthy(i int) bool {
 	return i/8 < len(v.Bits) && v.Bits[i/8]&(1<<(i%8)) != 0
 }
 
-// Loads is what routing asks of the peers' digests. Implementations are safe
-// for concurrent use and answer at once.
+// Loads is what request routing needs to know from the peers' digests.
+// Implementations are safe for concurrent use and do not block. A peer counts as
+// fresh while its digests keep arriving.
 type Loads interface {
-	// PeerInFlight returns the requests fresh peers have at the target.
+	// PeerInFlight returns the number of requests that fresh peers of the own
+	// zone have in flight at the target.
 	PeerInFlight(vm model.VMID) int
-	// PeerSaysLeaving reports whether a fresh peer has seen the target leave.
+	// PeerSaysLeaving reports whether a fresh peer of the own zone has been told
+	// by the target that it is leaving.
 	PeerSaysLeaving(vm model.VMID) bool
-	// LiveEntries returns how many entry VMs are alive in the zone, this one
-	// included.
+	// LiveEntries returns the number of live entry VMs in the zone, including
+	// this one.
 	LiveEntries(zone model.ZoneName) int
 }
 
-// SlotDemand asks peers for slots of a service.
+// SlotDemand asks the peers to lend slots of a service.
 type SlotDemand struct {
 	Service model.ServiceName `msgpack:"s"`
 	Slots   uint16            `msgpack:"n"`
 }
 
-// SlotLoan lets a peer use slots that are the sender's; none where the loan is
-// taken back and not yet confirmed.
+// SlotLoan lends slots of the sender to a peer. Slots is 0 while a recall of the
+// loan has not been confirmed by the borrower.
 type SlotLoan struct {
 	VM      model.VMID    `msgpack:"v"`
 	To      model.EntryID `msgpack:"t"`
@@ -86,7 +93,8 @@
 	Version uint32        `msgpack:"r"`
 }
 
-// SlotBorrow confirms a version of a loan, with what still runs on it.
+// SlotBorrow confirms that the borrower has seen a version of a loan, and
+// reports how many of the lent slots are in use.
 type SlotBorrow struct {
 	VM      model.VMID    `msgpack:"v"`
 	From    model.EntryID `msgpack:"f"`
@@ -94,14 +102,14 @@
 	Version uint32        `msgpack:"r"`
 }
 
-// PeerDigest is the newest digest of one live peer; Loads may be left out.
+// PeerDigest is the newest digest of one live peer. Loads may be nil.
 type PeerDigest struct {
 	Digest
-	ReceivedAt time.Time // when it came
+	ReceivedAt time.Time
 }
 
-// DigestSource is implemented by Loads that show the digests themselves.
-// Without it entry VMs keep to their own shares of slots and lend none.
+// DigestSource is implemented by Loads that also provide the digests. Without
+// it, an entry VM uses only its own share of slots and lends none.
 type DigestSource interface {
 	// PeerDigests returns the newest digest of each live peer of all zones.
 	PeerDigests() []PeerDigest
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// maxInbound bounds connections from peers: at the size to come some 60
-	// entry VMs, each with an old and a new connection for a moment.
+	// maxInbound limits the connections from peers. Some 60 entry VMs are expected,
+	// each of which may briefly have both an old and a new connection.
 	maxInbound = 256
-	// silentTimeout ends an inbound connection without frames; every peer
-	// sends at least one digest a second.
-	silentTimeout = 10 * time.Second
+	// inboundIdleTimeout closes an inbound connection on which no frames arrive.
+	// Every peer sends at least one digest a second.
+	inboundIdleTimeout = 10 * time.Second
 )
 
-// accept takes connections in until the listener is closed.
+// accept accepts connections until the listener is closed. It returns nil if
+// that is because the mesh shuts down.
 func (m *Mesh) accept() error {
 	for {
 		conn, err := m.opts.Listener.Accept()
@@ -35,51 +36,53 @@
 			if errors.Is(err, net.ErrClosed) {
 				return err
 			}
-			sleep.For(m.ctx, redialMin)
+			sleep.For(m.ctx, minRedialWait)
 			continue
 		}
-		m.takeIn(conn)
+		m.startInbound(conn)
 	}
 }
 
-func (m *Mesh) takeIn(conn net.Conn) {
+// startInbound serves a connection on its own goroutine, or closes it if there
+// are too many connections or the mesh is shutting down.
+func (m *Mesh) startInbound(conn net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ended || len(m.inbound) >= maxInbound {
+	if m.closed || len(m.inbound) >= maxInbound {
 		conn.Close()
 		return
 	}
 	m.inbound[conn] = struct{}{}
-	m.tasks.Go(func() {
+	m.goroutines.Go(func() {
 		err := m.serve(conn)
-		m.stats.dropped(err)
+		m.stats.countRefusal(err)
 		conn.Close()
 		m.mu.Lock()
 		delete(m.inbound, conn)
 		m.mu.Unlock()
-		m.opts.Log.V(1).Info("inbound peer connection ended", "from", conn.RemoteAddr(), "cause", err)
+		m.opts.Log.V(1).Info("inbound peer connection closed", "from", conn.RemoteAddr(), "cause", err)
 	})
 }
 
-// serve reads one connection. Whatever is wrong with a frame ends this
-// connection and nothing else.
+// serve reads frames from one connection until it fails. An invalid frame closes
+// this connection and affects no other.
 func (m *Mesh) serve(conn net.Conn) error {
 	id := m.connID.Add(1)
-	far, conn, err := m.welcome(conn, id)
+	peerHello, conn, err := m.acceptHandshake(conn, id)
 	if err != nil {
 		return err
 	}
-	from := model.EntryID(far.Entry)
+	from := model.EntryID(peerHello.Entry)
 	r := bufio.NewReader(conn)
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(silentTimeout)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(inboundIdleTimeout)); err != nil {
 			return err
 		}
 		f, err := readFrame(r)
 		if err != nil {
 			return err
 		}
-		m.stats.received(f.kind, f.size)
+		m.stats.countReceived(f.kind, f.size)
 		if err := m.dispatch(from, id, f); err != nil {
 			return err
 		}
@@ -91,64 +94,70 @@
 	}
 }
 
+// acknowledge acknowledges a digest to the peer that dialed conn.
 func (m *Mesh) acknowledge(conn net.Conn) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
 	n, err := conn.Write(ackFrame)
-	m.stats.sent(KindAck, n)
+	m.stats.countSent(KindAck, n)
 	return err
 }
 
-// ackFrame is a frame without a body.
+// ackFrame is an acknowledgement: a header with an empty payload.
 var ackFrame = []byte{0, 0, 0, 0, byte(KindAck)}
 
-// welcome does the TLS handshake and the hellos.
-func (m *Mesh) welcome(conn net.Conn, id uint64) (hello, net.Conn, error) {
-	var far hello
+// acceptHandshake performs the TLS handshake, if TLS is configured, exchanges
+// hellos and registers the connection as the peer's. It returns the connection to
+// use from then on.
+func (m *Mesh) acceptHandshake(conn net.Conn, id uint64) (hello, net.Conn, error) {
+	var peerHello hello
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
-		return far, conn, err
+		return peerHello, conn, err
 	}
 	if m.opts.TLS != nil {
-		secure := tls.Server(conn, m.opts.TLS)
+		tlsConn := tls.Server(conn, m.opts.TLS)
 		ctx, cancel := context.WithTimeout(m.ctx, helloTimeout)
 		defer cancel()
-		if err := secure.HandshakeContext(ctx); err != nil {
-			return far, conn, err
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
+			return peerHello, conn, err
 		}
-		conn = secure
+		conn = tlsConn
 	}
-	far, err := readHello(conn)
+	peerHello, err := readHello(conn)
 	if err != nil {
-		return far, conn, err
+		return peerHello, conn, err
 	}
-	// The own hello goes out first in any case: it tells a foreign version
-	// or an own address listed as a seed what is wrong.
+	// This hello is sent before the other one is checked, so that a peer with
+	// another protocol version, or this entry VM if its own address is among its
+	// seeds, can tell why the connection is closed.
 	if err := writeHello(conn, m.hello()); err != nil {
-		return far, conn, err
+		return peerHello, conn, err
 	}
-	if err := m.checkHello(far); err != nil {
-		return far, conn, err
+	if err := m.checkHello(peerHello); err != nil {
+		return peerHello, conn, err
 	}
-	if !m.table.join(far, id) {
-		return far, conn, errSuperseded
+	if !m.table.join(peerHello, id) {
+		return peerHello, conn, errSuperseded
 	}
-	return far, conn, conn.SetDeadline(time.Time{})
+	return peerHello, conn, conn.SetDeadline(time.Time{})
 }
 
-func (m *Mesh) dispatch(from model.EntryID, conn uint64, f frame) error {
+// dispatch applies a digest or passes a frame of another kind to its handler.
+// Any error means that the connection must be closed.
+func (m *Mesh) dispatch(from model.EntryID, connID uint64, f frame) error {
 	if f.kind == KindDigest {
 		var d Digest
 		if err := decode(f.body, &d); err != nil {
 			return err
 		}
-		if !m.table.apply(from, conn, d) {
+		if !m.table.apply(from, connID, d) {
 			return errSuperseded
 		}
 		return nil
 	}
 	if m.handlers[f.kind] == nil {
-		return errUnsolicited
+		return errUnexpectedFrame
 	}
 	m.handlers[f.kind](from, f.body)
 	return nil
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,68 +14,73 @@
 )
 
 const (
-	// withinZoneEvery is four digests a second: routing by in-flight counts
-	// is no better than random once counts are older than a request takes,
-	// and quick tabulations take some 100 ms.
-	withinZoneEvery = 250 * time.Millisecond
-	// acrossZonesEvery is one sum a second: other zones only need to know
-	// who is alive and what is acknowledged.
-	acrossZonesEvery = time.Second
-	// helloTimeout bounds dialling and the hello; links are milliseconds long.
+	// withinZoneInterval is the time between digests to peers of the same zone.
+	// Routing by in-flight counts is no better than random once the counts are
+	// older than a request takes, and quick tabulations take some 100 ms.
+	withinZoneInterval = 250 * time.Millisecond
+	// acrossZonesInterval is the time between digests to peers of other zones,
+	// which only need to know who is alive and what is acknowledged.
+	acrossZonesInterval = time.Second
+	// helloTimeout limits dialing with its TLS handshake, and the exchange of
+	// hellos. Round trips take milliseconds.
 	helloTimeout = 2 * time.Second
-	// writeTimeout ends a connection whose other end does not read.
+	// writeTimeout closes a connection if the peer does not read.
 	writeTimeout = 2 * time.Second
-	// ackTimeout ends a connection whose other end acknowledges nothing: four
-	// sums, or sixteen digests.
+	// ackTimeout closes a connection if the peer acknowledges nothing for as long
+	// as it takes to send four digests across zones, or sixteen within a zone.
 	ackTimeout = 4 * time.Second
-	// hurriedGap is the shortest time between two digests where the second
-	// tells of a new declaration in force.
-	hurriedGap = 50 * time.Millisecond
-	// atOnce lets several causes for a digest become one.
-	atOnce = time.Millisecond
-	// redialMin and redialMax bound the jittered wait between attempts: a
-	// healed zone is heard within a second or two, and a dead address costs
-	// at most an attempt in two seconds.
-	redialMin = 250 * time.Millisecond
-	redialMax = 2 * time.Second
-	// linkQueue is how many frames wait for one peer. Views are few; a full
-	// queue means that the peer does not read, and it asks again later.
-	linkQueue = 16
-	// loadBytes is what one TargetLoad takes in a frame, measured with names
-	// of 14 bytes.
+	// minDigestGap is the minimum time from a digest to the next one if that is
+	// sent early to announce a new declaration in force.
+	minDigestGap = 50 * time.Millisecond
+	// coalesceDelay is the delay before a digest that is due at once, so that
+	// several reasons for it result in a single digest.
+	coalesceDelay = time.Millisecond
+	// minRedialWait and maxRedialWait limit the jittered wait between connection
+	// attempts. Peers are in contact again within a second or two of the end of a
+	// network partition, and a dead address costs about one attempt every two
+	// seconds at most.
+	minRedialWait = 250 * time.Millisecond
+	maxRedialWait = 2 * time.Second
+	// linkQueueLength is how many frames may wait for one peer. Views are rare; a
+	// full queue means that the peer does not read, and it requests the view again
+	// later.
+	linkQueueLength = 16
+	// loadBytes is the size of one TargetLoad in a frame, with names of 14 bytes.
 	loadBytes = 22
-	// digestBaseBytes is a digest without loads, measured, with its header
+	// digestBaseBytes is the size of a digest without loads, including its header
 	// and its acknowledgement.
 	digestBaseBytes = 54
-	// vitalsBytes is what vitals take beside their bits.
-	vitalsBytes = 18
-	// wantBytes and loanBytes are what a SlotWant and a SlotLoan take, with
-	// names of 14 bytes.
-	wantBytes = 28
-	loanBytes = 50
+	// healthBytes is the size of a HealthBitmap without its bits.
+	healthBytes = 18
+	// demandBytes and loanBytes are the sizes of a SlotDemand and of a SlotLoan or
+	// SlotBorrow, with names of 14 bytes.
+	demandBytes = 28
+	loanBytes   = 50
 )
 
-// link is the connection this entry VM dials to one peer and sends on.
+// link is the connection that this entry VM dials to one peer and sends on.
 type link struct {
 	mesh    *Mesh
 	address string
 	cancel  context.CancelFunc
 	queue   chan []byte
-	remote  entryCell
+	remote  atomicEntryID
 }
 
-// entryCell holds the ID of the peer at the far end, empty while there is none.
-type entryCell struct{ p atomic.Pointer[model.EntryID] }
+// atomicEntryID holds the ID of the connected peer, empty while there is no
+// connection.
+type atomicEntryID struct{ p atomic.Pointer[model.EntryID] }
 
-func (c *entryCell) Load() model.EntryID {
-	if id := c.p.Load(); id != nil {
+func (a *atomicEntryID) Load() model.EntryID {
+	if id := a.p.Load(); id != nil {
 		return *id
 	}
 	return ""
 }
 
-func (c *entryCell) Store(id model.EntryID) { c.p.Store(&id) }
+func (a *atomicEntryID) Store(id model.EntryID) { a.p.Store(&id) }
 
+// enqueue reports whether there was free space in the queue for the frame.
 func (l *link) enqueue(frame []byte) bool {
 	select {
 	case l.queue <- frame:
@@ -85,25 +90,27 @@
 	}
 }
 
-// run dials until ctx ends.
+// run keeps the link connected until ctx ends. It returns early if the address
+// turns out to be that of this entry VM.
 func (l *link) run(ctx context.Context) {
-	wait := redialMin
+	wait := minRedialWait
 	for ctx.Err() == nil {
 		started := time.Now()
 		err := l.connectOnce(ctx)
-		l.mesh.opts.Log.V(1).Info("peer connection ended", "address", l.address, "cause", err)
+		l.mesh.opts.Log.V(1).Info("outbound peer connection closed", "address", l.address, "cause", err)
 		if errors.Is(err, errSelf) {
 			return
 		}
-		if time.Since(started) > redialMax {
-			wait = redialMin
+		if time.Since(started) > maxRedialWait {
+			wait = minRedialWait
 		}
 		sleep.For(ctx, wait/2+rand.N(wait/2))
-		wait = min(2*wait, redialMax)
+		wait = min(2*wait, maxRedialWait)
 	}
 }
 
-// connectOnce dials, says hello and sends until the connection fails.
+// connectOnce dials, exchanges hellos and sends until the connection fails. It
+// returns the reason for the failure.
 func (l *link) connectOnce(ctx context.Context) error {
 	conn, err := l.dial(ctx)
 	if err != nil {
@@ -112,14 +119,14 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	far, err := l.greet(conn)
+	peerHello, err := l.exchangeHellos(conn)
 	if err != nil {
 		return err
 	}
-	l.drainQueue()
-	l.remote.Store(model.EntryID(far.Entry))
+	l.discardQueue()
+	l.remote.Store(model.EntryID(peerHello.Entry))
 	defer l.remote.Store("")
-	return l.send(conn, model.ZoneName(far.Zone) == l.mesh.opts.Self.Zone)
+	return l.send(conn, model.ZoneName(peerHello.Zone) == l.mesh.opts.Self.Zone)
 }
 
 func (l *link) dial(ctx context.Context) (net.Conn, error) {
@@ -130,38 +137,39 @@
 		return conn, err
 	}
 	config := l.mesh.opts.TLS
-	if fresh := l.mesh.opts.ClientTLS; fresh != nil {
-		config = fresh()
+	if current := l.mesh.opts.ClientTLS; current != nil {
+		config = current()
 	}
-	secure := tls.Client(conn, config)
-	if err := secure.HandshakeContext(ctx); err != nil {
+	tlsConn := tls.Client(conn, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		conn.Close()
 		return nil, err
 	}
-	return secure, nil
+	return tlsConn, nil
 }
 
-func (l *link) greet(conn net.Conn) (hello, error) {
-	var far hello
+// exchangeHellos sends this entry VM's hello, then reads and checks the peer's.
+func (l *link) exchangeHellos(conn net.Conn) (hello, error) {
+	var peerHello hello
 	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
-		return far, err
+		return peerHello, err
 	}
 	if err := writeHello(conn, l.mesh.hello()); err != nil {
-		return far, err
+		return peerHello, err
 	}
-	far, err := readHello(conn)
+	peerHello, err := readHello(conn)
 	if err != nil {
-		return far, err
+		return peerHello, err
 	}
-	if err := l.mesh.checkHello(far); err != nil {
-		return far, err
+	if err := l.mesh.checkHello(peerHello); err != nil {
+		return peerHello, err
 	}
-	return far, conn.SetDeadline(time.Time{})
+	return peerHello, conn.SetDeadline(time.Time{})
 }
 
-// drainQueue drops what waited for an earlier connection: views queued before
-// a cut are older than what the peer asks for now.
-func (l *link) drainQueue() {
+// discardQueue drops frames queued for an earlier connection. Views queued before
+// the connection was lost are older than what the peer requests now.
+func (l *link) discardQueue() {
 	for {
 		select {
 		case <-l.queue:
@@ -173,28 +181,28 @@
 
 // send writes digests and queued frames until the connection fails.
 func (l *link) send(conn net.Conn, sameZone bool) error {
-	gone := make(chan error, 1)
-	l.mesh.tasks.Go(func() { gone <- l.readAcks(conn) })
-	pace := newDigestPace(sameZone)
-	defer pace.timer.Stop()
-	delta := newDelta(sameZone)
+	readFailed := make(chan error, 1)
+	l.mesh.goroutines.Go(func() { readFailed <- l.readAcks(conn) })
+	schedule := newDigestSchedule(sameZone)
+	defer schedule.timer.Stop()
+	encoder := newDeltaEncoder(sameZone)
 	for {
 		v := l.mesh.opts.View
 		changed := v.Changed()
-		pace.hurry(v.Load().Generation())
+		schedule.expedite(v.Load().Generation())
 		var frame []byte
 		select {
 		case <-changed:
 			continue
-		case <-pace.timer.C:
-			d := delta.next(l.mesh.digest(), l.mesh.loadsPerDigest)
-			pace.sent(d.Generation)
+		case <-schedule.timer.C:
+			d := encoder.next(l.mesh.digest(), l.mesh.loadsPerDigest)
+			schedule.sent(d.Generation)
 			var err error
 			if frame, err = encodeFrame(KindDigest, d); err != nil {
 				return err
 			}
 		case frame = <-l.queue:
-		case err := <-gone:
+		case err := <-readFailed:
 			return err
 		}
 		if err := l.write(conn, frame); err != nil {
@@ -203,10 +211,11 @@
 	}
 }
 
-// readAcks returns when the far end is gone or has been silent for too long.
-// Each digest is acknowledged. Without that a connection cut without notice
-// takes writes for minutes, and after the heal TCP would try it again only
-// after its long backoff: the peer would stay unheard while it can be reached.
+// readAcks reads acknowledgements until the connection fails or none has arrived
+// for ackTimeout. Every digest is acknowledged. Otherwise, a connection that is
+// cut without notice would accept writes for minutes, and once the network has
+// recovered TCP would retransmit only after its long backoff: the peer could be
+// reached, but would receive nothing.
 func (l *link) readAcks(conn net.Conn) error {
 	for {
 		if err := conn.SetReadDeadline(time.Now().Add(ackTimeout)); err != nil {
@@ -217,44 +226,45 @@
 			return err
 		}
 		if f.kind != KindAck {
-			return errUnsolicited
+			return errUnexpectedFrame
 		}
-		l.mesh.stats.received(f.kind, f.size)
+		l.mesh.stats.countReceived(f.kind, f.size)
 	}
 }
 
-// digestPace says when the next digest is due.
-type digestPace struct {
-	every      time.Duration
+// digestSchedule determines when the next digest is due.
+type digestSchedule struct {
+	interval   time.Duration
 	timer      *time.Timer
-	last       time.Time
-	generation uint64 // told last
-	hurried    bool
+	lastSent   time.Time
+	generation uint64 // of the declaration in force, as last sent
+	expedited  bool
 }
 
-func newDigestPace(sameZone bool) *digestPace {
-	every := acrossZonesEvery
+func newDigestSchedule(sameZone bool) *digestSchedule {
+	interval := acrossZonesInterval
 	if sameZone {
-		every = withinZoneEvery
+		interval = withinZoneInterval
 	}
-	return &digestPace{every: every, timer: time.NewTimer(atOnce)}
+	return &digestSchedule{interval: interval, timer: time.NewTimer(coalesceDelay)}
 }
 
-// hurry brings the next digest forward where the declaration in force has
-// changed, so that whoever applied it need not wait for the next round.
-func (p *digestPace) hurry(generation uint64) {
-	if generation == p.generation || p.hurried {
+// expedite brings the next digest forward if the declaration in force has
+// changed, so that peers that wait for it to be applied learn of it before the
+// next regular digest.
+func (s *digestSchedule) expedite(generation uint64) {
+	if generation == s.generation || s.expedited {
 		return
 	}
-	p.hurried = true
-	p.timer.Reset(max(atOnce, hurriedGap-time.Since(p.last)))
+	s.expedited = true
+	s.timer.Reset(max(coalesceDelay, minDigestGap-time.Since(s.lastSent)))
 }
 
-func (p *digestPace) sent(generation uint64) {
-	p.last = time.Now()
-	p.generation = generation
-	p.hurried = false
-	p.timer.Reset(p.every)
+func (s *digestSchedule) sent(generation uint64) {
+	s.lastSent = time.Now()
+	s.generation = generation
+	s.expedited = false
+	s.timer.Reset(s.interval)
 }
 
 func (l *link) write(conn net.Conn, frame []byte) error {
@@ -262,13 +272,14 @@
 		return err
 	}
 	_, err := conn.Write(frame)
-	l.mesh.stats.sent(Kind(frame[4])&^compressed, len(frame))
+	l.mesh.stats.countSent(Kind(frame[4])&^compressedFlag, len(frame))
 	return err
 }
 
-// loadsPerDigest returns how many loads one digest within the zone may carry,
-// so that all digests of this entry VM together stay within BytesPerSecond.
-func (m *Mesh) loadsPerDigest(bareBytes int) int {
+// loadsPerDigest returns the number of loads that one digest within the zone may
+// carry, so that all digests of this entry VM together stay within
+// BytesPerSecond. baseBytes is the size of the digest without loads.
+func (m *Mesh) loadsPerDigest(baseBytes int) int {
 	within, across := 0, 0
 	for _, s := range m.table.list() {
 		switch {
@@ -279,26 +290,29 @@
 			across++
 		}
 	}
-	return loadLimit(m.opts.BytesPerSecond, within, across, bareBytes)
+	return loadLimit(m.opts.BytesPerSecond, within, across, baseBytes)
 }
 
-// bareBytes is what a digest takes without its loads.
-func bareBytes(d Digest) int {
-	n := digestBaseBytes + wantBytes*len(d.Demands) + loanBytes*(len(d.Loans)+len(d.Borrowed))
+// sizeWithoutLoads estimates the size in bytes of a digest without its loads.
+func sizeWithoutLoads(d Digest) int {
+	n := digestBaseBytes + demandBytes*len(d.Demands) + loanBytes*(len(d.Loans)+len(d.Borrowed))
 	if len(d.Health.Bits) > 0 {
-		n += vitalsBytes + len(d.Health.Bits)
+		n += healthBytes + len(d.Health.Bits)
 	}
 	return n
 }
 
-func loadLimit(bytesPerSecond, within, across, bareBytes int) int {
-	digests := float64(max(1, within)) / withinZoneEvery.Seconds()
-	bare := (digests + float64(across)/acrossZonesEvery.Seconds()) * float64(bareBytes)
-	loads := (float64(bytesPerSecond) - bare) / loadBytes / digests
+// loadLimit returns how many loads fit in one digest within the zone if digests
+// go to the given numbers of peers within the zone and in other zones.
+func loadLimit(bytesPerSecond, within, across, baseBytes int) int {
+	digests := float64(max(1, within)) / withinZoneInterval.Seconds()
+	base := (digests + float64(across)/acrossZonesInterval.Seconds()) * float64(baseBytes)
+	loads := (float64(bytesPerSecond) - base) / loadBytes / digests
 	return max(minLoadsPerDigest, int(loads))
 }
 
-// minLoadsPerDigest keeps digests useful however many peers share the bytes.
+// minLoadsPerDigest keeps digests useful if many peers share the bytes per
+// second; digests may then exceed them.
 const minLoadsPerDigest = 2
 
 func writeHello(conn net.Conn, h hello) error {
@@ -317,7 +331,7 @@
 		return h, err
 	}
 	if f.kind != KindHello {
-		return h, errUnsolicited
+		return h, errUnexpectedFrame
 	}
 	return h, decode(f.body, &h)
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -16,44 +16,46 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Handler takes a frame in. It runs on the connection's reading goroutine and
-// must not wait.
+// Handler handles a received frame. It runs on the goroutine that reads the
+// connection and must not block.
 type Handler func(from model.EntryID, body []byte)
 
-// Options are what a Mesh needs. Self, Cluster, Listener and View must
-// be set.
+// Options configure a Mesh. Self, Cluster, Listener and View are required.
 type Options struct {
-	Self     view.EntryRecord // with the incarnation of this run
-	Cluster  string           // deployment name; others are turned away
-	Seeds    []string         // host:port of peers to try first
+	Self     view.EntryRecord // Incarnation must be that of this run
+	Cluster  string           // deployment name; peers with another one are rejected
+	Seeds    []string         // host:port of peers that are dialed in any case
 	View     *view.Holder
 	Listener net.Listener
-	// Dial opens a connection; nil for TCP.
+	// Dial opens a connection to a host:port; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// TLS makes connections mutual TLS; nil for plain TCP.
+	// TLS configures mutual TLS; nil means plain TCP.
 	TLS *tls.Config
-	// ClientTLS returns the configuration of a connection to be dialled, so
-	// that it has the newest certificates; nil for that of TLS.
+	// ClientTLS returns the configuration for a connection about to be dialed, so
+	// that it uses the newest certificates; nil means the one in TLS. It is
+	// ignored if TLS is nil.
 	ClientTLS func() *tls.Config
-	// FillDigest sets in each digest what this entry VM knows beside its view: its
-	// loads, its queue, what it lends, the VMs it asks; nil for nothing.
+	// FillDigest sets the fields of each digest that do not come from the view:
+	// loads, queue, lent slots and VM health; nil leaves them empty.
 	FillDigest func(*Digest)
 	// Watching reports whether this entry VM holds the platform's watch; nil
-	// for never.
+	// means that it never does.
 	Watching func() bool
-	// BytesPerSecond bounds what digests take; 0 for DefaultBytesPerSecond.
+	// BytesPerSecond limits the digests sent to all peers together; 0 means
+	// DefaultBytesPerSecond.
 	BytesPerSecond int
 	Log            logr.Logger
 }
 
-// DefaultBytesPerSecond is what digests may take on the way out; about as much
-// comes in. A node may spend 14 KB a second on control, of which 2 are left to
-// the platform's calls and relayed views.
+// DefaultBytesPerSecond limits the digests sent; about as much is received. A node
+// may spend 14 KB a second on control traffic, of which 2 KB remain for the
+// platform's calls and for relayed views.
 const DefaultBytesPerSecond = 6 << 10
 
-// Mesh is this entry VM's side of all peer connections. Each entry VM dials
-// every other and sends on the connection it dialled, so that no two need to
-// agree which of two connections stays. It is safe for concurrent use.
+// Mesh is this entry VM's end of all peer connections. Each entry VM dials every
+// other one and sends only on the connection that it dialed, so two entry VMs
+// never have to agree on which of two connections to keep. It is safe for
+// concurrent use.
 type Mesh struct {
 	opts     Options
 	table    *table
@@ -65,14 +67,14 @@
 	mu      sync.Mutex
 	links   map[string]*link // by address
 	inbound map[net.Conn]struct{}
-	ended   bool
+	closed  bool
 
-	tasks  sync.WaitGroup
-	ctx    context.Context
-	cancel context.CancelFunc
+	goroutines sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
 }
 
-// New returns a Mesh that does nothing before Run.
+// New returns a Mesh that is inactive until Run is called.
 func New(opts Options) *Mesh {
 	if opts.BytesPerSecond == 0 {
 		opts.BytesPerSecond = DefaultBytesPerSecond
@@ -99,52 +101,55 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Handle sets the handler of a kind of frame. Call it before Run.
+// Handle sets the handler for a kind of frame. It must be called before Run.
 func (m *Mesh) Handle(k Kind, h Handler) { m.handlers[k] = h }
 
-// Run listens and dials until ctx ends or Close is called, then closes every
-// connection and returns when all its goroutines have ended. It returns an
-// error only where the listener fails.
+// Run accepts and dials connections until ctx ends or Close is called, then closes
+// every connection and returns once all its goroutines have ended. It returns an
+// error only if the listener fails.
 func (m *Mesh) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, m.cancel)
 	defer stop()
-	m.tasks.Go(m.maintain)
+	m.goroutines.Go(m.maintain)
 	failed := make(chan error, 1)
-	m.tasks.Go(func() { failed <- m.accept() })
+	m.goroutines.Go(func() { failed <- m.accept() })
 	var err error
 	select {
 	case <-m.ctx.Done():
 	case err = <-failed:
 	}
-	m.end()
-	m.tasks.Wait()
+	m.shutDown()
+	m.goroutines.Wait()
 	return trace.Wrap(err)
 }
 
-// Close ends Run.
+// Close makes Run return. It does not wait for it.
 func (m *Mesh) Close() { m.cancel() }
 
-func (m *Mesh) end() {
+// shutDown stops all links, closes the listener and the inbound connections, and
+// prevents new ones.
+func (m *Mesh) shutDown() {
 	m.cancel()
 	m.opts.Listener.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ended = true
+	m.closed = true
 	for c := range m.inbound {
 		c.Close()
 	}
 }
 
-// maintainEvery is how often links are made for new peers and silent peers'
-// loads are dropped; a fifth of loadsFresh keeps that window sharp.
-const maintainEvery = loadsFresh / 5
+// maintainInterval is how often links to new peers are started and the loads of
+// silent peers are dropped. At a fifth of loadTTL, loads are dropped soon after
+// they expire.
+const maintainInterval = loadTTL / 5
 
 func (m *Mesh) maintain() {
-	tick := time.NewTicker(maintainEvery)
+	tick := time.NewTicker(maintainInterval)
 	defer tick.Stop()
 	for {
 		m.table.expire()
-		m.dialKnown()
+		m.reconcileLinks()
 		select {
 		case <-tick.C:
 		case <-m.ctx.Done():
@@ -153,13 +158,14 @@
 	}
 }
 
-// dialKnown keeps one link per address that the settings, the view or a peer
-// itself names, and ends links to addresses that nobody names any more.
-func (m *Mesh) dialKnown() {
+// reconcileLinks keeps one link for each address that the settings, the view or a
+// peer itself names, and stops links to addresses that none of them names any
+// more.
+func (m *Mesh) reconcileLinks() {
 	wanted := m.knownAddresses()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ended {
+	if m.closed {
 		return
 	}
 	for address := range wanted {
@@ -177,11 +183,12 @@
 
 func (m *Mesh) startLinkLocked(address string) {
 	ctx, cancel := context.WithCancel(m.ctx)
-	l := &link{mesh: m, address: address, cancel: cancel, queue: make(chan []byte, linkQueue)}
+	l := &link{mesh: m, address: address, cancel: cancel, queue: make(chan []byte, linkQueueLength)}
 	m.links[address] = l
-	m.tasks.Go(func() { l.run(ctx) })
+	m.goroutines.Go(func() { l.run(ctx) })
 }
 
+// knownAddresses returns the addresses of all known peers, without this entry VM.
 func (m *Mesh) knownAddresses() map[string]bool {
 	known := make(map[string]bool)
 	for _, a := range m.opts.Seeds {
@@ -198,12 +205,12 @@
 	return known
 }
 
-// Send queues a frame for a peer and reports whether there is a connection
-// with room in its queue. It does not wait; a frame may still be lost.
+// Send queues a frame for a peer and reports whether the peer is connected and its
+// queue had free space. It does not block, and the frame may still be lost.
 func (m *Mesh) Send(to model.EntryID, k Kind, msg any) bool {
 	frame, err := encodeFrame(k, msg)
 	if err != nil {
-		m.opts.Log.Error(err, "peer frame not sent", "to", to)
+		m.opts.Log.Error(err, "cannot encode frame for peer", "to", to)
 		return false
 	}
 	m.mu.Lock()
@@ -216,14 +223,14 @@
 	return false
 }
 
-// Peers returns every peer heard in the last minute, live or not.
+// Peers returns every peer that has been heard from in the last minute, live or not.
 func (m *Mesh) Peers() []Status { return m.table.list() }
 
 // PeerInFlight implements Loads.
-func (m *Mesh) PeerInFlight(vm model.VMID) int { return m.table.load(vm).inFlight }
+func (m *Mesh) PeerInFlight(vm model.VMID) int { return m.table.sumFor(vm).inFlight }
 
 // PeerSaysLeaving implements Loads.
-func (m *Mesh) PeerSaysLeaving(vm model.VMID) bool { return m.table.load(vm).leaving > 0 }
+func (m *Mesh) PeerSaysLeaving(vm model.VMID) bool { return m.table.sumFor(vm).leaving > 0 }
 
 // LiveEntries implements Loads.
 func (m *Mesh) LiveEntries(zone model.ZoneName) int {
@@ -239,7 +246,7 @@
 	return n
 }
 
-// Live returns the IDs of all live entry VMs, this one included.
+// Live returns the IDs of all live entry VMs, including this one.
 func (m *Mesh) Live() []model.EntryID {
 	ids := []model.EntryID{m.opts.Self.ID}
 	for _, s := range m.table.list() {
@@ -251,10 +258,11 @@
 }
 
 // Clocks returns the earliest and the latest wall clock of the live entry VMs,
-// this one included. The true time lies between them unless all are off to the
-// same side. What must not end too soon begins by the latest and ends by the
-// earliest: one VM whose clock is a day off would otherwise forget claims a day
-// too early, and a late duplicate would run again.
+// including this one. The true time lies between them unless all clocks are off in
+// the same direction. Anything that must not expire too early should start at
+// latest and be compared with earliest. Otherwise, a single VM whose clock is a day
+// ahead would drop claims a day too early, and a late duplicate request would run
+// again.
 func (m *Mesh) Clocks() (earliest, latest time.Time) {
 	var low, high time.Duration
 	for _, s := range m.table.list() {
@@ -291,7 +299,7 @@
 	}
 }
 
-// digest returns what this entry VM knows first hand now, with all loads.
+// digest returns the current state of this entry VM with all loads.
 func (m *Mesh) digest() Digest {
 	v := m.opts.View.Load()
 	d := Digest{
@@ -313,22 +321,23 @@
 }
 
 var (
-	errVersion     = errors.New("peer: foreign protocol version")
-	errCluster     = errors.New("peer: foreign cluster")
-	errSuperseded  = errors.New("peer: superseded incarnation")
-	errSelf        = errors.New("peer: address leads back to this entry VM")
-	errUnsolicited = errors.New("peer: unsolicited frame")
+	errProtocolVersion = errors.New("peer: unsupported protocol version")
+	errCluster         = errors.New("peer: cluster name differs")
+	errSuperseded      = errors.New("peer: superseded by a newer connection or incarnation")
+	errSelf            = errors.New("peer: connected to this entry VM itself")
+	errUnexpectedFrame = errors.New("peer: unexpected frame kind")
 )
 
-// checkHello says why a connection with this hello must go, or nil.
+// checkHello returns the reason why a connection with this hello must be closed, or
+// nil.
 func (m *Mesh) checkHello(h hello) error {
 	switch {
 	case h.Version != ProtocolVersion:
-		return trace.Wrap(errVersion, "version %d from %s, here %d", h.Version, h.Entry, ProtocolVersion)
+		return trace.Wrap(errProtocolVersion, "version %d from %s, want %d", h.Version, h.Entry, ProtocolVersion)
 	case h.Cluster != m.opts.Cluster:
-		return trace.Wrap(errCluster, "cluster %q from %s, here %q", h.Cluster, h.Entry, m.opts.Cluster)
+		return trace.Wrap(errCluster, "cluster %q from %s, want %q", h.Cluster, h.Entry, m.opts.Cluster)
 	case h.Entry == "" || h.Zone == "":
-		return trace.Wrap(errFrame, "hello without entry or zone")
+		return trace.Wrap(errMalformedFrame, "hello lacks the entry VM ID or the zone")
 	case model.EntryID(h.Entry) == m.opts.Self.ID && h.Incarnation == m.opts.Self.Incarnation:
 		return errSelf
 	}
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -19,8 +19,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// daemon is one entry VM's mesh with the loads it tells of.
-type daemon struct {
+// testNode is one entry VM in a test: its mesh and the loads that it reports.
+type testNode struct {
 	*Mesh
 	stop func()
 
@@ -28,26 +28,26 @@
 	loads []TargetLoad
 }
 
-func (d *daemon) tell(loads ...TargetLoad) {
+func (d *testNode) setLoads(loads ...TargetLoad) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.loads = loads
 }
 
-func (d *daemon) fill(digest *Digest) {
+func (d *testNode) fillDigest(digest *Digest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	digest.Loads, digest.Queued = d.loads, 3
 }
 
-// start runs an entry VM whose address is its ID; it dials all of seeds.
-func start(t *testing.T, n *peertest.Network, id model.EntryID, zone model.ZoneName, incarnation uint64, seeds ...string) *daemon {
-	d := &daemon{}
+// startNode runs an entry VM whose address is its ID and which dials all seeds.
+func startNode(t *testing.T, n *peertest.Network, id model.EntryID, zone model.ZoneName, incarnation uint64, seeds ...string) *testNode {
+	d := &testNode{}
 	d.Mesh = New(Options{
 		Self:    view.EntryRecord{ID: id, Zone: zone, Peer: string(id), Incarnation: incarnation},
 		Cluster: "test", Seeds: seeds, View: view.NewHolder(),
 		Listener: n.Listen(zone, string(id)), Dial: n.Dialer(zone),
-		FillDigest: d.fill, Log: logr.Discard(),
+		FillDigest: d.fillDigest, Log: logr.Discard(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -59,98 +59,102 @@
 	return d
 }
 
-func settle(d time.Duration) {
+// sleepAndWait sleeps and then waits until all goroutines of the test block.
+func sleepAndWait(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
+// Loads must follow the digests of the own zone. Those of a dead peer must be
+// dropped, or its requests would take slots forever.
 func TestLoadsOfPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := peertest.New()
-		a := start(t, n, "a", "z1", 1, "b")
-		b := start(t, n, "b", "z1", 1)
-		c := start(t, n, "c", "z2", 1, "a")
+		a := startNode(t, n, "a", "z1", 1, "b")
+		b := startNode(t, n, "b", "z1", 1)
+		c := startNode(t, n, "c", "z2", 1, "a")
 		defer a.stop()
 		defer c.stop()
-		b.tell(TargetLoad{VM: "v1", InFlight: 4}, TargetLoad{VM: "v2", InFlight: 1, Leaving: true})
-		c.tell(TargetLoad{VM: "v1", InFlight: 100})
-		settle(3 * time.Second)
-		assert.Equal(t, a.PeerInFlight("v1"), 4, "own zone in full, other zones only in sums")
+		b.setLoads(TargetLoad{VM: "v1", InFlight: 4}, TargetLoad{VM: "v2", InFlight: 1, Leaving: true})
+		c.setLoads(TargetLoad{VM: "v1", InFlight: 100})
+		sleepAndWait(3 * time.Second)
+		assert.Equal(t, a.PeerInFlight("v1"), 4, "only loads of the own zone are counted per target")
 		assert.Assert(t, a.PeerSaysLeaving("v2"))
 		assert.Equal(t, a.LiveEntries("z1"), 2)
 		assert.Equal(t, a.LiveEntries("z2"), 1)
 
-		b.tell(TargetLoad{VM: "v1", InFlight: 2})
-		settle(time.Second)
+		b.setLoads(TargetLoad{VM: "v1", InFlight: 2})
+		sleepAndWait(time.Second)
 		assert.Equal(t, a.PeerInFlight("v1"), 2)
 		assert.Assert(t, !a.PeerSaysLeaving("v2"))
 
 		b.stop()
-		settle(liveWithinZone + maintainEvery)
-		assert.Equal(t, a.PeerInFlight("v1"), 0, "a dead peer's requests take no slots")
+		sleepAndWait(liveTimeoutWithinZone + maintainInterval)
+		assert.Equal(t, a.PeerInFlight("v1"), 0, "loads of a dead peer are dropped")
 		assert.Equal(t, a.LiveEntries("z1"), 1)
 	})
 }
 
-// What the operator sees: an entry VM is replaced while it was paused, and
-// wakes up beside its successor. Its digests tell of loads and
-// acknowledgements nobody stands for; they must not count.
+// An entry VM that was replaced while it was paused resumes beside its successor.
+// The loads and acknowledgements in its digests are no longer valid and must not
+// count while the successor is live.
 func TestOlderIncarnationIsTurnedAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := peertest.New()
-		a := start(t, n, "a", "z1", 1)
+		a := startNode(t, n, "a", "z1", 1)
 		defer a.stop()
-		older := start(t, n, "b", "z1", 7, "a")
-		older.tell(TargetLoad{VM: "v", InFlight: 9})
-		settle(time.Second)
+		older := startNode(t, n, "b", "z1", 7, "a")
+		older.setLoads(TargetLoad{VM: "v", InFlight: 9})
+		sleepAndWait(time.Second)
 		assert.Equal(t, a.PeerInFlight("v"), 9)
 
-		newer := start(t, n, "b", "z1", 8, "a")
-		newer.tell(TargetLoad{VM: "v", InFlight: 1})
-		settle(3 * time.Second)
+		newer := startNode(t, n, "b", "z1", 8, "a")
+		newer.setLoads(TargetLoad{VM: "v", InFlight: 1})
+		sleepAndWait(3 * time.Second)
 		assert.Equal(t, a.PeerInFlight("v"), 1)
 		assert.Equal(t, a.Peers()[0].Incarnation, uint64(8))
 
 		newer.stop()
-		settle(liveWithinZone + 2*redialMax)
-		assert.Equal(t, a.PeerInFlight("v"), 9, "the older one counts once its successor is gone")
+		sleepAndWait(liveTimeoutWithinZone + 2*maxRedialWait)
+		assert.Equal(t, a.PeerInFlight("v"), 9, "the older incarnation counts again once its successor is dead")
 		older.stop()
 	})
 }
 
-// What callers see: a zone is cut off without notice; each side routes by what
-// its own VMs know. After the heal, connections that TCP would keep silent for
-// minutes are made anew and all hear each other within seconds.
-func TestCutAndHeal(t *testing.T) {
+// During a partition without notice, each side must rely on the entry VMs that it
+// can reach. Afterwards, the old connections would stay silent for minutes because
+// of TCP's backoff; they must be replaced so that all entry VMs are live again
+// within seconds.
+func TestPartitionAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := peertest.New()
-		a1 := start(t, n, "a1", "z1", 1, "a2", "b1")
-		a2 := start(t, n, "a2", "z1", 1)
-		b1 := start(t, n, "b1", "z2", 1, "a2")
+		a1 := startNode(t, n, "a1", "z1", 1, "a2", "b1")
+		a2 := startNode(t, n, "a2", "z1", 1)
+		b1 := startNode(t, n, "b1", "z2", 1, "a2")
 		defer a1.stop()
 		defer a2.stop()
 		defer b1.stop()
-		settle(3 * time.Second)
+		sleepAndWait(3 * time.Second)
 		assert.Equal(t, b1.LiveEntries("z1"), 2)
 
 		n.Partition("z1", "z2")
-		settle(liveAcrossZones + maintainEvery)
+		sleepAndWait(liveTimeoutAcrossZones + maintainInterval)
 		assert.Equal(t, b1.LiveEntries("z1"), 0)
-		assert.Equal(t, a1.LiveEntries("z1"), 2, "within the zone nothing changes")
-		settle(30 * time.Second)
+		assert.Equal(t, a1.LiveEntries("z1"), 2, "connections within the zone are unaffected")
+		sleepAndWait(30 * time.Second)
 
 		n.Heal("z1", "z2")
-		settle(helloTimeout + redialMax + acrossZonesEvery)
+		sleepAndWait(helloTimeout + maxRedialWait + acrossZonesInterval)
 		assert.Equal(t, b1.LiveEntries("z1"), 2)
 		assert.Equal(t, a1.LiveEntries("z2"), 1)
 	})
 }
 
-// What the operator sees: something that is not a peer of this build writes to
-// the peer port. Its connection is closed and counted; the others go on.
+// An invalid frame, e.g. from a client of another protocol on the peer port, must
+// close and count that connection and leave the others untouched.
 func TestBadFramesDropThatConnectionOnly(t *testing.T) {
 	good := hello{Version: ProtocolVersion, Cluster: "test", Entry: "x", Zone: "z1", Incarnation: 1}
-	foreign := func(change func(*hello)) []byte {
+	helloWith := func(change func(*hello)) []byte {
 		h := good
 		change(&h)
 		return must(encodeFrame(KindHello, h))
@@ -164,30 +168,30 @@
 		sent []byte
 	}{
 		{"another protocol", []byte("GET / HTTP/1.1\r\n\r\n")},
-		{"foreign version", foreign(func(h *hello) { h.Version++ })},
-		{"foreign cluster", foreign(func(h *hello) { h.Cluster = "other" })},
-		{"no name", foreign(func(h *hello) { h.Entry = "" })},
+		{"other protocol version", helloWith(func(h *hello) { h.Version++ })},
+		{"other cluster", helloWith(func(h *hello) { h.Cluster = "other" })},
+		{"no entry ID", helloWith(func(h *hello) { h.Entry = "" })},
 		{"hello too large", header(maxHelloBytes+1, KindHello)},
 		{"digest before hello", must(encodeFrame(KindDigest, Digest{Seq: 1}))},
 		{"oversized digest", append(opened, header(maxDigestBytes+1, KindDigest)...)},
 		{"unknown kind", append(opened, header(0, kindEnd)...)},
 		{"kind without handler", append(opened, header(0, KindViewPoll)...)},
 		{"not msgpack", append(opened, append(header(3, KindDigest), 0xc1, 0xc1, 0xc1)...)},
-		{"expands without end", append(opened, bomb()...)},
-		{"compressed rubbish", append(opened, append(header(3, KindDigest|compressed), 1, 2, 3)...)},
+		{"decompression bomb", append(opened, decompressionBomb()...)},
+		{"invalid compressed payload", append(opened, append(header(3, KindDigest|compressedFlag), 1, 2, 3)...)},
 		{"second hello", append(opened, opened...)},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := peertest.New()
-				a := start(t, n, "a", "z1", 1, "b")
-				b := start(t, n, "b", "z1", 1)
+				a := startNode(t, n, "a", "z1", 1, "b")
+				b := startNode(t, n, "b", "z1", 1)
 				defer a.stop()
 				defer b.stop()
-				b.tell(TargetLoad{VM: "v", InFlight: 2})
-				settle(time.Second)
-				assert.Assert(t, closedAfter(t, n, tc.sent), "connection is closed")
+				b.setLoads(TargetLoad{VM: "v", InFlight: 2})
+				sleepAndWait(time.Second)
+				assert.Assert(t, closedAfter(t, n, tc.sent), "connection was not closed")
 				assert.Equal(t, a.Traffic().Refused, uint64(1))
 				assert.Equal(t, a.PeerInFlight("v"), 2)
 				assert.Equal(t, a.LiveEntries("z1"), 2)
@@ -196,8 +200,8 @@
 	}
 }
 
-// closedAfter writes to the mesh at "a" and reports whether it closes the
-// connection at once.
+// closedAfter sends bytes to the mesh at "a" and reports whether the mesh closes
+// the connection within a second.
 func closedAfter(t *testing.T, n *peertest.Network, sent []byte) bool {
 	conn, err := n.Dialer("z1")(t.Context(), "a")
 	assert.NilError(t, err)
@@ -212,17 +216,19 @@
 	}
 }
 
-// bomb returns a small frame that expands to more than a digest may have.
-func bomb() []byte {
+// decompressionBomb returns a small frame that decompresses to more than the limit
+// of a digest.
+func decompressionBomb() []byte {
 	body, err := compress(make([]byte, maxDigestBytes+1))
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
-	return append(append(frame, byte(KindDigest|compressed)), must(body, err)...)
+	return append(append(frame, byte(KindDigest|compressedFlag)), must(body, err)...)
 }
 
+// Large payloads are compressed on the wire, and a decompression bomb is rejected.
 func TestFramesCompressed(t *testing.T) {
-	_, err := readFrame(bytes.NewReader(bomb()))
-	assert.ErrorIs(t, err, errFrame)
-	assert.ErrorContains(t, err, "expands")
+	_, err := readFrame(bytes.NewReader(decompressionBomb()))
+	assert.ErrorIs(t, err, errMalformedFrame)
+	assert.ErrorContains(t, err, "decompresses")
 
 	d := Digest{Loads: make([]TargetLoad, 2000)}
 	for i := range d.Loads {
@@ -246,8 +252,10 @@
 	return frame
 }
 
+// Digests over one connection must deliver every change while each carries no more
+// loads than its limit.
 func TestDeltaIsBoundedAndComplete(t *testing.T) {
-	d := newDelta(true)
+	d := newDeltaEncoder(true)
 	two := func(int) int { return 2 }
 	loads := []TargetLoad{{VM: "a", InFlight: 1}, {VM: "b", InFlight: 9}, {VM: "c", InFlight: 1, Leaving: true}}
 	first := d.next(Digest{Loads: loads}, two)
@@ -259,18 +267,18 @@
 	assert.Equal(t, len(d.next(Digest{Loads: loads}, two).Loads), 0)
 	gone := d.next(Digest{Loads: loads[:2]}, two)
 	assert.DeepEqual(t, gone.Loads, []TargetLoad{{VM: "c"}})
-	assert.Equal(t, len(newDelta(false).next(Digest{Loads: loads}, two).Loads), 0)
+	assert.Equal(t, len(newDeltaEncoder(false).next(Digest{Loads: loads}, two).Loads), 0)
 }
 
-// However many targets are busy, digests stay within their bytes per second,
-// down to a few loads each.
-func TestDigestsStayWithinTheirBytes(t *testing.T) {
+// Whatever the number of busy targets and of peers, digests stay within the bytes
+// per second, if need be by carrying only a few loads each.
+func TestDigestsStayWithinByteBudget(t *testing.T) {
 	cases := []struct {
 		name           string
 		within, across int
 		lends          bool
 	}{
-		{"alone", 0, 0, false}, {"today", 1, 6, true}, {"24 entry VMs", 3, 20, true}, {"one zone of 12", 11, 0, false},
+		{"one entry VM", 0, 0, false}, {"8 entry VMs", 1, 6, true}, {"24 entry VMs", 3, 20, true}, {"one zone of 12", 11, 0, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -278,7 +286,7 @@
 			for i := range loads {
 				loads[i] = TargetLoad{VM: model.VMID(fmt.Sprintf("worker-%07d", i)), InFlight: 3}
 			}
-			d := newDelta(true)
+			d := newDeltaEncoder(true)
 			full := Digest{Seq: 1 << 20, Revision: 1 << 24, Generation: 5000, Loads: loads, InFlight: 1800, Clock: 1 << 40, AgeMillis: 2000}
 			if tc.lends {
 				full.Health = HealthBitmap{VMListHash: 1 << 60, Bits: make([]byte, 75)} // 600 VMs in the zone
@@ -286,27 +294,27 @@
 				full.Loans = []SlotLoan{{VM: "worker-0000001", To: "entry-00000001", Slots: 8, Version: 70000}}
 				full.Borrowed = []SlotBorrow{{VM: "worker-0000001", From: "entry-00000001", InUse: 8, Version: 70000}}
 			}
-			limit := func(bare int) int { return loadLimit(DefaultBytesPerSecond, tc.within, tc.across, bare) }
-			sums := newDelta(false)
-			for _, d := range []*delta{d, sums} {
-				d.next(full, limit) // the first, which tells everything
+			limit := func(baseBytes int) int { return loadLimit(DefaultBytesPerSecond, tc.within, tc.across, baseBytes) }
+			acrossZones := newDeltaEncoder(false)
+			for _, d := range []*deltaEncoder{d, acrossZones} {
+				d.next(full, limit) // the first digest is complete
 			}
 			for i := range loads {
 				loads[i].InFlight++
 			}
 			next := must(encodeFrame(KindDigest, d.next(full, limit)))
-			bare := must(encodeFrame(KindDigest, sums.next(full, limit)))
+			bare := must(encodeFrame(KindDigest, acrossZones.next(full, limit)))
 			assert.Assert(t, len(bare)+headerBytes <= digestBaseBytes, "%d bytes", len(bare))
-			alone := newDelta(false).next(full, limit)
-			assert.Assert(t, len(must(encodeFrame(KindDigest, alone)))+headerBytes <= bareBytes(alone))
+			alone := newDeltaEncoder(false).next(full, limit)
+			assert.Assert(t, len(must(encodeFrame(KindDigest, alone)))+headerBytes <= sizeWithoutLoads(alone))
 			perSecond := len(next)*4*max(1, tc.within) + len(bare)*tc.across
 			assert.Assert(t, perSecond <= DefaultBytesPerSecond, "%d bytes a second", perSecond)
 		})
 	}
 }
 
-// What the operator sees: clocks of entry VMs are off, each way; a dead one's
-// counts no more.
+// Clocks must include clocks that are off in either direction, and must ignore the
+// clock of a dead entry VM.
 func TestClocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(Options{View: view.NewHolder()})
@@ -319,12 +327,13 @@
 		earliest, latest := m.Clocks()
 		assert.Equal(t, latest.Sub(earliest), 25*time.Hour)
 		assert.Assert(t, earliest.Equal(now.Add(-time.Hour)))
-		time.Sleep(liveAcrossZones)
+		time.Sleep(liveTimeoutAcrossZones)
 		earliest, latest = m.Clocks()
 		assert.Assert(t, earliest.Equal(time.Now()) && latest.Equal(earliest))
 	})
 }
 
+// A digest whose sequence number is not newer than the last one must be ignored.
 func TestOldDigestChangesNothing(t *testing.T) {
 	m := New(Options{View: view.NewHolder()})
 	assert.Assert(t, m.table.join(hello{Entry: "e", Zone: "z"}, 1))
@@ -338,12 +347,12 @@
 	assert.Equal(t, m.PeerInFlight("v"), 5)
 }
 
-// What is told of slots and vitals goes once; receivers see it in every digest,
-// until it changes or the connection is made anew.
-func TestSameIsLeftOut(t *testing.T) {
+// Slot and health fields are sent only when they have changed or the connection is
+// new. The receiver must see them in every digest nevertheless.
+func TestUnchangedSlotsAndHealthAreOmitted(t *testing.T) {
 	none := func(int) int { return 0 }
 	lent := Digest{Loans: []SlotLoan{{VM: "v", To: "e", Slots: 2}}, Health: HealthBitmap{VMListHash: 7, Bits: []byte{5}}}
-	d := newDelta(false)
+	d := newDeltaEncoder(false)
 	m := New(Options{View: view.NewHolder()})
 	receive := func(conn uint64, seq uint64, sent Digest) Digest {
 		sent.Seq = seq
@@ -359,12 +368,12 @@
 	got := receive(1, 2, second)
 	assert.DeepEqual(t, got.Loans, lent.Loans)
 	assert.DeepEqual(t, got.Health, lent.Health)
-	lent.Health.Bits[0] = 1 // whoever fills digests may use its slices again
+	lent.Health.Bits[0] = 1 // the code that fills digests may reuse its slices
 	changed := d.next(lent, none)
 	assert.Assert(t, !changed.Unchanged)
 	third := d.next(Digest{}, none)
 	assert.Assert(t, !third.Unchanged)
 	got = receive(1, 3, third)
 	assert.Equal(t, len(got.Loans)+len(got.Health.Bits), 0)
-	assert.Assert(t, !newDelta(false).next(Digest{}, none).Unchanged, "a new connection starts anew")
+	assert.Assert(t, !newDeltaEncoder(false).next(Digest{}, none).Unchanged, "the first digest of a connection is complete")
 }
--- a/internal/peer/rendezvous.go
+++ b/internal/peer/rendezvous.go
@@ -5,6 +5,6 @@
 	"github.com/pumicestage/pumicestage/policy/rendezvous"
 )
 
-// Rendezvous scores an entry VM for a piece of work; whoever has the highest
-// score of the live ones does it.
+// Rendezvous returns the rendezvous hashing score of an entry VM for a piece of
+// work. The live entry VM with the highest score does the work.
 func Rendezvous(work string, id model.EntryID) uint64 { return rendezvous.Score(work, string(id)) }
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -6,37 +6,41 @@
 	"sync/atomic"
 )
 
-// Stats counts what went over the peer connections since the start.
+// Stats counts the frames and bytes of all peer connections since the start.
 type Stats struct {
 	frames  [2][kindEnd]atomic.Uint64
 	bytes   [2][kindEnd]atomic.Uint64
 	refused atomic.Uint64
 }
 
+// Indexes of the directions in Stats.
 const (
-	out = iota
-	in
+	outbound = iota
+	inbound
 )
 
-// Traffic is the sum over all kinds of frame.
+// Traffic holds counts since the start, for one kind of frame or for all.
 type Traffic struct {
 	FramesOut, BytesOut uint64
 	FramesIn, BytesIn   uint64
-	// Refused counts connections closed for what came over them.
+	// Refused counts connections closed because of what was received on them. It
+	// is 0 in the counts of a single kind.
 	Refused uint64
 }
 
-func (s *Stats) sent(k Kind, n int) { s.count(out, k, n) }
+func (s *Stats) countSent(k Kind, n int) { s.count(outbound, k, n) }
 
-func (s *Stats) received(k Kind, n int) { s.count(in, k, n) }
+func (s *Stats) countReceived(k Kind, n int) { s.count(inbound, k, n) }
 
-func (s *Stats) count(way int, k Kind, n int) {
-	s.frames[way][k].Add(1)
-	s.bytes[way][k].Add(uint64(n))
+func (s *Stats) count(direction int, k Kind, n int) {
+	s.frames[direction][k].Add(1)
+	s.bytes[direction][k].Add(uint64(n))
 }
 
-func (s *Stats) dropped(err error) {
-	for _, cause := range []error{errFrame, errVersion, errCluster, errSuperseded, errUnsolicited, io.ErrUnexpectedEOF} {
+// countRefusal counts a closed inbound connection if err, the reason, is the
+// peer's fault.
+func (s *Stats) countRefusal(err error) {
+	for _, cause := range []error{errMalformedFrame, errProtocolVersion, errCluster, errSuperseded, errUnexpectedFrame, io.ErrUnexpectedEOF} {
 		if errors.Is(err, cause) {
 			s.refused.Add(1)
 			return
@@ -44,15 +48,15 @@
 	}
 }
 
-// Traffic returns the counts so far.
+// Traffic returns the counts of all kinds of frame.
 func (m *Mesh) Traffic() Traffic {
 	var t Traffic
 	for k := Kind(0); k < kindEnd; k++ {
-		add := m.KindTraffic(k)
-		t.FramesOut += add.FramesOut
-		t.BytesOut += add.BytesOut
-		t.FramesIn += add.FramesIn
-		t.BytesIn += add.BytesIn
+		kind := m.KindTraffic(k)
+		t.FramesOut += kind.FramesOut
+		t.BytesOut += kind.BytesOut
+		t.FramesIn += kind.FramesIn
+		t.BytesIn += kind.BytesIn
 	}
 	t.Refused = m.stats.refused.Load()
 	return t
@@ -61,9 +65,9 @@
 // KindTraffic returns the counts of one kind of frame.
 func (m *Mesh) KindTraffic(k Kind) Traffic {
 	return Traffic{
-		FramesOut: m.stats.frames[out][k].Load(),
-		BytesOut:  m.stats.bytes[out][k].Load(),
-		FramesIn:  m.stats.frames[in][k].Load(),
-		BytesIn:   m.stats.bytes[in][k].Load(),
+		FramesOut: m.stats.frames[outbound][k].Load(),
+		BytesOut:  m.stats.bytes[outbound][k].Load(),
+		FramesIn:  m.stats.frames[inbound][k].Load(),
+		BytesIn:   m.stats.bytes[inbound][k].Load(),
 	}
 }
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -21,8 +21,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// mutualTLS returns a config with one self-signed certificate for all entry
-// VMs, which is also the authority.
+// mutualTLS returns a config with one self-signed certificate that is shared by all
+// entry VMs and also serves as their certificate authority.
 func mutualTLS(t *testing.T) *tls.Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -43,27 +43,27 @@
 	}
 }
 
-// Entry VMs with the deployment's certificate hear each other; one without is
-// turned away before its hello is read.
+// Entry VMs with the deployment's certificate see each other as live. One without a
+// certificate is rejected before its hello is read.
 func TestMutualTLS(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := peertest.New()
 		good := mutualTLS(t)
-		bare := good.Clone()
-		bare.Certificates = nil
-		join := func(id string, config *tls.Config) *Mesh {
+		noCertificate := good.Clone()
+		noCertificate.Certificates = nil
+		newMesh := func(id string, config *tls.Config) *Mesh {
 			return New(Options{
 				Self: view.EntryRecord{ID: model.EntryID(id), Zone: "z", Peer: id, Incarnation: 1},
 				View: view.NewHolder(), Seeds: []string{"a"}, Listener: n.Listen("z", id), Dial: n.Dialer("z"),
 				TLS: config, Log: logr.Discard(),
 			})
 		}
-		meshes := []*Mesh{join("a", good), join("b", good), join("c", bare)}
+		meshes := []*Mesh{newMesh("a", good), newMesh("b", good), newMesh("c", noCertificate)}
 		ended := make(chan error)
 		for _, m := range meshes {
 			go func() { ended <- m.Run(t.Context()) }()
 		}
-		settle(5 * time.Second)
+		sleepAndWait(5 * time.Second)
 		assert.DeepEqual(t, meshes[0].Live(), []model.EntryID{"a", "b"})
 		assert.Equal(t, len(meshes[1].Live()), 2)
 		for _, m := range meshes {
@@ -75,12 +75,12 @@
 	})
 }
 
-// Whatever bytes come, a frame is read or refused, and never takes more memory
-// than its kind may.
+// For any input, readFrame returns a frame or an error, and the payload never exceeds
+// the limit of its kind.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(must(encodeFrame(KindHello, hello{Version: 1, Entry: "e", Zone: "z"})))
 	f.Add(must(encodeFrame(KindDigest, Digest{Seq: 1, Loads: []TargetLoad{{VM: "v", InFlight: 1}}})))
-	f.Add(bomb())
+	f.Add(decompressionBomb())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, byte(KindView)})
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		got, err := readFrame(bytes.NewReader(sent))
