--- a/cmd/pumicestage/apply.go
+++ b/cmd/pumicestage/apply.go
@@ -119,7 +119,7 @@
 // the repeat.
 func withChange(change string, err error) error {
 	var unreachable *client.UnreachableError
-	var refused *client.RefusedError
+	var refused *client.ProblemError
 	open := errors.As(err, &unreachable) && unreachable.Sent ||
 		errors.As(err, &refused) && refused.Problem.Code == api.CodeUnknown
 	if open {
@@ -149,7 +149,7 @@
 // in time, as far as the one that was asked hears.
 type notInForceError struct {
 	generation uint64
-	missing    []api.EntryState
+	missing    []api.MissingEntry
 	wait       time.Duration
 	err        error // why it could not be asked, if so
 }
--- a/cmd/pumicestage/cli_test.go
+++ b/cmd/pumicestage/cli_test.go
@@ -96,7 +96,7 @@
 	bad := b.run("", "apply", variant(t, "waves.ini", "pools = tabulation\n", "pools = tabulations\n"))
 	assert.Equal(t, bad.status, exitRefused)
 	assert.Assert(t, strings.Contains(bad.errors, `waves.ini: [wave tabulation-fix] pools: given "tabulations"`), bad.errors)
-	assert.Equal(t, b.Way.Calls().Writes, 0)
+	assert.Equal(t, b.FaultyStore.Calls().Writes, 0)
 
 	first := b.run("", "apply", exampleDir, "--change", "c-1")
 	assert.Equal(t, first.status, exitDone, first.errors)
@@ -137,7 +137,7 @@
 	rival := loadExample(t)
 	rival.Service("preview").Limit = 7
 	writes := 0
-	b.Way.Before(func(_ string, txn infra.Txn) {
+	b.FaultyStore.BeforeWrite(func(_ string, txn infra.Txn) {
 		for _, op := range txn.Then {
 			if op.Key != infra.ConfigKey {
 				continue
@@ -145,7 +145,7 @@
 			if writes++; writes > 1 {
 				return
 			}
-			_, err := config.Apply(context.Background(), b.Engine, rival, config.ApplyOptions{Change: "c-rival", By: "bea", At: operatortest.Epoch})
+			_, err := config.Apply(context.Background(), b.BackingStore, rival, config.ApplyOptions{Change: "c-rival", By: "bea", At: operatortest.Epoch})
 			assert.NilError(t, err)
 		}
 	})
@@ -200,7 +200,7 @@
 
 func TestDoAndAudit(t *testing.T) {
 	b := newBench(t, loadExample(t))
-	b.Fleet.Refuse = map[model.VMID]*command.Refusal{"v02": {Code: command.CodeBudget, Detail: "service weighting has 6 of 10 VMs up and needs 6"}}
+	b.Fleet.Refusals = map[model.VMID]*command.Refusal{"v02": {Code: command.CodeBudget, Detail: "service weighting has 6 of 10 VMs up and needs 6"}}
 	done := b.run("", "do", "drain", "vm", "v01", "reason", "bad disk", "--change", "c-1")
 	assert.Equal(t, done.status, exitDone, done.errors)
 	assert.Equal(t, done.out, "vm v01: before -> after (revision 7)\nchange c-1\n")
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -16,9 +16,9 @@
 
 // accessGate returns the access control of the operator port. Without a tokens
 // file, everybody is allowed everything.
-func (d *Daemon) accessGate() (access.Gate, error) {
+func (d *Daemon) accessGate() (access.Authorizer, error) {
 	if d.settings.TokensFile == "" {
-		return access.Open{NameHeader: api.HeaderOperator}, nil
+		return access.Unauthenticated{NameHeader: api.HeaderOperator}, nil
 	}
 	tokens, err := access.NewTokens(d.settings.TokensFile, clockwork.NewRealClock(), d.log.WithName("access"))
 	return tokens, trace.Wrap(err)
@@ -51,18 +51,18 @@
 	if err != nil {
 		return err
 	}
-	d.port = wiring.New(wiring.Parts{
-		Self:   d.self,
-		Store:  d.store,
-		View:   d.view,
-		Fleet:  d.fleet,
-		Mesh:   d.mesh,
-		Acks:   d.registry,
-		Health: d.prober.Health,
-		Jobs:   jobsport.CommandAdapter{Executor: d.jobs},
-		Asked:  jobsport.QueryAdapter{Executor: d.jobs},
-		Access: gate,
-		Log:    d.log.WithName("operator"),
+	d.port = wiring.New(wiring.Options{
+		Self:       d.self,
+		Store:      d.store,
+		View:       d.view,
+		Fleet:      d.fleet,
+		Mesh:       d.mesh,
+		Acks:       d.registry,
+		Health:     d.prober.Health,
+		Jobs:       jobsport.CommandAdapter{Executor: d.jobs},
+		JobQueries: jobsport.QueryAdapter{Executor: d.jobs},
+		Access:     gate,
+		Log:        d.log.WithName("operator"),
 	})
 	api := jobsapi.New(jobsapi.Options{Jobs: d.jobs, Access: gate, Trail: d.port.Trail, Log: d.log.WithName("jobs")})
 	r := mux.NewRouter()
--- a/internal/fleet/safeguard_test.go
+++ b/internal/fleet/safeguard_test.go
@@ -113,7 +113,7 @@
 // it shows may be an earlier one and must not count as proof.
 func TestListOlderThanTheRebootIsNoProof(t *testing.T) {
 	w := newSimulation(declare(2, 1, 4, 3), 1)
-	w.machines.lag = 20 * time.Second
+	w.machines.listAge = 20 * time.Second
 	w.start(t)
 	id := startWave(t, w, model.VMRebooting)
 	assert.NilError(t, w.advance(time.Second))
@@ -170,7 +170,7 @@
 			assert.NilError(t, err)
 			w.runUntil(t, time.Minute, func() bool { return tc.until(w) })
 			paused := false
-			w.nodes[0].store.Before(func(_ string, txn infra.Txn) {
+			w.nodes[0].store.BeforeWrite(func(_ string, txn infra.Txn) {
 				if len(txn.If) > 0 && !paused {
 					paused = true
 					_, err := rival.PauseWave(ctx, "spring", order("c2"))
--- a/internal/jobs/jobsapi/jobsapi.go
+++ b/internal/jobs/jobsapi/jobsapi.go
@@ -42,7 +42,7 @@
 // Options configures the handler. All fields but Log are required.
 type Options struct {
 	Jobs   *jobs.Jobs
-	Access access.Gate
+	Access access.Authorizer
 	Trail  *audit.Trail
 	Log    logr.Logger
 }
@@ -72,7 +72,7 @@
 		// command is carried out only in part.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(req.Context()), timeout)
 		defer cancel()
-		who, err := h.Access.Admit(req, need)
+		who, err := h.Access.Authorize(req, need)
 		if err == nil {
 			req.Body = http.MaxBytesReader(w, req.Body, maxBody)
 			var reply any
@@ -83,7 +83,7 @@
 		}
 		var denied *access.Error
 		if errors.As(err, &denied) && method != http.MethodGet {
-			h.Trail.Note(audit.Entry{Who: who.Name, From: remoteHost(req), What: method + " " + req.URL.Path, Result: audit.Refused, Detail: denied.Error()})
+			h.Trail.RecordLimited(audit.Entry{Who: who.Name, From: remoteHost(req), What: method + " " + req.URL.Path, Result: audit.Refused, Detail: denied.Error()})
 		}
 		p := problemOf(err)
 		h.Log.V(1).Info("request on jobs failed", "who", who.Name, "status", p.Status, "error", err.Error())
@@ -109,7 +109,7 @@
 	case err != nil:
 		e.Result, e.Detail = audit.Unknown, err.Error()
 	}
-	h.Trail.Note(e)
+	h.Trail.RecordLimited(e)
 }
 
 // remoteHost returns the client's address without its port.
@@ -133,7 +133,7 @@
 	switch {
 	case errors.As(err, &denied):
 		p.Status, p.Code = http.StatusUnauthorized, api.CodeUnauthorized
-		if denied.Known {
+		if denied.Authenticated {
 			p.Status, p.Code = http.StatusForbidden, api.CodeForbidden
 		}
 	case errors.As(err, &refusal):
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestParse(t *testing.T) {
-	because := Reason{Text: "disk"}
+	diskReason := Reason{Text: "disk"}
 	cases := []struct {
 		name string
 		line string
@@ -30,18 +30,18 @@
 		{"what-if wave", "what-if wave spring on pool tabulation", WhatIf{Order: StartWave{Wave: "spring", Pools: pools("tabulation")}}},
 		{"what-if loss", "what-if lose zone gt-a", WhatIf{Lose: &Scope{SubjectZone, "gt-a"}}},
 		{"what-if declaration", "what-if declaration", WhatIf{Declaration: true}},
-		{"drain", `drain vm v17 reason "disk"`, Drain{Reason: because, Scope: Scope{SubjectVM, "v17"}}},
-		{"drain and cut", `drain vm v17 cut reason "disk"`, Drain{Reason: because, Scope: Scope{SubjectVM, "v17"}, Cut: true}},
+		{"drain", `drain vm v17 reason "disk"`, Drain{Reason: diskReason, Scope: Scope{SubjectVM, "v17"}}},
+		{"drain and cut", `drain vm v17 cut reason "disk"`, Drain{Reason: diskReason, Scope: Scope{SubjectVM, "v17"}, Cut: true}},
 		{"undrain", "undrain vm v17", Undrain{VM: "v17"}},
 		{"move", "move vm v17 to pool weighting", Move{VM: "v17", Pool: "weighting"}},
 		{"start", "start wave spring on pool tabulation", StartWave{Wave: "spring", Pools: pools("tabulation")}},
 		{"start on two pools", "start wave spring on pool a, b", StartWave{Wave: "spring", Pools: pools("a", "b")}},
 		{"start as declared", "start wave spring", StartWave{Wave: "spring"}},
-		{"pause", `pause wave spring reason "disk"`, PauseWave{Reason: because, Wave: "spring"}},
+		{"pause", `pause wave spring reason "disk"`, PauseWave{Reason: diskReason, Wave: "spring"}},
 		{"resume", "resume wave spring", ResumeWave{Wave: "spring"}},
 		{"cancel", "cancel wave spring", CancelWave{Wave: "spring"}},
 		{"cancel a job", "cancel job j9", CancelJobs{Job: "j9"}},
-		{"cancel many jobs", `cancel jobs where team = panel reason "disk"`, CancelJobs{Reason: because, Where: []Condition{{"team", Equal, "panel"}}}},
+		{"cancel many jobs", `cancel jobs where team = panel reason "disk"`, CancelJobs{Reason: diskReason, Where: []Condition{{"team", Equal, "panel"}}}},
 		{"submit", "submit job j9 team analysts kind crosstab cpu 0.5 memory-mb 512 class urgent run-time 10m repeatable zone gt-a", SubmitJob{Job: model.Job{
 			ID: "j9", Team: "analysts", Kind: "crosstab", Class: model.ClassUrgent, Zone: "gt-a", Repeatable: true,
 			Declared: model.Resources{MilliCPU: 500, MemoryMB: 512}, RunTime: 10 * time.Minute}}},
@@ -87,7 +87,7 @@
   show vms where pool tabulation
                       ^^^^^^^^^^
 expected one of: =, !=, <, <=, >, >=`},
-		{"word too many", "undrain vm v1 now", `unexpected "now"
+		{"extra word", "undrain vm v1 now", `unexpected "now"
   undrain vm v1 now
                 ^^^
 expected one of: reason, the end of the line`},
@@ -99,15 +99,15 @@
   set service a limit many
                       ^^^^
 expected a whole number of at least 0`},
-		{"a job's part twice", "submit job j team t kind k spread cpu 1 spread", `unexpected "spread"
+		{"job option given twice", "submit job j team t kind k spread cpu 1 spread", `unexpected "spread"
   submit job j team t kind k spread cpu 1 spread
                                           ^^^^^^
 expected spread once`},
-		{"a job's part out of range", "submit job j team t kind k cpu NaN", `unexpected "NaN"
+		{"job option out of range", "submit job j team t kind k cpu NaN", `unexpected "NaN"
   submit job j team t kind k cpu NaN
                                  ^^^
 expected a number of cores above 0, such as 4 or 0.5`},
-		{"a sign of no meaning", "show vms where pool ~ a", `unexpected "~"
+		{"unknown sign", "show vms where pool ~ a", `unexpected "~"
   show vms where pool ~ a
                       ^
 expected one of: =, !=, <, <=, >, >=`},
@@ -115,7 +115,7 @@
 expected at most 128`},
 		{"empty line", "", `unexpected the end of the line
 expected one of: show, explain, what-if, drain, undrain, move, start, pause, resume, cancel, set, submit`},
-		{"open quotes", `drain vm v1 reason "disk`, `unexpected "\"disk"
+		{"unterminated string", `drain vm v1 reason "disk`, `unexpected "\"disk"
   drain vm v1 reason "disk
                      ^^^^^
 expected a text in double quotes`},
