--- a/internal/operator/wiring/peers.go
+++ b/internal/operator/wiring/peers.go
@@ -35,7 +35,7 @@
 	}}
 	for _, st := range p.Mesh.Peers() {
 		heard = append(heard, query.PeerStatus{
-			Entry: st.Entry, Zone: st.Zone, LastHeard: st.LastSeen, Generation: st.Generation, Revision: st.Revision,
+			Entry: st.Entry, Zone: st.Zone, LastHeard: st.LastHeard, Generation: st.Generation, Revision: st.Revision,
 		})
 	}
 	return heard
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -285,7 +285,7 @@
 	var live []PeerDigest
 	for _, p := range m.Peers() {
 		if p.Live {
-			live = append(live, PeerDigest{Digest: p.Digest, ReceivedAt: p.LastSeen})
+			live = append(live, PeerDigest{Digest: p.Digest, ReceivedAt: p.LastHeard})
 		}
 	}
 	return live
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -30,7 +30,7 @@
 	Digest      // the newest; Loads is nil
 	Address     string
 	Incarnation uint64
-	LastSeen    time.Time // when the newest digest, or else the hello, arrived
+	LastHeard   time.Time // when the newest digest, or else the hello, arrived
 	Live        bool
 	// ClockOffset is how far the peer's clock is ahead of the local one. It is too
 	// low by the time that the digest took to arrive.
@@ -91,7 +91,7 @@
 	next.status.Zone = model.ZoneName(h.Zone)
 	next.status.Address = h.Peer
 	next.status.Incarnation = h.Incarnation
-	next.status.LastSeen = t.now()
+	next.status.LastHeard = t.now()
 	if r != nil && r.status.Incarnation == h.Incarnation {
 		next.status.Digest = r.status.Digest
 	}
@@ -124,8 +124,8 @@
 	}
 	d.Entry, d.Zone, d.Loads = id, r.status.Zone, nil
 	r.status.Digest = d
-	r.status.LastSeen = t.now()
-	r.status.ClockOffset = time.UnixMilli(d.Clock).Sub(r.status.LastSeen)
+	r.status.LastHeard = t.now()
+	r.status.ClockOffset = time.UnixMilli(d.Clock).Sub(r.status.LastHeard)
 	return true
 }
 
@@ -136,7 +136,7 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	for id, r := range t.peers {
-		silent := now.Sub(r.status.LastSeen)
+		silent := now.Sub(r.status.LastHeard)
 		if silent >= loadTTL {
 			t.subtractLocked(r)
 		}
@@ -206,7 +206,7 @@
 	if r.status.Zone == t.zone {
 		window = liveTimeoutWithinZone
 	}
-	return r.status.Seq > 0 && t.now().Sub(r.status.LastSeen) < window
+	return r.status.Seq > 0 && t.now().Sub(r.status.LastHeard) < window
 }
 
 // list returns the status of all peers in the table.
