--- a/internal/infra/standin/faults.go
+++ b/internal/infra/standin/faults.go
@@ -64,7 +64,7 @@
 }
 
 // applyDown makes the Network refuse connections from zone to the platform, or
-// allows them again.
+// allows them again. AnyZone stands for all zones.
 func (f *Faults) applyDown(zone string, down bool) {
 	switch {
 	case zone == AnyZone:
--- a/internal/infra/standin/standin.go
+++ b/internal/infra/standin/standin.go
@@ -28,8 +28,8 @@
 // 1 MB, which takes 1.4 MB in base64.
 const maxBodyBytes = 4 << 20
 
-// Server is the simulated platform. It is an http.Handler; tests control it
-// through its fields.
+// Server is the simulated platform. It is an http.Handler. Its fields inject
+// faults and control the machines, the rate limits and the stored data.
 type Server struct {
 	Faults   *Faults
 	Network  *Network
@@ -123,7 +123,7 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // fails if the client is gone, which has seen the connection end
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected or gets a truncated response
 }
 
 // readJSON decodes the request body into the given value. If that fails, it answers
--- a/internal/infra/standin/tasks.go
+++ b/internal/infra/standin/tasks.go
@@ -251,8 +251,8 @@
 	return t.behaviour.Size
 }
 
-// speed returns the fraction of full speed that the processor cap permits, from 0
-// to 1.
+// speed returns the fraction of full speed that the processor cap permits, at
+// most 1.
 func (t *task) speed() float64 {
 	want := t.actualSize().MilliCPU
 	if t.milliCPUCap <= 0 || t.milliCPUCap >= want {
