--- a/cmd/pumicestage/print.go
+++ b/cmd/pumicestage/print.go
@@ -52,7 +52,7 @@
 }
 
 func printExplanation(w io.Writer, x *query.Explanation) {
-	fmt.Fprintf(w, "%s %s: %s\n", x.Subject, x.Name, x.Now)
+	fmt.Fprintf(w, "%s %s: %s\n", x.Subject, x.Name, x.CurrentState)
 	for _, r := range x.Reasons {
 		at := "always"
 		if !r.At.IsZero() {
@@ -63,7 +63,7 @@
 }
 
 func printForecast(w io.Writer, f *query.Forecast) {
-	fmt.Fprintf(w, "%s: %s\n", f.What, verdict(f))
+	fmt.Fprintf(w, "%s: %s\n", f.Description, verdict(f))
 	var rows [][]string
 	for _, s := range f.Steps {
 		rows = append(rows, []string{string(s.VM), s.Action, yesNo(s.Done), s.Reason})
@@ -78,7 +78,7 @@
 			zone = "all"
 		}
 		rows = append(rows, []string{
-			string(b.After.Service), zone, fmt.Sprint(b.After.Need),
+			string(b.After.Service), zone, fmt.Sprint(b.After.Required),
 			fmt.Sprint(b.Before.Available), fmt.Sprint(b.After.Available),
 			fmt.Sprint(b.Before.Spare()), fmt.Sprint(b.After.Spare()),
 		})
@@ -87,8 +87,8 @@
 		printTable(w, []string{"service", "zone", "need", "available", "then", "headroom", "then"}, rows)
 	}
 	fmt.Fprintf(w, "VMs that change pool: %d, jobs that go elsewhere: %d", f.Moves, f.Jobs)
-	if f.Takes > 0 {
-		fmt.Fprintf(w, ", takes about %s", f.Takes.Round(time.Second))
+	if f.Duration > 0 {
+		fmt.Fprintf(w, ", takes about %s", f.Duration.Round(time.Second))
 	}
 	fmt.Fprintln(w)
 	for _, n := range f.Notes {
@@ -100,7 +100,7 @@
 	switch {
 	case !f.Allowed:
 		return "would be refused: " + f.Refusal
-	case !f.Holds:
+	case !f.BudgetsHold:
 		return "a budget would break"
 	}
 	return "every budget would hold"
@@ -113,7 +113,7 @@
 		fmt.Fprintf(w, "WARNING: this view is %s old, things may have changed since\n", v.Age.Truncate(time.Second))
 	}
 	for _, z := range v.MissingZones {
-		fmt.Fprintf(w, "WARNING: zone %s is not heard %s, what is said of it may be over\n", z.Zone, sinceText(z.Heard))
+		fmt.Fprintf(w, "WARNING: zone %s is not heard %s, what is said of it may be over\n", z.Zone, sinceText(z.LastHeard))
 	}
 	fmt.Fprintf(w, "view of %s, %s old, generation %d, revision %d, answered by %s\n",
 		v.AsOf.UTC().Format("2006-01-02 15:04:05"), v.Age.Truncate(time.Millisecond), v.Generation, v.Revision, orUnknown(string(v.Entry)))
--- a/internal/operator/operatortest/fixture.go
+++ b/internal/operator/operatortest/fixture.go
@@ -49,12 +49,12 @@
 	f.FaultyStore = faulty.Wrap(f.BackingStore)
 	f.Trail = audit.New(audit.Options{Store: f.FaultyStore, Self: "e1", Clock: f.Clock, WriteInterval: -1, Log: logr.Discard()})
 	f.Publish(d)
-	stored := command.Stored{Store: f.FaultyStore, Clock: f.Clock, View: f.View}
+	stored := command.DeclarationStore{Store: f.FaultyStore, Clock: f.Clock, View: f.View}
 	f.Handler = operator.New(operator.Options{
 		Store: f.FaultyStore,
 		View:  f.View,
 		Commands: command.New(command.Options{
-			Fleet: f.Fleet, Settings: stored, Declarer: stored, Members: scope.Resolver{View: f.View},
+			Fleet: f.Fleet, Settings: stored, Declarations: stored, Scopes: scope.Resolver{View: f.View},
 			Trail: operator.CommandTrail{Trail: f.Trail}, Clock: f.Clock,
 		}),
 		Queries: query.New(query.Options{
@@ -90,10 +90,10 @@
 
 func (fakePeers) Self() model.EntryID { return "e1" }
 
-func (p fakePeers) Heard() []query.PeerHeard {
-	var heard []query.PeerHeard
+func (p fakePeers) Statuses() []query.PeerStatus {
+	var heard []query.PeerStatus
 	for _, e := range p.f.View.Load().Entries {
-		heard = append(heard, query.PeerHeard{Entry: e.ID, Zone: e.Zone, At: p.f.Clock.Now()})
+		heard = append(heard, query.PeerStatus{Entry: e.ID, Zone: e.Zone, LastHeard: p.f.Clock.Now()})
 	}
 	return heard
 }
@@ -103,7 +103,7 @@
 type Fleet struct {
 	mu          sync.Mutex
 	Orders      []string
-	Terms       []command.Terms
+	Terms       []command.OrderMeta
 	Refusals    map[model.VMID]*command.Refusal
 	Failure     error
 	BeforeOrder func() // called before each order if not nil
@@ -111,7 +111,7 @@
 
 // record records an order and returns its outcome. The order fails with an
 // UncertainError if ctx has ended.
-func (f *Fleet) record(ctx context.Context, order string, vm model.VMID, t command.Terms) (command.Effect, error) {
+func (f *Fleet) record(ctx context.Context, order string, vm model.VMID, t command.OrderMeta) (command.Effect, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.BeforeOrder != nil {
@@ -129,7 +129,7 @@
 }
 
 // Drain implements command.Fleet.
-func (f *Fleet) Drain(ctx context.Context, vm model.VMID, cut bool, t command.Terms) (command.Effect, error) {
+func (f *Fleet) Drain(ctx context.Context, vm model.VMID, cut bool, t command.OrderMeta) (command.Effect, error) {
 	order := "drain "
 	if cut {
 		order = "cut "
@@ -138,17 +138,17 @@
 }
 
 // Undrain implements command.Fleet.
-func (f *Fleet) Undrain(ctx context.Context, vm model.VMID, t command.Terms) (command.Effect, error) {
+func (f *Fleet) Undrain(ctx context.Context, vm model.VMID, t command.OrderMeta) (command.Effect, error) {
 	return f.record(ctx, "undrain "+string(vm), vm, t)
 }
 
 // Move implements command.Fleet.
-func (f *Fleet) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.OrderMeta) (command.Effect, error) {
 	return f.record(ctx, "move "+string(vm)+" to "+string(to), vm, t)
 }
 
 // StartWave implements command.Fleet.
-func (f *Fleet) StartWave(ctx context.Context, w model.WaveName, pools []model.PoolName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) StartWave(ctx context.Context, w model.WaveName, pools []model.PoolName, t command.OrderMeta) (command.Effect, error) {
 	order := "start " + string(w)
 	for _, p := range pools {
 		order += " " + string(p)
@@ -157,17 +157,17 @@
 }
 
 // PauseWave implements command.Fleet.
-func (f *Fleet) PauseWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) PauseWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	return f.record(ctx, "pause "+string(w), "", t)
 }
 
 // ResumeWave implements command.Fleet.
-func (f *Fleet) ResumeWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) ResumeWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	return f.record(ctx, "resume "+string(w), "", t)
 }
 
 // CancelWave implements command.Fleet.
-func (f *Fleet) CancelWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (f *Fleet) CancelWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	return f.record(ctx, "cancel "+string(w), "", t)
 }
 
@@ -202,8 +202,8 @@
 	return countHeadroom(s, nil), nil
 }
 
-// Foresee implements query.Planner.
-func (Planner) Foresee(_ context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
+// Forecast implements query.Planner.
+func (Planner) Forecast(_ context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
 	stopped := make(map[model.VMID]bool)
 	forecast := query.Forecast{Allowed: true}
 	for _, vm := range append(append([]model.VMID{}, h.Drain...), h.Lose...) {
@@ -212,7 +212,7 @@
 	}
 	before, after := countHeadroom(s, nil), countHeadroom(s, stopped)
 	for i := range before {
-		forecast.Budgets = append(forecast.Budgets, query.BudgetShift{Before: before[i], After: after[i]})
+		forecast.Budgets = append(forecast.Budgets, query.BudgetChange{Before: before[i], After: after[i]})
 	}
 	return forecast, nil
 }
@@ -232,7 +232,7 @@
 				h.Available++
 			}
 		}
-		h.Need = svc.Budget.MinAvailable.Of(h.VMs)
+		h.Required = svc.Budget.MinAvailable.Of(h.VMs)
 		rows = append(rows, h)
 	}
 	return rows
--- a/internal/operator/trail.go
+++ b/internal/operator/trail.go
@@ -19,8 +19,8 @@
 	return t.Trail.Record(ctx, auditEntry(e))
 }
 
-// Note implements command.Trail.
-func (t CommandTrail) Note(e command.Event) { t.Trail.RecordLimited(auditEntry(e)) }
+// RecordLimited implements command.Trail.
+func (t CommandTrail) RecordLimited(e command.Event) { t.Trail.RecordLimited(auditEntry(e)) }
 
 // stageResult maps the stage of an order to the result in its audit entry.
 var stageResult = map[command.Stage]audit.Result{
@@ -33,7 +33,7 @@
 func auditEntry(e command.Event) audit.Entry {
 	return audit.Entry{
 		At: e.At, Who: e.By.Name, From: e.By.From, Change: e.Change,
-		What: e.What, Before: e.Before, After: e.After, Result: stageResult[e.Stage], Detail: e.Detail,
+		What: e.Action, Before: e.Before, After: e.After, Result: stageResult[e.Stage], Detail: e.Detail,
 	}
 }
 
@@ -45,8 +45,8 @@
 	Trail *audit.Trail
 }
 
-// About implements query.History. It returns at most maxHistoryEntries reasons.
-func (h QueryHistory) About(ctx context.Context, subject string) ([]query.Reason, error) {
+// Reasons implements query.History. It returns at most maxHistoryEntries reasons.
+func (h QueryHistory) Reasons(ctx context.Context, subject string) ([]query.Reason, error) {
 	entries, _, err := h.Trail.Read(ctx, audit.Filter{Subject: subject, Limit: maxHistoryEntries})
 	if err != nil {
 		return nil, err
--- a/internal/operator/wiring/orders.go
+++ b/internal/operator/wiring/orders.go
@@ -19,7 +19,7 @@
 // Drain implements command.Fleet. With cut set, it drains the VM and then orders
 // that it may proceed although requests or tasks still run on it. A VM that is
 // already leaving for another reason only gets the second order.
-func (o Orders) Drain(ctx context.Context, vm model.VMID, cut bool, t command.Terms) (command.Effect, error) {
+func (o Orders) Drain(ctx context.Context, vm model.VMID, cut bool, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.Drain(ctx, vm, fleetOrder(t))
 	if !cut {
 		return commandEffect(string(model.VMInPool), out, t, err)
@@ -35,49 +35,49 @@
 }
 
 // Undrain implements command.Fleet.
-func (o Orders) Undrain(ctx context.Context, vm model.VMID, t command.Terms) (command.Effect, error) {
+func (o Orders) Undrain(ctx context.Context, vm model.VMID, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.Undrain(ctx, vm, fleetOrder(t))
 	return commandEffect("drained", out, t, err)
 }
 
 // Move implements command.Fleet.
-func (o Orders) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.Terms) (command.Effect, error) {
+func (o Orders) Move(ctx context.Context, vm model.VMID, to model.PoolName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.Move(ctx, vm, to, fleetOrder(t))
 	return commandEffect(string(model.VMInPool), out, t, err)
 }
 
 // StartWave implements command.Fleet.
-func (o Orders) StartWave(ctx context.Context, w model.WaveName, pools []model.PoolName, t command.Terms) (command.Effect, error) {
+func (o Orders) StartWave(ctx context.Context, w model.WaveName, pools []model.PoolName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.StartWave(ctx, w, pools, fleetOrder(t))
 	return commandEffect("not running", out, t, err)
 }
 
 // PauseWave implements command.Fleet.
-func (o Orders) PauseWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (o Orders) PauseWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.PauseWave(ctx, w, fleetOrder(t))
 	return commandEffect(string(fleet.WaveRunning), out, t, err)
 }
 
 // ResumeWave implements command.Fleet.
-func (o Orders) ResumeWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (o Orders) ResumeWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.ResumeWave(ctx, w, fleetOrder(t))
 	return commandEffect(string(fleet.WavePaused), out, t, err)
 }
 
 // CancelWave implements command.Fleet.
-func (o Orders) CancelWave(ctx context.Context, w model.WaveName, t command.Terms) (command.Effect, error) {
+func (o Orders) CancelWave(ctx context.Context, w model.WaveName, t command.OrderMeta) (command.Effect, error) {
 	out, err := o.Fleet.CancelWave(ctx, w, fleetOrder(t))
 	return commandEffect("running or paused", out, t, err)
 }
 
 // fleetOrder converts the terms of an order to those of package fleet.
-func fleetOrder(t command.Terms) fleet.Order {
+func fleetOrder(t command.OrderMeta) fleet.Order {
 	return fleet.Order{Change: t.Change, Actor: t.Actor, IfRevision: t.IfRevision, Reason: t.Reason}
 }
 
 // commandEffect converts the outcome of a fleet order to a command.Effect whose
 // Before is the state given, or "already so" if the order repeats an earlier one.
-func commandEffect(before string, out fleet.Outcome, t command.Terms, err error) (command.Effect, error) {
+func commandEffect(before string, out fleet.Outcome, t command.OrderMeta, err error) (command.Effect, error) {
 	if err != nil {
 		return command.Effect{}, commandError(t.Change, err)
 	}
--- a/internal/operator/wiring/peers.go
+++ b/internal/operator/wiring/peers.go
@@ -27,15 +27,15 @@
 // Self implements query.Peers.
 func (p Peers) Self() model.EntryID { return p.Record.ID }
 
-// Heard implements query.Peers. The first element is this entry VM itself.
-func (p Peers) Heard() []query.PeerHeard {
+// Statuses implements query.Peers. The first element is this entry VM itself.
+func (p Peers) Statuses() []query.PeerStatus {
 	s := p.View.Load()
-	heard := []query.PeerHeard{{
-		Entry: p.Record.ID, Zone: p.Record.Zone, At: p.Clock.Now(), Generation: s.Generation(), Revision: s.Revision,
+	heard := []query.PeerStatus{{
+		Entry: p.Record.ID, Zone: p.Record.Zone, LastHeard: p.Clock.Now(), Generation: s.Generation(), Revision: s.Revision,
 	}}
 	for _, st := range p.Mesh.Peers() {
-		heard = append(heard, query.PeerHeard{
-			Entry: st.Entry, Zone: st.Zone, At: st.Heard, Generation: st.Generation, Revision: st.Revision,
+		heard = append(heard, query.PeerStatus{
+			Entry: st.Entry, Zone: st.Zone, LastHeard: st.LastHeard, Generation: st.Generation, Revision: st.Revision,
 		})
 	}
 	return heard
--- a/internal/operator/wiring/planner.go
+++ b/internal/operator/wiring/planner.go
@@ -30,18 +30,18 @@
 	}
 	var rows []query.Headroom
 	for _, b := range all {
-		rows = append(rows, query.Headroom{Service: b.Service, VMs: b.Total, Available: b.Up, Need: b.Required})
+		rows = append(rows, query.Headroom{Service: b.Service, VMs: b.Total, Available: b.Up, Required: b.Required})
 		for _, z := range s.Declaration.Zones {
 			if d, ok := b.Zones[z]; ok {
-				rows = append(rows, query.Headroom{Service: b.Service, Zone: z, VMs: d.Total, Available: d.Up, Need: d.Required})
+				rows = append(rows, query.Headroom{Service: b.Service, Zone: z, VMs: d.Total, Available: d.Up, Required: d.Required})
 			}
 		}
 	}
 	return rows, nil
 }
 
-// Foresee implements query.Planner. It changes nothing.
-func (p Planner) Foresee(ctx context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
+// Forecast implements query.Planner. It changes nothing.
+func (p Planner) Forecast(ctx context.Context, s *view.Snapshot, h query.Hypothesis) (query.Forecast, error) {
 	now, err := p.currentState(ctx, s)
 	if err != nil {
 		return query.Forecast{}, err
@@ -139,8 +139,8 @@
 
 // budgetShifts returns the budgets that differ between two states, in the order
 // of the declaration's services: for each the whole service, then its zones.
-func budgetShifts(before, after fleetState) []query.BudgetShift {
-	var all []query.BudgetShift
+func budgetShifts(before, after fleetState) []query.BudgetChange {
+	var all []query.BudgetChange
 	for i := range after.declaration.Services {
 		s := &after.declaration.Services[i]
 		old := before.declaration.Service(s.Name)
@@ -148,12 +148,12 @@
 			old = &model.Service{Name: s.Name}
 		}
 		b, a := before.countBudget(old), after.countBudget(s)
-		changed := []query.BudgetShift{{
-			Before: query.Headroom{Service: s.Name, VMs: b.Total, Available: b.Up, Need: b.Required},
-			After:  query.Headroom{Service: s.Name, VMs: a.Total, Available: a.Up, Need: a.Required},
+		changed := []query.BudgetChange{{
+			Before: query.Headroom{Service: s.Name, VMs: b.Total, Available: b.Up, Required: b.Required},
+			After:  query.Headroom{Service: s.Name, VMs: a.Total, Available: a.Up, Required: a.Required},
 		}}
 		for _, z := range after.declaration.Zones {
-			changed = append(changed, query.BudgetShift{Before: zoneHeadroom(s.Name, z, b), After: zoneHeadroom(s.Name, z, a)})
+			changed = append(changed, query.BudgetChange{Before: zoneHeadroom(s.Name, z, b), After: zoneHeadroom(s.Name, z, a)})
 		}
 		for _, c := range changed {
 			if c.Before != c.After {
@@ -169,7 +169,7 @@
 func zoneHeadroom(s model.ServiceName, z model.ZoneName, t *budget.Tally) query.Headroom {
 	h := query.Headroom{Service: s, Zone: z}
 	if d, ok := t.Zones[z]; ok {
-		h.VMs, h.Available, h.Need = d.Total, d.Up, d.Required
+		h.VMs, h.Available, h.Required = d.Total, d.Up, d.Required
 	}
 	return h
 }
@@ -239,7 +239,7 @@
 	if err != nil {
 		return query.Forecast{}, err
 	}
-	f := query.Forecast{Allowed: true, Takes: plan.Forecast}
+	f := query.Forecast{Allowed: true, Duration: plan.Forecast}
 	for _, vm := range plan.Stops {
 		f.Steps = append(f.Steps, query.Step{VM: vm, Action: "reboot", Batch: 1, Done: true})
 	}
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -57,15 +57,15 @@
 	if trail == nil {
 		trail = audit.New(audit.Options{Store: p.Store, Self: p.Self.ID, Clock: p.Clock, Log: p.Log.WithName("audit")})
 	}
-	stored := command.Stored{Store: p.Store, Clock: p.Clock, View: p.View}
+	stored := command.DeclarationStore{Store: p.Store, Clock: p.Clock, View: p.View}
 	commands := command.New(command.Options{
-		Fleet:    Orders{Fleet: p.Fleet},
-		Jobs:     p.Jobs,
-		Settings: stored,
-		Declarer: stored,
-		Members:  scope.Resolver{View: p.View},
-		Trail:    operator.CommandTrail{Trail: trail},
-		Clock:    p.Clock,
+		Fleet:        Orders{Fleet: p.Fleet},
+		Jobs:         p.Jobs,
+		Settings:     stored,
+		Declarations: stored,
+		Scopes:       scope.Resolver{View: p.View},
+		Trail:        operator.CommandTrail{Trail: trail},
+		Clock:        p.Clock,
 	})
 	queries := query.New(query.Options{
 		View:    p.View,
--- a/internal/operator/wiring/wiring_test.go
+++ b/internal/operator/wiring/wiring_test.go
@@ -128,7 +128,7 @@
 	t.Helper()
 	o, err := lang.ParseOrder(text)
 	assert.NilError(t, err)
-	return w.port.Commands.Do(ctx, command.Request{Change: change, By: command.Actor{Name: "ana"}, Text: text, Order: o})
+	return w.port.Commands.Execute(ctx, command.Request{Change: change, By: command.Actor{Name: "ana"}, Text: text, Order: o})
 }
 
 // forecastVerdicts lists the steps of a forecast, as "v01 done" or "v01 refused".
@@ -151,7 +151,7 @@
 	}
 	var lines []string
 	for _, e := range res.Effects {
-		lines = append(lines, verdict(strings.TrimPrefix(e.What, "vm "), e.Refused == nil))
+		lines = append(lines, verdict(strings.TrimPrefix(e.Subject, "vm "), e.Refused == nil))
 	}
 	return strings.Join(lines, ", ")
 }
@@ -258,9 +258,9 @@
 func TestForecastsOfLossAndDeclaration(t *testing.T) {
 	w := newFixture(t, "lautan-kru")
 	rack := w.whatIf(t, "lose rack my-a-r1")
-	assert.Assert(t, rack.Holds)
+	assert.Assert(t, rack.BudgetsHold)
 	zone := w.whatIf(t, "lose zone my-a")
-	assert.Assert(t, !zone.Holds)
+	assert.Assert(t, !zone.BudgetsHold)
 	assert.Equal(t, len(zone.Steps), 13)
 
 	smallerDeclaration := *w.declaration
--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -16,8 +16,8 @@
 	View *view.Holder
 }
 
-// In returns the IDs of the VMs in the scope as of the newest snapshot, sorted.
-func (h Resolver) In(s lang.Scope) []model.VMID { return Resolve(h.View.Load(), s) }
+// Resolve returns the IDs of the VMs in the scope as of the newest snapshot, sorted.
+func (h Resolver) Resolve(s lang.Scope) []model.VMID { return Resolve(h.View.Load(), s) }
 
 // Resolve returns the IDs of the VMs in the scope as of the snapshot, sorted.
 func Resolve(s *view.Snapshot, sc lang.Scope) []model.VMID {
