--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -76,7 +76,7 @@
 		e.Stage, e.After, e.Detail = StageDone, generationText(res.Generation), "the same was in force already"
 	default:
 		e.Stage, e.Before, e.After = StageDone, generationText(res.Generation-1), generationText(res.Generation)
-		e.Detail = differText(res.Differ)
+		e.Detail = differText(res.Differences)
 	}
 	return e
 }
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -37,12 +37,12 @@
 
 // ApplyResult is what became of a change.
 type ApplyResult struct {
-	Generation uint64 // that the change was given, or would be
-	Revision   infra.Revision
-	Differ     []Difference // against the declaration it replaces
-	Unchanged  bool         // the same is in force already: no new generation
-	Repeated   bool         // the same change ID was accepted earlier
-	Current    uint64       // the generation in force now; above Generation where another change followed
+	Generation  uint64 // that the change was given, or would be
+	Revision    infra.Revision
+	Differences []Difference // against the declaration it replaces
+	Unchanged   bool         // the same is in force already: no new generation
+	Repeated    bool         // the same change ID was accepted earlier
+	Current     uint64       // the generation in force now; above Generation where another change followed
 	// Broken are the budgets that its removals break; only a dry run returns
 	// them beside a result.
 	Broken []BrokenBudget
@@ -70,8 +70,8 @@
 	if err := checkTerms(current, base, d, broken, opts); err != nil {
 		return ApplyResult{}, err
 	}
-	res := ApplyResult{Differ: Diff(base, d), Broken: broken}
-	if len(res.Differ) == 0 && current != nil && base.Generation == current.Generation {
+	res := ApplyResult{Differences: Diff(base, d), Broken: broken}
+	if len(res.Differences) == 0 && current != nil && base.Generation == current.Generation {
 		res.Unchanged, res.Generation, res.Current, res.Revision = true, base.Generation, base.Generation, rev
 		return res, nil
 	}
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -101,7 +101,7 @@
 			way.BeforeWrite(nil)
 			again, err := Apply(ctx, way, limited(t, 2), options("c-mine", "ana"))
 			assert.NilError(t, err)
-			again.Revision, again.Differ = 0, nil
+			again.Revision, again.Differences = 0, nil
 			assert.DeepEqual(t, again, tc.wantRepeat)
 		})
 	}
@@ -193,7 +193,7 @@
 		res, err := Apply(ctx, newStore(t), limited(t, 2), opts)
 		assert.NilError(t, err)
 		assert.Equal(t, res.Generation, uint64(8))
-		assert.Equal(t, res.Differ[0].String(), "~ service api: limit 70 -> 2")
+		assert.Equal(t, res.Differences[0].String(), "~ service api: limit 70 -> 2")
 	})
 	t.Run("recent changes are bounded", func(t *testing.T) {
 		store := newStore(t)
--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -64,7 +64,7 @@
 	}
 	return api.ChangeReply{
 		Generation: res.Generation, Current: res.Current, Unchanged: res.Unchanged, Repeated: res.Repeated,
-		Differ: res.Differ, Broken: res.Broken, Warning: res.Warning,
+		Differ: res.Differences, Broken: res.Broken, Warning: res.Warning,
 	}, nil
 }
 
