--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -114,7 +114,7 @@
 }
 
 func conflict(current *Stored, base, d *model.Declaration) *ConflictError {
-	e := &ConflictError{Winner: Applied{Generation: generation(base)}, Differ: Diff(base, d)}
+	e := &ConflictError{Winner: Applied{Generation: generation(base)}, Differences: Diff(base, d)}
 	if current != nil && current.Generation == generation(base) {
 		e.Winner = current.Last()
 	}
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -92,7 +92,7 @@
 			var lost *ConflictError
 			if errors.As(err, &lost) {
 				assert.Equal(t, lost.Winner.By, "bea")
-				assert.Equal(t, lost.Differ[0].String(), "~ service api: limit 99 -> 2")
+				assert.Equal(t, lost.Differences[0].String(), "~ service api: limit 99 -> 2")
 			}
 
 			way.SetDown(false)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -10,14 +10,14 @@
 // ConflictError reports a change that lost against another: nothing of it was
 // applied.
 type ConflictError struct {
-	Winner Applied      // the change in force instead
-	Differ []Difference // from the declaration in force to the one refused
+	Winner      Applied      // the change in force instead
+	Differences []Difference // from the declaration in force to the one refused
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("not applied: generation %d by %s (change %s, %s) is in force instead; it differs in %d places",
-		e.Winner.Generation, e.Winner.By, e.Winner.Change, e.Winner.At.UTC().Format("2006-01-02 15:04:05"), len(e.Differ))
+		e.Winner.Generation, e.Winner.By, e.Winner.Change, e.Winner.At.UTC().Format("2006-01-02 15:04:05"), len(e.Differences))
 }
 
 // RemovalError reports a change that was not applied because what it removes
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -71,7 +71,7 @@
 	case errors.As(err, &invalid):
 		return api.Problem{Status: http.StatusUnprocessableEntity, Code: api.CodeInvalid, Detail: invalid.Error(), Problems: invalid.Problems}, true
 	case errors.As(err, &conflict):
-		return api.Problem{Status: http.StatusConflict, Code: api.CodeConflict, Detail: conflict.Error(), Winner: &conflict.Winner, Differ: conflict.Differ}, true
+		return api.Problem{Status: http.StatusConflict, Code: api.CodeConflict, Detail: conflict.Error(), Winner: &conflict.Winner, Differ: conflict.Differences}, true
 	case errors.As(err, &removal):
 		return api.Problem{Status: http.StatusConflict, Code: api.CodeRemoval, Detail: removal.Error(), Broken: removal.Broken}, true
 	case errors.As(err, &unavailable):
