--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -10,47 +10,51 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// ApplyOptions says who changes the declaration and on what terms.
+// ApplyOptions identifies a change of the declaration and sets its
+// preconditions.
 type ApplyOptions struct {
-	Change model.ChangeID // a repeat with the same ID is the same change
-	By     string
-	From   string
+	Change model.ChangeID // makes repeats idempotent: the same ID is the same change
+	By     string         // the operator
+	From   string         // the address that the request came from
 	At     time.Time
 
-	// IfGeneration refuses the change unless this generation is in force.
-	// Nil accepts any.
+	// IfGeneration is the generation that must be in force, or the change is
+	// refused. Nil accepts any.
 	IfGeneration *uint64
-	// IfRevision refuses the change unless the store's key has this revision;
-	// 0 accepts any.
+	// IfRevision is the revision that the store's key must have, or the change
+	// is refused. 0 accepts any.
 	IfRevision infra.Revision
-	// ConfirmRemoval applies a removal that breaks a budget.
+	// ConfirmRemoval allows removals that break a budget.
 	ConfirmRemoval bool
-	// DryRun does all but write.
+	// DryRun makes every check and computes the result, but writes nothing.
 	DryRun bool
 
-	// InForce is the declaration this entry VM holds, which is newer than the
-	// store's where the store was restored from an old copy.
+	// InForce is the declaration that this entry VM uses. It is newer than the
+	// stored one if the store was restored from an old backup. Nil if there is
+	// none.
 	InForce *model.Declaration
-	// Live tells where VMs really are, for the check of removals.
+	// Live holds the current pool and state of VMs, for the check of removals.
+	// VMs not in it count as available in their declared pool.
 	Live map[model.VMID]model.VM
 }
 
-// ApplyResult is what became of a change.
+// ApplyResult is the outcome of an accepted change or a dry run.
 type ApplyResult struct {
-	Generation  uint64 // that the change was given, or would be
+	Generation  uint64 // of the change, or the one that it would get in a dry run
 	Revision    infra.Revision
-	Differences []Difference // against the declaration it replaces
-	Unchanged   bool         // the same is in force already: no new generation
-	Repeated    bool         // the same change ID was accepted earlier
-	Current     uint64       // the generation in force now; above Generation where another change followed
-	// Broken are the budgets that its removals break; only a dry run returns
-	// them beside a result.
+	Differences []Difference // from the replaced declaration to the new one
+	Unchanged   bool         // the declaration in force is the same; no generation was made
+	Repeated    bool         // a change with this ID was accepted earlier
+	Current     uint64       // the generation in force; above Generation if another change followed
+	// Broken lists the budgets that the removals break. It is empty unless the
+	// change is a dry run or has ConfirmRemoval set.
 	Broken []BrokenBudget
 }
 
-// Apply makes d the declaration in force, under the next generation. Errors
-// are *InvalidError, *ConflictError, *RemovalError, *UnavailableError
-// (certainly not applied), *UnknownError and *CorruptError.
+// Apply stores d as the declaration in force, with the next generation. It
+// returns *InvalidError, *ConflictError, *RemovalError, *UnavailableError or
+// *CorruptError if d was not applied, and *UnknownError if it may or may not
+// have been.
 func Apply(ctx context.Context, store infra.Store, d *model.Declaration, opts ApplyOptions) (ApplyResult, error) {
 	if problems := Validate(d); len(problems) > 0 {
 		return ApplyResult{}, trace.Wrap(&InvalidError{Problems: problems})
@@ -59,15 +63,15 @@
 	if err != nil {
 		return ApplyResult{}, err
 	}
-	if res, ok := repeated(current, opts.Change); ok {
+	if res, ok := earlierResult(current, opts.Change); ok {
 		return res, nil
 	}
-	base := newest(current, opts.InForce)
+	base := newestDeclaration(current, opts.InForce)
 	if opts.IfRevision != 0 && opts.IfRevision != rev {
-		return ApplyResult{}, trace.Wrap(conflict(current, base, d))
+		return ApplyResult{}, trace.Wrap(newConflictError(current, base, d))
 	}
 	broken := BrokenByRemoval(base, d, opts.Live)
-	if err := checkTerms(current, base, d, broken, opts); err != nil {
+	if err := checkPreconditions(current, base, d, broken, opts); err != nil {
 		return ApplyResult{}, err
 	}
 	res := ApplyResult{Differences: Diff(base, d), Broken: broken}
@@ -75,7 +79,7 @@
 		res.Unchanged, res.Generation, res.Current, res.Revision = true, base.Generation, base.Generation, rev
 		return res, nil
 	}
-	next := successor(current, base, d, opts)
+	next := nextStored(current, base, d, opts)
 	res.Generation, res.Current = next.Generation, next.Generation
 	if opts.DryRun {
 		return res, nil
@@ -83,7 +87,9 @@
 	return commit(ctx, store, next, rev, res)
 }
 
-func repeated(current *Stored, change model.ChangeID) (ApplyResult, bool) {
+// earlierResult returns the result of change if it was accepted before and is
+// among the recent changes.
+func earlierResult(current *Stored, change model.ChangeID) (ApplyResult, bool) {
 	if current == nil || change == "" {
 		return ApplyResult{}, false
 	}
@@ -91,9 +97,10 @@
 	return ApplyResult{Generation: earlier.Generation, Current: current.Generation, Repeated: true}, ok
 }
 
-// newest returns what a change is against. An entry VM never steps back, so a
-// generation above the store's is in force although the store forgot it.
-func newest(current *Stored, inForce *model.Declaration) *model.Declaration {
+// newestDeclaration returns the declaration that a change is based on. An entry
+// VM never adopts a lower generation, so inForce wins if its generation is
+// above the stored one, as after the store was restored from an old backup.
+func newestDeclaration(current *Stored, inForce *model.Declaration) *model.Declaration {
 	if current == nil {
 		return inForce
 	}
@@ -103,9 +110,9 @@
 	return &current.Declaration
 }
 
-func checkTerms(current *Stored, base, d *model.Declaration, broken []BrokenBudget, opts ApplyOptions) error {
-	if want := opts.IfGeneration; want != nil && *want != generation(base) {
-		return trace.Wrap(conflict(current, base, d))
+func checkPreconditions(current *Stored, base, d *model.Declaration, broken []BrokenBudget, opts ApplyOptions) error {
+	if want := opts.IfGeneration; want != nil && *want != generationOf(base) {
+		return trace.Wrap(newConflictError(current, base, d))
 	}
 	if len(broken) > 0 && !opts.ConfirmRemoval && !opts.DryRun {
 		return trace.Wrap(&RemovalError{Broken: broken})
@@ -113,30 +120,35 @@
 	return nil
 }
 
-func conflict(current *Stored, base, d *model.Declaration) *ConflictError {
-	e := &ConflictError{Winner: Applied{Generation: generation(base)}, Differences: Diff(base, d)}
-	if current != nil && current.Generation == generation(base) {
+// newConflictError describes the declaration in force and how d differs from
+// it. The record of the winning change is incomplete if the store does not
+// hold that generation.
+func newConflictError(current *Stored, base, d *model.Declaration) *ConflictError {
+	e := &ConflictError{Winner: Applied{Generation: generationOf(base)}, Differences: Diff(base, d)}
+	if current != nil && current.Generation == generationOf(base) {
 		e.Winner = current.Last()
 	}
 	return e
 }
 
-func generation(d *model.Declaration) uint64 {
+func generationOf(d *model.Declaration) uint64 {
 	if d == nil {
 		return 0
 	}
 	return d.Generation
 }
 
-func successor(current *Stored, base, d *model.Declaration, opts ApplyOptions) *Stored {
+// nextStored returns the value to store for d, with the next generation and the
+// record of the replaced change.
+func nextStored(current *Stored, base, d *model.Declaration, opts ApplyOptions) *Stored {
 	next := &Stored{Declaration: *d, By: opts.By, From: opts.From, At: opts.At}
-	next.Generation = generation(base) + 1
+	next.Generation = generationOf(base) + 1
 	next.Change = opts.Change
 	if current != nil {
 		next.Recent = append(append(next.Recent, current.Recent...), current.Last())
 	}
-	if over := len(next.Recent) - recentLimit; over > 0 {
-		next.Recent = next.Recent[over:]
+	if excess := len(next.Recent) - maxRecentChanges; excess > 0 {
+		next.Recent = next.Recent[excess:]
 	}
 	return next
 }
@@ -155,17 +167,18 @@
 		return res, nil
 	}
 	if err == nil {
-		return superseded(ctx, store, res), nil
+		return supersededResult(ctx, store, res), nil
 	}
 	if infra.IsKind(err, infra.KindConflict) || infra.IsKind(err, infra.KindUnknown) {
-		return afterDoubt(ctx, store, next, err)
+		return resolveUncertainCommit(ctx, store, next, err)
 	}
 	return ApplyResult{}, trace.Wrap(&UnavailableError{Err: err})
 }
 
-// superseded is the result of a change that took effect and was replaced
-// before we knew. Which generation is in force now is told if it can be read.
-func superseded(ctx context.Context, store infra.Store, res ApplyResult) ApplyResult {
+// supersededResult returns the result of a change that took effect and was
+// replaced before its commit was confirmed. Current is the generation in force
+// if it can be read, and the change's own otherwise.
+func supersededResult(ctx context.Context, store infra.Store, res ApplyResult) ApplyResult {
 	current, _, err := Read(ctx, store)
 	if err != nil || current == nil {
 		return res
@@ -174,23 +187,25 @@
 	return res
 }
 
-// afterDoubt finds out about a change whose commit lost or is in doubt. A
-// change that took effect is the last one or among the recent ones, whoever
-// has written since.
-func afterDoubt(ctx context.Context, store infra.Store, next *Stored, cause error) (ApplyResult, error) {
+// resolveUncertainCommit reads the store to find out whether a change took
+// effect whose commit met a conflict or has an unknown outcome. A change that
+// took effect is the stored one or among its recent ones, whoever has written
+// since.
+func resolveUncertainCommit(ctx context.Context, store infra.Store, next *Stored, cause error) (ApplyResult, error) {
 	current, _, err := Read(ctx, store)
 	if err != nil {
 		return ApplyResult{}, trace.Wrap(&UnknownError{Change: next.Change, Err: cause})
 	}
-	if res, ok := repeated(current, next.Change); ok {
+	if res, ok := earlierResult(current, next.Change); ok {
 		return res, nil
 	}
-	if infra.IsKind(cause, infra.KindUnknown) && generation(declarationOf(current)) < next.Generation {
+	if infra.IsKind(cause, infra.KindUnknown) && generationOf(declarationOf(current)) < next.Generation {
 		return ApplyResult{}, trace.Wrap(&UnknownError{Change: next.Change, Err: cause})
 	}
-	return ApplyResult{}, trace.Wrap(conflict(current, declarationOf(current), &next.Declaration))
+	return ApplyResult{}, trace.Wrap(newConflictError(current, declarationOf(current), &next.Declaration))
 }
 
+// declarationOf returns the declaration in s; nil if s is nil.
 func declarationOf(s *Stored) *model.Declaration {
 	if s == nil {
 		return nil
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -20,97 +20,97 @@
 
 func testDeclaration(t testing.TB, extra string) *model.Declaration {
 	t.Helper()
-	d, err := Parse(Source{File: "f.ini", Text: []byte(sound + extra)})
+	d, err := Parse(Source{File: "f.ini", Text: []byte(validText + extra)})
 	assert.NilError(t, err)
 	return d
 }
 
-func limited(t testing.TB, limit int) *model.Declaration {
+func declarationWithLimit(t testing.TB, limit int) *model.Declaration {
 	return testDeclaration(t, fmt.Sprintf("[service api]\nrepeatable = yes\npools = web\nmin-available = 1\nlimit = %d\n", limit))
 }
 
-func options(change model.ChangeID, by string) ApplyOptions {
+func testOptions(change model.ChangeID, by string) ApplyOptions {
 	return ApplyOptions{Change: change, By: by, From: "10.0.0.7", At: testTime}
 }
 
-// What the operator sees when the way to the store fails in each manner: a
-// change that is in effect is never called refused, one that is not is never
-// called applied, and a repeat under the same change ID never makes a second
-// generation.
+// Checks the result of Apply while store requests or replies are lost: a change
+// that is in effect must not be reported as refused, one that is not must not
+// be reported as applied, and repeating the same change ID must not make a
+// second generation.
 func TestApplyUnderFaults(t *testing.T) {
 	ctx := context.Background()
-	rival := func(t *testing.T, inner infra.Store, change model.ChangeID) func() {
+	competingApply := func(t *testing.T, inner infra.Store, change model.ChangeID) func() {
 		return func() {
-			_, err := Apply(ctx, inner, limited(t, 99), options(change, "bea"))
+			_, err := Apply(ctx, inner, declarationWithLimit(t, 99), testOptions(change, "bea"))
 			assert.NilError(t, err)
 		}
 	}
 	cases := []struct {
 		name       string
-		prepare    func(t *testing.T, inner infra.Store, way *faulty.Store)
-		wantErr    error // its type decides
+		prepare    func(t *testing.T, inner infra.Store, faultyStore *faulty.Store)
+		wantErr    error // only its type is compared
 		wantGen    uint64
-		wantRepeat ApplyResult // of the same change once the fault is over
+		wantRepeat ApplyResult // result of the same change after the fault is cleared
 	}{
 		{"no fault", func(*testing.T, infra.Store, *faulty.Store) {}, nil, 2, ApplyResult{Generation: 2, Current: 2, Repeated: true}},
-		{"store down", func(_ *testing.T, _ infra.Store, way *faulty.Store) { way.SetDown(true) },
+		{"store down", func(_ *testing.T, _ infra.Store, faultyStore *faulty.Store) { faultyStore.SetDown(true) },
 			&UnavailableError{}, 0, ApplyResult{Generation: 2, Current: 2}},
-		{"reply lost", func(_ *testing.T, _ infra.Store, way *faulty.Store) { way.LoseReplies(1) },
+		{"reply lost", func(_ *testing.T, _ infra.Store, faultyStore *faulty.Store) { faultyStore.LoseReplies(1) },
 			nil, 2, ApplyResult{Generation: 2, Current: 2, Repeated: true}},
-		{"request lost", func(_ *testing.T, _ infra.Store, way *faulty.Store) { way.LoseRequests(1) },
+		{"request lost", func(_ *testing.T, _ infra.Store, faultyStore *faulty.Store) { faultyStore.LoseRequests(1) },
 			nil, 2, ApplyResult{Generation: 2, Current: 2, Repeated: true}},
-		{"every reply lost", func(_ *testing.T, _ infra.Store, way *faulty.Store) { way.LoseReplies(9) },
+		{"every reply lost", func(_ *testing.T, _ infra.Store, faultyStore *faulty.Store) { faultyStore.LoseReplies(9) },
 			nil, 2, ApplyResult{Generation: 2, Current: 2, Repeated: true}},
-		{"every request lost", func(_ *testing.T, _ infra.Store, way *faulty.Store) { way.LoseRequests(9) },
+		{"every request lost", func(_ *testing.T, _ infra.Store, faultyStore *faulty.Store) { faultyStore.LoseRequests(9) },
 			&UnknownError{}, 0, ApplyResult{Generation: 2, Current: 2}},
-		{"rival first", func(t *testing.T, inner infra.Store, way *faulty.Store) {
-			beforeWrite(way, 1, rival(t, inner, "c-rival"))
+		{"another change is committed first", func(t *testing.T, inner infra.Store, faultyStore *faulty.Store) {
+			beforeWrite(faultyStore, 1, competingApply(t, inner, "c-rival"))
 		}, &ConflictError{}, 0, ApplyResult{Generation: 3, Current: 3}},
-		{"reply lost, then a rival replaces it", func(t *testing.T, inner infra.Store, way *faulty.Store) {
-			way.LoseReplies(1)
-			beforeWrite(way, 2, rival(t, inner, "c-rival"))
+		{"reply lost, then another change replaces it", func(t *testing.T, inner infra.Store, faultyStore *faulty.Store) {
+			faultyStore.LoseReplies(1)
+			beforeWrite(faultyStore, 2, competingApply(t, inner, "c-rival"))
 		}, nil, 2, ApplyResult{Generation: 2, Current: 3, Repeated: true}},
-		{"request lost, then a rival is first", func(t *testing.T, inner infra.Store, way *faulty.Store) {
-			way.LoseRequests(1)
-			beforeWrite(way, 2, rival(t, inner, "c-rival"))
+		{"request lost, then another change is committed first", func(t *testing.T, inner infra.Store, faultyStore *faulty.Store) {
+			faultyStore.LoseRequests(1)
+			beforeWrite(faultyStore, 2, competingApply(t, inner, "c-rival"))
 		}, &ConflictError{}, 0, ApplyResult{Generation: 3, Current: 3}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			inner := memstore.New(clockwork.NewFakeClockAt(testTime))
-			_, err := Apply(ctx, inner, limited(t, 1), options("c-first", "ana"))
+			_, err := Apply(ctx, inner, declarationWithLimit(t, 1), testOptions("c-first", "ana"))
 			assert.NilError(t, err)
-			way := faulty.Wrap(inner)
-			tc.prepare(t, inner, way)
+			faultyStore := faulty.Wrap(inner)
+			tc.prepare(t, inner, faultyStore)
 
-			res, err := Apply(ctx, way, limited(t, 2), options("c-mine", "ana"))
+			res, err := Apply(ctx, faultyStore, declarationWithLimit(t, 2), testOptions("c-mine", "ana"))
 			assertSameType(t, err, tc.wantErr)
 			assert.Equal(t, res.Generation, tc.wantGen)
 			if err == nil {
 				assert.Equal(t, res.Current, tc.wantRepeat.Current)
 			}
-			var lost *ConflictError
-			if errors.As(err, &lost) {
-				assert.Equal(t, lost.Winner.By, "bea")
-				assert.Equal(t, lost.Differences[0].String(), "~ service api: limit 99 -> 2")
+			var conflict *ConflictError
+			if errors.As(err, &conflict) {
+				assert.Equal(t, conflict.Winner.By, "bea")
+				assert.Equal(t, conflict.Differences[0].String(), "~ service api: limit 99 -> 2")
 			}
 
-			way.SetDown(false)
-			way.LoseReplies(0)
-			way.LoseRequests(0)
-			way.BeforeWrite(nil)
-			again, err := Apply(ctx, way, limited(t, 2), options("c-mine", "ana"))
+			faultyStore.SetDown(false)
+			faultyStore.LoseReplies(0)
+			faultyStore.LoseRequests(0)
+			faultyStore.BeforeWrite(nil)
+			repeat, err := Apply(ctx, faultyStore, declarationWithLimit(t, 2), testOptions("c-mine", "ana"))
 			assert.NilError(t, err)
-			again.Revision, again.Differences = 0, nil
-			assert.DeepEqual(t, again, tc.wantRepeat)
+			repeat.Revision, repeat.Differences = 0, nil
+			assert.DeepEqual(t, repeat, tc.wantRepeat)
 		})
 	}
 }
 
-// beforeWrite runs f before the nth write on the way.
-func beforeWrite(way *faulty.Store, nth int, f func()) {
+// beforeWrite runs f before the nth write to the store.
+func beforeWrite(faultyStore *faulty.Store, nth int, f func()) {
 	seen := 0
-	way.BeforeWrite(func(string, infra.Txn) {
+	faultyStore.BeforeWrite(func(string, infra.Txn) {
 		seen++
 		if seen == nth {
 			f()
@@ -143,68 +143,68 @@
 	ctx := context.Background()
 	newStore := func(t *testing.T) infra.Store {
 		store := memstore.New(clockwork.NewFakeClockAt(testTime))
-		_, err := Apply(ctx, store, limited(t, 1), options("c-1", "ana"))
+		_, err := Apply(ctx, store, declarationWithLimit(t, 1), testOptions("c-1", "ana"))
 		assert.NilError(t, err)
 		return store
 	}
-	t.Run("the same content makes no generation", func(t *testing.T) {
-		res, err := Apply(ctx, newStore(t), limited(t, 1), options("c-2", "bea"))
+	t.Run("unchanged content does not make a generation", func(t *testing.T) {
+		res, err := Apply(ctx, newStore(t), declarationWithLimit(t, 1), testOptions("c-2", "bea"))
 		assert.NilError(t, err)
 		assert.Assert(t, res.Unchanged)
 		assert.Equal(t, res.Generation, uint64(1))
 	})
-	t.Run("another generation than expected is a conflict", func(t *testing.T) {
-		opts := options("c-2", "bea")
+	t.Run("a generation other than the expected one is a conflict", func(t *testing.T) {
+		opts := testOptions("c-2", "bea")
 		opts.IfGeneration = new(uint64)
-		_, err := Apply(ctx, newStore(t), limited(t, 2), opts)
-		var lost *ConflictError
-		assert.Assert(t, errors.As(err, &lost), "%v", err)
-		assert.Equal(t, lost.Winner, Applied{Generation: 1, Change: "c-1", By: "ana", From: "10.0.0.7", At: testTime})
+		_, err := Apply(ctx, newStore(t), declarationWithLimit(t, 2), opts)
+		var conflict *ConflictError
+		assert.Assert(t, errors.As(err, &conflict), "%v", err)
+		assert.Equal(t, conflict.Winner, Applied{Generation: 1, Change: "c-1", By: "ana", From: "10.0.0.7", At: testTime})
 	})
 	t.Run("a dry run writes nothing", func(t *testing.T) {
 		store := newStore(t)
-		opts := options("c-2", "bea")
+		opts := testOptions("c-2", "bea")
 		opts.DryRun = true
-		res, err := Apply(ctx, store, limited(t, 2), opts)
+		res, err := Apply(ctx, store, declarationWithLimit(t, 2), opts)
 		assert.NilError(t, err)
 		assert.Equal(t, res.Generation, uint64(2))
-		now, _, err := Read(ctx, store)
+		stored, _, err := Read(ctx, store)
 		assert.NilError(t, err)
-		assert.Equal(t, now.Generation, uint64(1))
+		assert.Equal(t, stored.Generation, uint64(1))
 	})
 	t.Run("an invalid declaration writes nothing", func(t *testing.T) {
 		store := newStore(t)
-		bad := limited(t, 2)
+		bad := declarationWithLimit(t, 2)
 		bad.Services[0].Pools = []model.PoolName{"nowhere"}
-		_, err := Apply(ctx, store, bad, options("c-2", "bea"))
+		_, err := Apply(ctx, store, bad, testOptions("c-2", "bea"))
 		var invalid *InvalidError
 		assert.Assert(t, errors.As(err, &invalid), "%v", err)
-		now, _, err := Read(ctx, store)
+		stored, _, err := Read(ctx, store)
 		assert.NilError(t, err)
-		assert.Equal(t, now.Generation, uint64(1))
+		assert.Equal(t, stored.Generation, uint64(1))
 	})
-	// The store was restored from an old copy: it says generation 1 while the
-	// entry VMs hold 7 and never step back. A change numbered 2 would be
-	// accepted by the store and be in force nowhere.
-	t.Run("a store restored from an old copy", func(t *testing.T) {
-		opts := options("c-8", "ana")
-		opts.InForce = limited(t, 70)
+	// A store restored from an old backup holds generation 1 while the entry
+	// VMs hold 7 and never adopt a lower one. If the change were numbered 2, the
+	// store would accept it but no entry VM would use it.
+	t.Run("a store restored from an old backup", func(t *testing.T) {
+		opts := testOptions("c-8", "ana")
+		opts.InForce = declarationWithLimit(t, 70)
 		opts.InForce.Generation = 7
-		res, err := Apply(ctx, newStore(t), limited(t, 2), opts)
+		res, err := Apply(ctx, newStore(t), declarationWithLimit(t, 2), opts)
 		assert.NilError(t, err)
 		assert.Equal(t, res.Generation, uint64(8))
 		assert.Equal(t, res.Differences[0].String(), "~ service api: limit 70 -> 2")
 	})
-	t.Run("recent changes are bounded", func(t *testing.T) {
+	t.Run("the number of recent changes is bounded", func(t *testing.T) {
 		store := newStore(t)
-		for i := range recentLimit + 10 {
-			_, err := Apply(ctx, store, limited(t, 10+i), options(model.ChangeID(fmt.Sprintf("c-%d", 10+i)), "ana"))
+		for i := range maxRecentChanges + 10 {
+			_, err := Apply(ctx, store, declarationWithLimit(t, 10+i), testOptions(model.ChangeID(fmt.Sprintf("c-%d", 10+i)), "ana"))
 			assert.NilError(t, err)
 		}
-		now, _, err := Read(ctx, store)
+		stored, _, err := Read(ctx, store)
 		assert.NilError(t, err)
-		assert.Equal(t, len(now.Recent), recentLimit)
-		assert.Equal(t, now.Recent[recentLimit-1].Generation, now.Generation-1)
+		assert.Equal(t, len(stored.Recent), maxRecentChanges)
+		assert.Equal(t, stored.Recent[maxRecentChanges-1].Generation, stored.Generation-1)
 	})
 }
 
@@ -230,19 +230,19 @@
 		live map[model.VMID]model.VM
 		want []string
 	}{
-		{"enough VMs are left", without("v1"), nil, nil},
-		{"one of those left is rebooting", without("v1"), map[model.VMID]model.VM{"v2": {Pool: "web", State: model.VMRebooting}},
+		{"enough VMs remain", without("v1"), nil, nil},
+		{"a remaining VM is rebooting", without("v1"), map[model.VMID]model.VM{"v2": {Pool: "web", State: model.VMRebooting}},
 			[]string{"service web keeps 1 VMs, its budget in force is 2 (1 removed)"}},
-		{"one of those left has moved away", without("v1"), map[model.VMID]model.VM{"v2": {Pool: "other", State: model.VMInPool}},
+		{"a remaining VM is in another pool", without("v1"), map[model.VMID]model.VM{"v2": {Pool: "other", State: model.VMInPool}},
 			[]string{"service web keeps 1 VMs, its budget in force is 2 (1 removed)"}},
-		{"the service is gone", noService, nil, []string{"service web is removed with its budget of 2 VMs"}},
+		{"the service is removed", noService, nil, []string{"service web is removed with its budget of 2 VMs"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			store := memstore.New(clockwork.NewFakeClockAt(testTime))
-			_, err := Apply(ctx, store, testDeclaration(t, ""), options("c-1", "ana"))
+			_, err := Apply(ctx, store, testDeclaration(t, ""), testOptions("c-1", "ana"))
 			assert.NilError(t, err)
-			opts := options("c-2", "ana")
+			opts := testOptions("c-2", "ana")
 			opts.Live = tc.live
 			_, err = Apply(ctx, store, tc.next, opts)
 			var broken *RemovalError
@@ -260,7 +260,7 @@
 	}
 }
 
-func TestDiffReads(t *testing.T) {
+func TestDiffDescribesEveryChange(t *testing.T) {
 	old := testDeclaration(t, "[team t]\ncpu = 1\n")
 	next := testDeclaration(t, "[pool api]\n[rack r3]\nzone = b\nvm.v4 = api 10.0.0.4:80\n[wave w]\npools = api\ngrace = 1m\n")
 	next.Services[0].Budget.MinAvailable = model.Quantity{Share: 0.5}
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// sized makes a declaration of so many VMs, each pool with a service of its
-// own, over six zones.
-func sized(vms, pools int) *model.Declaration {
+// declarationOfSize returns a declaration with the given number of VMs and
+// pools over six zones. Each pool has one service.
+func declarationOfSize(vms, pools int) *model.Declaration {
 	d := &model.Declaration{Deployment: "large", Zones: []model.ZoneName{"z0", "z1", "z2", "z3", "z4", "z5"}}
 	for p := range pools {
 		pool := model.PoolName(fmt.Sprintf("pool-%03d", p))
@@ -35,30 +35,31 @@
 			Capacity: model.Resources{MilliCPU: 32000, MemoryMB: 65536},
 		})
 	}
-	addMembers(d)
+	addPoolVMs(d)
 	return d
 }
 
-// BenchmarkApply is one accepted change: processor time of the entry VM that
-// takes it, its calls to the platform, and the value's size.
+// BenchmarkApply measures one accepted change: the processor time of the entry
+// VM that handles it, its reads and writes of the store, and the size of the
+// stored value in bytes.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []struct{ vms, pools int }{{50, 5}, {900, 87}, {3600, 347}} {
 		b.Run(fmt.Sprintf("vms=%d", size.vms), func(b *testing.B) {
 			ctx := context.Background()
-			way := faulty.Wrap(memstore.New(clockwork.NewFakeClockAt(testTime)))
-			d := sized(size.vms, size.pools)
+			store := faulty.Wrap(memstore.New(clockwork.NewFakeClockAt(testTime)))
+			d := declarationOfSize(size.vms, size.pools)
 			assert.Equal(b, len(Validate(d)), 0)
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				n++
 				d.Services[0].Limit = n
-				if _, err := Apply(ctx, way, d, options(model.ChangeID(fmt.Sprintf("c-%026d", n)), "ana")); err != nil {
+				if _, err := Apply(ctx, store, d, testOptions(model.ChangeID(fmt.Sprintf("c-%026d", n)), "ana")); err != nil {
 					b.Fatal(err)
 				}
 			}
-			calls := way.Calls()
-			kv, _, err := way.Get(ctx, "/pumicestage/config")
+			calls := store.Calls()
+			kv, _, err := store.Get(ctx, "/pumicestage/config")
 			assert.NilError(b, err)
 			b.ReportMetric(float64(calls.Reads)/float64(n), "reads/op")
 			b.ReportMetric(float64(calls.Writes)/float64(n), "writes/op")
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -8,28 +8,28 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Sign says whether a Difference adds, changes or removes.
+// Sign tells whether a Difference is an addition, a change or a removal.
 type Sign string
 
-// The signs of a Difference, as they are printed.
+// Values of Sign, as printed to operators.
 const (
 	SignAdd    Sign = "+"
 	SignChange Sign = "~"
 	SignRemove Sign = "-"
 )
 
-// Difference is one thing that two declarations do not have in common. For
-// SignChange it is one key; for the others the whole of it.
+// Difference is one difference between two declarations: a changed key for
+// SignChange, or a whole section or VM that was added or removed.
 type Difference struct {
 	Sign  Sign
 	What  string // "service preview"
 	Key   string // the key that differs; empty for SignAdd and SignRemove
 	Old   string
 	New   string
-	About string // for SignAdd and SignRemove: what it is like, in one line
+	About string // for SignAdd and SignRemove: its keys and values in one line
 }
 
-// String returns the difference as a person reads it.
+// String returns the difference as one line for operators.
 func (d Difference) String() string {
 	if d.Sign == SignChange {
 		return fmt.Sprintf("%s %s: %s %s -> %s", d.Sign, d.What, d.Key, orNone(d.Old), orNone(d.New))
@@ -40,35 +40,37 @@
 	return fmt.Sprintf("%s %s (%s)", d.Sign, d.What, d.About)
 }
 
-// Diff returns what new adds, changes and removes against old, which may be
-// nil. Generation and change ID are not part of the comparison.
+// Diff returns the additions, changes and removals that lead from old to new.
+// Old may be nil, which counts as empty. Generation and change ID are not
+// compared.
 func Diff(old, new *model.Declaration) []Difference {
 	before, after := entities(old), entities(new)
 	known := make(map[string]entity, len(before))
 	for _, e := range before {
-		known[e.what] = e
+		known[e.title] = e
 	}
 	var diffs []Difference
 	for _, e := range after {
-		was, ok := known[e.what]
+		was, ok := known[e.title]
 		if !ok {
-			diffs = append(diffs, Difference{Sign: SignAdd, What: e.what, About: e.about()})
+			diffs = append(diffs, Difference{Sign: SignAdd, What: e.title, About: e.summary()})
 			continue
 		}
-		delete(known, e.what)
-		diffs = append(diffs, changes(was, e)...)
+		delete(known, e.title)
+		diffs = append(diffs, changedFields(was, e)...)
 	}
 	for _, e := range before {
-		if _, gone := known[e.what]; gone {
-			diffs = append(diffs, Difference{Sign: SignRemove, What: e.what, About: e.about()})
+		if _, gone := known[e.title]; gone {
+			diffs = append(diffs, Difference{Sign: SignRemove, What: e.title, About: e.summary()})
 		}
 	}
 	return diffs
 }
 
-// entity is one declared thing as its keys and values.
+// entity is a declared section or VM in comparable form. Entities of one kind
+// have the same keys in the same order.
 type entity struct {
-	what   string
+	title  string // "service preview"
 	fields []field
 }
 
@@ -76,7 +78,7 @@
 	key, value string
 }
 
-func (e entity) about() string {
+func (e entity) summary() string {
 	var parts []string
 	for _, f := range e.fields {
 		if f.value != "" {
@@ -86,11 +88,11 @@
 	return strings.Join(parts, ", ")
 }
 
-func changes(was, is entity) []Difference {
+func changedFields(was, is entity) []Difference {
 	var diffs []Difference
 	for i, f := range is.fields {
 		if was.fields[i].value != f.value {
-			diffs = append(diffs, Difference{Sign: SignChange, What: is.what, Key: f.key, Old: was.fields[i].value, New: f.value})
+			diffs = append(diffs, Difference{Sign: SignChange, What: is.title, Key: f.key, Old: was.fields[i].value, New: f.value})
 		}
 	}
 	return diffs
@@ -101,7 +103,7 @@
 		return nil
 	}
 	all := []entity{
-		{kindDeployment, []field{{"name", d.Deployment}, {"zones", joined(d.Zones)}}},
+		{kindDeployment, []field{{"name", d.Deployment}, {"zones", joinNames(d.Zones)}}},
 		{kindWeights, weightFields(d.Weights)},
 	}
 	for _, p := range d.Pools {
@@ -131,9 +133,9 @@
 
 func serviceEntity(s model.Service) entity {
 	return entity{kindService + " " + string(s.Name), []field{
-		{"pools", joined(s.Pools)},
+		{"pools", joinNames(s.Pools)},
 		{"class", s.Class.String()},
-		{"repeatable", yesNo(s.Repeatable)},
+		{"repeatable", formatYesNo(s.Repeatable)},
 		{"timeout", s.Timeout.String()},
 		{"slots", strconv.Itoa(s.Slots)},
 		{"connections", strconv.Itoa(s.Conns)},
@@ -146,7 +148,7 @@
 
 func waveEntity(w model.Wave) entity {
 	fields := []field{
-		{"pools", joined(w.Pools)},
+		{"pools", joinNames(w.Pools)},
 		{"canary", strconv.Itoa(w.Canary)},
 		{"max-batch", strconv.Itoa(w.MaxBatch)},
 		{"max-failures", strconv.Itoa(w.MaxFailures)},
@@ -158,36 +160,36 @@
 
 func weightFields(w model.Weights) []field {
 	return []field{
-		{"roll-out-time", number(w.RollOutTime)}, {"buffer-cost", number(w.BufferCost)}, {"moves", number(w.Moves)},
+		{"roll-out-time", formatNumber(w.RollOutTime)}, {"buffer-cost", formatNumber(w.BufferCost)}, {"moves", formatNumber(w.Moves)},
 	}
 }
 
 func resourceFields(r model.Resources) []field {
 	return []field{
-		{"cpu", number(float64(r.MilliCPU) / milliPerCore)},
+		{"cpu", formatNumber(float64(r.MilliCPU) / milliPerCore)},
 		{"memory-mb", strconv.FormatInt(r.MemoryMB, 10)},
 		{"accelerators", strconv.FormatInt(r.Accelerators, 10)},
 	}
 }
 
-// QuantityText writes a quantity as declarations do: "8" or "80%".
+// QuantityText formats a quantity as in declaration files: "8" or "80%".
 func QuantityText(q model.Quantity) string {
 	if q.Count == 0 && q.Share > 0 {
-		return number(q.Share*100) + "%"
+		return formatNumber(q.Share*100) + "%"
 	}
 	return strconv.Itoa(q.Count)
 }
 
-func number(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
+func formatNumber(f float64) string { return strconv.FormatFloat(f, 'f', -1, 64) }
 
-func yesNo(b bool) string {
+func formatYesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-func joined[T ~string](names []T) string {
+func joinNames[T ~string](names []T) string {
 	parts := make([]string, len(names))
 	for i, n := range names {
 		parts[i] = string(n)
--- a/internal/config/edit.go
+++ b/internal/config/edit.go
@@ -10,28 +10,29 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// editTries bounds how often an edit is made anew on top of a rival's change.
-const editTries = 5
+// maxEditAttempts bounds how often Edit applies an edit that meets conflicts.
+const maxEditAttempts = 5
 
-// Edit changes the declaration in force by edit, which gets a copy of it and
-// may refuse by an error that is passed on as it is. Unlike Apply it is made
-// anew on top of a change that came first: an edit of one key does not undo
-// the rest of a rival's.
+// Edit changes the declaration in force. It passes a copy to edit, whose error
+// is returned unchanged, and applies the result. Unlike Apply, it repeats the
+// edit on the new declaration if another change was committed first, so that
+// an edit of one key does not undo the other change. With IfRevision set, a
+// conflict is returned at once. Other errors are those of Apply.
 func Edit(ctx context.Context, store infra.Store, opts ApplyOptions, edit func(*model.Declaration) error) (ApplyResult, error) {
 	var last error
-	for range editTries {
+	for range maxEditAttempts {
 		current, _, err := Read(ctx, store)
 		if err != nil {
 			return ApplyResult{}, err
 		}
-		if res, ok := repeated(current, opts.Change); ok {
+		if res, ok := earlierResult(current, opts.Change); ok {
 			return res, nil
 		}
-		base := newest(current, opts.InForce)
+		base := newestDeclaration(current, opts.InForce)
 		if base == nil {
 			return ApplyResult{}, trace.Wrap(&InvalidError{Problems: []Problem{{Given: "no declaration in force", Expected: "one to be applied first"}}})
 		}
-		next := clone(base)
+		next := cloneDeclaration(base)
 		if err := edit(next); err != nil {
 			return ApplyResult{}, err
 		}
@@ -46,8 +47,8 @@
 	return ApplyResult{}, last
 }
 
-// clone copies what an edit may write to.
-func clone(d *model.Declaration) *model.Declaration {
+// cloneDeclaration copies d and the slices that an edit may write to.
+func cloneDeclaration(d *model.Declaration) *model.Declaration {
 	c := *d
 	c.Services = append([]model.Service{}, d.Services...)
 	c.Waves = append([]model.Wave{}, d.Waves...)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,11 +7,11 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// ConflictError reports a change that lost against another: nothing of it was
-// applied.
+// ConflictError reports a change that was not applied, because another change
+// was applied first or a precondition on the generation or revision failed.
 type ConflictError struct {
-	Winner      Applied      // the change in force instead
-	Differences []Difference // from the declaration in force to the one refused
+	Winner      Applied      // the change that is in force instead
+	Differences []Difference // from the declaration in force to the refused one
 }
 
 // Error implements error.
@@ -20,8 +20,8 @@
 		e.Winner.Generation, e.Winner.By, e.Winner.Change, e.Winner.At.UTC().Format("2006-01-02 15:04:05"), len(e.Differences))
 }
 
-// RemovalError reports a change that was not applied because what it removes
-// would break budgets; it is applied where the removal is confirmed.
+// RemovalError reports a change that was not applied because its removals would
+// break budgets. ApplyOptions.ConfirmRemoval allows it.
 type RemovalError struct {
 	Broken []BrokenBudget
 }
@@ -35,8 +35,8 @@
 	return "not applied: the removal would break budgets; confirm it to go on: " + strings.Join(lines, "; ")
 }
 
-// UnknownError reports a change that may or may not have taken effect and may
-// still do so. Repeating it under the same change ID is safe.
+// UnknownError reports a change that may have taken effect already or may still
+// do so. Repeating it with the same change ID is safe.
 type UnknownError struct {
 	Change model.ChangeID
 	Err    error
@@ -50,8 +50,8 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// UnavailableError reports that the platform's store could not be asked;
-// nothing was changed.
+// UnavailableError reports that the platform's store could not be reached and
+// that nothing was changed.
 type UnavailableError struct {
 	Err error
 }
@@ -62,7 +62,7 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// CorruptError reports a stored declaration that cannot be read.
+// CorruptError reports a stored declaration that cannot be decoded.
 type CorruptError struct {
 	Err error
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -7,15 +7,16 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// FuzzINI: whatever a file holds is a declaration that the store takes and
-// gives back unchanged, or an *InvalidError that names problems.
+// FuzzINI checks that any file content parses either to a declaration that
+// survives encoding and decoding unchanged, or to an *InvalidError with at
+// least one problem.
 func FuzzINI(f *testing.F) {
 	for _, text := range []string{
-		"", sound, sound + sound, "[", "[]", "[rack]\nvm. = a b", "[service %(x)s]", "a", "=", "[deployment]\nname = \xff\nzones = ,",
-		sound + "[wave w]\npools = web\ngrace = 99999999999h\nroll-out-time = NaN\n",
-		sound + "[team t]\ncpu = 1e309\nmemory-mb = -1\naccelerators = 99999999999999999999\n",
-		sound + "[service s]\nrepeatable = yes\nmin-available = 1e400%\npools = web\n",
-		"[deployment]\nname = `a\nb`\nzones = \"\"\"a\n\"\"\"\n", sound + "[weights]\nmoves = +Inf\n", "[pool a]\n[pool  a]\n[pool a \n]",
+		"", validText, validText + validText, "[", "[]", "[rack]\nvm. = a b", "[service %(x)s]", "a", "=", "[deployment]\nname = \xff\nzones = ,",
+		validText + "[wave w]\npools = web\ngrace = 99999999999h\nroll-out-time = NaN\n",
+		validText + "[team t]\ncpu = 1e309\nmemory-mb = -1\naccelerators = 99999999999999999999\n",
+		validText + "[service s]\nrepeatable = yes\nmin-available = 1e400%\npools = web\n",
+		"[deployment]\nname = `a\nb`\nzones = \"\"\"a\n\"\"\"\n", validText + "[weights]\nmoves = +Inf\n", "[pool a]\n[pool  a]\n[pool a \n]",
 	} {
 		f.Add(text)
 	}
@@ -24,7 +25,7 @@
 		if err != nil {
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || len(invalid.Problems) == 0 || d != nil {
-				t.Fatalf("%T: %v", err, err)
+				t.Fatalf("Parse returned %T, want an *InvalidError with problems and no declaration: %v", err, err)
 			}
 			return
 		}
@@ -37,13 +38,14 @@
 			t.Fatal(err)
 		}
 		if diffs := Diff(d, &back.Declaration); len(diffs) > 0 {
-			t.Fatalf("came back otherwise: %v", diffs)
+			t.Fatalf("decoded declaration differs from the encoded one: %v", diffs)
 		}
 	})
 }
 
-// FuzzStored: a value that another writer left under the key is read or
-// refused, and comparing with it does not panic.
+// FuzzStored checks that any stored value, which another program may have
+// written, is either decoded or refused with a *CorruptError, and that
+// validating and comparing a decoded one does not panic.
 func FuzzStored(f *testing.F) {
 	for _, value := range []string{"", "null", "{}", `{"VMs":[{}],"Services":[{"Pools":null}]}`, `{"Generation":-1}`, "[]", `{"Weights":{"Moves":1e999}}`} {
 		f.Add([]byte(value))
@@ -53,7 +55,7 @@
 		if err != nil {
 			var corrupt *CorruptError
 			if !errors.As(err, &corrupt) {
-				t.Fatalf("%T: %v", err, err)
+				t.Fatalf("Decode returned %T, want *CorruptError: %v", err, err)
 			}
 			return
 		}
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -8,15 +8,15 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// maxFileBytes bounds one file. A whole declaration must fit the store's 1 MB
-// value; a longer file is not a declaration.
+// maxFileBytes bounds the size of one file. A declaration must fit the store's
+// limit of 1 MB for a value, so a larger file cannot be one.
 const maxFileBytes = 4 << 20
 
 // Load reads the declaration in an INI file, or in all .ini files of a
-// folder. It returns *ReadError where the files cannot be read and
-// *InvalidError with every mistake found.
+// directory. It returns *ReadError if the files cannot be read, and
+// *InvalidError with all problems if the declaration is invalid.
 func Load(path string) (*model.Declaration, error) {
-	paths, err := files(path)
+	paths, err := listFiles(path)
 	if err != nil {
 		return nil, err
 	}
@@ -33,11 +33,11 @@
 
 // Source is the text of one INI file.
 type Source struct {
-	File string // as problems name it
+	File string // the name used in problems
 	Text []byte
 }
 
-// Parse is Load for text at hand.
+// Parse is Load for texts in memory. Its error is *InvalidError.
 func Parse(sources ...Source) (*model.Declaration, error) {
 	var sections []*section
 	var problems []Problem
@@ -50,19 +50,19 @@
 		sections = append(sections, read...)
 		problems = append(problems, found...)
 	}
-	problems = append(problems, duplicates(sections)...)
-	problems = append(problems, missing(sections)...)
-	fillDefaults(sections)
+	problems = append(problems, duplicateSections(sections)...)
+	problems = append(problems, missingRequired(sections)...)
+	applyDefaults(sections)
 	d := decode(sections, &problems)
-	problems = append(problems, located(sections, Validate(d))...)
+	problems = append(problems, setFiles(sections, Validate(d))...)
 	if len(problems) > 0 {
-		return nil, &InvalidError{Problems: unique(problems)}
+		return nil, &InvalidError{Problems: firstPerKey(problems)}
 	}
 	return d, nil
 }
 
-// missing reports required sections and keys that are not there.
-func missing(sections []*section) []Problem {
+// missingRequired reports required sections and keys that are absent.
+func missingRequired(sections []*section) []Problem {
 	var problems []Problem
 	deployments := 0
 	for _, s := range sections {
@@ -81,9 +81,8 @@
 	return problems
 }
 
-// located adds the file to problems that validation found, which knows only
-// sections.
-func located(sections []*section, problems []Problem) []Problem {
+// setFiles sets File on problems from Validate, which knows only sections.
+func setFiles(sections []*section, problems []Problem) []Problem {
 	fileOf := make(map[string]string, len(sections))
 	for _, s := range sections {
 		fileOf[s.title] = s.file
@@ -94,9 +93,9 @@
 	return problems
 }
 
-// unique drops a cross-check's word on a key that was already found wrong by
-// itself.
-func unique(problems []Problem) []Problem {
+// firstPerKey keeps the first problem of each key, so that a check across keys
+// does not repeat what the check of the key itself reported.
+func firstPerKey(problems []Problem) []Problem {
 	type place struct{ section, key string }
 	wrong := make(map[place]bool)
 	var kept []Problem
@@ -121,7 +120,7 @@
 	sort.Slice(d.Services, func(i, j int) bool { return d.Services[i].Name < d.Services[j].Name })
 	sort.Slice(d.Waves, func(i, j int) bool { return d.Waves[i].Name < d.Waves[j].Name })
 	sort.Slice(d.Teams, func(i, j int) bool { return d.Teams[i].Name < d.Teams[j].Name })
-	addMembers(d)
+	addPoolVMs(d)
 	return d
 }
 
@@ -129,7 +128,7 @@
 	switch r.kind {
 	case kindDeployment:
 		d.Deployment = r.name("name")
-		d.Zones = convert[model.ZoneName](r.names("zones"))
+		d.Zones = convertNames[model.ZoneName](r.names("zones"))
 	case kindWeights:
 		d.Weights = r.weights()
 	case kindRack:
@@ -151,7 +150,7 @@
 	zone := model.ZoneName(r.name("zone"))
 	capacity := r.resources()
 	if capacity.MilliCPU == 0 {
-		r.bad("cpu", "the cores of each VM, here or in [worker]")
+		r.reportInvalid("cpu", "the cores of each VM, here or in [worker]")
 	}
 	var vms []model.VMDecl
 	for _, key := range r.order {
@@ -161,7 +160,7 @@
 		}
 		fields := strings.Fields(r.values[key])
 		if !validName(id) || len(fields) != 2 || !validName(fields[0]) {
-			r.bad(key, vmKeyPrefix+"ID = POOL HOST:PORT")
+			r.reportInvalid(key, vmKeyPrefix+"ID = POOL HOST:PORT")
 			continue
 		}
 		vms = append(vms, model.VMDecl{
@@ -175,13 +174,13 @@
 func decodeService(r reader) model.Service {
 	return model.Service{
 		Name:       model.ServiceName(r.section.name),
-		Pools:      convert[model.PoolName](r.names("pools")),
+		Pools:      convertNames[model.PoolName](r.names("pools")),
 		Class:      r.class("class"),
 		Repeatable: r.yesNo("repeatable"),
 		Timeout:    r.duration("timeout"),
-		Slots:      r.whole("slots", 1),
-		Conns:      r.whole("connections", 1),
-		Limit:      r.whole("limit", 0),
+		Slots:      r.integer("slots", 1),
+		Conns:      r.integer("connections", 1),
+		Limit:      r.integer("limit", 0),
 		Remember:   r.duration("remember"),
 		Budget: model.Budget{
 			MinAvailable: r.quantity("min-available"),
@@ -193,18 +192,18 @@
 func decodeWave(r reader) model.Wave {
 	return model.Wave{
 		Name:        model.WaveName(r.section.name),
-		Pools:       convert[model.PoolName](r.names("pools")),
-		Canary:      r.whole("canary", 0),
-		MaxBatch:    r.whole("max-batch", 0),
-		MaxFailures: r.whole("max-failures", 1),
+		Pools:       convertNames[model.PoolName](r.names("pools")),
+		Canary:      r.integer("canary", 0),
+		MaxBatch:    r.integer("max-batch", 0),
+		MaxFailures: r.integer("max-failures", 1),
 		Probation:   r.duration("probation"),
 		Grace:       r.duration("grace"),
 		Weights:     r.weights(),
 	}
 }
 
-// addMembers lists in each pool the VMs that start in it.
-func addMembers(d *model.Declaration) {
+// addPoolVMs sets the VMs of each pool to those declared in it.
+func addPoolVMs(d *model.Declaration) {
 	at := make(map[model.PoolName]int, len(d.Pools))
 	for i, p := range d.Pools {
 		at[p.Name] = i
@@ -216,7 +215,7 @@
 	}
 }
 
-func convert[T ~string](names []string) []T {
+func convertNames[T ~string](names []string) []T {
 	var out []T
 	for _, name := range names {
 		out = append(out, T(name))
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -1,7 +1,7 @@
 // Package config turns operators' INI declarations into model.Declaration and
-// keeps the declaration in force in the platform's store. Reading, defaulting
-// and validation are apart; every mistake is reported at once, each with the
-// place it stands, what was given and what was expected.
+// keeps the declaration in force in the platform's store. Reading, applying
+// defaults and validating are separate steps. All problems are reported at
+// once, each with its location, the value given and what was expected.
 package config
 
 import (
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// Problem is one mistake in a declaration.
+// Problem is one error in a declaration.
 type Problem struct {
-	File     string // empty where the declaration did not come from files
-	Section  string // "service preview"; empty for a mistake of a whole file
-	Key      string // empty for a mistake of a whole section
-	Given    string // what was found
-	Expected string // what may stand there, as a phrase
+	File     string // empty if the declaration was not read from files
+	Section  string // "service preview"; empty for a problem of the whole file
+	Key      string // empty for a problem of the whole section
+	Given    string // the value or condition found, as a phrase
+	Expected string // what is allowed there, as a phrase
 }
 
 // String returns the problem as one line.
@@ -34,13 +34,12 @@
 	return b.String()
 }
 
-// InvalidError reports a declaration that cannot be used, with all its
-// mistakes.
+// InvalidError reports an invalid declaration with all its problems.
 type InvalidError struct {
 	Problems []Problem
 }
 
-// Error implements error.
+// Error lists the problems, one on a line.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Problems)+1)
 	lines = append(lines, fmt.Sprintf("declaration not valid, %d found:", len(e.Problems)))
@@ -50,7 +49,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// ReadError reports a declaration whose files could not be read.
+// ReadError reports that a declaration's files could not be read.
 type ReadError struct {
 	Path string
 	Err  error
@@ -62,4 +61,4 @@
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Err }
 
-func quoted(s string) string { return fmt.Sprintf("%q", s) }
+func quote(s string) string { return fmt.Sprintf("%q", s) }
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -10,25 +10,26 @@
 	"gopkg.in/ini.v1"
 )
 
-// section is one section as read, before anything is made of its values.
+// section is one section as read from a file; its values are not yet parsed.
 type section struct {
 	file   string
 	kind   string
 	name   string
-	title  string // as it stands in the file: "service preview"
+	title  string // kind and name: "service preview"
 	values map[string]string
-	order  []string // keys as they stand in the file
+	order  []string // keys in the order of the file
 }
 
-func (s *section) fill(key, value string) {
+// setDefault sets a key that has no entry in the section.
+func (s *section) setDefault(key, value string) {
 	if _, ok := s.values[key]; ok {
 		return
 	}
 	s.values[key] = value
 }
 
-// iniOptions keep the library from repairing or merging what a person should
-// be told about: sections and keys that stand twice, inherited keys.
+// iniOptions keeps the library from merging duplicate sections and keys and from
+// inheriting keys, so that these can be reported as problems.
 var iniOptions = ini.LoadOptions{
 	AllowNonUniqueSections:     true,
 	AllowShadows:               true,
@@ -39,9 +40,9 @@
 	ChildSectionDelimiter:      "\x00",
 }
 
-// files returns the INI files of a path: the file itself, or those in the
-// folder, sorted.
-func files(path string) ([]string, error) {
+// listFiles returns path itself if it is a file, or the .ini files in the
+// directory, sorted by name. Its errors are *ReadError.
+func listFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, &ReadError{Path: path, Err: err}
@@ -60,8 +61,8 @@
 	return found, nil
 }
 
-// readSections reads one file's text. What cannot be read as INI at all is one
-// problem; the rest of the checks go on with the other files.
+// readSections parses the text of one file. Text that is not INI is reported as
+// one problem, and the other files are still checked.
 func readSections(file string, text []byte) ([]*section, []Problem) {
 	parsed, err := ini.LoadSources(iniOptions, text)
 	if err != nil {
@@ -71,7 +72,7 @@
 	var problems []Problem
 	for _, raw := range parsed.Sections() {
 		if raw.Name() == ini.DefaultSection {
-			problems = append(problems, outsideSections(file, raw)...)
+			problems = append(problems, keysOutsideSections(file, raw)...)
 			continue
 		}
 		s, found := readSection(file, raw)
@@ -83,7 +84,7 @@
 	return sections, problems
 }
 
-func outsideSections(file string, raw *ini.Section) []Problem {
+func keysOutsideSections(file string, raw *ini.Section) []Problem {
 	var problems []Problem
 	for _, key := range raw.Keys() {
 		problems = append(problems, Problem{File: file, Key: key.Name(), Given: "a key before the first section", Expected: "every key in a section"})
@@ -96,7 +97,7 @@
 	kind, name, _ := strings.Cut(title, " ")
 	spec, ok := schema[kind]
 	if !ok {
-		return nil, []Problem{{File: file, Section: title, Given: "section " + quoted(kind), Expected: "one of " + sectionKinds()}}
+		return nil, []Problem{{File: file, Section: title, Given: "section " + quote(kind), Expected: "one of " + sectionKinds()}}
 	}
 	s := &section{file: file, kind: kind, name: name, title: title, values: make(map[string]string)}
 	problems := s.checkTitle(spec)
@@ -108,10 +109,10 @@
 
 func (s *section) checkTitle(spec sectionSpec) []Problem {
 	if !spec.named && s.name != "" {
-		return []Problem{s.problem("", "name "+quoted(s.name), "["+s.kind+"] without a name")}
+		return []Problem{s.problem("", "name "+quote(s.name), "["+s.kind+"] without a name")}
 	}
 	if spec.named && !validName(s.name) {
-		return []Problem{s.problem("", "name "+quoted(s.name), "["+s.kind+" NAME] with NAME of "+nameRule)}
+		return []Problem{s.problem("", "name "+quote(s.name), "["+s.kind+" NAME] with NAME of "+nameRule)}
 	}
 	return nil
 }
@@ -120,7 +121,7 @@
 	name := key.Name()
 	isVM := s.kind == kindRack && strings.HasPrefix(name, vmKeyPrefix)
 	if !spec.has(name) && !isVM {
-		expected := spec.names()
+		expected := spec.describeKeys()
 		if s.kind == kindRack {
 			expected += ", or " + vmKeyPrefix + "ID"
 		}
@@ -138,8 +139,8 @@
 	return Problem{File: s.file, Section: s.title, Key: key, Given: given, Expected: expected}
 }
 
-// duplicates reports sections that stand twice, in one file or in two.
-func duplicates(sections []*section) []Problem {
+// duplicateSections reports sections that occur more than once in all files.
+func duplicateSections(sections []*section) []Problem {
 	first := make(map[string]*section)
 	var problems []Problem
 	for _, s := range sections {
--- a/internal/config/removal.go
+++ b/internal/config/removal.go
@@ -6,14 +6,14 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// BrokenBudget is a service whose budget a removal would break.
+// BrokenBudget describes a service's budget that a removal would break.
 type BrokenBudget struct {
 	Service model.ServiceName
 	Gone    bool           // the service itself is removed
-	Zone    model.ZoneName // the zone whose part of the budget breaks; empty for the whole
-	Need    int            // VMs the budget in force asks for
-	Left    int            // VMs left after the removal
-	Removed int            // VMs taken away
+	Zone    model.ZoneName // the zone of a broken min-per-zone; empty for min-available
+	Need    int            // VMs that the budget in force requires
+	Left    int            // available VMs after the removal
+	Removed int            // VMs removed
 }
 
 // String returns the finding as one line.
@@ -28,13 +28,13 @@
 	return fmt.Sprintf("service %s keeps %d VMs%s, its budget in force is %d (%d removed)", b.Service, b.Left, where, b.Need, b.Removed)
 }
 
-// BrokenByRemoval returns the budgets of old that would no longer hold once
-// what new leaves out is gone. VMs that new adds do not count: they have yet to
-// prove that they work. live tells where VMs really are; a VM it does not know
-// is taken to be where old declares it.
+// BrokenByRemoval returns the budgets of old that would no longer be met after
+// the removals from old to new. VMs that new adds do not count, because they
+// have not yet been shown to work. live holds the current pool and state of
+// VMs; a VM not in it counts as available in its declared pool.
 //
-// The budget in force decides, not the new one: lowering it in the same change
-// would otherwise let a slip of the editor empty a pool.
+// The budgets in force are checked, not the new ones: otherwise an editing
+// mistake that also lowers a budget could empty a pool.
 func BrokenByRemoval(old, new *model.Declaration, live map[model.VMID]model.VM) []BrokenBudget {
 	if old == nil {
 		return nil
@@ -48,42 +48,44 @@
 		r.kept[vm.ID] = vm
 	}
 	for _, vm := range old.VMs {
-		pool, _ := whereabouts(vm, live)
+		pool, _ := currentPool(vm, live)
 		r.byPool[pool] = append(r.byPool[pool], vm)
 	}
 	var broken []BrokenBudget
 	for i := range old.Services {
-		broken = append(broken, r.broken(&old.Services[i])...)
+		broken = append(broken, r.brokenBudgets(&old.Services[i])...)
 	}
 	return broken
 }
 
-// removal is a change from old to new, looked at for what it takes away.
+// removal is a change from old to new, indexed to check what it removes.
 type removal struct {
 	old, new *model.Declaration
 	live     map[model.VMID]model.VM
 	kept     map[model.VMID]model.VMDecl
-	byPool   map[model.PoolName][]model.VMDecl // old's VMs by where they are
+	byPool   map[model.PoolName][]model.VMDecl // old's VMs by the pool that they are in now
 }
 
-// tally counts a service's VMs before and after a removal.
-type tally struct {
-	before, after, working int
+// vmCounts counts a service's VMs before and after a removal. available counts
+// those after it that are available.
+type vmCounts struct {
+	before, after, available int
 }
 
-func (r removal) broken(s *model.Service) []BrokenBudget {
-	var whole tally
-	zones := make(map[model.ZoneName]*tally)
+// brokenBudgets returns the budgets of service s that the removal breaks.
+func (r removal) brokenBudgets(s *model.Service) []BrokenBudget {
+	var whole vmCounts
+	zones := make(map[model.ZoneName]*vmCounts)
 	next := r.new.Service(s.Name)
 	for _, pool := range s.Pools {
 		for _, vm := range r.byPool[pool] {
 			if zones[vm.Zone] == nil {
-				zones[vm.Zone] = &tally{}
+				zones[vm.Zone] = &vmCounts{}
 			}
-			_, working := whereabouts(vm, r.live)
-			stays := next != nil && r.staysIn(next, vm)
-			whole.count(stays, working)
-			zones[vm.Zone].count(stays, working)
+			_, working := currentPool(vm, r.live)
+			stays := next != nil && r.remainsIn(next, vm)
+			whole.add(stays, working)
+			zones[vm.Zone].add(stays, working)
 		}
 	}
 	need := s.Budget.MinAvailable.Of(whole.before)
@@ -91,51 +93,54 @@
 		return []BrokenBudget{{Service: s.Name, Gone: true, Need: need}}
 	}
 	var broken []BrokenBudget
-	if whole.breaks(need) {
-		broken = append(broken, BrokenBudget{Service: s.Name, Need: need, Left: whole.working, Removed: whole.before - whole.after})
+	if whole.violates(need) {
+		broken = append(broken, BrokenBudget{Service: s.Name, Need: need, Left: whole.available, Removed: whole.before - whole.after})
 	}
 	for _, z := range r.old.Zones {
 		t := zones[z]
 		if t == nil {
 			continue
 		}
-		if need := s.Budget.MinPerZone.Of(t.before); t.breaks(need) {
-			broken = append(broken, BrokenBudget{Service: s.Name, Zone: z, Need: need, Left: t.working, Removed: t.before - t.after})
+		if need := s.Budget.MinPerZone.Of(t.before); t.violates(need) {
+			broken = append(broken, BrokenBudget{Service: s.Name, Zone: z, Need: need, Left: t.available, Removed: t.before - t.after})
 		}
 	}
 	return broken
 }
 
-func (t *tally) count(stays, working bool) {
+func (t *vmCounts) add(stays, working bool) {
 	t.before++
 	if !stays {
 		return
 	}
 	t.after++
 	if working {
-		t.working++
+		t.available++
 	}
 }
 
-func (t *tally) breaks(need int) bool {
-	return t.after < t.before && t.working < need
+// violates reports whether VMs were removed and fewer than need are available.
+func (t *vmCounts) violates(need int) bool {
+	return t.after < t.before && t.available < need
 }
 
-// whereabouts returns the pool the VM is in and whether it counts as
+// currentPool returns the pool that the VM is in and whether the VM counts as
 // available.
-func whereabouts(vm model.VMDecl, live map[model.VMID]model.VM) (model.PoolName, bool) {
+func currentPool(vm model.VMDecl, live map[model.VMID]model.VM) (model.PoolName, bool) {
 	if now, ok := live[vm.ID]; ok {
 		return now.Pool, now.State == model.VMInPool
 	}
 	return vm.Pool, true
 }
 
-func (r removal) staysIn(next *model.Service, vm model.VMDecl) bool {
+// remainsIn reports whether vm still belongs to the pools of the service as
+// next declares it.
+func (r removal) remainsIn(next *model.Service, vm model.VMDecl) bool {
 	decl, ok := r.kept[vm.ID]
 	if !ok {
 		return false
 	}
-	pool, _ := whereabouts(decl, r.live)
+	pool, _ := currentPool(decl, r.live)
 	return contains(next.Pools, pool)
 }
 
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// The kinds of section a declaration has.
+// Kinds of sections in a declaration.
 const (
 	kindDeployment = "deployment"
 	kindWeights    = "weights"
@@ -14,31 +14,30 @@
 	kindTeam       = "team"
 )
 
-// vmKeyPrefix starts the keys of a rack that declare a VM each.
+// vmKeyPrefix is the prefix of the keys in a rack that each declare a VM.
 const vmKeyPrefix = "vm."
 
-// defaultWeight values roll-out time, buffer cost and moves alike.
+// defaultWeight is the same for roll-out time, buffer cost and moves.
 const defaultWeight = "1"
 
 // keySpec describes one key of a section.
 type keySpec struct {
-	name     string
-	fallback string // value where the key is left out
-	required bool
+	name         string
+	defaultValue string // value of an absent key; empty means none
+	required     bool
 }
 
 // sectionSpec describes one kind of section.
 type sectionSpec struct {
-	named bool // "[service preview]" against "[weights]"
+	named bool // whether the title has a name: "[service preview]", not "[weights]"
 	keys  []keySpec
 }
 
-// schema lists every section and key there is, with the defaults. What is not
-// listed is a mistake: a misspelt key would otherwise silently leave its
-// default in force.
+// schema lists all sections and keys with their defaults. Others are refused,
+// because a misspelt key would otherwise silently leave its default in force.
 //
-// Whether a service is repeatable and its budget have no default: a wrong
-// guess pays someone twice or empties a pool.
+// A service's repeatable and min-available keys have no default: a wrong guess
+// could run a request twice, such as a payment, or empty a pool.
 var schema = map[string]sectionSpec{
 	kindDeployment: {keys: []keySpec{
 		{name: "name", required: true},
@@ -52,40 +51,40 @@
 	kindPool: {named: true},
 	kindService: {named: true, keys: []keySpec{
 		{name: "pools"},
-		{name: "class", fallback: "normal"},
+		{name: "class", defaultValue: "normal"},
 		{name: "repeatable", required: true},
-		{name: "timeout", fallback: "10s"},
-		{name: "slots", fallback: "8"},
-		{name: "connections", fallback: "64"},
-		{name: "limit", fallback: "0"},
-		{name: "remember", fallback: "24h"},
+		{name: "timeout", defaultValue: "10s"},
+		{name: "slots", defaultValue: "8"},
+		{name: "connections", defaultValue: "64"},
+		{name: "limit", defaultValue: "0"},
+		{name: "remember", defaultValue: "24h"},
 		{name: "min-available", required: true},
-		{name: "min-per-zone", fallback: "0"},
+		{name: "min-per-zone", defaultValue: "0"},
 	}},
 	kindWave: {named: true, keys: append([]keySpec{
 		{name: "pools", required: true},
-		{name: "canary", fallback: "1"},
-		{name: "max-batch", fallback: "0"},
-		{name: "max-failures", fallback: "2"},
-		{name: "probation", fallback: "30s"},
-		{name: "grace", fallback: "10m"},
+		{name: "canary", defaultValue: "1"},
+		{name: "max-batch", defaultValue: "0"},
+		{name: "max-failures", defaultValue: "2"},
+		{name: "probation", defaultValue: "30s"},
+		{name: "grace", defaultValue: "10m"},
 	}, weightKeys("")...)},
 	kindTeam: {named: true, keys: resourceKeys("0")},
 }
 
 func weightKeys(fallback string) []keySpec {
 	return []keySpec{
-		{name: "roll-out-time", fallback: fallback},
-		{name: "buffer-cost", fallback: fallback},
-		{name: "moves", fallback: fallback},
+		{name: "roll-out-time", defaultValue: fallback},
+		{name: "buffer-cost", defaultValue: fallback},
+		{name: "moves", defaultValue: fallback},
 	}
 }
 
 func resourceKeys(fallback string) []keySpec {
 	return []keySpec{
-		{name: "cpu", fallback: fallback},
-		{name: "memory-mb", fallback: fallback},
-		{name: "accelerators", fallback: fallback},
+		{name: "cpu", defaultValue: fallback},
+		{name: "memory-mb", defaultValue: fallback},
+		{name: "accelerators", defaultValue: fallback},
 	}
 }
 
@@ -98,7 +97,7 @@
 	return false
 }
 
-func (s sectionSpec) names() string {
+func (s sectionSpec) describeKeys() string {
 	names := make([]string, len(s.keys))
 	for i, k := range s.keys {
 		names[i] = k.name
@@ -109,16 +108,16 @@
 	return "one of " + strings.Join(names, ", ")
 }
 
-// fillDefaults gives every key that was left out its default. A service
-// without pools has the pool of its own name; racks and waves take what they
-// leave out from [worker] and [weights].
-func fillDefaults(sections []*section) {
+// applyDefaults sets absent keys to their defaults. A service without pools uses
+// the pool of its own name. Racks inherit absent keys from [worker], and waves
+// from [weights].
+func applyDefaults(sections []*section) {
 	shared := map[string]*section{
 		kindRack: {values: map[string]string{}},
 		kindWave: {values: map[string]string{"roll-out-time": defaultWeight, "buffer-cost": defaultWeight, "moves": defaultWeight}},
 	}
 	for _, s := range sections {
-		fillFromSchema(s)
+		applySchemaDefaults(s)
 		switch s.kind {
 		case kindWorker:
 			shared[kindRack] = s
@@ -128,26 +127,26 @@
 	}
 	for _, s := range sections {
 		if from, ok := shared[s.kind]; ok {
-			fillFrom(s, from)
+			inheritValues(s, from)
 		}
 		if s.kind == kindService {
-			s.fill("pools", s.name)
+			s.setDefault("pools", s.name)
 		}
 	}
 }
 
-func fillFromSchema(s *section) {
+func applySchemaDefaults(s *section) {
 	for _, k := range schema[s.kind].keys {
-		if k.fallback != "" {
-			s.fill(k.name, k.fallback)
+		if k.defaultValue != "" {
+			s.setDefault(k.name, k.defaultValue)
 		}
 	}
 }
 
-func fillFrom(s, from *section) {
+func inheritValues(s, from *section) {
 	for key, value := range from.values {
 		if schema[s.kind].has(key) {
-			s.fill(key, value)
+			s.setDefault(key, value)
 		}
 	}
 }
--- a/internal/config/stored.go
+++ b/internal/config/stored.go
@@ -10,30 +10,30 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// recentLimit is how many earlier changes the stored declaration remembers.
-// At 5,000 changes a day, 64 are the last quarter of an hour: longer than any
-// client goes on repeating a change whose reply was lost. More would make up
-// most of a small declaration, which every change sends to every entry VM.
-const recentLimit = 64
+// maxRecentChanges is the number of earlier changes recorded in the stored
+// declaration. At 5,000 changes a day, 64 cover about 15 minutes, which is
+// longer than any client repeats a change whose reply was lost. More would make
+// up most of a small declaration, which every change sends to every entry VM.
+const maxRecentChanges = 64
 
 // Applied is the record of one accepted change.
 type Applied struct {
 	Generation uint64
 	Change     model.ChangeID
-	By         string // who applied it
-	From       string // the address it came from
+	By         string // the operator who applied it
+	From       string // the address that the request came from
 	At         time.Time
 }
 
-// Stored is the value under infra.ConfigKey. Its JSON is that of the
-// declaration with the record of its change beside it, so that a reader who
-// only wants the declaration decodes a model.Declaration.
+// Stored is the value under infra.ConfigKey: the declaration and the record of
+// its change. Its JSON object holds the declaration's fields directly, so that
+// a reader that needs only those can decode it as a model.Declaration.
 type Stored struct {
 	model.Declaration
 	By     string
 	From   string
 	At     time.Time
-	Recent []Applied // earlier changes, oldest first, at most recentLimit
+	Recent []Applied // earlier changes, oldest first, at most maxRecentChanges
 }
 
 // Last returns the record of the change in force.
@@ -41,7 +41,8 @@
 	return Applied{Generation: s.Generation, Change: s.Change, By: s.By, From: s.From, At: s.At}
 }
 
-// find returns the record of the change if it is the last or a recent one.
+// find returns the record of the change if it is the one in force or a recent
+// one.
 func (s *Stored) find(change model.ChangeID) (Applied, bool) {
 	if s.Change == change {
 		return s.Last(), true
@@ -54,8 +55,8 @@
 	return Applied{}, false
 }
 
-// Read returns the declaration in the store and its revision; nil and 0 where
-// there is none yet.
+// Read returns the declaration in the store and its revision, or nil and 0 if
+// there is none yet. Its errors are *UnavailableError and *CorruptError.
 func Read(ctx context.Context, store infra.Store) (*Stored, infra.Revision, error) {
 	kv, _, err := store.Get(ctx, infra.ConfigKey)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return s, kv.ModRevision, err
 }
 
-// Decode reads the value under infra.ConfigKey.
+// Decode decodes the value under infra.ConfigKey. Its error is *CorruptError.
 func Decode(value []byte) (*Stored, error) {
 	s := &Stored{}
 	if err := infra.DecodeValue(value, s); err != nil {
@@ -77,7 +78,7 @@
 	return s, nil
 }
 
-// Encode writes the value for infra.ConfigKey.
+// Encode returns the value to store under infra.ConfigKey.
 func Encode(s *Stored) ([]byte, error) {
 	value, err := infra.EncodeValue(s)
 	return value, trace.Wrap(err)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,7 +7,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// checker walks a declaration and collects problems.
+// checker collects the problems of a declaration.
 type checker struct {
 	d        *model.Declaration
 	zones    map[model.ZoneName]bool
@@ -16,9 +16,10 @@
 	problems []Problem
 }
 
-// Validate returns what is wrong with a declaration as a whole: names that do
-// not exist, things that stand twice, budgets that cannot hold. It is run
-// again by the server on what it is sent, because a client may be older.
+// Validate returns the problems of a declaration as a whole: references to
+// undeclared names, duplicates, numbers out of bounds and budgets that cannot
+// be met. The server validates again what clients send, because a client may
+// be an older version.
 func Validate(d *model.Declaration) []Problem {
 	c := &checker{
 		d: d, zones: make(map[model.ZoneName]bool), pools: make(map[model.PoolName]bool),
@@ -41,16 +42,16 @@
 	return c.problems
 }
 
-func (c *checker) add(section, key, given, expected string) {
+func (c *checker) report(section, key, given, expected string) {
 	c.problems = append(c.problems, Problem{Section: section, Key: key, Given: given, Expected: expected})
 }
 
-// checkNames repeats for a declaration that did not come from files what
-// reading checks: names are parts of store keys.
+// checkNames checks the syntax of names, which become parts of store keys.
+// Parse checks it too, but a declaration may not come from files.
 func (c *checker) checkNames() {
 	check := func(section, key, name string) {
 		if !validName(name) {
-			c.add(section, key, quoted(name), "a name of "+nameRule)
+			c.report(section, key, quote(name), "a name of "+nameRule)
 		}
 	}
 	check(kindDeployment, "name", c.d.Deployment)
@@ -58,7 +59,7 @@
 		check(kindDeployment, "zones", string(z))
 	}
 	if len(c.d.Zones) == 0 {
-		c.add(kindDeployment, "zones", "none", "at least one zone")
+		c.report(kindDeployment, "zones", "none", "at least one zone")
 	}
 	for _, vm := range c.d.VMs {
 		check(kindRack+" "+string(vm.Rack), vmKeyPrefix+string(vm.ID), string(vm.ID))
@@ -81,25 +82,25 @@
 	for _, vm := range c.d.VMs {
 		section, key := kindRack+" "+string(vm.Rack), vmKeyPrefix+string(vm.ID)
 		if other, ok := rackOf[vm.ID]; ok {
-			c.add(section, key, "the VM again (also in rack "+string(other)+")", "each VM in one rack")
+			c.report(section, key, "the VM again (also in rack "+string(other)+")", "each VM in one rack")
 			continue
 		}
 		rackOf[vm.ID] = vm.Rack
 		if other, ok := vmAt[vm.Address]; ok {
-			c.add(section, key, "address "+vm.Address+" of VM "+string(other), "an address of its own")
+			c.report(section, key, "address "+vm.Address+" of VM "+string(other), "an address of its own")
 		}
 		vmAt[vm.Address] = vm.ID
 		if !validAddress(vm.Address) {
-			c.add(section, key, "address "+quoted(vm.Address), "HOST:PORT")
+			c.report(section, key, "address "+quote(vm.Address), "HOST:PORT")
 		}
 		if !c.pools[vm.Pool] {
-			c.add(section, key, "pool "+quoted(string(vm.Pool)), "a pool declared by [pool "+string(vm.Pool)+"]")
+			c.report(section, key, "pool "+quote(string(vm.Pool)), "a pool declared by [pool "+string(vm.Pool)+"]")
 		}
 		if !c.zones[vm.Zone] {
-			c.add(section, "zone", quoted(string(vm.Zone)), "a zone of [deployment] zones")
+			c.report(section, "zone", quote(string(vm.Zone)), "a zone of [deployment] zones")
 		}
 		if z, ok := zoneOf[vm.Rack]; ok && z != vm.Zone {
-			c.add(section, "zone", "zones "+string(z)+" and "+string(vm.Zone), "each rack in one zone")
+			c.report(section, "zone", "zones "+string(z)+" and "+string(vm.Zone), "each rack in one zone")
 		}
 		zoneOf[vm.Rack] = vm.Zone
 	}
@@ -110,22 +111,22 @@
 	for _, p := range c.d.Pools {
 		section := kindPool + " " + string(p.Name)
 		if seen[p.Name] {
-			c.add(section, "", "the pool again", "each pool once")
+			c.report(section, "", "the pool again", "each pool once")
 		}
 		seen[p.Name] = true
 		if len(c.byPool[p.Name]) == 0 {
-			c.add(section, "", "no VMs", "at least one VM of a rack in it")
+			c.report(section, "", "no VMs", "at least one VM of a rack in it")
 		}
 	}
 }
 
 func (c *checker) checkPoolNames(section string, pools []model.PoolName) {
 	if len(pools) == 0 {
-		c.add(section, "pools", "none", "at least one pool")
+		c.report(section, "pools", "none", "at least one pool")
 	}
 	for _, p := range pools {
 		if !c.pools[p] {
-			c.add(section, "pools", quoted(string(p)), "a pool declared by [pool "+string(p)+"]")
+			c.report(section, "pools", quote(string(p)), "a pool declared by [pool "+string(p)+"]")
 		}
 	}
 }
@@ -136,7 +137,7 @@
 		s := &c.d.Services[i]
 		section := kindService + " " + string(s.Name)
 		if seen[s.Name] {
-			c.add(section, "", "the service again", "each service once")
+			c.report(section, "", "the service again", "each service once")
 		}
 		seen[s.Name] = true
 		c.checkPoolNames(section, s.Pools)
@@ -145,52 +146,53 @@
 	}
 }
 
-// checkNumbers repeats the bounds for declarations that did not come from
-// files.
+// checkNumbers checks the bounds of numbers and durations. Parse checks some of
+// them too, but a declaration may not come from files.
 func (c *checker) checkNumbers(section string, s *model.Service) {
 	if s.Slots < 1 {
-		c.add(section, "slots", strconv.Itoa(s.Slots), "at least 1")
+		c.report(section, "slots", strconv.Itoa(s.Slots), "at least 1")
 	}
 	if s.Conns < s.Slots {
-		c.add(section, "connections", strconv.Itoa(s.Conns), fmt.Sprintf("at least the %d slots", s.Slots))
+		c.report(section, "connections", strconv.Itoa(s.Conns), fmt.Sprintf("at least the %d slots", s.Slots))
 	}
 	if s.Timeout <= 0 {
-		c.add(section, "timeout", s.Timeout.String(), "above 0")
+		c.report(section, "timeout", s.Timeout.String(), "above 0")
 	}
 	if !s.Repeatable && s.Remember < s.Timeout {
-		c.add(section, "remember", s.Remember.String(), "at least the timeout "+s.Timeout.String()+", or a repeat could run twice")
+		c.report(section, "remember", s.Remember.String(), "at least the timeout "+s.Timeout.String()+", or a repeat could run twice")
 	}
 }
 
-// checkBudget refuses budgets that cannot hold even with every VM healthy, and
-// those that leave a declared wave no VM to take: it would wait for ever.
+// checkBudget refuses budgets that cannot be met even with every VM healthy, and
+// those that leave a declared wave no VM to take out: it would wait forever.
 func (c *checker) checkBudget(section string, s *model.Service) {
-	total, perZone := c.members(s)
+	total, perZone := c.countVMs(s)
 	if total == 0 {
-		return // reported as a pool without VMs
+		return // checkPools or checkPoolNames reports it
 	}
 	need := s.Budget.MinAvailable.Of(total)
-	switch wave := c.waveOn(s.Pools); {
+	switch wave := c.waveOverlapping(s.Pools); {
 	case need > total:
-		c.add(section, "min-available", fmt.Sprintf("%d VMs", need), fmt.Sprintf("at most the %d VMs of its pools", total))
+		c.report(section, "min-available", fmt.Sprintf("%d VMs", need), fmt.Sprintf("at most the %d VMs of its pools", total))
 	case need == total && wave != "":
-		c.add(section, "min-available", fmt.Sprintf("all %d VMs", total), fmt.Sprintf("fewer, or wave %s can take none out", wave))
+		c.report(section, "min-available", fmt.Sprintf("all %d VMs", total), fmt.Sprintf("fewer, or wave %s can take none out", wave))
 	}
 	for _, z := range c.d.Zones {
 		inZone, ok := perZone[z]
 		need := s.Budget.MinPerZone.Of(inZone)
 		if ok && need > inZone {
-			c.add(section, "min-per-zone", fmt.Sprintf("%d VMs", need), fmt.Sprintf("at most the %d VMs in zone %s", inZone, z))
+			c.report(section, "min-per-zone", fmt.Sprintf("%d VMs", need), fmt.Sprintf("at most the %d VMs in zone %s", inZone, z))
 			return
 		}
-		if wave := c.waveOn(s.Pools); ok && need > 0 && need == inZone && wave != "" {
-			c.add(section, "min-per-zone", fmt.Sprintf("all %d VMs in zone %s", inZone, z), fmt.Sprintf("fewer, or wave %s can take none out there", wave))
+		if wave := c.waveOverlapping(s.Pools); ok && need > 0 && need == inZone && wave != "" {
+			c.report(section, "min-per-zone", fmt.Sprintf("all %d VMs in zone %s", inZone, z), fmt.Sprintf("fewer, or wave %s can take none out there", wave))
 			return
 		}
 	}
 }
 
-func (c *checker) members(s *model.Service) (int, map[model.ZoneName]int) {
+// countVMs returns the number of VMs in the pools of s, in all and per zone.
+func (c *checker) countVMs(s *model.Service) (int, map[model.ZoneName]int) {
 	total, perZone := 0, make(map[model.ZoneName]int)
 	for _, p := range s.Pools {
 		for _, vm := range c.byPool[p] {
@@ -201,7 +203,8 @@
 	return total, perZone
 }
 
-func (c *checker) waveOn(pools []model.PoolName) model.WaveName {
+// waveOverlapping returns the first wave that has one of the pools, or "".
+func (c *checker) waveOverlapping(pools []model.PoolName) model.WaveName {
 	for _, w := range c.d.Waves {
 		for _, p := range w.Pools {
 			for _, q := range pools {
@@ -219,18 +222,18 @@
 	for _, w := range c.d.Waves {
 		section := kindWave + " " + string(w.Name)
 		if seen[w.Name] {
-			c.add(section, "", "the wave again", "each wave once")
+			c.report(section, "", "the wave again", "each wave once")
 		}
 		seen[w.Name] = true
 		c.checkPoolNames(section, w.Pools)
 		if w.Canary < 0 {
-			c.add(section, "canary", strconv.Itoa(w.Canary), "at least 0")
+			c.report(section, "canary", strconv.Itoa(w.Canary), "at least 0")
 		}
 		if w.MaxBatch > 0 && w.Canary > w.MaxBatch {
-			c.add(section, "canary", strconv.Itoa(w.Canary), fmt.Sprintf("at most max-batch %d", w.MaxBatch))
+			c.report(section, "canary", strconv.Itoa(w.Canary), fmt.Sprintf("at most max-batch %d", w.MaxBatch))
 		}
 		if w.Grace <= 0 {
-			c.add(section, "grace", w.Grace.String(), "above 0")
+			c.report(section, "grace", w.Grace.String(), "above 0")
 		}
 	}
 }
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -9,20 +9,20 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// nameRule says in words what validName takes. Names become parts of store
-// keys and words of the command language.
+// nameRule describes to operators what validName accepts. Names become parts of
+// store keys and words of the command language.
 const nameRule = "1 to 63 of a-z, A-Z, 0-9, '-', '_' or '.', starting with none of the last three"
 
 const maxNameLength = 63
 
-// Bounds on values. They are far above any use and below where arithmetic on
-// them could overflow.
+// Upper bounds on values. They are far above practical use and low enough that
+// arithmetic on them cannot overflow.
 const (
 	maxNumber   = 1_000_000_000
 	maxDuration = 366 * 24 * time.Hour
 )
 
-// milliPerCore turns declared cores into the model's thousandths.
+// milliPerCore converts declared cores to the model's thousandths of a core.
 const milliPerCore = 1000
 
 func validName(s string) bool {
@@ -39,28 +39,29 @@
 	return true
 }
 
-// reader takes typed values out of a section and collects what is wrong.
+// reader parses the values of a section and collects problems. Absent values
+// are not reported: missingRequired does that.
 type reader struct {
 	*section
 	problems *[]Problem
 }
 
-func (r reader) bad(key, expected string) {
-	*r.problems = append(*r.problems, r.problem(key, quoted(r.values[key]), expected))
+func (r reader) reportInvalid(key, expected string) {
+	*r.problems = append(*r.problems, r.problem(key, quote(r.values[key]), expected))
 }
 
-func (r reader) present(key string) bool { return r.values[key] != "" }
+func (r reader) isSet(key string) bool { return r.values[key] != "" }
 
 func (r reader) name(key string) string {
 	value := r.values[key]
-	if r.present(key) && !validName(value) {
-		r.bad(key, "a name of "+nameRule)
+	if r.isSet(key) && !validName(value) {
+		r.reportInvalid(key, "a name of "+nameRule)
 	}
 	return value
 }
 
 func (r reader) names(key string) []string {
-	if !r.present(key) {
+	if !r.isSet(key) {
 		return nil
 	}
 	var names []string
@@ -68,11 +69,11 @@
 	for _, part := range strings.Split(r.values[key], ",") {
 		name := strings.TrimSpace(part)
 		if !validName(name) {
-			r.bad(key, "names separated by commas, each of "+nameRule)
+			r.reportInvalid(key, "names separated by commas, each of "+nameRule)
 			return nil
 		}
 		if seen[name] {
-			r.bad(key, "each name once, "+quoted(name)+" stands twice")
+			r.reportInvalid(key, "each name once, "+quote(name)+" stands twice")
 			continue
 		}
 		seen[name] = true
@@ -81,26 +82,26 @@
 	return names
 }
 
-func (r reader) whole(key string, least int) int {
+func (r reader) integer(key string, minimum int) int {
 	n, err := strconv.Atoi(r.values[key])
-	if r.present(key) && (err != nil || n < least || n > maxNumber) {
-		r.bad(key, "a whole number of at least "+strconv.Itoa(least))
+	if r.isSet(key) && (err != nil || n < minimum || n > maxNumber) {
+		r.reportInvalid(key, "a whole number of at least "+strconv.Itoa(minimum))
 	}
 	return n
 }
 
 func (r reader) weight(key string) float64 {
 	f, err := strconv.ParseFloat(r.values[key], 64)
-	if r.present(key) && (err != nil || !(f >= 0 && f <= maxNumber)) {
-		r.bad(key, "a number of at least 0")
+	if r.isSet(key) && (err != nil || !(f >= 0 && f <= maxNumber)) {
+		r.reportInvalid(key, "a number of at least 0")
 	}
 	return f
 }
 
 func (r reader) duration(key string) time.Duration {
 	d, err := time.ParseDuration(r.values[key])
-	if r.present(key) && (err != nil || d <= 0 || d > maxDuration) {
-		r.bad(key, "a duration above 0 such as 500ms, 30s or 24h")
+	if r.isSet(key) && (err != nil || d <= 0 || d > maxDuration) {
+		r.reportInvalid(key, "a duration above 0 such as 500ms, 30s or 24h")
 	}
 	return d
 }
@@ -112,51 +113,51 @@
 	case "no", "false":
 		return false
 	}
-	if r.present(key) {
-		r.bad(key, "yes or no")
+	if r.isSet(key) {
+		r.reportInvalid(key, "yes or no")
 	}
 	return false
 }
 
 func (r reader) class(key string) model.Class {
 	class, ok := model.ParseClass(r.values[key])
-	if r.present(key) && !ok {
-		r.bad(key, "urgent, normal or deferrable")
+	if r.isSet(key) && !ok {
+		r.reportInvalid(key, "urgent, normal or deferrable")
 	}
 	return class
 }
 
-// quantity reads "8" or "80%".
+// quantity parses a count such as "8" or a share such as "80%".
 func (r reader) quantity(key string) model.Quantity {
 	value := r.values[key]
 	percent, isShare := strings.CutSuffix(value, "%")
 	if isShare {
 		f, err := strconv.ParseFloat(strings.TrimSpace(percent), 64)
 		if err != nil || !(f >= 0 && f <= 100) {
-			r.bad(key, "a count such as 8 or a share from 0% to 100%")
+			r.reportInvalid(key, "a count such as 8 or a share from 0% to 100%")
 		}
 		return model.Quantity{Share: f / 100}
 	}
 	n, err := strconv.Atoi(value)
-	if r.present(key) && (err != nil || n < 0 || n > maxNumber) {
-		r.bad(key, "a count such as 8 or a share from 0% to 100%")
+	if r.isSet(key) && (err != nil || n < 0 || n > maxNumber) {
+		r.reportInvalid(key, "a count such as 8 or a share from 0% to 100%")
 	}
 	return model.Quantity{Count: n}
 }
 
-func (r reader) cores(key string) int64 {
+func (r reader) milliCores(key string) int64 {
 	f, err := strconv.ParseFloat(r.values[key], 64)
-	if r.present(key) && (err != nil || !(f >= 0 && f <= maxNumber)) {
-		r.bad(key, "a number of processor cores of at least 0, such as 32 or 0.5")
+	if r.isSet(key) && (err != nil || !(f >= 0 && f <= maxNumber)) {
+		r.reportInvalid(key, "a number of processor cores of at least 0, such as 32 or 0.5")
 	}
 	return int64(f * milliPerCore)
 }
 
 func (r reader) resources() model.Resources {
 	return model.Resources{
-		MilliCPU:     r.cores("cpu"),
-		MemoryMB:     int64(r.whole("memory-mb", 0)),
-		Accelerators: int64(r.whole("accelerators", 0)),
+		MilliCPU:     r.milliCores("cpu"),
+		MemoryMB:     int64(r.integer("memory-mb", 0)),
+		Accelerators: int64(r.integer("accelerators", 0)),
 	}
 }
 
@@ -168,8 +169,8 @@
 	}
 }
 
-// validAddress reports whether s is HOST:PORT. What stands here is connected
-// to and printed, so a host is an IP number or a plain name.
+// validAddress reports whether s is HOST:PORT. The address is connected to and
+// printed, so the host must be an IP address or a plain name.
 func validAddress(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || net.ParseIP(host) == nil && !validHost(host) {
