--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -11,74 +11,77 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// field describes one key: where it stands, what it expects, how it is set.
+// field describes one key: its section, default, allowed values and setter.
 type field struct {
 	section, key string
-	fallback     string
+	defaultValue string
 	required     bool
-	expects      string
+	expected     string
 	set          func(s *Settings, text string) bool
 }
 
 const (
-	expectsName     = "a name of a-z, A-Z, 0-9, '-' and '.'"
-	expectsAddress  = "host:port with an IP number as host"
-	expectsURL      = "http:// or https:// with host and port"
-	expectsDuration = "a positive duration such as 500ms or 2s"
-	expectsFile     = "a readable file"
-	expectsBytes    = "a positive number of bytes"
+	expectedName     = "a name of a-z, A-Z, 0-9, '-' and '.'"
+	expectedAddress  = "host:port with an IP number as host"
+	expectedURL      = "http:// or https:// with host and port"
+	expectedDuration = "a positive duration such as 500ms or 2s"
+	expectedFile     = "a readable file"
+	expectedBytes    = "a positive number of bytes"
 )
 
-// fields lists every key there is. The reasons for defaults stand in
-// docs/operators/settings.md.
+// fields lists all keys. docs/operators/settings.md gives the reasons for the
+// defaults.
 var fields = concat(
 	[]field{
-		{"entry", "id", "", true, expectsName, func(s *Settings, t string) bool { s.ID = model.EntryID(t); return isName(t) }},
-		{"entry", "zone", "", true, expectsName, func(s *Settings, t string) bool { s.Zone = model.ZoneName(t); return isName(t) }},
-		{"entry", "cluster", "", true, expectsName, func(s *Settings, t string) bool { s.Cluster = t; return isName(t) }},
-		{"entry", "drain", "30s", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Drain })},
-		{"peers", "seeds", "", false, expectsAddress + ", comma between", func(s *Settings, t string) bool { s.Seeds = list(t); return all(s.Seeds, isAddress) }},
-		{"platform", "store", "", true, expectsURL + ", comma between", func(s *Settings, t string) bool { s.Store = list(t); return all(s.Store, isURL) }},
-		{"platform", "machines", "", true, expectsURL, func(s *Settings, t string) bool { s.Machines = t; return isURL(t) }},
-		{"platform", "timeout", "2s", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.PlatformTimeout })},
-		{"access", "tokens", "", false, expectsFile, file(func(s *Settings) *string { return &s.TokensFile })},
+		{"entry", "id", "", true, expectedName, func(s *Settings, t string) bool { s.ID = model.EntryID(t); return isName(t) }},
+		{"entry", "zone", "", true, expectedName, func(s *Settings, t string) bool { s.Zone = model.ZoneName(t); return isName(t) }},
+		{"entry", "cluster", "", true, expectedName, func(s *Settings, t string) bool { s.Cluster = t; return isName(t) }},
+		{"entry", "drain", "30s", false, expectedDuration, durationSetter(func(s *Settings) *time.Duration { return &s.Drain })},
+		{"peers", "seeds", "", false, expectedAddress + ", comma between", func(s *Settings, t string) bool { s.Seeds = splitList(t); return allMatch(s.Seeds, isAddress) }},
+		{"platform", "store", "", true, expectedURL + ", comma between", func(s *Settings, t string) bool { s.Store = splitList(t); return allMatch(s.Store, isURL) }},
+		{"platform", "machines", "", true, expectedURL, func(s *Settings, t string) bool { s.Machines = t; return isURL(t) }},
+		{"platform", "timeout", "2s", false, expectedDuration, durationSetter(func(s *Settings) *time.Duration { return &s.PlatformTimeout })},
+		{"access", "tokens", "", false, expectedFile, fileSetter(func(s *Settings) *string { return &s.TokensFile })},
 		{"log", "level", "info", false, "debug, info, warn or error", func(s *Settings, t string) bool { return s.LogLevel.UnmarshalText([]byte(t)) == nil }},
 		{"log", "format", "text", false, "text or json", setFormat},
 	},
-	limits,
-	listener("callers", func(s *Settings) *Listener { return &s.Callers }),
-	listener("operators", func(s *Settings) *Listener { return &s.Operators }),
-	listener("peers", func(s *Settings) *Listener { return &s.Peers }),
+	limitFields,
+	listenerFields("callers", func(s *Settings) *Listener { return &s.Callers }),
+	listenerFields("operators", func(s *Settings) *Listener { return &s.Operators }),
+	listenerFields("peers", func(s *Settings) *Listener { return &s.Peers }),
 )
 
-// limits bound what one caller may hold of an entry VM; what is not set keeps
-// the default of package entry, which gives the reasons.
-var limits = []field{
-	{"limits", "header-bytes", "", false, expectsBytes, number(func(s *Settings) *int { return &s.Limits.HeaderBytes })},
-	{"limits", "body-bytes", "", false, expectsBytes, number(func(s *Settings) *int64 { return &s.Limits.BodyBytes })},
-	{"limits", "once-body-bytes", "", false, expectsBytes, number(func(s *Settings) *int64 { return &s.Limits.OnceBodyBytes })},
-	{"limits", "header-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.HeaderTimeout })},
-	{"limits", "idle-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.IdleTimeout })},
-	{"limits", "body-grace", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.BodyGrace })},
-	{"limits", "body-rate", "", false, expectsBytes + " a second", number(func(s *Settings) *int64 { return &s.Limits.MinBodyRate })},
-	{"limits", "write-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.WriteTimeout })},
-	{"limits", "max-timeout", "", false, expectsDuration, duration(func(s *Settings) *time.Duration { return &s.Limits.MaxTimeout })},
-	{"limits", "inside", "", false, "a positive number of requests", number(func(s *Settings) *int { return &s.Limits.MaxInFlight })},
-}
-
-// listener returns the keys that each of the three listeners has.
-func listener(section string, of func(*Settings) *Listener) []field {
+// limitFields lists the keys that bound the resources of an entry VM that a
+// caller can use. An absent key keeps the default of package entry, which
+// gives the reasons.
+var limitFields = []field{
+	{"limits", "header-bytes", "", false, expectedBytes, numberSetter(func(s *Settings) *int { return &s.Limits.HeaderBytes })},
+	{"limits", "body-bytes", "", false, expectedBytes, numberSetter(func(s *Settings) *int64 { return &s.Limits.BodyBytes })},
+	{"limits", "once-body-bytes", "", false, expectedBytes, numberSetter(func(s *Settings) *int64 { return &s.Limits.OnceBodyBytes })},
+	{"limits", "header-timeout", "", false, expectedDuration, durationSetter(func(s *Settings) *time.Duration { return &s.Limits.HeaderTimeout })},
+	{"limits", "idle-timeout", "", false, expectedDuration, durationSetter(func(s *Settings) *time.Duration { return &s.Limits.IdleTimeout })},
+	{"limits", "body-grace", "", false, expectedDuration, durationSetter(func(s *Settings) *time.Duration { return &s.Limits.BodyGrace })},
+	{"limits", "body-rate", "", false, expectedBytes + " a second", numberSetter(func(s *Settings) *int64 { return &s.Limits.MinBodyRate })},
+	{"limits", "write-timeout", "", false, expectedDuration, durationSetter(func(s *Settings) *time.Duration { return &s.Limits.WriteTimeout })},
+	{"limits", "max-timeout", "", false, expectedDuration, durationSetter(func(s *Settings) *time.Duration { return &s.Limits.MaxTimeout })},
+	{"limits", "inside", "", false, "a positive number of requests", numberSetter(func(s *Settings) *int { return &s.Limits.MaxInFlight })},
+}
+
+// listenerFields returns the keys of a listener. All three listeners have the
+// same keys.
+func listenerFields(section string, fieldOf func(*Settings) *Listener) []field {
 	return []field{
-		{section, "listen", "", true, expectsAddress, func(s *Settings, t string) bool { of(s).Listen = t; return isAddress(t) }},
-		{section, "advertise", "", false, expectsAddress, func(s *Settings, t string) bool { of(s).Advertise = t; return isAddress(t) }},
-		{section, "tls-cert", "", false, expectsFile, file(func(s *Settings) *string { return &of(s).Cert })},
-		{section, "tls-key", "", false, expectsFile, file(func(s *Settings) *string { return &of(s).Key })},
-		{section, "tls-ca", "", false, expectsFile, file(func(s *Settings) *string { return &of(s).CA })},
+		{section, "listen", "", true, expectedAddress, func(s *Settings, t string) bool { fieldOf(s).Listen = t; return isAddress(t) }},
+		{section, "advertise", "", false, expectedAddress, func(s *Settings, t string) bool { fieldOf(s).Advertise = t; return isAddress(t) }},
+		{section, "tls-cert", "", false, expectedFile, fileSetter(func(s *Settings) *string { return &fieldOf(s).Cert })},
+		{section, "tls-key", "", false, expectedFile, fileSetter(func(s *Settings) *string { return &fieldOf(s).Key })},
+		{section, "tls-ca", "", false, expectedFile, fileSetter(func(s *Settings) *string { return &fieldOf(s).CA })},
 	}
 }
 
-// crossCheck finds mistakes that only show between keys.
-func (s *Settings) crossCheck() []Mistake {
+// checkCombinations sets Advertise to its default and finds mistakes in
+// combinations of keys.
+func (s *Settings) checkCombinations() []Mistake {
 	var mistakes []Mistake
 	sections := []string{"callers", "operators", "peers"}
 	for i, l := range []*Listener{&s.Callers, &s.Operators, &s.Peers} {
@@ -104,25 +107,29 @@
 	return t == "json" || t == "text"
 }
 
-func number[T int | int64](of func(*Settings) *T) func(*Settings, string) bool {
+// numberSetter returns a setter that accepts positive whole numbers.
+func numberSetter[T int | int64](fieldOf func(*Settings) *T) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		n, err := strconv.ParseInt(t, 10, strconv.IntSize)
-		*of(s) = T(n)
+		*fieldOf(s) = T(n)
 		return err == nil && n > 0
 	}
 }
 
-func duration(of func(*Settings) *time.Duration) func(*Settings, string) bool {
+// durationSetter returns a setter that accepts positive durations.
+func durationSetter(fieldOf func(*Settings) *time.Duration) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
 		d, err := time.ParseDuration(t)
-		*of(s) = d
+		*fieldOf(s) = d
 		return err == nil && d > 0
 	}
 }
 
-func file(of func(*Settings) *string) func(*Settings, string) bool {
+// fileSetter returns a setter that accepts paths of existing files. It does not
+// check that the file can be read.
+func fileSetter(fieldOf func(*Settings) *string) func(*Settings, string) bool {
 	return func(s *Settings, t string) bool {
-		*of(s) = t
+		*fieldOf(s) = t
 		info, err := os.Stat(t)
 		return err == nil && !info.IsDir()
 	}
@@ -152,7 +159,8 @@
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Port() != ""
 }
 
-func list(t string) []string {
+// splitList splits a comma-separated list and drops empty items.
+func splitList(t string) []string {
 	var items []string
 	for _, part := range strings.Split(t, ",") {
 		if part = strings.TrimSpace(part); part != "" {
@@ -162,7 +170,8 @@
 	return items
 }
 
-func all(items []string, ok func(string) bool) bool {
+// allMatch reports whether there are items and ok holds for each of them.
+func allMatch(items []string, ok func(string) bool) bool {
 	for _, item := range items {
 		if !ok(item) {
 			return false
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
 // Package settings reads and checks the entry daemon's INI settings. All
-// mistakes are reported at once, each by section and key.
+// mistakes are reported at once, each with its section and key.
 package settings
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Settings are what one entry daemon is told at its start.
+// Settings holds the settings that an entry daemon reads when it starts.
 type Settings struct {
 	ID      model.EntryID
 	Zone    model.ZoneName
@@ -29,35 +29,35 @@
 	Machines        string        // base URL of the platform's machine service
 	PlatformTimeout time.Duration // deadline of one call to the platform
 
-	TokensFile string // operators' tokens; empty: no access control
+	TokensFile string // file of operators' tokens; empty disables access control
 
 	LogLevel slog.Level
 	LogJSON  bool
 
-	Drain  time.Duration // how long SIGTERM waits for requests in flight
+	Drain  time.Duration // how long a shutdown on SIGTERM waits for requests in flight
 	Limits entry.Limits
 }
 
 // Listener is one of the daemon's three listeners.
 type Listener struct {
 	Listen    string // host:port to bind
-	Advertise string // host:port others reach it by
-	Cert      string // TLS certificate file; empty: plain TCP
+	Advertise string // host:port at which others reach it; Listen by default
+	Cert      string // TLS certificate file; empty means plain TCP
 	Key       string // TLS key file
-	CA        string // clients must present a certificate signed by it; empty: not asked
+	CA        string // file of the CA that must have signed client certificates; empty means none are required
 }
 
 // TLS reports whether the listener uses TLS.
 func (l Listener) TLS() bool { return l.Cert != "" }
 
-// Mistake is one fault in a settings file.
+// Mistake is one error in a settings file.
 type Mistake struct {
 	Section, Key string
-	Given        string
-	Expected     string
+	Given        string // the value found; empty if there is none to quote
+	Expected     string // what is allowed, or the whole message if Given is empty
 }
 
-// String returns the mistake as operators read it.
+// String returns the mistake as one line for operators.
 func (m Mistake) String() string {
 	where := "[" + m.Section + "]"
 	if m.Key != "" {
@@ -69,13 +69,13 @@
 	return fmt.Sprintf("%s: given %q, expected %s", where, m.Given, m.Expected)
 }
 
-// Error holds every mistake found in one file.
+// Error reports an invalid settings file with all its mistakes.
 type Error struct {
 	File     string
 	Mistakes []Mistake
 }
 
-// Error implements error, one line a mistake.
+// Error lists the mistakes, one on a line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	for i, m := range e.Mistakes {
@@ -87,47 +87,47 @@
 	return b.String()
 }
 
-// Load reads and checks a settings file. The error is *Error where the file
-// could be read.
+// Load reads and checks a settings file. The error is *Error if the settings are
+// invalid, and another one if the file cannot be read or is not INI.
 func Load(file string) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{SkipUnrecognizableLines: false}, file)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s := &Settings{Limits: entry.DefaultLimits()}
-	mistakes := unknown(f)
-	mistakes = append(mistakes, s.fill(f)...)
-	mistakes = append(mistakes, s.crossCheck()...)
+	mistakes := unknownKeys(f)
+	mistakes = append(mistakes, s.setFields(f)...)
+	mistakes = append(mistakes, s.checkCombinations()...)
 	if len(mistakes) > 0 {
 		return nil, &Error{File: file, Mistakes: mistakes}
 	}
 	return s, nil
 }
 
-// fill sets every field from the file or its default.
-func (s *Settings) fill(f *ini.File) []Mistake {
+// setFields sets every field from the file or its default.
+func (s *Settings) setFields(f *ini.File) []Mistake {
 	var mistakes []Mistake
 	for _, fd := range fields {
 		text := strings.TrimSpace(f.Section(fd.section).Key(fd.key).String())
 		if text == "" {
-			text = fd.fallback
+			text = fd.defaultValue
 		}
 		if text == "" {
 			if fd.required {
-				mistakes = append(mistakes, Mistake{Section: fd.section, Key: fd.key, Expected: "missing, expected " + fd.expects})
+				mistakes = append(mistakes, Mistake{Section: fd.section, Key: fd.key, Expected: "missing, expected " + fd.expected})
 			}
 			continue
 		}
 		if !fd.set(s, text) {
-			mistakes = append(mistakes, Mistake{fd.section, fd.key, text, fd.expects})
+			mistakes = append(mistakes, Mistake{fd.section, fd.key, text, fd.expected})
 		}
 	}
 	return mistakes
 }
 
-// unknown finds sections and keys that mean nothing: a misspelt key would
-// otherwise leave its default in force unseen.
-func unknown(f *ini.File) []Mistake {
+// unknownKeys finds unknown sections and keys: a misspelt key would otherwise
+// silently leave its default in force.
+func unknownKeys(f *ini.File) []Mistake {
 	known := make(map[string]map[string]bool)
 	for _, fd := range fields {
 		if known[fd.section] == nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/pumicestage/pumicestage/internal/entry"
 )
 
-const good = `
+const validText = `
 [entry]
 id = e1
 zone = gt-a
@@ -34,16 +34,17 @@
 }
 
 func TestLoadFillsDefaults(t *testing.T) {
-	s, err := load(t, good)
+	s, err := load(t, validText)
 	assert.NilError(t, err)
 	assert.Equal(t, s.Callers.Advertise, "127.0.0.1:18080")
 	assert.Equal(t, s.PlatformTimeout, 2*time.Second)
 	assert.DeepEqual(t, s.Seeds, []string{"127.0.0.1:18281", "127.0.0.1:18282"})
 }
 
-// Operators mend a settings file in one go: every mistake is named by section
-// and key with what was expected, also those only seen between keys.
-func TestLoadNamesEveryMistakeAtOnce(t *testing.T) {
+// Checks that one load reports every mistake with its section and key, also
+// those in combinations of keys, so that operators can correct a file in one
+// pass.
+func TestLoadReportsEveryMistakeAtOnce(t *testing.T) {
 	_, err := load(t, `
 [entry]
 id = e one
@@ -60,10 +61,10 @@
 timeout = soon
 [extra]
 `)
-	var bad *Error
-	assert.Assert(t, errors.As(err, &bad))
+	var invalid *Error
+	assert.Assert(t, errors.As(err, &invalid))
 	got := make(map[string]bool)
-	for _, m := range bad.Mistakes {
+	for _, m := range invalid.Mistakes {
 		got[m.Section+"/"+m.Key] = true
 	}
 	want := map[string]bool{
@@ -75,17 +76,17 @@
 }
 
 func TestLoadLimits(t *testing.T) {
-	s, err := load(t, good+"[limits]\nbody-rate = 100\ninside = 7\nwrite-timeout = 3s\n")
+	s, err := load(t, validText+"[limits]\nbody-rate = 100\ninside = 7\nwrite-timeout = 3s\n")
 	assert.NilError(t, err)
 	want := entry.DefaultLimits()
 	want.MinBodyRate, want.MaxInFlight, want.WriteTimeout = 100, 7, 3*time.Second
 	assert.DeepEqual(t, s.Limits, want)
-	_, err = load(t, good+"[limits]\nbody-rate = -1\ninside = many\n")
+	_, err = load(t, validText+"[limits]\nbody-rate = -1\ninside = many\n")
 	assert.ErrorContains(t, err, `[limits] body-rate: given "-1"`)
 	assert.ErrorContains(t, err, `[limits] inside: given "many"`)
 }
 
 func TestLoadCrossChecksTLS(t *testing.T) {
-	_, err := load(t, good+"[callers]\ntls-cert = /dev/null\n")
+	_, err := load(t, validText+"[callers]\ntls-cert = /dev/null\n")
 	assert.ErrorContains(t, err, "tls-cert and tls-key go together")
 }
