--- a/internal/operator/wiring/waves.go
+++ b/internal/operator/wiring/waves.go
@@ -7,7 +7,7 @@
 	"github.com/pumicestage/pumicestage/internal/query"
 )
 
-// Waves is a query.Waves by the reconciler of this entry VM.
+// Waves implements query.Waves with the reconciler of this entry VM.
 type Waves struct {
 	Fleet *fleet.Fleet
 }
@@ -25,8 +25,8 @@
 		r := s.Record
 		found[i] = query.WaveStatus{
 			Name: r.Name, State: string(r.State), Pools: r.Pools,
-			Total: s.Progress.Total, Done: s.Progress.Done, Out: s.Progress.Out, Failed: s.Progress.Failed,
-			Reason: s.BlockReason, Started: r.Started, Ended: r.Ended, Forecast: s.Forecast, By: r.Actor, Change: r.Change,
+			Total: s.Progress.Total, Done: s.Progress.Done, OutOfService: s.Progress.Out, Failed: s.Progress.Failed,
+			Reason: s.BlockReason, Started: r.Started, Ended: r.Ended, Forecast: s.Forecast, Actor: r.Actor, Change: r.Change,
 		}
 	}
 	return found, nil
