--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -64,15 +64,15 @@
 		{"every request lost", func(_ *testing.T, _ infra.Store, faultyStore *faulty.Store) { faultyStore.LoseRequests(9) },
 			&UnknownError{}, 0, ApplyResult{Generation: 2, Current: 2}},
 		{"another change is committed first", func(t *testing.T, inner infra.Store, faultyStore *faulty.Store) {
-			beforeWrite(faultyStore, 1, competingApply(t, inner, "c-rival"))
+			beforeWrite(faultyStore, 1, competingApply(t, inner, "c-competing"))
 		}, &ConflictError{}, 0, ApplyResult{Generation: 3, Current: 3}},
 		{"reply lost, then another change replaces it", func(t *testing.T, inner infra.Store, faultyStore *faulty.Store) {
 			faultyStore.LoseReplies(1)
-			beforeWrite(faultyStore, 2, competingApply(t, inner, "c-rival"))
+			beforeWrite(faultyStore, 2, competingApply(t, inner, "c-competing"))
 		}, nil, 2, ApplyResult{Generation: 2, Current: 3, Repeated: true}},
 		{"request lost, then another change is committed first", func(t *testing.T, inner infra.Store, faultyStore *faulty.Store) {
 			faultyStore.LoseRequests(1)
-			beforeWrite(faultyStore, 2, competingApply(t, inner, "c-rival"))
+			beforeWrite(faultyStore, 2, competingApply(t, inner, "c-competing"))
 		}, &ConflictError{}, 0, ApplyResult{Generation: 3, Current: 3}},
 	}
 	for _, tc := range cases {
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestApplyTerms(t *testing.T) {
+func TestApplyPreconditions(t *testing.T) {
 	ctx := context.Background()
 	newStore := func(t *testing.T) infra.Store {
 		store := memstore.New(clockwork.NewFakeClockAt(testTime))
--- a/internal/config/history_test.go
+++ b/internal/config/history_test.go
@@ -45,6 +45,8 @@
 	},
 }).ToModel()
 
+// step returns the states that may follow state if op was answered by got; none
+// if the model does not allow that answer.
 func step(state string, op operation, got response) []any {
 	changes := strings.Fields(state)
 	now := uint64(len(changes))
@@ -68,6 +70,7 @@
 	return nil
 }
 
+// unchangedIf returns state alone if ok, and no state otherwise.
 func unchangedIf(state string, ok bool) []any {
 	if !ok {
 		return nil
@@ -89,6 +92,7 @@
 	}
 }
 
+// runApplies runs the operators and returns the history of their operations.
 func runApplies(t *testing.T, seed uint64) []porcupine.Operation {
 	const operators, operationsEach = 4, 15
 	inner := memstore.New(clockwork.NewFakeClockAt(testTime))
@@ -121,8 +125,8 @@
 		})
 	}
 	wg.Wait()
-	// porcupine allows one open operation per client, so an operation that
-	// never returns gets a client of its own.
+	// The operations of one client must not overlap, so an operation without an
+	// end gets a client of its own.
 	for i := range history {
 		if history[i].Return == math.MaxInt64 {
 			history[i].ClientId = operators + i
--- a/internal/config/removal.go
+++ b/internal/config/removal.go
@@ -82,10 +82,10 @@
 			if zones[vm.Zone] == nil {
 				zones[vm.Zone] = &vmCounts{}
 			}
-			_, working := currentPool(vm, r.live)
+			_, available := currentPool(vm, r.live)
 			stays := next != nil && r.remainsIn(next, vm)
-			whole.add(stays, working)
-			zones[vm.Zone].add(stays, working)
+			whole.add(stays, available)
+			zones[vm.Zone].add(stays, available)
 		}
 	}
 	need := s.Budget.MinAvailable.Of(whole.before)
@@ -108,13 +108,13 @@
 	return broken
 }
 
-func (t *vmCounts) add(stays, working bool) {
+func (t *vmCounts) add(stays, available bool) {
 	t.before++
 	if !stays {
 		return
 	}
 	t.after++
-	if working {
+	if available {
 		t.available++
 	}
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -72,19 +72,19 @@
 	kindTeam: {named: true, keys: resourceKeys("0")},
 }
 
-func weightKeys(fallback string) []keySpec {
+func weightKeys(defaultValue string) []keySpec {
 	return []keySpec{
-		{name: "roll-out-time", defaultValue: fallback},
-		{name: "buffer-cost", defaultValue: fallback},
-		{name: "moves", defaultValue: fallback},
+		{name: "roll-out-time", defaultValue: defaultValue},
+		{name: "buffer-cost", defaultValue: defaultValue},
+		{name: "moves", defaultValue: defaultValue},
 	}
 }
 
-func resourceKeys(fallback string) []keySpec {
+func resourceKeys(defaultValue string) []keySpec {
 	return []keySpec{
-		{name: "cpu", defaultValue: fallback},
-		{name: "memory-mb", defaultValue: fallback},
-		{name: "accelerators", defaultValue: fallback},
+		{name: "cpu", defaultValue: defaultValue},
+		{name: "memory-mb", defaultValue: defaultValue},
+		{name: "accelerators", defaultValue: defaultValue},
 	}
 }
 
