--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -78,7 +78,7 @@
 		e.Stage, e.After, e.Detail = StageDone, generationText(res.Generation), "the same was in force already"
 	default:
 		e.Stage, e.Before, e.After = StageDone, generationText(res.Generation-1), generationText(res.Generation)
-		e.Detail = differencesText(res.Differ)
+		e.Detail = differencesText(res.Differences)
 	}
 	return e
 }
