--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -33,7 +33,7 @@
 	Warning string // as in Result
 }
 
-// applyAction is the Action of an apply's events in the audit trail.
+// applyAction is the Action of the audit events of an ApplyRequest.
 const applyAction = "apply declaration"
 
 // Apply puts a declaration in force. Errors are those of package config, and
@@ -64,7 +64,9 @@
 	return out, err
 }
 
-// applyOutcome completes the event with the outcome of an apply.
+// applyOutcome returns the audit event e, which has recorded the request to apply
+// a declaration, with the stage, states and detail of the result: res if err is
+// nil, otherwise err.
 func applyOutcome(e Event, res config.ApplyResult, err error) Event {
 	var unknown *config.UnknownError
 	switch {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -27,13 +27,14 @@
 	Order      lang.Order
 }
 
-// OrderMeta is the metadata of an order that is passed along with each of its
-// effects. Change identifies the single effect.
+// OrderMeta is the metadata of an order that is passed to the component that
+// executes it. An order that names several VMs or jobs is executed in one step
+// for each of them.
 type OrderMeta struct {
-	Change     model.ChangeID
-	Actor      string
-	Reason     string
-	IfRevision infra.Revision
+	Change     model.ChangeID // identifies the step; the order's own ID if it is the only one
+	Actor      string         // name of the operator
+	Reason     string         // as given by the operator
+	IfRevision infra.Revision // as in Request
 }
 
 // Effect is the change that an order made to one VM, wave, job or service.
