--- a/internal/lang/hints.go
+++ b/internal/lang/hints.go
@@ -43,8 +43,9 @@
 	return string(h.Class)
 }
 
-// The probes represent all names and all quoted strings when Hints tries what the
-// grammar accepts.
+// To find out whether the grammar accepts a name or a quoted string at a position,
+// Hints tries one example of each: the grammar does not depend on which name or
+// string it is.
 const (
 	probeWord   = "x0"
 	probeString = `"x"`
--- a/internal/lang/nodes.go
+++ b/internal/lang/nodes.go
@@ -129,26 +129,28 @@
 	Pool model.PoolName
 }
 
-// StartWave starts a declared wave.
+// StartWave starts a declared maintenance wave, which reboots the VMs of its pools
+// in batches.
 type StartWave struct {
 	Reason
 	Wave  model.WaveName
 	Pools []model.PoolName // empty for the declared pools
 }
 
-// PauseWave pauses a running wave.
+// PauseWave pauses a running maintenance wave.
 type PauseWave struct {
 	Reason
 	Wave model.WaveName
 }
 
-// ResumeWave continues a paused wave.
+// ResumeWave continues a paused maintenance wave.
 type ResumeWave struct {
 	Reason
 	Wave model.WaveName
 }
 
-// CancelWave ends a wave. VMs that the wave took out of service return to service.
+// CancelWave ends a maintenance wave. VMs that it took out of service return to
+// service.
 type CancelWave struct {
 	Reason
 	Wave model.WaveName
