--- a/internal/query/show.go
+++ b/internal/query/show.go
@@ -325,6 +325,7 @@
 	return keys
 }
 
+// joinNames returns the names, separated by commas, for a message.
 func joinNames[T ~string](names []T) string {
 	parts := make([]string, len(names))
 	for i, n := range names {
@@ -333,6 +334,8 @@
 	return strings.Join(parts, ", ")
 }
 
+// serviceNames returns the names of all declared services, separated by commas,
+// for the message that a service is not declared.
 func serviceNames(d *model.Declaration) string {
 	names := make([]model.ServiceName, len(d.Services))
 	for i, s := range d.Services {
