--- a/internal/operator/wiring/planner.go
+++ b/internal/operator/wiring/planner.go
@@ -59,7 +59,7 @@
 	return forecastLoss(now, h.Lose), nil
 }
 
-// placement is the pool of a VM and what the budget count needs to know of it:
+// placement is the pool that a VM is in, and the VM as the budget count sees it:
 // its zone and rack, and whether it is certainly in service.
 type placement struct {
 	member budget.Member
@@ -120,6 +120,7 @@
 	return after
 }
 
+// markDown is a change for withChange: the VM is out of service after it.
 func markDown(pl *placement) { pl.member.Up = false }
 
 // countBudget counts the members of a service against its budget.
--- a/internal/operator/wiring/wiring_test.go
+++ b/internal/operator/wiring/wiring_test.go
@@ -255,7 +255,10 @@
 	}
 }
 
-func TestForecastsOfLossAndDeclaration(t *testing.T) {
+// A what-if question must list the VMs that a rack or zone failure or a smaller
+// declaration takes away, and say whether the budgets would still hold: operators
+// rely on it before they change anything.
+func TestForecastsOfFailureAndSmallerDeclaration(t *testing.T) {
 	w := newFixture(t, "lautan-kru")
 	rack := w.whatIf(t, "lose rack my-a-r1")
 	assert.Assert(t, rack.BudgetsHold)
