--- a/internal/peer/digest.go
+++ b/internal/peer/digest.go
@@ -78,14 +78,17 @@
 	LiveEntries(zone model.ZoneName) int
 }
 
-// SlotDemand asks the peers to lend slots of a service.
+// SlotDemand asks the peers to lend slots of a service. A slot is the right to have
+// one request in flight at a target. Slots is how many the sender needs beyond its
+// own share: for queued requests, and the borrowed slots in use.
 type SlotDemand struct {
 	Service model.ServiceName `msgpack:"s"`
 	Slots   uint16            `msgpack:"n"`
 }
 
-// SlotLoan lends slots of the sender to a peer. Slots is 0 while a recall of the
-// loan has not been confirmed by the borrower.
+// SlotLoan lends the peer To slots of the target VM that belong to the sender. Slots
+// is 0 while a recall of the loan has not been confirmed by the borrower. Version
+// grows with each change of the loan.
 type SlotLoan struct {
 	VM      model.VMID    `msgpack:"v"`
 	To      model.EntryID `msgpack:"t"`
@@ -93,8 +96,9 @@
 	Version uint32        `msgpack:"r"`
 }
 
-// SlotBorrow confirms that the borrower has seen a version of a loan, and
-// reports how many of the lent slots are in use.
+// SlotBorrow confirms to the lender From that the sender, who is the borrower, has
+// seen a version of a loan of the target VM's slots, and reports how many of the
+// lent slots are in use.
 type SlotBorrow struct {
 	VM      model.VMID    `msgpack:"v"`
 	From    model.EntryID `msgpack:"f"`
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -261,8 +261,8 @@
 // including this one. The true time lies between them unless all clocks are off in
 // the same direction. Anything that must not expire too early should start at
 // latest and be compared with earliest. Otherwise, a single VM whose clock is a day
-// ahead would drop claims a day too early, and a late duplicate request would run
-// again.
+// ahead would delete the records of requests that may run only once (package claim)
+// a day too early, and a late duplicate of such a request would run again.
 func (m *Mesh) Clocks() (earliest, latest time.Time) {
 	var low, high time.Duration
 	for _, s := range m.table.list() {
