--- a/internal/infra/keys.go
+++ b/internal/infra/keys.go
@@ -29,7 +29,8 @@
 	WavePrefix = Root + "waves/"
 	// ClaimPrefix holds the claims of requests that run at most once.
 	ClaimPrefix = Root + "claims/"
-	// EntryPrefix holds one leased key per live entry VM.
+	// EntryPrefix holds one leased key per live entry VM that serves callers'
+	// requests: its registration (view.EntryRecord).
 	EntryPrefix = Root + "entries/"
 	// ShardPrefix holds one leased key per shard of the reconciliation work.
 	ShardPrefix = Root + "shards/"
@@ -48,7 +49,7 @@
 // WaveKey returns the key of a wave.
 func WaveKey(w model.WaveName) string { return WavePrefix + string(w) }
 
-// EntryKey returns the key of an entry VM.
+// EntryKey returns the key below EntryPrefix of an entry VM.
 func EntryKey(id model.EntryID) string { return EntryPrefix + string(id) }
 
 // Prefixes of the jobs that run as tasks on workers. A cell is the workers of
@@ -63,7 +64,8 @@
 	// WorkWavePrefix holds the progress of maintenance waves.
 	WorkWavePrefix = Root + "work/waves/"
 
-	// WorkEntryPrefix holds one leased key per live entry VM.
+	// WorkEntryPrefix holds one leased key per live entry VM that takes part in
+	// running jobs on workers: its zone, address and weight (members.Record).
 	WorkEntryPrefix = Root + "work/entries/"
 
 	// WorkLimitPrefix holds one key per workspace whose limit is divided into
@@ -76,7 +78,7 @@
 	workInboxPrefix    = Root + "work/inbox/"
 )
 
-// WorkEntryKey returns the key of a live entry VM.
+// WorkEntryKey returns the key below WorkEntryPrefix of the entry VM with the name.
 func WorkEntryKey(name string) string { return WorkEntryPrefix + name }
 
 // WorkLimitKey returns the key of the shares of the workspace's limit.
--- a/internal/infra/paced/paced_test.go
+++ b/internal/infra/paced/paced_test.go
@@ -25,9 +25,10 @@
 	return infra.MachineList{Machines: make([]infra.Machine, l.vms)}, l.err
 }
 
-// The reconciler and the placer each request the list every second. Without a
-// limit, the replies for 3,600 VMs alone would be 24 times the control traffic
-// that a node may use.
+// In an entry VM, the fleet's reconciler and the component that places jobs each
+// request the platform's list of VMs every second. Without a limit, the replies for
+// 3,600 VMs alone would be 24 times the 14 KB per second that all control traffic
+// of a node may use.
 func TestListRequestsAreLimitedByListSize(t *testing.T) {
 	cases := []struct {
 		name     string
