--- a/internal/infra/keys.go
+++ b/internal/infra/keys.go
@@ -29,8 +29,8 @@
 	WavePrefix = Root + "waves/"
 	// ClaimPrefix holds the claims of requests that run at most once.
 	ClaimPrefix = Root + "claims/"
-	// EntryPrefix holds one leased key per live entry VM that serves callers'
-	// requests: its registration (view.EntryRecord).
+	// EntryPrefix holds one leased key per live entry VM that runs package daemon:
+	// its registration (view.EntryRecord).
 	EntryPrefix = Root + "entries/"
 	// ShardPrefix holds one leased key per shard of the reconciliation work.
 	ShardPrefix = Root + "shards/"
@@ -64,8 +64,8 @@
 	// WorkWavePrefix holds the progress of maintenance waves.
 	WorkWavePrefix = Root + "work/waves/"
 
-	// WorkEntryPrefix holds one leased key per live entry VM that takes part in
-	// running jobs on workers: its zone, address and weight (members.Record).
+	// WorkEntryPrefix holds one leased key per live entry VM that runs package node:
+	// its zone, address and weight (members.Record).
 	WorkEntryPrefix = Root + "work/entries/"
 
 	// WorkLimitPrefix holds one key per workspace whose limit is divided into
