--- a/cmd/pumicestage/apply.go
+++ b/cmd/pumicestage/apply.go
@@ -17,10 +17,11 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// pollEvery is how often apply asks who has the generation in force.
-const pollEvery = 100 * time.Millisecond
+// pollInterval is the interval at which apply asks which entry VMs have the
+// generation in force.
+const pollInterval = 100 * time.Millisecond
 
-// applyFlags are the flags of apply.
+// applyFlags holds the flags of the apply command.
 type applyFlags struct {
 	path           string
 	dryRun         bool
@@ -30,6 +31,7 @@
 	wait           time.Duration
 }
 
+// addApply registers the apply command.
 func addApply(app *kingpin.Application, c *cli) {
 	f := &applyFlags{}
 	cmd := app.Command("apply", "Put a declaration in force, and wait until every live entry VM has it.")
@@ -52,77 +54,84 @@
 	}
 	var reply api.ChangeReply
 	err = c.call(ctx, func(ctx context.Context, cl *client.Client) error {
-		reply, err = c.change(ctx, cl, d, f)
+		reply, err = c.previewAndApply(ctx, cl, d, f)
 		return err
 	})
 	if err != nil || f.dryRun {
-		return withChange(f.change, err)
+		return annotateError(f.change, err)
 	}
 	if reply.Warning != "" {
 		fmt.Fprintln(c.stderr, "pumicestage: warning:", reply.Warning)
 	}
 	if f.wait > 0 {
-		if err := c.await(ctx, reply.Generation, f.wait); err != nil {
+		if err := c.waitInForce(ctx, reply.Generation, f.wait); err != nil {
 			return err
 		}
 	}
 	if c.output == outputJSON {
 		return c.printJSON(reply)
 	}
-	fmt.Fprintln(c.stdout, outcome(reply, f.change))
+	fmt.Fprintln(c.stdout, applyResultText(reply, f.change))
 	return nil
 }
 
-// change shows the differences and, unless it is a dry run, applies them onto
-// the generation they were shown against.
-func (c *cli) change(ctx context.Context, cl *client.Client, d *model.Declaration, f *applyFlags) (api.ChangeReply, error) {
+// previewAndApply prints the differences and, unless it is a dry run, applies
+// the declaration on condition that the generation in force is still the one
+// compared with, or the one given with --if-generation.
+func (c *cli) previewAndApply(ctx context.Context, cl *client.Client, d *model.Declaration, f *applyFlags) (api.ChangeReply, error) {
 	req := api.DeclarationRequest{Mode: api.ModeDiff, Declaration: d, Change: model.ChangeID(f.change)}
 	if f.ifGeneration >= 0 {
 		expected := uint64(f.ifGeneration)
 		req.IfGeneration = &expected
 	}
-	seen, err := cl.Change(ctx, req)
+	preview, err := cl.Change(ctx, req)
 	if err != nil {
-		return seen, err
+		return preview, err
 	}
-	if c.output == outputTable && !seen.Repeated {
-		printDiff(c.stdout, seen.Differ)
+	if c.output == outputTable && !preview.Repeated {
+		printDiff(c.stdout, preview.Differ)
 	}
 	if f.dryRun {
-		return seen, c.dryRun(seen, f)
+		return preview, c.reportDryRun(preview, f)
 	}
 	req.Mode = api.ModeApply
 	req.ConfirmRemoval = f.confirmRemoval
 	if req.IfGeneration == nil {
-		shown := seen.Generation
-		if !seen.Unchanged {
-			shown--
+		// A preview returns the generation that the change would create, or
+		// the one in force if there is no change.
+		base := preview.Generation
+		if !preview.Unchanged {
+			base--
 		}
-		req.IfGeneration = &shown
+		req.IfGeneration = &base
 	}
 	return cl.Change(ctx, req)
 }
 
-func (c *cli) dryRun(seen api.ChangeReply, f *applyFlags) error {
+// reportDryRun prints the JSON output of a dry run. It returns a
+// *config.RemovalError if the declaration breaks budgets by removals that are
+// not confirmed.
+func (c *cli) reportDryRun(preview api.ChangeReply, f *applyFlags) error {
 	if c.output == outputJSON {
-		if err := c.printJSON(seen); err != nil {
+		if err := c.printJSON(preview); err != nil {
 			return err
 		}
 	}
-	if len(seen.Broken) == 0 || f.confirmRemoval {
+	if len(preview.Broken) == 0 || f.confirmRemoval {
 		return nil
 	}
-	return &config.RemovalError{Broken: seen.Broken}
+	return &config.RemovalError{Broken: preview.Broken}
 }
 
-// withChange adds the change ID to errors that leave the outcome open, for
-// the repeat.
-func withChange(change string, err error) error {
+// annotateError adds to err what the operator needs next: the change ID to
+// repeat the request with where its outcome is unknown, and the differences
+// where it conflicts with another change. A nil err stays nil.
+func annotateError(change string, err error) error {
 	var unreachable *client.UnreachableError
 	var refused *client.RefusedError
-	open := errors.As(err, &unreachable) && unreachable.Sent ||
+	uncertain := errors.As(err, &unreachable) && unreachable.Sent ||
 		errors.As(err, &refused) && refused.Problem.Code == api.CodeUnknown
-	if open {
+	if uncertain {
 		return fmt.Errorf("%w (repeat with --change %s)", err, change)
 	}
 	if errors.As(err, &refused) && refused.Problem.Code == api.CodeConflict {
@@ -133,7 +142,8 @@
 	return err
 }
 
-func outcome(r api.ChangeReply, change string) string {
+// applyResultText returns the last line that apply prints.
+func applyResultText(r api.ChangeReply, change string) string {
 	switch {
 	case r.Unchanged:
 		return fmt.Sprintf("generation %d is the same and in force", r.Generation)
@@ -145,13 +155,13 @@
 	return fmt.Sprintf("generation %d (change %s) is accepted", r.Generation, change)
 }
 
-// notInForceError reports a generation that some live entry VMs do not hold
-// in time, as far as the one that was asked hears.
+// notInForceError reports that some live entry VMs did not have an accepted
+// generation in force in time, as known to the entry VM that was asked.
 type notInForceError struct {
 	generation uint64
 	missing    []api.EntryState
 	wait       time.Duration
-	err        error // why it could not be asked, if so
+	err        error // failure of the last request before the timeout, nil if it was answered
 }
 
 // Error implements error.
@@ -166,8 +176,9 @@
 	return fmt.Sprintf("generation %d is accepted, but not heard in force after %s from %s", e.generation, e.wait, strings.Join(names, ", "))
 }
 
-// await polls until every live entry VM has the generation in force.
-func (c *cli) await(ctx context.Context, generation uint64, wait time.Duration) error {
+// waitInForce polls until every live entry VM has the generation in force. It
+// returns a *notInForceError if that takes longer than wait.
+func (c *cli) waitInForce(ctx context.Context, generation uint64, wait time.Duration) error {
 	cl, err := c.client()
 	if err != nil {
 		return err
@@ -175,12 +186,12 @@
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	failure := &notInForceError{generation: generation, wait: wait}
-	shown := ""
+	lastLine := ""
 	for {
 		reply, err := cl.InForce(ctx, generation)
 		if err == nil {
 			failure.missing, failure.err = reply.Missing, nil
-			shown = c.progress(reply, shown)
+			lastLine = c.printProgress(reply, lastLine)
 			if len(reply.Missing) == 0 {
 				return nil
 			}
@@ -190,25 +201,27 @@
 		select {
 		case <-ctx.Done():
 			return failure
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// progress prints how far each zone is, when that has changed.
-func (c *cli) progress(r api.InForceReply, shown string) string {
+// printProgress prints how many entry VMs of each zone have the generation in
+// force, unless that equals lastLine, and returns the line.
+func (c *cli) printProgress(r api.InForceReply, lastLine string) string {
 	parts := make([]string, len(r.Zones))
 	for i, z := range r.Zones {
 		parts[i] = fmt.Sprintf("%s %d/%d", zoneText(z.Zone), z.Have, z.Live)
 	}
 	line := fmt.Sprintf("generation %d in force: %s", r.Generation, strings.Join(parts, ", "))
-	if line != shown {
+	if line != lastLine {
 		fmt.Fprintln(c.progressWriter(), line)
 	}
 	return line
 }
 
-// zoneText names the zone of an entry VM whose registration has lapsed.
+// zoneText returns the zone's name, or "unknown" if it is empty, as for an
+// entry VM whose registration has lapsed.
 func zoneText(z model.ZoneName) string {
 	if z == "" {
 		return "unknown"
@@ -216,6 +229,8 @@
 	return string(z)
 }
 
+// progressWriter returns standard error for JSON output, so that standard
+// output holds nothing but the JSON document.
 func (c *cli) progressWriter() io.Writer {
 	if c.output == outputJSON {
 		return c.stderr
--- a/cmd/pumicestage/audit.go
+++ b/cmd/pumicestage/audit.go
@@ -12,12 +12,13 @@
 	"github.com/pumicestage/pumicestage/internal/operator/client"
 )
 
-// auditFlags are the flags of audit.
+// auditFlags holds the flags of the audit command.
 type auditFlags struct {
 	since, until, who, what string
 	limit                   int
 }
 
+// addAudit registers the audit command.
 func addAudit(app *kingpin.Application, c *cli) {
 	f := &auditFlags{}
 	cmd := app.Command("audit", "Read the trail of changes; with --output json one JSON object a line.")
@@ -32,10 +33,10 @@
 func (c *cli) audit(ctx context.Context, f *auditFlags) error {
 	q := client.AuditQuery{Who: f.who, What: f.what, Limit: f.limit}
 	var err error
-	if q.Since, err = moment("since", f.since); err != nil {
+	if q.Since, err = parseTime("since", f.since); err != nil {
 		return err
 	}
-	if q.Until, err = moment("until", f.until); err != nil {
+	if q.Until, err = parseTime("until", f.until); err != nil {
 		return err
 	}
 	return c.call(ctx, func(ctx context.Context, cl *client.Client) error {
@@ -46,12 +47,14 @@
 		if reply.More {
 			fmt.Fprintln(c.stderr, "pumicestage: older entries left out; see --limit and --until")
 		}
-		return c.printEntries(reply.Entries)
+		return c.printAuditEntries(reply.Entries)
 	})
 }
 
-// moment reads a time, or a duration before now.
-func moment(flag, text string) (time.Time, error) {
+// parseTime parses the value of a time flag: an RFC 3339 time, or a duration
+// that is subtracted from the current time. An empty text gives the zero time,
+// any other text a *usageError.
+func parseTime(flag, text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
@@ -65,7 +68,8 @@
 	return at, nil
 }
 
-func (c *cli) printEntries(entries []audit.Entry) error {
+// printAuditEntries prints the entries as a table or as one JSON object a line.
+func (c *cli) printAuditEntries(entries []audit.Entry) error {
 	if c.output == outputJSON {
 		enc := json.NewEncoder(c.stdout)
 		for _, e := range entries {
--- a/cmd/pumicestage/check.go
+++ b/cmd/pumicestage/check.go
@@ -9,6 +9,7 @@
 	"github.com/pumicestage/pumicestage/internal/config"
 )
 
+// addCheck registers the check command, which needs no server.
 func addCheck(app *kingpin.Application, c *cli) {
 	cmd := app.Command("check", "Check a declaration. Needs no server.")
 	path := cmd.Arg("path", "INI file, or a folder of .ini files.").Required().ExistingFileOrDir()
--- a/cmd/pumicestage/cli.go
+++ b/cmd/pumicestage/cli.go
@@ -17,21 +17,22 @@
 
 // Exit statuses.
 const (
-	exitDone    = 0
-	exitRefused = 1 // refused, failed or not in force everywhere
-	exitUsage   = 2 // the command line makes no sense
+	exitOK      = 0
+	exitFailure = 1 // refused, failed, or not in force on every entry VM
+	exitUsage   = 2 // invalid command line
 )
 
-// The forms of output.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// defaultServer is the first entry VM of a deployment on loopback.
+// defaultServer is the operator address of the first entry VM of a deployment
+// on loopback.
 const defaultServer = "127.0.0.1:18180"
 
-// cli holds what the verbs share: the flags of every verb and the streams.
+// cli holds the global flags and the standard streams that all commands share.
 type cli struct {
 	stdin  io.Reader
 	stdout io.Writer
@@ -48,7 +49,7 @@
 	return &cli{stdin: stdin, stdout: stdout, stderr: stderr}
 }
 
-// usageError reports a command line that makes no sense.
+// usageError reports an invalid command line.
 type usageError struct {
 	detail string
 }
@@ -56,8 +57,8 @@
 // Error implements error.
 func (e *usageError) Error() string { return e.detail }
 
-// actionError marks an error of a verb that ran, against one of the command
-// line's.
+// actionError marks an error returned by a command that ran, as opposed to an
+// error in parsing the command line.
 type actionError struct {
 	err error
 }
@@ -68,21 +69,22 @@
 // Unwrap returns the cause.
 func (e *actionError) Unwrap() error { return e.err }
 
-// run runs one command line and returns the exit status.
+// run runs one command line and returns the exit status. A usageError counts as
+// an invalid command line even if the command had started to run.
 func run(args []string, c *cli) int {
 	app := c.application()
-	for _, add := range verbs {
+	for _, add := range commands {
 		add(app, c)
 	}
 	_, err := app.Parse(args)
-	var ran *actionError
-	var usage *usageError
+	var actionErr *actionError
+	var usageErr *usageError
 	switch {
 	case err == nil:
-		return exitDone
-	case errors.As(err, &ran) && !errors.As(err, &usage):
-		fmt.Fprintf(c.stderr, "pumicestage: %v\n", ran.err)
-		return exitRefused
+		return exitOK
+	case errors.As(err, &actionErr) && !errors.As(err, &usageErr):
+		fmt.Fprintf(c.stderr, "pumicestage: %v\n", actionErr.err)
+		return exitFailure
 	default:
 		fmt.Fprintf(c.stderr, "pumicestage: %v (see pumicestage --help)\n", err)
 		return exitUsage
@@ -101,7 +103,7 @@
 	return app
 }
 
-// action wraps a verb's work for kingpin.
+// action adapts f to kingpin and wraps its error in an actionError.
 func action(f func(ctx context.Context) error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		if err := f(context.Background()); err != nil {
@@ -111,7 +113,8 @@
 	}
 }
 
-// client returns a client for the servers of the command line.
+// client returns a client for the addresses given with --server, each of which
+// may be a list separated by commas.
 func (c *cli) client() (*client.Client, error) {
 	token, err := c.token()
 	if err != nil {
@@ -124,25 +127,28 @@
 	var servers []string
 	for _, list := range c.servers {
 		for _, s := range strings.Split(list, ",") {
-			servers = append(servers, c.tls.url(s))
+			servers = append(servers, c.tls.serverURL(s))
 		}
 	}
 	return client.New(client.Options{Servers: servers, Token: token, Operator: loginName(), HTTP: httpClient}), nil
 }
 
-// token reads the token's file. A token is never taken from the command line,
-// where every process of the machine could read it.
+// token reads the operator's token from --token-file; without that flag it is
+// empty. The token itself is never a command-line argument, which every process
+// on the machine could read.
 func (c *cli) token() (string, error) {
 	if c.tokenFile == "" {
 		return "", nil
 	}
-	text, err := os.ReadFile(c.tokenFile)
+	contents, err := os.ReadFile(c.tokenFile)
 	if err != nil {
 		return "", err
 	}
-	return strings.TrimSpace(string(text)), nil
+	return strings.TrimSpace(string(contents)), nil
 }
 
+// loginName returns the name of the user who runs the command, or an empty
+// string if it is not known.
 func loginName() string {
 	u, err := user.Current()
 	if err != nil {
@@ -151,7 +157,7 @@
 	return u.Username
 }
 
-// call runs f under the timeout of the command line.
+// call runs f with a new client and a context that ends after --timeout.
 func (c *cli) call(ctx context.Context, f func(ctx context.Context, cl *client.Client) error) error {
 	cl, err := c.client()
 	if err != nil {
--- a/cmd/pumicestage/dev.go
+++ b/cmd/pumicestage/dev.go
@@ -14,7 +14,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// addDev registers the verb that runs a whole deployment on loopback.
+// addDev registers the dev command, which runs a whole deployment on loopback.
 func addDev(app *kingpin.Application, c *cli) {
 	cmd := app.Command("dev", "Run a whole example deployment on loopback: platform stand-in, entry daemons, fake targets.")
 	example := cmd.Flag("example", "Folder of the declaration.").Default("examples/encuesta-viva").ExistingDir()
--- a/cmd/pumicestage/diff.go
+++ b/cmd/pumicestage/diff.go
@@ -11,6 +11,7 @@
 	"github.com/pumicestage/pumicestage/internal/operator/client"
 )
 
+// addDiff registers the diff command.
 func addDiff(app *kingpin.Application, c *cli) {
 	cmd := app.Command("diff", "Show what a declaration would add, change and remove.")
 	path := cmd.Arg("path", "INI file, or a folder of .ini files.").Required().ExistingFileOrDir()
--- a/cmd/pumicestage/do.go
+++ b/cmd/pumicestage/do.go
@@ -13,6 +13,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
+// addDo registers the do command.
 func addDo(app *kingpin.Application, c *cli) {
 	cmd := app.Command("do", "Give an order: drain, undrain, move, start, pause, resume, cancel, set or submit.")
 	words := cmd.Arg("order", "The order, as one argument or many.").Required().Strings()
@@ -24,8 +25,9 @@
 	}))
 }
 
-// orderText joins the words; those with spaces get back the quotes that the
-// shell took away.
+// orderText joins the arguments to one order. It quotes again the arguments with
+// spaces and the one after "reason", as the shell has removed their quotes. A
+// single argument is the whole order and stays as it is.
 func orderText(words []string) string {
 	if len(words) == 1 {
 		return words[0]
@@ -40,16 +42,19 @@
 	return strings.Join(quoted, " ")
 }
 
-// partlyRefusedError reports an order on several things that some refused.
+// partlyRefusedError reports that an order on several objects was refused for
+// some of them.
 type partlyRefusedError struct {
-	refused, all int
+	refused, total int
 }
 
 // Error implements error.
 func (e *partlyRefusedError) Error() string {
-	return fmt.Sprintf("%d of %d refused", e.refused, e.all)
+	return fmt.Sprintf("%d of %d refused", e.refused, e.total)
 }
 
+// do sends an order and prints its effects. It returns a *partlyRefusedError if
+// the order was refused for some objects.
 func (c *cli) do(ctx context.Context, req api.DoRequest) error {
 	if req.Change == "" {
 		req.Change = model.ChangeID(newChangeID())
@@ -61,13 +66,13 @@
 		return err
 	})
 	if err != nil {
-		return withChange(string(req.Change), err)
+		return annotateError(string(req.Change), err)
 	}
 	if err := c.printEffects(reply); err != nil {
 		return err
 	}
 	if reply.Refused > 0 {
-		return &partlyRefusedError{refused: reply.Refused, all: len(reply.Effects)}
+		return &partlyRefusedError{refused: reply.Refused, total: len(reply.Effects)}
 	}
 	return nil
 }
--- a/cmd/pumicestage/explain.go
+++ b/cmd/pumicestage/explain.go
@@ -20,18 +20,21 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-// defaultEntry is the metrics address of an entry VM on this machine.
+// defaultEntry is the default metrics address of an entry VM on the local
+// machine.
 const defaultEntry = "127.0.0.1:9464"
 
-// maxReport bounds an answer: a job's report names each run under way.
-const maxReport = 4 << 20
+// maxResponseBytes limits how much of a response is read, in bytes. A job's
+// report lists every active run, so it can be large.
+const maxResponseBytes = 4 << 20
 
-// explainFlags are the flags of explain.
+// explainFlags holds the flags of the explain commands.
 type explainFlags struct {
 	job   string
 	entry string
 }
 
+// addExplain registers the explain command and its subcommands.
 func addExplain(app *kingpin.Application, c *cli) {
 	f := &explainFlags{}
 	cmd := app.Command("explain", "Explain from the running system, on the users' platform.")
@@ -48,27 +51,28 @@
 }
 
 func (c *cli) explainCells(ctx context.Context, f *explainFlags) error {
-	return c.printCellPage(ctx, f, printCells)
+	return c.printCellReports(ctx, f, printCells)
 }
 
 func (c *cli) explainWorkspaces(ctx context.Context, f *explainFlags) error {
-	return c.printCellPage(ctx, f, printWorkspaces)
+	return c.printCellReports(ctx, f, printWorkspaces)
 }
 
-// printCellPage reads how the cells stand and prints that, or what came.
-func (c *cli) printCellPage(ctx context.Context, f *explainFlags, print func(io.Writer, []jobfront.CellReport) error) error {
+// printCellReports fetches the reports of all cells and prints them with print;
+// JSON output is the response body as received.
+func (c *cli) printCellReports(ctx context.Context, f *explainFlags, print func(io.Writer, []jobfront.CellReport) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	raw, err := getPage(ctx, f.entry, "/cells")
+	body, err := getPage(ctx, f.entry, "/cells")
 	if err != nil {
 		return err
 	}
 	if c.output == outputJSON {
-		_, err := c.stdout.Write(raw)
+		_, err := c.stdout.Write(body)
 		return err
 	}
 	var reports []jobfront.CellReport
-	if err := json.Unmarshal(raw, &reports); err != nil {
+	if err := json.Unmarshal(body, &reports); err != nil {
 		return fmt.Errorf("the entry VM's answer is malformed: %w", err)
 	}
 	return print(c.stdout, reports)
@@ -83,7 +87,7 @@
 			continue
 		}
 		for _, u := range r.Summary.Workspaces {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%t\n", u.Workspace, r.Cell, amount(u.Used), amount(u.May), amount(u.Limit), u.Waits)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%t\n", u.Workspace, r.Cell, formatResources(u.Used), formatResources(u.May), formatResources(u.Limit), u.Waits)
 		}
 	}
 	return w.Flush()
@@ -95,12 +99,12 @@
 	for _, r := range reports {
 		s := r.Summary
 		if s == nil {
-			// Empty cells keep the columns of the rows around it in line.
-			fmt.Fprintf(w, "%s\t%s\t%s\t\t\t\t\t\t\n", r.Cell, orNobody(r.Owner), r.MissingReason)
+			// Empty columns keep the surrounding rows aligned.
+			fmt.Fprintf(w, "%s\t%s\t%s\t\t\t\t\t\t\n", r.Cell, ownerText(r.Owner), r.MissingReason)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.0f\t%.0f\n", r.Cell, orNobody(r.Owner),
-			strings.TrimSpace(counts(s.Jobs)), s.Oldest.Round(time.Millisecond), s.Workers, s.Busy, s.Silent, s.Used, s.Backlog)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.0f\t%.0f\n", r.Cell, ownerText(r.Owner),
+			strings.TrimSpace(formatCounts(s.Jobs)), s.Oldest.Round(time.Millisecond), s.Workers, s.Busy, s.Silent, s.Used, s.Backlog)
 	}
 	return w.Flush()
 }
@@ -108,23 +112,24 @@
 func (c *cli) explainJob(ctx context.Context, f *explainFlags) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	raw, err := getPage(ctx, f.entry, "/explain/"+url.PathEscape(f.job))
+	body, err := getPage(ctx, f.entry, "/explain/"+url.PathEscape(f.job))
 	if err != nil {
 		return err
 	}
 	if c.output == outputJSON {
-		_, err := c.stdout.Write(raw)
+		_, err := c.stdout.Write(body)
 		return err
 	}
 	var r jobfront.Report
-	if err := json.Unmarshal(raw, &r); err != nil {
+	if err := json.Unmarshal(body, &r); err != nil {
 		return fmt.Errorf("the entry VM's answer is malformed: %w", err)
 	}
-	printReport(c.stdout, &r)
+	printJobReport(c.stdout, &r)
 	return nil
 }
 
-// getPage reads one page of an entry VM's metrics address, which speaks plain HTTP.
+// getPage fetches path from the metrics address of an entry VM over plain HTTP.
+// A status other than 200 is returned as an error with the response text.
 func getPage(ctx context.Context, entry, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+path, nil)
 	if err != nil {
@@ -135,27 +140,27 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s answers %d: %s", entry, resp.StatusCode, strings.TrimSpace(string(raw)))
+		return nil, fmt.Errorf("%s answers %d: %s", entry, resp.StatusCode, strings.TrimSpace(string(body)))
 	}
-	return raw, nil
+	return body, nil
 }
 
-func printReport(w io.Writer, r *jobfront.Report) {
+func printJobReport(w io.Writer, r *jobfront.Report) {
 	fmt.Fprintf(w, "job %s of service %s\n", r.Job, r.Cell)
 	if r.StoredState != "" {
 		fmt.Fprintf(w, "the store says: %s at %s\n", r.StoredState, r.Ended.Format(time.RFC3339Nano))
 	}
 	e := r.Explanation
 	if e == nil {
-		fmt.Fprintf(w, "owner %s does not explain it: %s\n", orNobody(r.Owner), r.MissingReason)
+		fmt.Fprintf(w, "owner %s does not explain it: %s\n", ownerText(r.Owner), r.MissingReason)
 		return
 	}
-	fmt.Fprintf(w, "owner %s, token %d, configuration %d\n", orNobody(r.Owner), e.Token, e.Config)
+	fmt.Fprintf(w, "owner %s, token %d, configuration %d\n", ownerText(r.Owner), e.Token, e.Config)
 	fmt.Fprintf(w, "%s in queue %s for %s, objective %s, %s of work left: %s\n", e.State, e.Queue, e.Age, e.Objective, e.Left, e.Tier)
 	if e.Restored && !e.Settled {
 		fmt.Fprintln(w, "an earlier owner accepted it, and not all workers were heard since: nothing of it begins yet")
@@ -165,7 +170,8 @@
 	}
 }
 
-func orNobody(owner string) string {
+// ownerText returns the owner's name, or a placeholder for a cell without one.
+func ownerText(owner string) string {
 	if owner == "" {
 		return "(nobody)"
 	}
@@ -173,12 +179,12 @@
 }
 
 func printStep(w io.Writer, s *engine.StepExplanation) {
-	fmt.Fprintf(w, "step %s:%s\n", s.Step, counts(s.Tasks))
+	fmt.Fprintf(w, "step %s:%s\n", s.Step, formatCounts(s.Tasks))
 	if len(s.After) > 0 {
 		fmt.Fprintf(w, "  begins after steps %v\n", s.After)
 	}
 	if len(s.Waits) > 0 {
-		fmt.Fprintf(w, "  workers for what waits:%s\n", counts(s.Waits))
+		fmt.Fprintf(w, "  workers for what waits:%s\n", formatCounts(s.Waits))
 	}
 	if s.Limit != nil {
 		printLimit(w, s.Limit)
@@ -206,27 +212,30 @@
 	}
 }
 
+// printLimit prints a workspace's limit, how much of it this cell uses and may
+// use, whether it holds back the step, and the shares of the other cells.
 func printLimit(w io.Writer, l *engine.LimitExplanation) {
-	verdict := "does not hold it back"
+	status := "does not hold it back"
 	switch {
 	case l.Never:
-		verdict = "can never start: a task, or the gang, is larger than the whole limit"
+		status = "can never start: a task, or the gang, is larger than the whole limit"
 	case l.Holds:
-		verdict = "waits for its workspace's limit"
+		status = "waits for its workspace's limit"
 	}
-	fmt.Fprintf(w, "  limit of workspace %s: %s in all cells; here %s used, %s allowed: %s\n", l.Workspace, amount(l.Limit), amount(l.Used), amount(l.May), verdict)
-	others := make([]string, 0, len(l.Others))
-	for cell, has := range l.Others {
-		others = append(others, fmt.Sprintf("%s %.1f%%", cell, 100*float64(has)/float64(workspace.Whole)))
+	fmt.Fprintf(w, "  limit of workspace %s: %s in all cells; here %s used, %s allowed: %s\n", l.Workspace, formatResources(l.Limit), formatResources(l.Used), formatResources(l.May), status)
+	shares := make([]string, 0, len(l.Others))
+	for cell, parts := range l.Others {
+		shares = append(shares, fmt.Sprintf("%s %.1f%%", cell, 100*float64(parts)/float64(workspace.Whole)))
 	}
-	if len(others) > 0 {
-		slices.Sort(others)
-		fmt.Fprintf(w, "  other cells have of it: %s; those not named an even share\n", strings.Join(others, ", "))
+	if len(shares) > 0 {
+		slices.Sort(shares)
+		fmt.Fprintf(w, "  other cells have of it: %s; those not named an even share\n", strings.Join(shares, ", "))
 	}
 }
 
-// amount prints an amount of resources; kinds of which there is none are left out.
-func amount(r work.Resources) string {
+// formatResources formats an amount of resources and omits the kinds that are
+// zero.
+func formatResources(r work.Resources) string {
 	var parts []string
 	if r.MilliCPU != 0 {
 		parts = append(parts, fmt.Sprintf("%.1f cores", float64(r.MilliCPU)/1000))
@@ -243,8 +252,9 @@
 	return strings.Join(parts, " ")
 }
 
-// counts prints what is counted by name, in the order of names.
-func counts[K ~string](m map[K]int) string {
+// formatCounts formats counts by name, sorted by name, each with a leading
+// space. The empty name is printed as "free".
+func formatCounts[K ~string](m map[K]int) string {
 	names := make([]K, 0, len(m))
 	for name := range m {
 		names = append(names, name)
--- a/cmd/pumicestage/explain_test.go
+++ b/cmd/pumicestage/explain_test.go
@@ -18,7 +18,9 @@
 	"github.com/pumicestage/pumicestage/policy/workspace"
 )
 
-func explainFrom(t *testing.T, report *jobfront.Report, args ...string) (status int, out, problems string) {
+// runExplainJob runs "explain job" against an entry VM that serves report, or
+// that knows no job if report is nil.
+func runExplainJob(t *testing.T, report *jobfront.Report, args ...string) (status int, out, errOutput string) {
 	t.Helper()
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if report == nil || r.URL.Path != "/explain/"+string(report.Job) {
@@ -34,7 +36,7 @@
 	return status, stdout.String(), stderr.String()
 }
 
-func TestExplainJobPrintsWhereItStandsAndWhy(t *testing.T) {
+func TestExplainJobPrintsStateAndReasons(t *testing.T) {
 	report := &jobfront.Report{Job: "5c0e7a21d94b36f8", Cell: "weighting", Owner: "entry-2", Explanation: &engine.Explanation{
 		State: work.Running, Queue: "weights", Token: 412, Config: 7, Age: 1500 * time.Millisecond, Objective: 4 * time.Second,
 		Left: 2 * time.Second, Tier: "in time", Restored: true,
@@ -48,8 +50,8 @@
 			Runs:    []engine.RunExplanation{{Task: "5c0e7a21d94b36f8.0.0.1", Run: 2, Worker: "i-1", State: "running", Percent: 40, For: time.Second, Failures: 1, Silent: 2}},
 		}},
 	}}
-	status, out, _ := explainFrom(t, report)
-	assert.Equal(t, status, exitDone)
+	status, out, _ := runExplainJob(t, report)
+	assert.Equal(t, status, exitOK)
 	assert.Equal(t, out, `job 5c0e7a21d94b36f8 of service weighting
 owner entry-2, token 412, configuration 7
 running in queue weights for 1.5s, objective 4s, 2s of work left: in time
@@ -61,31 +63,31 @@
   5c0e7a21d94b36f8.0.0.2: 2 workers crashed under it (10.1.0.4:80), tried apart from other work
   5c0e7a21d94b36f8.0.0.1 run 2 running on i-1 for 1s, 40%, failed 1 times before, its worker did not answer 2 polls
 `)
-	status, out, _ = explainFrom(t, report, "-o", "json")
-	assert.Equal(t, status, exitDone)
+	status, out, _ = runExplainJob(t, report, "-o", "json")
+	assert.Equal(t, status, exitOK)
 	assert.Assert(t, json.Valid([]byte(out)))
 }
 
-func TestExplainJobWithoutAnOwnerSaysWhatTheStoreKnows(t *testing.T) {
+func TestExplainJobWithoutOwnerPrintsStoredState(t *testing.T) {
 	ended := time.Date(2026, 5, 4, 8, 0, 0, 0, time.UTC)
-	status, out, _ := explainFrom(t, &jobfront.Report{
+	status, out, _ := runExplainJob(t, &jobfront.Report{
 		Job: "5c0e7a21d94b36f8", Cell: "weighting", StoredState: work.Completed, Ended: ended, MissingReason: "engine: not ready",
 	})
-	assert.Equal(t, status, exitDone)
+	assert.Equal(t, status, exitOK)
 	assert.Equal(t, out, `job 5c0e7a21d94b36f8 of service weighting
 the store says: completed at 2026-05-04T08:00:00Z
 owner (nobody) does not explain it: engine: not ready
 `)
 }
 
-func TestExplainOfAnUnknownJobIsRefused(t *testing.T) {
-	status, out, problems := explainFrom(t, nil)
-	assert.Equal(t, status, exitRefused)
+func TestExplainUnknownJobFails(t *testing.T) {
+	status, out, errOutput := runExplainJob(t, nil)
+	assert.Equal(t, status, exitFailure)
 	assert.Equal(t, out, "")
-	assert.Assert(t, strings.Contains(problems, "no such job"), problems)
+	assert.Assert(t, strings.Contains(errOutput, "no such job"), errOutput)
 }
 
-func TestExplainWorkspacesPrintsWhatEachUsesWhere(t *testing.T) {
+func TestExplainWorkspacesPrintsUsePerCell(t *testing.T) {
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		assert.Check(t, json.NewEncoder(w).Encode([]jobfront.CellReport{
 			{Cell: "booking", MissingReason: "engine: not ready"},
@@ -97,7 +99,7 @@
 	defer entry.Close()
 	var stdout, stderr bytes.Buffer
 	args := []string{"explain", "workspaces", "--entry", strings.TrimPrefix(entry.URL, "http://")}
-	assert.Equal(t, run(args, newCLI(strings.NewReader(""), &stdout, &stderr)), exitDone, stderr.String())
+	assert.Equal(t, run(args, newCLI(strings.NewReader(""), &stdout, &stderr)), exitOK, stderr.String())
 	var lines []string
 	for line := range strings.Lines(stdout.String()) {
 		lines = append(lines, strings.TrimRight(line, " \n"))
@@ -109,7 +111,7 @@
 	})
 }
 
-func TestExplainCellsPrintsARowForEach(t *testing.T) {
+func TestExplainCellsPrintsARowPerCell(t *testing.T) {
 	entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.URL.Path == "/cells")
 		assert.Check(t, json.NewEncoder(w).Encode([]jobfront.CellReport{
@@ -122,7 +124,7 @@
 	defer entry.Close()
 	var stdout, stderr bytes.Buffer
 	args := []string{"explain", "cells", "--entry", strings.TrimPrefix(entry.URL, "http://")}
-	assert.Equal(t, run(args, newCLI(strings.NewReader(""), &stdout, &stderr)), exitDone, stderr.String())
+	assert.Equal(t, run(args, newCLI(strings.NewReader(""), &stdout, &stderr)), exitOK, stderr.String())
 	var lines []string
 	for line := range strings.Lines(stdout.String()) {
 		lines = append(lines, strings.TrimRight(line, " \n"))
--- a/cmd/pumicestage/main.go
+++ b/cmd/pumicestage/main.go
@@ -7,11 +7,11 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// verb adds one verb to the command line.
-type verb func(app *kingpin.Application, c *cli)
+// addCommand registers one command.
+type addCommand func(app *kingpin.Application, c *cli)
 
-// verbs are all verbs, each in a file of its own.
-var verbs = []verb{
+// commands lists all commands, each declared in a file of its own.
+var commands = []addCommand{
 	addCheck,
 	addDiff,
 	addApply,
--- a/cmd/pumicestage/print.go
+++ b/cmd/pumicestage/print.go
@@ -18,11 +18,12 @@
 	return enc.Encode(v)
 }
 
-func printDiff(w io.Writer, differ []config.Difference) {
-	if len(differ) == 0 {
+// printDiff prints one line for each difference, or that there is none.
+func printDiff(w io.Writer, differences []config.Difference) {
+	if len(differences) == 0 {
 		fmt.Fprintln(w, "no difference")
 	}
-	for _, d := range differ {
+	for _, d := range differences {
 		fmt.Fprintln(w, d)
 	}
 }
@@ -63,7 +64,7 @@
 }
 
 func printForecast(w io.Writer, f *query.Forecast) {
-	fmt.Fprintf(w, "%s: %s\n", f.What, verdict(f))
+	fmt.Fprintf(w, "%s: %s\n", f.What, forecastSummary(f))
 	var rows [][]string
 	for _, s := range f.Steps {
 		rows = append(rows, []string{string(s.VM), s.Action, yesNo(s.Done), s.Reason})
@@ -96,7 +97,9 @@
 	}
 }
 
-func verdict(f *query.Forecast) string {
+// forecastSummary says whether the order would be refused and, if not, whether
+// every budget would still be met.
+func forecastSummary(f *query.Forecast) string {
 	switch {
 	case !f.Allowed:
 		return "would be refused: " + f.Refusal
@@ -106,27 +109,31 @@
 	return "every budget would hold"
 }
 
-// printView says how far the answer can be trusted; what is wrong with it
-// stands out.
+// printView prints the time, generation and revision of the view behind an
+// answer, and a warning for a stale view and for each zone not heard from.
 func printView(w io.Writer, v query.ViewInfo) {
 	if v.Stale {
 		fmt.Fprintf(w, "WARNING: this view is %s old, things may have changed since\n", v.Age.Truncate(time.Second))
 	}
 	for _, z := range v.MissingZones {
-		fmt.Fprintf(w, "WARNING: zone %s is not heard %s, what is said of it may be over\n", z.Zone, sinceText(z.Heard))
+		fmt.Fprintf(w, "WARNING: zone %s is not heard %s, what is said of it may be over\n", z.Zone, lastHeardText(z.Heard))
 	}
 	fmt.Fprintf(w, "view of %s, %s old, generation %d, revision %d, answered by %s\n",
-		v.AsOf.UTC().Format("2006-01-02 15:04:05"), v.Age.Truncate(time.Millisecond), v.Generation, v.Revision, orUnknown(string(v.Entry)))
+		v.AsOf.UTC().Format("2006-01-02 15:04:05"), v.Age.Truncate(time.Millisecond), v.Generation, v.Revision, entryText(string(v.Entry)))
 }
 
-func sinceText(at time.Time) string {
-	if at.IsZero() {
+// lastHeardText words the time of the last message from a zone. The zero time
+// means that none arrived since the entry VM that answers started.
+func lastHeardText(heard time.Time) string {
+	if heard.IsZero() {
 		return "since the entry VM started"
 	}
-	return "since " + at.UTC().Format("15:04:05")
+	return "since " + heard.UTC().Format("15:04:05")
 }
 
-func orUnknown(s string) string {
+// entryText returns the name of the entry VM that answered, or a general term
+// where the answer has none.
+func entryText(s string) string {
 	if s == "" {
 		return "an entry VM"
 	}
--- a/cmd/pumicestage/query.go
+++ b/cmd/pumicestage/query.go
@@ -13,7 +13,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// queryFlags are the flags of query.
+// queryFlags holds the arguments and flags of the query command.
 type queryFlags struct {
 	words       []string
 	declaration string
@@ -22,6 +22,7 @@
 	times       int
 }
 
+// addQuery registers the query command.
 func addQuery(app *kingpin.Application, c *cli) {
 	f := &queryFlags{}
 	cmd := app.Command("query", "Ask a question: show, explain or what-if.")
@@ -34,18 +35,19 @@
 }
 
 func (c *cli) query(ctx context.Context, f *queryFlags) error {
-	d, err := loadIfGiven(f.declaration)
+	d, err := loadOptional(f.declaration)
 	if err != nil {
 		return err
 	}
-	text := strings.Join(f.words, " ")
+	question := strings.Join(f.words, " ")
 	for n := 1; ; n++ {
-		err := c.ask(ctx, text, d)
+		err := c.runQuery(ctx, question, d)
 		if err != nil && n == 1 || !f.watch || n == f.times {
 			return err
 		}
 		if err != nil {
-			// The entry VM may be replaced while one looks on.
+			// The entry VM may be replaced between two answers, so a later
+			// failure is reported and does not end --watch early.
 			fmt.Fprintln(c.stderr, "pumicestage: no answer:", err)
 		}
 		fmt.Fprintln(c.stdout)
@@ -53,16 +55,19 @@
 	}
 }
 
-func loadIfGiven(path string) (*model.Declaration, error) {
+// loadOptional loads the declaration at path; an empty path gives nil.
+func loadOptional(path string) (*model.Declaration, error) {
 	if path == "" {
 		return nil, nil
 	}
 	return config.Load(path)
 }
 
-func (c *cli) ask(ctx context.Context, text string, d *model.Declaration) error {
+// runQuery sends a question, with d for a what-if about a declaration or nil,
+// and prints the answer.
+func (c *cli) runQuery(ctx context.Context, question string, d *model.Declaration) error {
 	return c.call(ctx, func(ctx context.Context, cl *client.Client) error {
-		answer, err := cl.Query(ctx, text, d)
+		answer, err := cl.Query(ctx, question, d)
 		if err != nil {
 			return err
 		}
--- a/cmd/pumicestage/shell.go
+++ b/cmd/pumicestage/shell.go
@@ -19,19 +19,22 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// historyMode keeps the history from other users: reasons may name customers.
+// historyMode makes the history file readable by its owner only, as the reasons
+// in orders may name customers.
 const historyMode = 0o600
 
 const prompt = "pumicestage> "
 
+// addShell registers the shell command. It prompts only if standard input is a
+// terminal, and otherwise reads it as a script.
 func addShell(app *kingpin.Application, c *cli) {
 	cmd := app.Command("shell", "Ask questions and give orders at a prompt with history and completion.")
 	history := cmd.Flag("history", "File that keeps the history; empty for none.").Default(defaultHistory()).String()
 	cmd.Action(action(func(ctx context.Context) error {
 		if !liner.TerminalSupported() || c.stdin != io.Reader(os.Stdin) || !isTerminal(os.Stdin) {
-			return c.lines(ctx)
+			return c.runScript(ctx)
 		}
-		return c.shell(ctx, *history)
+		return c.runPrompt(ctx, *history)
 	}))
 }
 
@@ -48,30 +51,32 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// lines runs the lines of a stream that is no terminal and stops at the first
-// that fails.
-func (c *cli) lines(ctx context.Context) error {
+// runScript runs the lines of standard input and stops at the first that fails.
+// It skips empty lines and lines that begin with "#".
+func (c *cli) runScript(ctx context.Context) error {
 	scanner := bufio.NewScanner(c.stdin)
 	for scanner.Scan() {
 		line := strings.TrimSpace(scanner.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if err := c.statement(ctx, line); err != nil {
+		if err := c.runStatement(ctx, line); err != nil {
 			return err
 		}
 	}
 	return scanner.Err()
 }
 
-func (c *cli) shell(ctx context.Context, history string) error {
+// runPrompt reads and runs lines from a terminal until end of file. A line that
+// fails is reported and does not end the shell.
+func (c *cli) runPrompt(ctx context.Context, history string) error {
 	term := liner.NewLiner()
 	defer term.Close()
 	term.SetCtrlCAborts(true)
-	names := &nameSource{cli: c}
+	names := &cachedNames{cli: c}
 	term.SetWordCompleter(func(line string, pos int) (string, []string, string) {
-		head, words := complete(ctx, line[:pos], names)
-		return head, words, line[pos:]
+		head, completions := complete(ctx, line[:pos], names)
+		return head, completions, line[pos:]
 	})
 	readHistory(term, history)
 	defer func() { c.writeHistory(term, history) }()
@@ -91,21 +96,21 @@
 			continue
 		}
 		term.AppendHistory(line)
-		if err := c.statement(ctx, line); err != nil {
+		if err := c.runStatement(ctx, line); err != nil {
 			fmt.Fprintln(c.stderr, err)
 		}
 	}
 }
 
-// statement runs one line. It is parsed here first, so that a slip needs no
-// server to be told.
-func (c *cli) statement(ctx context.Context, line string) error {
-	st, err := lang.Parse(line)
+// runStatement runs one line as a question or an order. It parses the line first,
+// so that syntax errors are reported without a request to a server.
+func (c *cli) runStatement(ctx context.Context, line string) error {
+	statement, err := lang.Parse(line)
 	if err != nil {
 		return err
 	}
-	if _, isQuestion := st.(lang.Question); isQuestion {
-		return c.ask(ctx, line, nil)
+	if _, isQuestion := statement.(lang.Question); isQuestion {
+		return c.runQuery(ctx, line, nil)
 	}
 	return c.do(ctx, api.DoRequest{Text: line, Change: model.ChangeID(newChangeID())})
 }
@@ -113,7 +118,7 @@
 func readHistory(term *liner.State, path string) {
 	f, err := os.Open(path)
 	if err != nil {
-		return // the first time there is none
+		return // the file does not exist before the first use
 	}
 	defer f.Close()
 	_, _ = term.ReadHistory(f)
@@ -133,16 +138,16 @@
 	}
 }
 
-// namer tells the names that exist of a class.
-type namer interface {
+// nameLister lists the existing names of a class, such as all VMs.
+type nameLister interface {
 	names(ctx context.Context, class lang.Class) []string
 }
 
-// complete returns the line up to the word at its end, and what that word may
-// become.
-func complete(ctx context.Context, line string, names namer) (head string, words []string) {
+// complete returns the line up to its last, incomplete word and the possible
+// completions of that word.
+func complete(ctx context.Context, line string, names nameLister) (head string, completions []string) {
 	start := strings.LastIndexAny(line, " \t") + 1
-	head, part := line[:start], line[start:]
+	head, prefix := line[:start], line[start:]
 	var candidates []string
 	for _, h := range lang.Hints(head) {
 		switch {
@@ -154,32 +159,33 @@
 			candidates = append(candidates, names.names(ctx, h.Class)...)
 		}
 	}
-	for _, w := range candidates {
-		if strings.HasPrefix(w, part) {
-			words = append(words, w+" ")
+	for _, candidate := range candidates {
+		if strings.HasPrefix(candidate, prefix) {
+			completions = append(completions, candidate+" ")
 		}
 	}
-	return head, words
+	return head, completions
 }
 
-// nameSource asks an entry VM for names, once for each class.
-type nameSource struct {
-	cli   *cli
-	known map[lang.Class][]string
+// cachedNames asks an entry VM for the names of a class and keeps the result, so
+// that each class is queried once.
+type cachedNames struct {
+	cli     *cli
+	byClass map[lang.Class][]string
 }
 
-// listOf is the question whose first column has the names of a class.
-var listOf = map[lang.Class]string{
+// listQueries maps a class to the query whose first column lists its names.
+var listQueries = map[lang.Class]string{
 	lang.ClassVM: "show vms", lang.ClassJob: "show jobs", lang.ClassRack: "show racks", lang.ClassZone: "show zones",
 	lang.ClassWave: "show waves", lang.ClassService: "show services", lang.ClassPool: "show pools",
 	lang.ClassTeam: "show teams",
 }
 
-func (n *nameSource) names(ctx context.Context, class lang.Class) []string {
-	if found, ok := n.known[class]; ok {
+func (n *cachedNames) names(ctx context.Context, class lang.Class) []string {
+	if found, ok := n.byClass[class]; ok {
 		return found
 	}
-	question, ok := listOf[class]
+	question, ok := listQueries[class]
 	if !ok {
 		return nil
 	}
@@ -195,11 +201,11 @@
 		return nil
 	})
 	if err != nil {
-		return nil // completion is a help; the line itself will tell the error
+		return nil // completion is optional; running the line reports the error
 	}
-	if n.known == nil {
-		n.known = make(map[lang.Class][]string)
+	if n.byClass == nil {
+		n.byClass = make(map[lang.Class][]string)
 	}
-	n.known[class] = found
+	n.byClass[class] = found
 	return found
 }
--- a/cmd/pumicestage/tls.go
+++ b/cmd/pumicestage/tls.go
@@ -11,7 +11,8 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// tlsFlags say how to reach an operator port that speaks TLS.
+// tlsFlags holds the flags for operator ports that use TLS. An empty ca means
+// no TLS settings.
 type tlsFlags struct {
 	ca   string
 	name string
@@ -26,24 +27,27 @@
 	app.Flag("tls-key", "PEM file of the key to --tls-cert.").Envar("PUMICESTAGE_TLS_KEY").ExistingFileVar(&f.key)
 }
 
-// url adds the scheme that the flags call for.
-func (f *tlsFlags) url(server string) string {
+// serverURL adds the https scheme to an address without a scheme if --tls-ca is
+// given.
+func (f *tlsFlags) serverURL(server string) string {
 	if f.ca == "" || strings.Contains(server, "://") {
 		return server
 	}
 	return "https://" + server
 }
 
+// client returns an HTTP client that trusts only the authority in --tls-ca, or
+// the default client without that flag.
 func (f *tlsFlags) client() (*http.Client, error) {
 	if f.ca == "" {
 		return http.DefaultClient, nil
 	}
-	text, err := os.ReadFile(f.ca)
+	pemData, err := os.ReadFile(f.ca)
 	if err != nil {
 		return nil, err
 	}
 	cfg := &tls.Config{MinVersion: tls.VersionTLS13, ServerName: f.name, RootCAs: x509.NewCertPool()}
-	if !cfg.RootCAs.AppendCertsFromPEM(text) {
+	if !cfg.RootCAs.AppendCertsFromPEM(pemData) {
 		return nil, &usageError{detail: fmt.Sprintf("--tls-ca %s has no certificate in PEM", f.ca)}
 	}
 	if f.cert != "" {
--- a/cmd/pumicestage/top.go
+++ b/cmd/pumicestage/top.go
@@ -13,11 +13,12 @@
 	"github.com/pumicestage/pumicestage/internal/query"
 )
 
-// clearScreen moves the cursor to the top left and clears what follows.
+// clearScreen is the ANSI sequence that moves the cursor to the top left and
+// erases the rest of the screen.
 const clearScreen = "\x1b[H\x1b[J"
 
-// topPanels are the questions that the live view is made of.
-var topPanels = []string{
+// topQueries are the queries whose tables make up the live view.
+var topQueries = []string{
 	"show services",
 	"show budgets where headroom < 1",
 	"show waves where state != declared",
@@ -26,45 +27,49 @@
 	"show entries",
 }
 
+// addTop registers the top command.
 func addTop(app *kingpin.Application, c *cli) {
 	cmd := app.Command("top", "Live view of services, tight budgets, waves, VMs on their way and zones.")
-	every := cmd.Flag("every", "How long between two views.").Default("2s").Duration()
-	times := cmd.Flag("times", "How many views; 0 until interrupted.").Int()
-	cmd.Action(action(func(ctx context.Context) error { return c.top(ctx, *every, *times) }))
+	interval := cmd.Flag("every", "How long between two views.").Default("2s").Duration()
+	count := cmd.Flag("times", "How many views; 0 until interrupted.").Int()
+	cmd.Action(action(func(ctx context.Context) error { return c.top(ctx, *interval, *count) }))
 }
 
-func (c *cli) top(ctx context.Context, every time.Duration, times int) error {
+func (c *cli) top(ctx context.Context, interval time.Duration, count int) error {
 	for n := 1; ; n++ {
 		var screen bytes.Buffer
 		err := c.call(ctx, func(ctx context.Context, cl *client.Client) error { return drawTop(ctx, cl, &screen) })
 		if err != nil && n == 1 {
 			return err
 		}
-		if times != 1 {
+		if count != 1 {
 			fmt.Fprint(c.stdout, clearScreen)
 		}
 		if err != nil {
-			// The entry VM may be replaced while one looks on.
+			// The entry VM may be replaced between two views, so a later
+			// failure is shown and does not end the live view early.
 			fmt.Fprintln(&screen, "no answer:", err)
 		}
 		if _, err := c.stdout.Write(screen.Bytes()); err != nil {
 			return err
 		}
-		if n == times {
+		if n == count {
 			return err
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 }
 
+// drawTop runs topQueries and writes every table that has rows, followed by the
+// view of the last answer.
 func drawTop(ctx context.Context, cl *client.Client, w io.Writer) error {
-	var last query.ViewInfo
-	for _, question := range topPanels {
+	var lastView query.ViewInfo
+	for _, question := range topQueries {
 		answer, err := cl.Query(ctx, question, nil)
 		if err != nil {
 			return err
 		}
-		last = answer.View
+		lastView = answer.View
 		if len(answer.Table.Rows) == 0 {
 			continue
 		}
@@ -72,6 +77,6 @@
 		printTable(w, answer.Table.Columns, answer.Table.Rows)
 		fmt.Fprintln(w)
 	}
-	printView(w, last)
+	printView(w, lastView)
 	return nil
 }
