--- a/cmd/pumicestage/apply.go
+++ b/cmd/pumicestage/apply.go
@@ -128,7 +128,7 @@
 // where it conflicts with another change. A nil err stays nil.
 func annotateError(change string, err error) error {
 	var unreachable *client.UnreachableError
-	var refused *client.RefusedError
+	var refused *client.ProblemError
 	uncertain := errors.As(err, &unreachable) && unreachable.Sent ||
 		errors.As(err, &refused) && refused.Problem.Code == api.CodeUnknown
 	if uncertain {
@@ -159,7 +159,7 @@
 // generation in force in time, as known to the entry VM that was asked.
 type notInForceError struct {
 	generation uint64
-	missing    []api.EntryState
+	missing    []api.MissingEntry
 	wait       time.Duration
 	err        error // failure of the last request before the timeout, nil if it was answered
 }
--- a/cmd/pumicestage/cli_test.go
+++ b/cmd/pumicestage/cli_test.go
@@ -97,7 +97,7 @@
 	bad := b.run("", "apply", modifiedExample(t, "waves.ini", "pools = tabulation\n", "pools = tabulations\n"))
 	assert.Equal(t, bad.status, exitFailure)
 	assert.Assert(t, strings.Contains(bad.stderr, `waves.ini: [wave tabulation-fix] pools: given "tabulations"`), bad.stderr)
-	assert.Equal(t, b.Way.Calls().Writes, 0)
+	assert.Equal(t, b.FaultyStore.Calls().Writes, 0)
 
 	first := b.run("", "apply", exampleDir, "--change", "c-1")
 	assert.Equal(t, first.status, exitOK, first.stderr)
@@ -139,7 +139,7 @@
 	concurrent := loadExample(t)
 	concurrent.Service("preview").Limit = 7
 	writes := 0
-	b.Way.BeforeWrite(func(_ string, txn infra.Txn) {
+	b.FaultyStore.BeforeWrite(func(_ string, txn infra.Txn) {
 		for _, op := range txn.Then {
 			if op.Key != infra.ConfigKey {
 				continue
@@ -147,7 +147,7 @@
 			if writes++; writes > 1 {
 				return
 			}
-			_, err := config.Apply(context.Background(), b.Engine, concurrent, config.ApplyOptions{Change: "c-rival", By: "bea", At: operatortest.Epoch})
+			_, err := config.Apply(context.Background(), b.BackingStore, concurrent, config.ApplyOptions{Change: "c-rival", By: "bea", At: operatortest.Epoch})
 			assert.NilError(t, err)
 		}
 	})
@@ -202,7 +202,7 @@
 
 func TestDoAndAudit(t *testing.T) {
 	b := newTestServer(t, loadExample(t))
-	b.Fleet.Refuse = map[model.VMID]*command.Refusal{"v02": {Code: command.CodeBudget, Detail: "service weighting has 6 of 10 VMs up and needs 6"}}
+	b.Fleet.Refusals = map[model.VMID]*command.Refusal{"v02": {Code: command.CodeBudget, Detail: "service weighting has 6 of 10 VMs up and needs 6"}}
 	done := b.run("", "do", "drain", "vm", "v01", "reason", "bad disk", "--change", "c-1")
 	assert.Equal(t, done.status, exitOK, done.stderr)
 	assert.Equal(t, done.stdout, "vm v01: before -> after (revision 7)\nchange c-1\n")
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -14,15 +14,16 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Stored carries out Settings and Declarer on the declaration in the store.
-type Stored struct {
+// DeclarationStore implements Settings and DeclarationApplier on the declaration
+// in the store.
+type DeclarationStore struct {
 	Store infra.Store
 	Clock clockwork.Clock
-	View  *view.Holder // what this entry VM holds in force
+	View  *view.Holder // this entry VM's view, with the declaration that it has in force
 }
 
-// Apply implements Declarer.
-func (d Stored) Apply(ctx context.Context, decl *model.Declaration, opts config.ApplyOptions) (config.ApplyResult, error) {
+// Apply implements DeclarationApplier.
+func (d DeclarationStore) Apply(ctx context.Context, decl *model.Declaration, opts config.ApplyOptions) (config.ApplyResult, error) {
 	s := d.View.Load()
 	opts.InForce = s.Declaration
 	opts.Live = make(map[model.VMID]model.VM, len(s.VMs))
@@ -33,7 +34,7 @@
 }
 
 // SetLimit implements Settings.
-func (d Stored) SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t Terms) (Effect, error) {
+func (d DeclarationStore) SetLimit(ctx context.Context, service model.ServiceName, limit int, by Actor, t OrderMeta) (Effect, error) {
 	var before int
 	opts := config.ApplyOptions{Change: t.Change, By: by.Name, From: by.From, At: d.Clock.Now().UTC(), InForce: d.View.Load().Declaration, IfRevision: t.IfRevision}
 	res, err := config.Edit(ctx, d.Store, opts, func(decl *model.Declaration) error {
@@ -51,7 +52,8 @@
 	return Effect{Before: "limit " + strconv.Itoa(before), After: fmt.Sprintf("limit %d, generation %d", limit, res.Generation), Revision: res.Revision}, nil
 }
 
-// fromConfig turns errors of the declaration's layer into this one's.
+// fromConfig converts an error of package config to a *Refusal or, if the outcome
+// is unknown, an *UncertainError.
 func fromConfig(change model.ChangeID, err error) error {
 	var refusal *Refusal
 	var conflict *config.ConflictError
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -92,7 +92,7 @@
 	}
 	var all []slots.PeerMessage
 	for _, d := range p.digests.PeerDigests() {
-		all = append(all, slots.PeerMessage{Entry: d.Entry, ReceivedAt: d.Heard, Message: messageOf(d.Digest)})
+		all = append(all, slots.PeerMessage{Entry: d.Entry, ReceivedAt: d.ReceivedAt, Message: messageOf(d.Digest)})
 	}
 	return all
 }
@@ -100,14 +100,14 @@
 // messageOf converts a peer's digest to the slot lending message in it.
 func messageOf(d peer.Digest) slots.Message {
 	var m slots.Message
-	for _, w := range d.Wants {
+	for _, w := range d.Demands {
 		m.Demands = append(m.Demands, slots.Demand{Service: w.Service, Slots: int(w.Slots)})
 	}
 	for _, l := range d.Loans {
 		m.Loans = append(m.Loans, slots.Loan{VM: l.VM, To: l.To, Slots: int(l.Slots), Version: l.Version})
 	}
 	for _, b := range d.Borrowed {
-		m.Borrowed = append(m.Borrowed, slots.Borrow{VM: b.VM, From: b.From, InUse: int(b.Using), Version: b.Version})
+		m.Borrowed = append(m.Borrowed, slots.Borrow{VM: b.VM, From: b.From, InUse: int(b.InUse), Version: b.Version})
 	}
 	return m
 }
@@ -118,15 +118,15 @@
 	d.Loads = s.Loads()
 	d.Queued = uint32(s.Queued())
 	m := s.dispatch.lendingMessage()
-	d.Wants, d.Loans, d.Borrowed = nil, nil, nil
+	d.Demands, d.Loans, d.Borrowed = nil, nil, nil
 	for _, w := range m.Demands {
-		d.Wants = append(d.Wants, peer.SlotWant{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
+		d.Demands = append(d.Demands, peer.SlotDemand{Service: w.Service, Slots: uint16(min(w.Slots, math.MaxUint16))})
 	}
 	for _, l := range m.Loans {
 		d.Loans = append(d.Loans, peer.SlotLoan{VM: l.VM, To: l.To, Slots: uint8(min(l.Slots, math.MaxUint8)), Version: l.Version})
 	}
 	for _, b := range m.Borrowed {
-		d.Borrowed = append(d.Borrowed, peer.SlotBorrow{VM: b.VM, From: b.From, Using: uint8(min(b.InUse, math.MaxUint8)), Version: b.Version})
+		d.Borrowed = append(d.Borrowed, peer.SlotBorrow{VM: b.VM, From: b.From, InUse: uint8(min(b.InUse, math.MaxUint8)), Version: b.Version})
 	}
 }
 
--- a/internal/jobs/jobsport/jobsport_test.go
+++ b/internal/jobs/jobsport/jobsport_test.go
@@ -22,7 +22,7 @@
 type discardTrail struct{}
 
 func (discardTrail) Record(context.Context, command.Event) error { return nil }
-func (discardTrail) Note(command.Event)                          {}
+func (discardTrail) RecordLimited(command.Event)                 {}
 
 func newExecutor(t *testing.T) (*jobs.Jobs, *command.Executor, *faulty.Store) {
 	clock := clockwork.NewFakeClock()
@@ -39,7 +39,7 @@
 	t.Helper()
 	order, err := lang.ParseOrder(text)
 	assert.NilError(t, err)
-	return x.Do(context.Background(), command.Request{Change: change, Text: text, Order: order})
+	return x.Execute(context.Background(), command.Request{Change: change, Text: text, Order: order})
 }
 
 func TestCancelJobsByCommand(t *testing.T) {
@@ -70,7 +70,7 @@
 	left, err := QueryAdapter{j}.Jobs(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, left[0].State, "waiting")
-	assert.Equal(t, len(left[1].Chain), 2)
+	assert.Equal(t, len(left[1].History), 2)
 }
 
 func TestMatches(t *testing.T) {
--- a/internal/operator/wiring/wiring.go
+++ b/internal/operator/wiring/wiring.go
@@ -1,6 +1,6 @@
-// Package wiring puts the operator port of one entry VM together: it fits the
-// fleet, the peers and the relay to the small interfaces that orders and
-// questions ask for.
+// Package wiring assembles the operator port of one entry VM, the HTTP server for
+// operators. It adapts the fleet, the peers and the waves to the interfaces that
+// the packages of orders (command) and queries (query) require.
 package wiring
 
 import (
@@ -21,35 +21,35 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Parts are what an operator port is made of. Jobs, Asked, Access, Trail,
-// Clock and Log may be left out.
-type Parts struct {
-	Self   view.EntryRecord
-	Store  infra.Store
-	View   *view.Holder
-	Fleet  *fleet.Fleet
-	Mesh   Mesh
-	Acks   operator.Acks
-	Health func(model.VMID) model.Health
-	Jobs   command.Jobs
-	Asked  query.Jobs
-	Access access.Authorizer
-	Trail  *audit.Trail // one of its own if nil
-	Clock  clockwork.Clock
-	Log    logr.Logger
+// Options holds the dependencies of an operator port. All are required but Jobs,
+// JobQueries, Access, Trail, Clock and Log.
+type Options struct {
+	Self       view.EntryRecord
+	Store      infra.Store
+	View       *view.Holder
+	Fleet      *fleet.Fleet
+	Mesh       Mesh
+	Acks       operator.Acks
+	Health     func(model.VMID) model.Health
+	Jobs       command.Jobs // carries out orders on jobs
+	JobQueries query.Jobs   // answers queries about jobs
+	Access     access.Authorizer
+	Trail      *audit.Trail    // nil means a new one on Store
+	Clock      clockwork.Clock // nil means the real clock
+	Log        logr.Logger
 }
 
-// Port is the operator port of one entry VM.
+// Port holds the components of the operator port of one entry VM.
 type Port struct {
-	Handler  http.Handler // under /v1/
-	Trail    *audit.Trail // to Flush before the process ends
+	Handler  http.Handler // its paths begin with /v1/
+	Trail    *audit.Trail // the caller must Flush it before the process ends
 	Commands *command.Executor
 	Queries  *query.Engine
-	Observer *Observer // to Run, so that automatic actions are in the trail
+	Observer *Observer // the caller must Run it, so that automatic changes are audited
 }
 
-// New puts a port together.
-func New(p Parts) *Port {
+// New assembles an operator port. It starts nothing.
+func New(p Options) *Port {
 	if p.Clock == nil {
 		p.Clock = clockwork.NewRealClock()
 	}
@@ -57,21 +57,21 @@
 	if trail == nil {
 		trail = audit.New(audit.Options{Store: p.Store, Self: p.Self.ID, Clock: p.Clock, Log: p.Log.WithName("audit")})
 	}
-	stored := command.Stored{Store: p.Store, Clock: p.Clock, View: p.View}
+	stored := command.DeclarationStore{Store: p.Store, Clock: p.Clock, View: p.View}
 	commands := command.New(command.Options{
-		Fleet:    Orders{Fleet: p.Fleet},
-		Jobs:     p.Jobs,
-		Settings: stored,
-		Declarer: stored,
-		Members:  scope.Resolver{View: p.View},
-		Trail:    operator.CommandTrail{Trail: trail},
-		Clock:    p.Clock,
+		Fleet:        Orders{Fleet: p.Fleet},
+		Jobs:         p.Jobs,
+		Settings:     stored,
+		Declarations: stored,
+		Scopes:       scope.Resolver{View: p.View},
+		Trail:        operator.CommandTrail{Trail: trail},
+		Clock:        p.Clock,
 	})
 	queries := query.New(query.Options{
 		View:    p.View,
 		Planner: Planner{Fleet: p.Fleet},
 		Waves:   Waves{Fleet: p.Fleet},
-		Jobs:    p.Asked,
+		Jobs:    p.JobQueries,
 		Peers:   Peers{Record: p.Self, Mesh: p.Mesh, View: p.View, Clock: p.Clock},
 		History: operator.QueryHistory{Trail: trail},
 		Health:  p.Health,
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -102,8 +102,8 @@
 	}
 	order := p.order(vm.Zone)
 	for _, d := range p.opts.Peers.PeerDigests() {
-		relevant := d.Zone == vm.Zone && d.Vitals.List == order.hash
-		if relevant && time.Since(d.Heard) <= maxResultAge && d.Vitals.Healthy(order.index[id]) {
+		relevant := d.Zone == vm.Zone && d.Health.VMListHash == order.hash
+		if relevant && time.Since(d.ReceivedAt) <= maxResultAge && d.Health.Healthy(order.index[id]) {
 			return model.HealthHealthy
 		}
 	}
@@ -118,7 +118,7 @@
 	return model.HealthDown
 }
 
-// FillDigest sets the digest's Vitals to the health of the VMs that this entry VM
+// FillDigest sets the digest's Health to the health of the VMs that this entry VM
 // probes.
 func (p *Prober) FillDigest(d *peer.Digest) {
 	order := p.order(p.opts.Zone)
@@ -131,7 +131,7 @@
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
-	d.Vitals = peer.Vitals{List: order.hash, Bits: bits}
+	d.Health = peer.HealthBitmap{VMListHash: order.hash, Bits: bits}
 }
 
 // Run probes VMs every probeInterval until ctx is done.
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -20,47 +20,49 @@
 	epoch = time.Date(2026, 3, 1, 3, 0, 0, 0, time.UTC)
 )
 
-// sources is every part an Engine asks, as a test sets it.
-type sources struct {
-	heard   []PeerHeard
-	budgets []Headroom
-	waves   []WaveStatus
-	jobs    []JobStatus
-	past    []Reason
-	down    error // of everything that needs the platform
+// fakeSources implements every data source of an Engine with fixed answers.
+type fakeSources struct {
+	heard       []PeerStatus
+	budgets     []Headroom
+	waves       []WaveStatus
+	jobs        []JobStatus
+	history     []Reason
+	platformErr error // returned by every call that needs the platform
 }
 
-func (s *sources) Self() model.EntryID { return "e1" }
+func (s *fakeSources) Self() model.EntryID { return "e1" }
 
-func (s *sources) Heard() []PeerHeard { return s.heard }
+func (s *fakeSources) Statuses() []PeerStatus { return s.heard }
 
-func (s *sources) Budgets(context.Context, *view.Snapshot) ([]Headroom, error) {
-	return s.budgets, s.down
+func (s *fakeSources) Budgets(context.Context, *view.Snapshot) ([]Headroom, error) {
+	return s.budgets, s.platformErr
 }
 
-func (s *sources) Foresee(context.Context, *view.Snapshot, Hypothesis) (Forecast, error) {
-	return Forecast{Allowed: true, Steps: []Step{{VM: "v1", Done: true}, {VM: "v2"}}, Budgets: []BudgetShift{{
-		Before: Headroom{Service: "web", Available: 2, Need: 1}, After: Headroom{Service: "web", Need: 1},
-	}}}, s.down
+func (s *fakeSources) Forecast(context.Context, *view.Snapshot, Hypothesis) (Forecast, error) {
+	return Forecast{Allowed: true, Steps: []Step{{VM: "v1", Done: true}, {VM: "v2"}}, Budgets: []BudgetChange{{
+		Before: Headroom{Service: "web", Available: 2, Required: 1}, After: Headroom{Service: "web", Required: 1},
+	}}}, s.platformErr
 }
 
-func (s *sources) Waves(context.Context) ([]WaveStatus, error) { return s.waves, s.down }
+func (s *fakeSources) Waves(context.Context) ([]WaveStatus, error) { return s.waves, s.platformErr }
 
-func (s *sources) Jobs(context.Context) ([]JobStatus, error) { return s.jobs, s.down }
+func (s *fakeSources) Jobs(context.Context) ([]JobStatus, error) { return s.jobs, s.platformErr }
 
-func (s *sources) About(context.Context, string) ([]Reason, error) { return s.past, s.down }
+func (s *fakeSources) Reasons(context.Context, string) ([]Reason, error) {
+	return s.history, s.platformErr
+}
 
-func newEngine(t *testing.T) (*Engine, *sources, *clockwork.FakeClock) {
+func newEngine(t *testing.T) (*Engine, *fakeSources, *clockwork.FakeClock) {
 	t.Helper()
 	clock := clockwork.NewFakeClockAt(epoch)
-	src := &sources{
-		heard:   []PeerHeard{{Entry: "e1", Zone: "a", At: epoch, Generation: 3}, {Entry: "e2", Zone: "b", At: epoch.Add(-time.Minute)}},
-		budgets: []Headroom{{Service: "web", VMs: 3, Available: 2, Need: 2}, {Service: "web", Zone: "a", VMs: 2, Available: 1, Need: 1}},
-		waves: []WaveStatus{{Name: "spring", State: "running", Pools: []model.PoolName{"web"}, Total: 3, Done: 1, Out: 1,
-			Reason: "service web has no headroom", Started: epoch.Add(-time.Hour), By: "ana", Change: "c-1", Forecast: 5 * time.Minute}},
+	src := &fakeSources{
+		heard:   []PeerStatus{{Entry: "e1", Zone: "a", LastHeard: epoch, Generation: 3}, {Entry: "e2", Zone: "b", LastHeard: epoch.Add(-time.Minute)}},
+		budgets: []Headroom{{Service: "web", VMs: 3, Available: 2, Required: 2}, {Service: "web", Zone: "a", VMs: 2, Available: 1, Required: 1}},
+		waves: []WaveStatus{{Name: "spring", State: "running", Pools: []model.PoolName{"web"}, Total: 3, Done: 1, OutOfService: 1,
+			Reason: "service web has no headroom", Started: epoch.Add(-time.Hour), Actor: "ana", Change: "c-1", Forecast: 5 * time.Minute}},
 		jobs: []JobStatus{{Job: model.Job{ID: "j9", Team: "t", Kind: "k", SubmittedAt: epoch.Add(-time.Hour)}, State: "unplaceable",
 			Since: epoch, Reason: "needs 9 cores, the largest worker has 8"}},
-		past: []Reason{{At: epoch.Add(-2 * time.Hour), Text: "done: drain vm v9 by ana"}},
+		history: []Reason{{At: epoch.Add(-2 * time.Hour), Text: "done: drain vm v9 by ana"}},
 	}
 	s := &view.Snapshot{
 		AsOf: epoch, Revision: 7,
@@ -139,7 +141,7 @@
 		name string
 		text string
 		now  string
-		want []string // reasons in order, by a part of each
+		want []string // a substring of each reason, in order
 	}{
 		{"VM that a wave holds", "explain vm v3", "rebooting, pool web, healthy as this entry VM sees it", []string{
 			"service web has 2 of 3 VMs available and needs 2: no planned stop may start",
@@ -162,7 +164,7 @@
 			answer, err := ask(t, e, tc.text)
 			assert.NilError(t, err)
 			x := answer.Explanation
-			assert.Assert(t, strings.HasPrefix(x.Now, tc.now), x.Now)
+			assert.Assert(t, strings.HasPrefix(x.CurrentState, tc.now), x.CurrentState)
 			for i, part := range tc.want {
 				assert.Assert(t, strings.Contains(x.Reasons[i].Text, part), "%d: %q", i, x.Reasons[i].Text)
 				assert.Assert(t, i == 0 || !x.Reasons[i].At.Before(x.Reasons[i-1].At))
@@ -176,28 +178,30 @@
 	}
 }
 
-// An operator asks a cut-off entry VM. What it says may be long over; the
-// answer must say how old its view is and which zones it does not hear.
+// Guards against an answer from a partitioned entry VM being taken for current.
+// Its view stops being updated, so the answer must state the age of the view
+// and the zones that the entry VM receives no messages from.
 func TestNoStaleAnswerLooksFresh(t *testing.T) {
 	e, src, clock := newEngine(t)
 	answer, err := ask(t, e, "show vms")
 	assert.NilError(t, err)
 	assert.Assert(t, !answer.View.Stale)
-	assert.DeepEqual(t, answer.View.MissingZones, []MissingZone{{Zone: "b", Heard: epoch.Add(-time.Minute)}, {Zone: "c"}})
+	assert.DeepEqual(t, answer.View.MissingZones, []MissingZone{{Zone: "b", LastHeard: epoch.Add(-time.Minute)}, {Zone: "c"}})
 
 	clock.Advance(StaleAfter + time.Second)
-	src.heard[0].At = clock.Now()
+	src.heard[0].LastHeard = clock.Now()
 	answer, err = ask(t, e, "show vms")
 	assert.NilError(t, err)
 	assert.Assert(t, answer.View.Stale)
 	assert.Equal(t, answer.View.Age, StaleAfter+time.Second)
 }
 
-// The platform is down at three in the morning: what is known here is still
-// told, and what it lacks is said.
+// Guards against questions failing altogether during a platform outage. What
+// the entry VM knows itself must still be answered, with a note on what is
+// missing; only questions that need the platform fail, as unavailable.
 func TestPlatformDown(t *testing.T) {
 	e, src, _ := newEngine(t)
-	src.down = errors.New("service down")
+	src.platformErr = errors.New("service down")
 	answer, err := ask(t, e, "show services")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answer.Table.Rows[0][4:7], []string{"3", "2", "0"})
@@ -227,8 +231,8 @@
 	answer, err := ask(t, e, "what-if drain rack r1")
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Forecast.Jobs, 1)
-	assert.Assert(t, answer.Forecast.Allowed && !answer.Forecast.Holds)
-	assert.Equal(t, answer.Forecast.What, "drain rack r1")
+	assert.Assert(t, answer.Forecast.Allowed && !answer.Forecast.BudgetsHold)
+	assert.Equal(t, answer.Forecast.Description, "drain rack r1")
 	_, err = ask(t, e, "what-if declaration")
 	assertCode(t, err, CodeInvalid)
 }
