--- a/internal/operator/handlers.go
+++ b/internal/operator/handlers.go
@@ -66,7 +66,7 @@
 	}
 	return api.ChangeReply{
 		Generation: res.Generation, Current: res.Current, Unchanged: res.Unchanged, Repeated: res.Repeated,
-		Differ: res.Differ, Broken: res.Broken, Warning: res.Warning,
+		Differ: res.Differences, Broken: res.Broken, Warning: res.Warning,
 	}, nil
 }
 
