--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -36,9 +36,9 @@
 	PlatformPort = 18380
 	// rebootTime is how long a VM of the example is down for a reboot.
 	rebootTime = 300 * time.Millisecond
-	// fleetEvery is the reconcilers' period: VMs of the example boot in a
+	// fleetPassInterval is the reconcilers' period: VMs of the example boot in a
 	// fraction of a second, not in minutes.
-	fleetEvery = 100 * time.Millisecond
+	fleetPassInterval = 100 * time.Millisecond
 	// listLag is how old the platform's list is.
 	listLag = 200 * time.Millisecond
 )
@@ -54,11 +54,11 @@
 	entries  []*entryVM
 	tasks    sync.WaitGroup
 
-	// deaf lets targets go on taking work after an order to drain, as those do
+	// ignoreDrain lets targets go on taking work after an order to drain, as those do
 	// whose drain the platform lost.
-	deaf atomic.Bool
-	// drained is called after a VM was ordered to drain; nil for nothing.
-	drained atomic.Pointer[func(vm model.VMID)]
+	ignoreDrain atomic.Bool
+	// onDrained is called after a VM was ordered to drain; nil for nothing.
+	onDrained atomic.Pointer[func(vm model.VMID)]
 }
 
 // entryVM is one running daemon.
@@ -139,10 +139,10 @@
 func (c *cluster) runner(id model.VMID, t *faketarget.Target) standin.Runner {
 	return standin.Hooks{
 		OnDrain: func() {
-			if !c.deaf.Load() {
+			if !c.ignoreDrain.Load() {
 				t.Drain()
 			}
-			if f := c.drained.Load(); f != nil {
+			if f := c.onDrained.Load(); f != nil {
 				(*f)(id)
 			}
 		},
@@ -180,7 +180,7 @@
 func (c *cluster) startEntry(ctx context.Context, n int, zone model.ZoneName, seeds []string) (*entryVM, error) {
 	s := c.settings(n, zone, seeds)
 	w := newWire(c.platform.Network.Dialer(string(zone)))
-	d, err := daemon.New(daemon.Options{Settings: s, Log: c.log.WithValues("entry", s.ID), Dial: w.dial, FleetPassInterval: fleetEvery})
+	d, err := daemon.New(daemon.Options{Settings: s, Log: c.log.WithValues("entry", s.ID), Dial: w.dial, FleetPassInterval: fleetPassInterval})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dev/leaving_test.go
+++ b/internal/dev/leaving_test.go
@@ -29,7 +29,7 @@
 			return err
 		}},
 		{"order in the store, the target deaf to it", func(c *cluster) error {
-			c.deaf.Store(true)
+			c.ignoreDrain.Store(true)
 			_, err := c.entries[0].Fleet().Drain(context.Background(), "quick-0", fleet.Order{Change: "leave", Actor: "test"})
 			return err
 		}},
--- a/internal/dev/witness.go
+++ b/internal/dev/witness.go
@@ -50,7 +50,7 @@
 		w.reverts.watch(ctx, e)
 	}
 	onDrain := w.drained
-	c.drained.Store(&onDrain)
+	c.onDrained.Store(&onDrain)
 	return w, nil
 }
 
