--- a/internal/dev/leaving_test.go
+++ b/internal/dev/leaving_test.go
@@ -55,7 +55,7 @@
 			stopLoad()
 			assert.Equal(t, after.Started, before.Started)
 			assert.Equal(t, after.Refused, before.Refused)
-			assert.Equal(t, l.tally.Broken.Load(), int64(0), l.tally.breaks())
+			assert.Equal(t, l.tally.Broken.Load(), int64(0), l.tally.describeBroken())
 			assert.Equal(t, l.tally.Unknown.Load(), int64(0))
 		})
 	}
--- a/internal/dev/load.go
+++ b/internal/dev/load.go
@@ -23,8 +23,8 @@
 // longer than any service's own timeout, so that the system answers first.
 const loadTimeout = 20 * time.Second
 
-// pause is how long a caller thinks between two requests.
-const pause = 20 * time.Millisecond
+// thinkTime is how long a caller thinks between two requests.
+const thinkTime = 20 * time.Millisecond
 
 // Tally is what the callers of the example got.
 type Tally struct {
@@ -37,33 +37,33 @@
 	// balancer tries the next one.
 	Refused atomic.Int64
 
-	mu     sync.Mutex
-	notRun []string // keys of requests that were said not to have run
-	broke  []string // how the first connections broke
+	mu            sync.Mutex
+	notRun        []string // keys of requests that were said not to have run
+	brokenDetails []string // how the first connections broke
 }
 
-// brokeShown is how many broken connections are told apart.
-const brokeShown = 10
+// maxBrokenShown is how many broken connections are told apart.
+const maxBrokenShown = 10
 
-// brokeWith counts a connection that broke so long after its request.
-func (t *Tally) brokeWith(err error, id string, after time.Duration) {
+// recordBroken counts a connection that broke so long after its request.
+func (t *Tally) recordBroken(err error, id string, after time.Duration) {
 	t.Broken.Add(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.broke) < brokeShown {
-		t.broke = append(t.broke, fmt.Sprintf("%s after %s: %v", id, after.Round(time.Millisecond), err))
+	if len(t.brokenDetails) < maxBrokenShown {
+		t.brokenDetails = append(t.brokenDetails, fmt.Sprintf("%s after %s: %v", id, after.Round(time.Millisecond), err))
 	}
 }
 
-// breaks tells how the first connections broke.
-func (t *Tally) breaks() string {
+// describeBroken tells how the first connections broke.
+func (t *Tally) describeBroken() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return strings.Join(t.broke, "\n")
+	return strings.Join(t.brokenDetails, "\n")
 }
 
-// saidNotRun remembers a key, to be checked against what the targets ran.
-func (t *Tally) saidNotRun(key string) {
+// recordNotRun remembers a key, to be checked against what the targets ran.
+func (t *Tally) recordNotRun(key string) {
 	t.NotRun.Add(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,7 +138,7 @@
 		l.send(rng, s, fmt.Sprintf("caller-%d", c))
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(thinkTime):
 		}
 	}
 }
@@ -162,7 +162,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		l.tally.brokeWith(err, id, time.Since(sent))
+		l.tally.recordBroken(err, id, time.Since(sent))
 		return
 	}
 	l.count(resp, id, string(body))
@@ -174,7 +174,7 @@
 		l.tally.Refused.Add(1)
 		return
 	}
-	l.tally.brokeWith(err, id, after)
+	l.tally.recordBroken(err, id, after)
 }
 
 func (l *load) count(resp *http.Response, id, body string) {
@@ -185,7 +185,7 @@
 			l.tally.Wrong.Add(1)
 		}
 	case "not-run":
-		l.tally.saidNotRun(id)
+		l.tally.recordNotRun(id)
 	default:
 		l.tally.Unknown.Add(1)
 	}
--- a/internal/dev/replace_test.go
+++ b/internal/dev/replace_test.go
@@ -37,7 +37,7 @@
 	}
 	stopLoad()
 
-	assert.Equal(t, l.tally.Broken.Load(), int64(0), l.tally.breaks())
+	assert.Equal(t, l.tally.Broken.Load(), int64(0), l.tally.describeBroken())
 	assert.Equal(t, l.tally.NotRun.Load(), int64(0))
 	assert.Equal(t, l.tally.Refused.Load(), int64(0))
 	assert.Equal(t, l.tally.Unknown.Load(), int64(0))
