--- a/internal/dev/once.go
+++ b/internal/dev/once.go
@@ -20,16 +20,16 @@
 const (
 	// callersPerService is the example's load: below what the pools carry.
 	callersPerService = 6
-	// startLimit bounds how long the deployment may take to come up.
-	startLimit = 15 * time.Second
-	// waveLimit bounds the wave, so that the run ends within a minute.
-	waveLimit = 40 * time.Second
+	// startTimeout bounds how long the deployment may take to come up.
+	startTimeout = 15 * time.Second
+	// waveTimeout bounds the wave, so that the run ends within a minute.
+	waveTimeout = 40 * time.Second
 	// changedLimit is what the example's change sets: above what any load of
 	// it reaches.
 	changedLimit = 1000
-	// lookEvery is how often progress is looked at, and so how exactly times
+	// pollInterval is how often progress is looked at, and so how exactly times
 	// are measured.
-	lookEvery = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 	// probation of the example's wave is short, as nothing there is slow.
 	probation = 200 * time.Millisecond
 )
@@ -97,13 +97,13 @@
 	if _, err := c.apply(ctx, "dev-example"); err != nil {
 		return err
 	}
-	if err := c.until(ctx, startLimit, "declaration in force on every entry VM", c.inForce); err != nil {
+	if err := c.until(ctx, startTimeout, "declaration in force on every entry VM", c.inForce); err != nil {
 		return err
 	}
-	if err := c.until(ctx, startLimit, "current view of every VM", c.allKnown); err != nil {
+	if err := c.until(ctx, startTimeout, "current view of every VM", c.allKnown); err != nil {
 		return err
 	}
-	if err := c.until(ctx, startLimit, "every VM counted as up", func() bool { return c.allUp(ctx) }); err != nil {
+	if err := c.until(ctx, startTimeout, "every VM counted as up", func() bool { return c.allUp(ctx) }); err != nil {
 		return err
 	}
 	return c.change(ctx, r)
@@ -132,7 +132,7 @@
 		}
 		return true
 	}
-	err = c.until(ctx, startLimit, "change in force on every entry VM", everywhere)
+	err = c.until(ctx, startTimeout, "change in force on every entry VM", everywhere)
 	r.inForce = time.Since(began)
 	return err
 }
@@ -158,7 +158,7 @@
 func (c *cluster) allKnown() bool {
 	for _, e := range c.entries {
 		s := e.View().Load()
-		if len(s.VMs) != len(c.decl.VMs) || time.Since(s.AsOf) > startLimit {
+		if len(s.VMs) != len(c.decl.VMs) || time.Since(s.AsOf) > startTimeout {
 			return false
 		}
 	}
@@ -208,7 +208,7 @@
 		return trace.Wrap(err, "start wave %s", name)
 	}
 	meter := newMeter(c, r)
-	err := c.until(ctx, waveLimit, "end of the wave", func() bool {
+	err := c.until(ctx, waveTimeout, "end of the wave", func() bool {
 		meter.look()
 		s, err := f.WaveStatus(ctx, name)
 		if err != nil {
@@ -234,7 +234,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
