--- a/internal/dev/once.go
+++ b/internal/dev/once.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	r.take(c, l.tally)
+	r.collectCounts(c, l.tally)
 	r.print(o.Out)
 	return errors.Join(r.verdict(), w.verdict(l.tally))
 }
@@ -209,7 +209,7 @@
 	}
 	meter := newMeter(c, r)
 	err := c.until(ctx, waveTimeout, "end of the wave", func() bool {
-		meter.look()
+		meter.sample()
 		s, err := f.WaveStatus(ctx, name)
 		if err != nil {
 			return false
--- a/internal/dev/report.go
+++ b/internal/dev/report.go
@@ -27,16 +27,16 @@
 
 // meter looks at the fleet while the wave runs.
 type meter struct {
-	c     *cluster
-	r     *report
-	looks int
-	out   int
+	c       *cluster
+	r       *report
+	samples int
+	out     int
 }
 
 func newMeter(c *cluster, r *report) *meter { return &meter{c: c, r: r} }
 
-// look counts what is out of service now, by the targets themselves.
-func (m *meter) look() {
+// sample counts what is out of service now, by the targets themselves.
+func (m *meter) sample() {
 	out := make(map[model.PoolName]int)
 	all := make(map[model.PoolName]int)
 	for _, vm := range m.c.decl.VMs {
@@ -46,8 +46,8 @@
 			m.out++
 		}
 	}
-	m.looks++
-	m.r.bufferCost = float64(m.out) / float64(m.looks)
+	m.samples++
+	m.r.bufferCost = float64(m.out) / float64(m.samples)
 	for _, s := range m.c.decl.Services {
 		if total, gone := sum(s, all), sum(s, out); total-gone < s.Budget.MinAvailable.Of(total) {
 			m.r.budgetBroken++
@@ -63,8 +63,8 @@
 	return n
 }
 
-// take reads the counts once all load has ended.
-func (r *report) take(c *cluster, t *Tally) {
+// collectCounts reads the counts once all load has ended.
+func (r *report) collectCounts(c *cluster, t *Tally) {
 	r.sent, r.ran, r.notRun, r.unknown = t.Sent(), t.Ran.Load(), t.NotRun.Load(), t.Unknown.Load()
 	r.broken, r.wrong, r.refused = t.Broken.Load(), t.Wrong.Load(), t.Refused.Load()
 	for _, target := range c.targets {
