--- a/internal/dev/past.go
+++ b/internal/dev/past.go
@@ -10,19 +10,19 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// past replays the store's history, one revision after the other, and keeps
+// historyChecker replays the store's history, one revision after the other, and keeps
 // what it finds wrong in it.
-type past struct {
+type historyChecker struct {
 	decl    *model.Declaration
 	vms     map[string]model.VM
 	ledgers map[model.ServiceName]fleet.Ledger
-	claims  map[string]claimed
+	claims  map[string]claimValue
 	config  uint64
 	broken  []error
 }
 
-// claimed is what of a claim's value the past goes by.
-type claimed struct{ ID, Stage string }
+// claimValue is what of a claim's value the past goes by.
+type claimValue struct{ ID, Stage string }
 
 // The stages of a claim.
 const (
@@ -33,11 +33,11 @@
 
 // checkHistory returns the promises that the store's history shows broken.
 func (w *witness) checkHistory() []error {
-	p := &past{
+	p := &historyChecker{
 		decl:    w.c.decl,
 		vms:     make(map[string]model.VM),
 		ledgers: make(map[model.ServiceName]fleet.Ledger),
-		claims:  make(map[string]claimed),
+		claims:  make(map[string]claimValue),
 	}
 	for _, b := range w.batches {
 		for _, e := range b.Events {
@@ -51,36 +51,36 @@
 	return p.broken
 }
 
-func (p *past) expect(holds bool, format string, args ...any) {
+func (p *historyChecker) expect(holds bool, format string, args ...any) {
 	if !holds {
 		p.broken = append(p.broken, fmt.Errorf(format, args...))
 	}
 }
 
-func (p *past) put(kv infra.KV) {
+func (p *historyChecker) put(kv infra.KV) {
 	switch key := kv.Key; {
 	case strings.HasPrefix(key, infra.VMPrefix):
-		p.putVM(key, read[model.VM](p, kv))
+		p.putVM(key, decodeValue[model.VM](p, kv))
 	case strings.HasPrefix(key, infra.LedgerPrefix):
 		service := model.ServiceName(strings.TrimPrefix(key, infra.LedgerPrefix))
-		p.ledgers[service] = read[fleet.Ledger](p, kv)
+		p.ledgers[service] = decodeValue[fleet.Ledger](p, kv)
 	case strings.HasPrefix(key, infra.ClaimPrefix):
-		p.putClaim(key, read[claimed](p, kv))
+		p.putClaim(key, decodeValue[claimValue](p, kv))
 	case key == infra.ConfigKey:
-		g := read[model.Declaration](p, kv).Generation
+		g := decodeValue[model.Declaration](p, kv).Generation
 		p.expect(g == p.config+1, "generation %d follows %d", g, p.config)
 		p.config = g
 	}
 }
 
-func read[T any](p *past, kv infra.KV) (v T) {
+func decodeValue[T any](p *historyChecker, kv infra.KV) (v T) {
 	err := infra.DecodeValue(kv.Value, &v)
 	p.expect(err == nil, "%s: %v", kv.Key, err)
 	return v
 }
 
 // putVM checks that a VM changes its pool only once nothing runs on it.
-func (p *past) putVM(key string, vm model.VM) {
+func (p *historyChecker) putVM(key string, vm model.VM) {
 	before, known := p.vms[key]
 	empty := before.State == model.VMEmpty || before.State == model.VMProbation
 	p.expect(!known || before.Pool == vm.Pool || empty, "%s went from %s (%s) to %s", vm.ID, before.Pool, before.State, vm.Pool)
@@ -89,7 +89,7 @@
 
 // putClaim checks that a claim goes to another holder only once it was
 // released, and that what is recorded stays.
-func (p *past) putClaim(key string, c claimed) {
+func (p *historyChecker) putClaim(key string, c claimValue) {
 	before, known := p.claims[key]
 	switch {
 	case !known || before.Stage == stageReleased:
@@ -104,7 +104,7 @@
 
 // checkBudgets checks that planned stops alone never take a service below its
 // budget, in any revision.
-func (p *past) checkBudgets(rev infra.Revision) {
+func (p *historyChecker) checkBudgets(rev infra.Revision) {
 	for name, l := range p.ledgers {
 		s := p.decl.Service(name)
 		if s == nil || len(l.Stops) == 0 {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (p *past) members(s *model.Service) int {
+func (p *historyChecker) members(s *model.Service) int {
 	n := 0
 	for _, vm := range p.vms {
 		if inPools(s, vm.Pool) {
