--- a/internal/dev/wire.go
+++ b/internal/dev/wire.go
@@ -56,7 +56,7 @@
 }
 
 // stall holds everything back until the returned function is called.
-func (w *wire) stall() (wake func()) {
+func (w *wire) stall() (resume func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	stalled := make(chan struct{})
