--- a/internal/dev/graceful_test.go
+++ b/internal/dev/graceful_test.go
@@ -53,7 +53,7 @@
 }
 
 // leaving returns a VM that leaves for the wave.
-func (w *witness) leaving() model.VMID {
+func (w *observer) leaving() model.VMID {
 	for id, vm := range w.stored() {
 		if vm.State == model.VMLeaving {
 			return id
--- a/internal/dev/history_test.go
+++ b/internal/dev/history_test.go
@@ -111,7 +111,7 @@
 
 // check checks that what was told fits one order of events per object,
 // together with every write that the store holds and nobody was told of.
-func (h *history) check(t *testing.T, w *witness) {
+func (h *history) check(t *testing.T, w *observer) {
 	t.Helper()
 	told := make(map[string]map[int64]bool)
 	for _, op := range h.ops {
@@ -135,7 +135,7 @@
 
 // writes returns every write of a VM or the configuration, each on top of the
 // one before.
-func (w *witness) writes(t *testing.T) []casCall {
+func (w *observer) writes(t *testing.T) []casCall {
 	t.Helper()
 	last := make(map[string]int64)
 	var calls []casCall
--- a/internal/dev/past.go
+++ b/internal/dev/past.go
@@ -32,7 +32,7 @@
 )
 
 // checkHistory returns the promises that the store's history shows broken.
-func (w *witness) checkHistory() []error {
+func (w *observer) checkHistory() []error {
 	p := &historyChecker{
 		decl:    w.c.decl,
 		vms:     make(map[string]model.VM),
--- a/internal/dev/pool_test.go
+++ b/internal/dev/pool_test.go
@@ -48,7 +48,7 @@
 	})
 
 	assert.DeepEqual(t, won, map[model.VMID]int{"quick-0": 1, "once-0": 1})
-	w.end()
+	w.finish()
 	assert.Check(t, errors.Join(w.checkHistory()...))
 }
 
--- a/internal/dev/schedule_test.go
+++ b/internal/dev/schedule_test.go
@@ -81,7 +81,7 @@
 // schedule is one run of a fault schedule.
 type schedule struct {
 	c       *cluster
-	w       *witness
+	w       *observer
 	load    *load
 	rng     *rand.Rand
 	history history
--- a/internal/dev/witness.go
+++ b/internal/dev/witness.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// noticeWithin is how long ago a VM may have failed for a planned stop to
+	// maxDetectionDelay is how long ago a VM may have failed for a planned stop to
 	// be ordered in ignorance of it: list, probe and digest each lag behind.
-	noticeWithin = 5 * time.Second
-	// historyLimit bounds the wait for the store's history once all is over.
-	historyLimit = 45 * time.Second
+	maxDetectionDelay = 5 * time.Second
+	// historyTimeout bounds the wait for the store's history once all is over.
+	historyTimeout = 45 * time.Second
 )
 
-// witness sees a cluster from outside: by the stand-in's store, the machines
+// observer sees a cluster from outside: by the stand-in's store, the machines
 // and the fake targets. It finds broken promises whatever the daemons think.
-type witness struct {
+type observer struct {
 	c       *cluster
 	stop    context.CancelFunc
 	reverts reverts
@@ -37,9 +37,9 @@
 }
 
 // watchAll starts a witness of everything from now on.
-func (c *cluster) watchAll() (*witness, error) {
+func (c *cluster) watchAll() (*observer, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &witness{c: c, stop: stop, failed: make(map[model.VMID]time.Time)}
+	w := &observer{c: c, stop: stop, failed: make(map[model.VMID]time.Time)}
 	batches, err := c.platform.Store.Watch(ctx, infra.Root, 1)
 	if err != nil {
 		stop()
@@ -49,12 +49,12 @@
 	for _, e := range c.entries {
 		w.reverts.watch(ctx, e)
 	}
-	onDrain := w.drained
+	onDrain := w.checkDrain
 	c.onDrained.Store(&onDrain)
 	return w, nil
 }
 
-func (w *witness) collect(batches <-chan infra.WatchBatch) {
+func (w *observer) collect(batches <-chan infra.WatchBatch) {
 	for b := range batches {
 		w.mu.Lock()
 		w.batches = append(w.batches, b)
@@ -66,7 +66,7 @@
 }
 
 // fail stops a VM unplanned; the returned function starts it again.
-func (w *witness) fail(vm model.VMID) (recover func()) {
+func (w *observer) fail(vm model.VMID) (recover func()) {
 	w.mu.Lock()
 	w.failed[vm] = time.Now()
 	w.mu.Unlock()
@@ -79,9 +79,9 @@
 	}
 }
 
-// drained counts who still serves at the moment a VM was told to drain. Every
+// checkDrain counts who still serves at the moment a VM was told to drain. Every
 // service of its pool must keep its budget, but for VMs that failed just now.
-func (w *witness) drained(id model.VMID) {
+func (w *observer) checkDrain(id model.VMID) {
 	vms := w.stored()
 	for _, s := range w.c.decl.ServicesOf(vms[id].Pool) {
 		total, serving := w.count(s, vms, id)
@@ -94,7 +94,7 @@
 }
 
 // count returns a service's VMs, and those of them that serve without id.
-func (w *witness) count(s *model.Service, vms map[model.VMID]model.VM, id model.VMID) (total, serving int) {
+func (w *observer) count(s *model.Service, vms map[model.VMID]model.VM, id model.VMID) (total, serving int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for other, vm := range vms {
@@ -103,7 +103,7 @@
 		}
 		total++
 		failedAt, failed := w.failed[other]
-		excused := failed && time.Since(failedAt) < noticeWithin
+		excused := failed && time.Since(failedAt) < maxDetectionDelay
 		if other != id && (w.c.targets[other].Serving() || excused) {
 			serving++
 		}
@@ -121,7 +121,7 @@
 }
 
 // stored returns the VMs as the store has them now.
-func (w *witness) stored() map[model.VMID]model.VM {
+func (w *observer) stored() map[model.VMID]model.VM {
 	vms := make(map[model.VMID]model.VM)
 	kvs, _, err := w.c.platform.Store.Range(context.Background(), infra.VMPrefix)
 	for _, kv := range kvs {
@@ -136,10 +136,10 @@
 	return vms
 }
 
-// end ends what the witness sees, once it has seen all up to now.
-func (w *witness) end() {
+// finish ends what the witness sees, once it has seen all up to now.
+func (w *observer) finish() {
 	until := w.c.platform.Store.Revision()
-	_ = w.c.until(context.Background(), historyLimit, "the store's history", func() bool {
+	_ = w.c.until(context.Background(), historyTimeout, "the store's history", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		n := len(w.batches)
@@ -152,8 +152,8 @@
 
 // verdict names every promise that is seen broken from outside, once all
 // faults are healed and load has ended.
-func (w *witness) verdict(t *Tally) error {
-	w.end()
+func (w *observer) verdict(t *Tally) error {
+	w.finish()
 	broken := append(w.faults, w.checkHistory()...)
 	check := func(n int, what string) {
 		if n != 0 {
--- a/internal/dev/witness_test.go
+++ b/internal/dev/witness_test.go
@@ -12,7 +12,7 @@
 )
 
 // witnessed starts a witness that ends with the test at the latest.
-func (c *cluster) witnessed(t *testing.T) *witness {
+func (c *cluster) witnessed(t *testing.T) *observer {
 	t.Helper()
 	w, err := c.watchAll()
 	assert.NilError(t, err)
@@ -22,7 +22,7 @@
 
 // settle undrains what orders left drained until every VM is in a pool and its
 // target serves.
-func (w *witness) settle(t *testing.T) {
+func (w *observer) settle(t *testing.T) {
 	t.Helper()
 	n := 0
 	err := w.c.until(context.Background(), waitLimit, "every VM back in a pool", func() bool {
--- a/internal/dev/worst_test.go
+++ b/internal/dev/worst_test.go
@@ -19,22 +19,22 @@
 	cases := []struct {
 		name string
 		// meet makes the fault befall the cluster and ends it.
-		meet func(c *cluster, w *witness)
+		meet func(c *cluster, w *observer)
 	}{
 		// Both zones go on with the platform and see the same work to do, but
 		// no digest, relay or acknowledgement passes between them.
-		{"zones parted from each other", func(c *cluster, _ *witness) {
+		{"zones parted from each other", func(c *cluster, _ *observer) {
 			c.platform.Network.Cut("za", "zb")
 			time.Sleep(4 * time.Second)
 			c.platform.Network.Heal("za", "zb")
 		}},
 		// No connection breaks and nothing arrives: what was sent comes late.
-		{"a zone falls silent", func(c *cluster, _ *witness) {
+		{"a zone falls silent", func(c *cluster, _ *observer) {
 			c.platform.Network.DropAll("zb", true)
 			time.Sleep(4 * time.Second)
 			c.platform.Network.DropAll("zb", false)
 		}},
-		{"platform slow, then paused", func(c *cluster, _ *witness) {
+		{"platform slow, then paused", func(c *cluster, _ *observer) {
 			c.platform.Faults.Set(standin.AnyZone, standin.Fault{Slow: 700 * time.Millisecond, LoseReplies: 10, Garble: 5})
 			time.Sleep(3 * time.Second)
 			c.platform.Faults.Set(standin.AnyZone, standin.Fault{Paused: true})
@@ -43,16 +43,16 @@
 		}},
 		// The list shows a VM live that has failed; its service's budget has
 		// room for one stop less.
-		{"stale list over a failed VM", func(c *cluster, w *witness) {
+		{"stale list over a failed VM", func(c *cluster, w *observer) {
 			c.platform.Faults.Set(standin.AnyZone, standin.Fault{StaleList: true})
 			recover := w.fail("once-3")
-			time.Sleep(noticeWithin + 2*time.Second)
+			time.Sleep(maxDetectionDelay + 2*time.Second)
 			c.platform.Faults.Clear()
 			recover()
 		}},
 		// The entry VM that started the wave stands still until its leases
 		// have lapsed and others have gone on; then all it had under way goes out.
-		{"an entry VM stands still beyond its leases", func(c *cluster, _ *witness) {
+		{"an entry VM stands still beyond its leases", func(c *cluster, _ *observer) {
 			wake := c.entries[0].wire.stall()
 			time.Sleep(12 * time.Second)
 			wake()
