--- a/internal/dev/graceful_test.go
+++ b/internal/dev/graceful_test.go
@@ -69,7 +69,7 @@
 func TestNoRebootWhereTheBudgetBrokeMeanwhile(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
-	w := c.witnessed(t)
+	w := c.startObserver(t)
 	c.occupy(t)
 	c.quickWave(t)
 	c.await(t, "a VM leaving", func() bool { return w.leaving() != "" })
@@ -95,7 +95,7 @@
 func TestNoRebootBeforeEveryEntryVMKnows(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
-	w := c.witnessed(t)
+	w := c.startObserver(t)
 	ctx := context.Background()
 	ghost, err := json.Marshal(view.EntryRecord{ID: "ghost", Zone: "za", Incarnation: 1})
 	assert.NilError(t, err)
--- a/internal/dev/pool_test.go
+++ b/internal/dev/pool_test.go
@@ -22,7 +22,7 @@
 func TestVMIsInOnePoolThroughRacingMoves(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
-	w := c.witnessed(t)
+	w := c.startObserver(t)
 	var mu sync.Mutex
 	won := make(map[model.VMID]int)
 	var race sync.WaitGroup
@@ -71,7 +71,7 @@
 func TestRacingDrainsKeepTheBudget(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
-	w := c.witnessed(t)
+	w := c.startObserver(t)
 	l, stopLoad := c.startLoad(context.Background(), c.decl.Services[:1])
 	granted := 0
 	for round := range 4 {
--- a/internal/dev/schedule_test.go
+++ b/internal/dev/schedule_test.go
@@ -43,7 +43,7 @@
 
 func playSchedule(t *testing.T, seed uint64) {
 	c := startSmall(t)
-	s := &schedule{c: c, w: c.witnessed(t), rng: rand.New(rand.NewPCG(seed, 0))}
+	s := &schedule{c: c, w: c.startObserver(t), rng: rand.New(rand.NewPCG(seed, 0))}
 	l, stopLoad := c.startLoad(context.Background(), c.decl.Services)
 	s.load = l
 	ctx, stopActors := context.WithCancel(context.Background())
--- a/internal/dev/witness_test.go
+++ b/internal/dev/witness_test.go
@@ -11,8 +11,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// witnessed starts a witness that ends with the test at the latest.
-func (c *cluster) witnessed(t *testing.T) *observer {
+// startObserver starts a witness that ends with the test at the latest.
+func (c *cluster) startObserver(t *testing.T) *observer {
 	t.Helper()
 	w, err := c.watchAll()
 	assert.NilError(t, err)
--- a/internal/dev/worst_test.go
+++ b/internal/dev/worst_test.go
@@ -62,7 +62,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			c := startSmall(t)
-			w := c.witnessed(t)
+			w := c.startObserver(t)
 			l, stopLoad := c.startLoad(context.Background(), c.decl.Services)
 			c.wave(t, 0)
 			c.await(t, "a first stop", func() bool { return c.platform.Machines.Tally().Reboots > 0 })
