--- a/internal/dev/schedule_test.go
+++ b/internal/dev/schedule_test.go
@@ -58,7 +58,7 @@
 
 	heal := func() {}
 	for range scheduleSteps {
-		next := s.befall()
+		next := s.injectFault()
 		s.sleep(300, 900)
 		heal()
 		heal = next
@@ -100,8 +100,8 @@
 	return s.c.entries[n%len(s.c.entries)]
 }
 
-// befall starts a fault drawn by the seed and returns what ends it.
-func (s *schedule) befall() (heal func()) {
+// injectFault starts a fault drawn by the seed and returns what ends it.
+func (s *schedule) injectFault() (heal func()) {
 	zone := string(s.c.decl.Zones[s.rng.IntN(2)])
 	n := s.rng.IntN(len(s.c.entries))
 	vm := s.c.decl.VMs[s.rng.IntN(len(s.c.decl.VMs))].ID
