--- a/internal/dev/answers_test.go
+++ b/internal/dev/answers_test.go
@@ -54,12 +54,12 @@
 func TestNotRepeatableRequestsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
-	var said sayings
+	var outcomes outcomeLog
 	var callers sync.WaitGroup
 	for k := range 24 {
-		callers.Go(func() { c.insist(fmt.Sprintf("key-%d", k), &said) })
+		callers.Go(func() { c.sendRepeatedly(fmt.Sprintf("key-%d", k), &outcomes) })
 	}
-	c.loseThings()
+	c.injectFaults()
 	callers.Wait()
 
 	runs := c.runs()
@@ -69,15 +69,15 @@
 		ran += n
 	}
 	assert.Assert(t, ran > 0)
-	for key, outcome := range said.final() {
+	for key, outcome := range outcomes.final() {
 		assert.Assert(t, outcome != "ran" || runs[key] == 1, "%s: said ran, ran %d times", key, runs[key])
 	}
 	assert.Equal(t, c.doubleRuns(), 0)
 }
 
-// loseThings goes through the platform's faults, lets targets break off without
+// injectFaults goes through the platform's faults, lets targets break off without
 // an answer, and loses an entry VM.
-func (c *cluster) loseThings() {
+func (c *cluster) injectFaults() {
 	for _, target := range c.targets {
 		target.SetFault(faketarget.Reset, 2)
 	}
@@ -92,14 +92,14 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// insist sends the key to every entry VM at once, some times over.
-func (c *cluster) insist(key string, said *sayings) {
+// sendRepeatedly sends the key to every entry VM at once, some times over.
+func (c *cluster) sendRepeatedly(key string, outcomes *outcomeLog) {
 	client := &http.Client{Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
 	for range 6 {
 		var round sync.WaitGroup
 		for _, e := range c.entries {
-			round.Go(func() { said.add(key, post(client, e.Self().Caller, "once", key)) })
+			round.Go(func() { outcomes.add(key, post(client, e.Self().Caller, "once", key)) })
 		}
 		round.Wait()
 		time.Sleep(200 * time.Millisecond)
@@ -125,13 +125,13 @@
 	return resp.Header.Get("Pumicestage-Outcome")
 }
 
-// sayings are the outcomes told for each key.
-type sayings struct {
+// outcomeLog are the outcomes told for each key.
+type outcomeLog struct {
 	mu  sync.Mutex
 	all map[string][]string
 }
 
-func (s *sayings) add(key, outcome string) {
+func (s *outcomeLog) add(key, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.all == nil {
@@ -141,7 +141,7 @@
 }
 
 // final returns the last whole outcome of each key.
-func (s *sayings) final() map[string]string {
+func (s *outcomeLog) final() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	final := make(map[string]string)
