--- a/internal/dev/graceful_test.go
+++ b/internal/dev/graceful_test.go
@@ -15,8 +15,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// quickWave starts the wave over the service quick alone.
-func (c *cluster) quickWave(t *testing.T) {
+// startQuickWave starts the wave over the service quick alone.
+func (c *cluster) startQuickWave(t *testing.T) {
 	t.Helper()
 	o := fleet.Order{Change: "quick-wave", Actor: "test"}
 	_, err := c.entries[0].Fleet().StartWave(context.Background(), "all", []model.PoolName{"quick"}, o)
@@ -52,8 +52,8 @@
 	return ""
 }
 
-// leaving returns a VM that leaves for the wave.
-func (w *observer) leaving() model.VMID {
+// leavingVM returns a VM that leaves for the wave.
+func (w *observer) leavingVM() model.VMID {
 	for id, vm := range w.stored() {
 		if vm.State == model.VMLeaving {
 			return id
@@ -71,9 +71,9 @@
 	c := startSmall(t)
 	w := c.startObserver(t)
 	c.occupy(t)
-	c.quickWave(t)
-	c.await(t, "a VM leaving", func() bool { return w.leaving() != "" })
-	left := w.leaving()
+	c.startQuickWave(t)
+	c.await(t, "a VM leaving", func() bool { return w.leavingVM() != "" })
+	left := w.leavingVM()
 	failed := 0
 	for id := range c.targets {
 		if id != left && c.pool(id) == "quick" && failed < 2 {
@@ -111,8 +111,8 @@
 		}
 		return true
 	})
-	c.quickWave(t)
-	c.await(t, "a VM leaving", func() bool { return w.leaving() != "" })
+	c.startQuickWave(t)
+	c.await(t, "a VM leaving", func() bool { return w.leavingVM() != "" })
 	time.Sleep(2 * time.Second)
 	assert.Equal(t, c.platform.Machines.Tally().Reboots, 0)
 
@@ -127,7 +127,7 @@
 	t.Parallel()
 	c := startSmall(t)
 	c.occupy(t)
-	c.quickWave(t)
+	c.startQuickWave(t)
 	c.resumeUntilEnd(t)
 	tally := c.platform.Machines.Tally()
 	assert.Equal(t, tally.CutByReboot, 0)
--- a/internal/dev/jobs_test.go
+++ b/internal/dev/jobs_test.go
@@ -27,7 +27,7 @@
 		c.platform.Machines.SetBehaviour(id, standin.Behaviour{RunTime: time.Duration(500+n*150) * time.Millisecond})
 	}
 	c.await(t, "tasks on the VMs", func() bool { return len(c.platform.Machines.Tally().Starts) >= len(ids)/2 })
-	c.quickWave(t)
+	c.startQuickWave(t)
 	for range 4 {
 		c.platform.Faults.Set(standin.AnyZone, standin.Fault{LoseReplies: 6, LoseRequests: 3})
 		time.Sleep(300 * time.Millisecond)
