--- a/internal/dev/harness_test.go
+++ b/internal/dev/harness_test.go
@@ -13,9 +13,9 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// waitLimit bounds every wait of these tests. It is no measure of anything:
+// waitTimeout bounds every wait of these tests. It is no measure of anything:
 // a promise with a time in it says so in its test.
-const waitLimit = 45 * time.Second
+const waitTimeout = 45 * time.Second
 
 // smallFleet declares two zones with two services of four VMs each: quick may
 // be repeated, once may not.
@@ -52,21 +52,21 @@
 // await waits for a condition of the cluster.
 func (c *cluster) await(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	assert.NilError(t, c.until(context.Background(), waitLimit, what, done))
+	assert.NilError(t, c.until(context.Background(), waitTimeout, what, done))
 }
 
-// wave starts the wave at an entry VM.
-func (c *cluster) wave(t *testing.T, at int) {
+// startWave starts the startWave at an entry VM.
+func (c *cluster) startWave(t *testing.T, at int) {
 	t.Helper()
 	_, err := c.entries[at].Fleet().StartWave(context.Background(), "all", nil, fleet.Order{Change: "test-wave", Actor: "test"})
 	assert.NilError(t, err)
 }
 
-// waveEnds waits until the wave has finished, as an entry VM sees it.
-func (c *cluster) waveEnds(t *testing.T, at int) {
+// awaitWaveEnd waits until the wave has finished, as an entry VM sees it.
+func (c *cluster) awaitWaveEnd(t *testing.T, at int) {
 	t.Helper()
 	var last fleet.WaveStatus
-	err := c.until(context.Background(), waitLimit, "end of the wave", func() bool {
+	err := c.until(context.Background(), waitTimeout, "end of the wave", func() bool {
 		s, err := c.entries[at].Fleet().WaveStatus(context.Background(), "all")
 		if err == nil {
 			last = s
--- a/internal/dev/wave_test.go
+++ b/internal/dev/wave_test.go
@@ -20,7 +20,7 @@
 	c := startSmall(t)
 	l, stopLoad := c.startLoad(context.Background(), c.decl.Services)
 	least := c.watchServing()
-	c.wave(t, 0)
+	c.startWave(t, 0)
 
 	c.await(t, "a first reboot", func() bool { return c.platform.Machines.Tally().Reboots > 0 })
 	c.entries[0].kill()
@@ -31,7 +31,7 @@
 	c.platform.Faults.Set(standin.AnyZone, standin.Fault{Down: true})
 	time.Sleep(2 * time.Second)
 	c.platform.Faults.Clear()
-	c.waveEnds(t, 1)
+	c.awaitWaveEnd(t, 1)
 	stopLoad()
 
 	least.stop()
--- a/internal/dev/witness_test.go
+++ b/internal/dev/witness_test.go
@@ -25,7 +25,7 @@
 func (w *observer) settle(t *testing.T) {
 	t.Helper()
 	n := 0
-	err := w.c.until(context.Background(), waitLimit, "every VM back in a pool", func() bool {
+	err := w.c.until(context.Background(), waitTimeout, "every VM back in a pool", func() bool {
 		n++
 		back := true
 		for id, vm := range w.stored() {
--- a/internal/dev/worst_test.go
+++ b/internal/dev/worst_test.go
@@ -64,7 +64,7 @@
 			c := startSmall(t)
 			w := c.startObserver(t)
 			l, stopLoad := c.startLoad(context.Background(), c.decl.Services)
-			c.wave(t, 0)
+			c.startWave(t, 0)
 			c.await(t, "a first stop", func() bool { return c.platform.Machines.Tally().Reboots > 0 })
 			tc.meet(c, w)
 			c.resumeUntilEnd(t)
