--- a/internal/dev/history_test.go
+++ b/internal/dev/history_test.go
@@ -23,10 +23,10 @@
 // casCall is a call on one object: a VM's key by revision, or the
 // configuration by generation. A call without a version to write is a read.
 type casCall struct {
-	object string
-	on     int64 // the version it is conditional on; 0 for any
-	write  int64 // the version it made; 0 where it was refused
-	seen   int64 // the version that refused it; 0 if not told
+	object    string
+	ifVersion int64 // the version it is conditional on; 0 for any
+	written   int64 // the version it made; 0 where it was refused
+	refusedBy int64 // the version that refused it; 0 if not told
 }
 
 // casObject is the specification: versions follow each other, a write is based
@@ -37,12 +37,12 @@
 	Step: func(state, input, _ any) (bool, any) {
 		now, call := state.(int64), input.(casCall)
 		switch {
-		case call.write != 0:
-			return (call.on == 0 || call.on == now) && call.write > now, call.write
-		case call.seen != 0:
-			return call.seen == now, now
+		case call.written != 0:
+			return (call.ifVersion == 0 || call.ifVersion == now) && call.written > now, call.written
+		case call.refusedBy != 0:
+			return call.refusedBy == now, now
 		}
-		return call.on != now, now
+		return call.ifVersion != now, now
 	},
 }
 
@@ -82,15 +82,15 @@
 	began := sinceEpoch()
 	out, err := do()
 	ended := sinceEpoch()
-	call := casCall{object: infra.VMKey(vm), on: int64(o.IfRevision)}
+	call := casCall{object: infra.VMKey(vm), ifVersion: int64(o.IfRevision)}
 	var refusal *fleet.Refusal
 	switch {
 	case err == nil && !out.Repeated:
-		call.write = int64(out.Revision)
+		call.written = int64(out.Revision)
 		h.add(who, call, began, ended)
 		return out.Revision
 	case errors.As(err, &refusal) && refusal.Revision != 0:
-		call.seen = int64(refusal.Revision)
+		call.refusedBy = int64(refusal.Revision)
 		h.add(who, call, began, ended)
 		return refusal.Revision
 	}
@@ -99,13 +99,13 @@
 
 // apply carries out a change of the configuration and returns the generation
 // to base the next one on: its own, or what an entry VM shows.
-func (h *history) apply(on uint64, do func() (uint64, error), look func() uint64) uint64 {
+func (h *history) apply(on uint64, do func() (uint64, error), current func() uint64) uint64 {
 	began := sinceEpoch()
 	made, err := do()
 	if err != nil {
-		return look()
+		return current()
 	}
-	h.add(100, casCall{object: configObject, on: int64(on), write: int64(made)}, began, sinceEpoch())
+	h.add(100, casCall{object: configObject, ifVersion: int64(on), written: int64(made)}, began, sinceEpoch())
 	return made
 }
 
@@ -119,11 +119,11 @@
 		if told[call.object] == nil {
 			told[call.object] = make(map[int64]bool)
 		}
-		told[call.object][call.write] = true
+		told[call.object][call.written] = true
 	}
 	ops := h.ops
 	for i, call := range w.writes(t) {
-		if !told[call.object][call.write] {
+		if !told[call.object][call.written] {
 			ops = append(ops, porcupine.Operation{ClientId: 1000 + i, Input: call, Call: 0, Return: math.MaxInt64})
 		}
 	}
@@ -140,7 +140,7 @@
 	last := make(map[string]int64)
 	var calls []casCall
 	add := func(object string, version int64) {
-		calls = append(calls, casCall{object: object, on: last[object], write: version})
+		calls = append(calls, casCall{object: object, ifVersion: last[object], written: version})
 		last[object] = version
 	}
 	for _, b := range w.batches {
