--- a/internal/dev/leaving_test.go
+++ b/internal/dev/leaving_test.go
@@ -11,8 +11,8 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// leaveWithin is after how long a leaving target must get no new work.
-const leaveWithin = 3 * time.Second
+// maxLeaveDelay is after how long a leaving target must get no new work.
+const maxLeaveDelay = 3 * time.Second
 
 // A target leaves: by an order in the store, also where the target itself never
 // hears of it, or by its own word while the platform is down. After a few seconds no entry VM of any zone may send it
@@ -46,7 +46,7 @@
 			l, stopLoad := c.startLoad(context.Background(), c.decl.Services[:1])
 			c.await(t, "work at the target", func() bool { return c.targets["quick-0"].Counts().Started > 0 })
 			assert.NilError(t, tc.leave(c))
-			time.Sleep(leaveWithin)
+			time.Sleep(maxLeaveDelay)
 			before := c.targets["quick-0"].Counts()
 
 			time.Sleep(time.Second)
