--- a/internal/dev/rest_bench_test.go
+++ b/internal/dev/rest_bench_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// restFor is how long a deployment at rest is looked at.
-	restFor = 20 * time.Second
-	// settleFor lets what a change or the start brought about come to its end.
-	settleFor = 5 * time.Second
+	// idleDuration is how long a deployment at rest is looked at.
+	idleDuration = 20 * time.Second
+	// settleDuration lets what a change or the start brought about come to its end.
+	settleDuration = 5 * time.Second
 	// changes are applied one after the other, changeEvery apart.
-	changes     = 20
-	changeEvery = 500 * time.Millisecond
+	changes        = 20
+	changeInterval = 500 * time.Millisecond
 )
 
 // BenchmarkRest is what eight entry VMs cost with nothing to do, by the number
@@ -32,7 +32,7 @@
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
 			c := startWide(b, vms)
 			for range b.N {
-				c.rest(b)
+				c.measureIdle(b)
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 	if err := c.bringUp(context.Background(), &report{}); err != nil {
 		b.Fatal(err)
 	}
-	time.Sleep(settleFor)
+	time.Sleep(settleDuration)
 	return c
 }
 
@@ -81,7 +81,7 @@
 // time at rest.
 func (c *cluster) changeOften(b *testing.B) {
 	before := c.usage()
-	time.Sleep(changes * changeEvery)
+	time.Sleep(changes * changeInterval)
 	rested := c.usage()
 	var inForce time.Duration
 	for i := range changes {
@@ -92,7 +92,7 @@
 			b.Fatal(err)
 		}
 		inForce = max(inForce, r.inForce)
-		time.Sleep(changeEvery - time.Since(began))
+		time.Sleep(changeInterval - time.Since(began))
 	}
 	after := c.usage()
 	per := func(rest, busy int64) float64 { return float64(busy-rest) / changes / float64(len(c.entries)) }
@@ -102,19 +102,19 @@
 	b.ReportMetric(inForce.Seconds()*1000, "ms-in-force-max")
 }
 
-// rest reports what one period at rest cost, per second and entry VM.
-func (c *cluster) rest(b *testing.B) {
+// measureIdle reports what one period at measureIdle cost, per second and entry VM.
+func (c *cluster) measureIdle(b *testing.B) {
 	c.platform.Counts.Reset()
 	sent := c.peerBytes()
 	cpu := processorTime()
-	time.Sleep(restFor)
-	perEntry := restFor.Seconds() * float64(len(c.entries))
+	time.Sleep(idleDuration)
+	perEntry := idleDuration.Seconds() * float64(len(c.entries))
 	counts := c.platform.Counts.Counts()
 	b.ReportMetric(float64(c.peerBytes()-sent)/perEntry, "peer-B/s/entry")
 	b.ReportMetric(float64(counts.BytesOut+counts.BytesIn)/perEntry, "platform-B/s/entry")
 	b.ReportMetric(100*(processorTime()-cpu).Seconds()/perEntry, "%core/entry")
 	for _, kind := range []standin.Kind{standin.KindWrite, standin.KindRange, standin.KindKeepAlive, standin.KindMachines} {
-		b.ReportMetric(float64(counts.Calls[kind])/restFor.Seconds(), string(kind)+"/s")
+		b.ReportMetric(float64(counts.Calls[kind])/idleDuration.Seconds(), string(kind)+"/s")
 	}
 	b.ReportMetric(float64(counts.Waiting), "watches")
 	var mem runtime.MemStats
