--- a/internal/dev/wave_test.go
+++ b/internal/dev/wave_test.go
@@ -19,7 +19,7 @@
 	t.Parallel()
 	c := startSmall(t)
 	l, stopLoad := c.startLoad(context.Background(), c.decl.Services)
-	least := c.watchServing()
+	lowest := c.watchServing()
 	c.startWave(t, 0)
 
 	c.await(t, "a first reboot", func() bool { return c.platform.Machines.Tally().Reboots > 0 })
@@ -34,25 +34,25 @@
 	c.awaitWaveEnd(t, 1)
 	stopLoad()
 
-	least.stop()
+	lowest.stop()
 	tally := c.platform.Machines.Tally()
 	assert.Equal(t, tally.CutByReboot, 0)
 	assert.Assert(t, tally.Reboots >= len(c.decl.VMs))
-	assert.Assert(t, least.of["quick"] >= 2, "quick fell to %d", least.of["quick"])
-	assert.Assert(t, least.of["once"] >= 2, "once fell to %d", least.of["once"])
+	assert.Assert(t, lowest.of["quick"] >= 2, "quick fell to %d", lowest.of["quick"])
+	assert.Assert(t, lowest.of["once"] >= 2, "once fell to %d", lowest.of["once"])
 	assert.Equal(t, c.falseNotRuns(l.tally), 0)
 	assert.Equal(t, l.tally.Wrong.Load(), int64(0))
 	assert.Assert(t, l.tally.Ran.Load() > 0)
 }
 
-// lowWater remembers the least number of targets that served at once.
-type lowWater struct {
+// minServing remembers the least number of targets that served at once.
+type minServing struct {
 	of   map[string]int
 	stop func()
 }
 
-func (c *cluster) watchServing() *lowWater {
-	w := &lowWater{of: map[string]int{"quick": 4, "once": 4}}
+func (c *cluster) watchServing() *minServing {
+	w := &minServing{of: map[string]int{"quick": 4, "once": 4}}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
