--- a/internal/dev/worst_test.go
+++ b/internal/dev/worst_test.go
@@ -18,8 +18,8 @@
 	t.Parallel()
 	cases := []struct {
 		name string
-		// meet makes the fault befall the cluster and ends it.
-		meet func(c *cluster, w *observer)
+		// injectFault makes the fault befall the cluster and ends it.
+		injectFault func(c *cluster, w *observer)
 	}{
 		// Both zones go on with the platform and see the same work to do, but
 		// no digest, relay or acknowledgement passes between them.
@@ -53,9 +53,9 @@
 		// The entry VM that started the wave stands still until its leases
 		// have lapsed and others have gone on; then all it had under way goes out.
 		{"an entry VM stands still beyond its leases", func(c *cluster, _ *observer) {
-			wake := c.entries[0].wire.stall()
+			resume := c.entries[0].wire.stall()
 			time.Sleep(12 * time.Second)
-			wake()
+			resume()
 		}},
 	}
 	for _, tc := range cases {
@@ -66,7 +66,7 @@
 			l, stopLoad := c.startLoad(context.Background(), c.decl.Services)
 			c.startWave(t, 0)
 			c.await(t, "a first stop", func() bool { return c.platform.Machines.Tally().Reboots > 0 })
-			tc.meet(c, w)
+			tc.injectFault(c, w)
 			c.resumeUntilEnd(t)
 			w.settle(t)
 			stopLoad()
