--- a/internal/dev/jobs_test.go
+++ b/internal/dev/jobs_test.go
@@ -21,7 +21,7 @@
 	t.Parallel()
 	c := startSmall(t)
 	ctx := context.Background()
-	ids, err := c.entries[0].Jobs().Submit(ctx, "jobs", someJobs(24))
+	ids, err := c.entries[0].Jobs().Submit(ctx, "jobs", testJobs(24))
 	assert.NilError(t, err)
 	for n, id := range ids {
 		c.platform.Machines.SetBehaviour(id, standin.Behaviour{RunTime: time.Duration(500+n*150) * time.Millisecond})
@@ -63,7 +63,7 @@
 // checkpoints reports whether the nth job may be stopped and go on elsewhere.
 func checkpoints(n int) bool { return n%4 == 0 }
 
-func someJobs(n int) []model.Job {
+func testJobs(n int) []model.Job {
 	var all []model.Job
 	for i := range n {
 		all = append(all, model.Job{
