--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -23,30 +23,34 @@
 )
 
 const (
-	// EntriesPerZone makes eight entry VMs in the example's four zones.
+	// EntriesPerZone is the number of entry VMs in each zone: eight in the
+	// example's four zones.
 	EntriesPerZone = 2
 	// CallerPort is the first entry VM's caller port; each further entry VM
 	// is one port up.
 	CallerPort = 18080
-	// OperatorPort is the first entry VM's operator port, likewise.
+	// OperatorPort is the first entry VM's operator port; each further entry
+	// VM is one port up.
 	OperatorPort = 18180
-	// PeerPort is the first entry VM's peer port, likewise.
+	// PeerPort is the first entry VM's peer port; each further entry VM is one
+	// port up.
 	PeerPort = 18280
-	// PlatformPort is the stand-in's.
+	// PlatformPort is the port of the platform stand-in.
 	PlatformPort = 18380
-	// rebootTime is how long a VM of the example is down for a reboot.
+	// rebootTime is how long a reboot of a VM in the example takes.
 	rebootTime = 300 * time.Millisecond
-	// fleetPassInterval is the reconcilers' period: VMs of the example boot in a
-	// fraction of a second, not in minutes.
+	// fleetPassInterval is the reconcilers' period. It is short because VMs of
+	// the example boot in a fraction of a second, not in minutes.
 	fleetPassInterval = 100 * time.Millisecond
-	// listLag is how old the platform's list is.
+	// listLag is how far the platform's list of VMs lags its actual state.
 	listLag = 200 * time.Millisecond
 )
 
-// cluster is a whole deployment in one process.
+// cluster is a deployment that runs in one process: the platform stand-in,
+// fake targets and entry daemons.
 type cluster struct {
 	decl     *model.Declaration
-	ports    bool // fixed ports; otherwise any
+	ports    bool // use the documented ports; otherwise any free ones
 	log      logr.Logger
 	platform *standin.Server
 	base     string // the stand-in's base URL
@@ -54,14 +58,14 @@
 	entries  []*entryVM
 	tasks    sync.WaitGroup
 
-	// ignoreDrain lets targets go on taking work after an order to drain, as those do
-	// whose drain the platform lost.
+	// ignoreDrain makes targets keep accepting work after an order to drain, as
+	// if the platform had lost the order.
 	ignoreDrain atomic.Bool
-	// onDrained is called after a VM was ordered to drain; nil for nothing.
+	// onDrained is called after a VM was ordered to drain; nil means no call.
 	onDrained atomic.Pointer[func(vm model.VMID)]
 }
 
-// entryVM is one running daemon.
+// entryVM is one running entry daemon.
 type entryVM struct {
 	*daemon.Daemon
 	n    int
@@ -70,15 +74,16 @@
 	done chan struct{}
 }
 
-// kill ends the daemon as a lost VM does: nothing of it reaches anyone again.
+// kill simulates the loss of the VM: it cuts all connections, ends the daemon
+// without a shutdown and waits for it to return.
 func (e *entryVM) kill() {
 	e.wire.cut()
 	e.Kill()
 	<-e.done
 }
 
-// startCluster starts the stand-in, a target for every declared VM, and entry
-// daemons for every zone.
+// startCluster starts the platform stand-in, a target for every declared VM and
+// the entry daemons of every zone. On an error it stops what it has started.
 func startCluster(ctx context.Context, decl *model.Declaration, fixedPorts bool, log logr.Logger) (*cluster, error) {
 	c := &cluster{decl: decl, ports: fixedPorts, log: log, targets: make(map[model.VMID]*faketarget.Target)}
 	if err := c.startPlatform(); err != nil {
@@ -122,8 +127,8 @@
 	return nil
 }
 
-// serviceTime is how long a request of the example takes: long ones among
-// short ones, by the request's name.
+// serviceTime returns how long a request of the example takes. It depends on
+// the request's path: about one in fifty takes 400 ms, the others 5 to 24 ms.
 func serviceTime(r *http.Request) time.Duration {
 	n := 0
 	for _, c := range r.URL.Path {
@@ -135,7 +140,8 @@
 	return time.Duration(5+n%20) * time.Millisecond
 }
 
-// runner lets the stand-in's machines act on a fake target.
+// runner returns the hooks by which the stand-in's machines drain, stop and
+// boot a fake target.
 func (c *cluster) runner(id model.VMID, t *faketarget.Target) standin.Runner {
 	return standin.Hooks{
 		OnDrain: func() {
@@ -226,7 +232,7 @@
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(port+n))
 }
 
-// callerBases returns the base URLs of the entry VMs that are ready.
+// callerBases returns the caller base URLs of the entry VMs that are ready.
 func (c *cluster) callerBases() []string {
 	var bases []string
 	for _, e := range c.entries {
@@ -237,7 +243,7 @@
 	return bases
 }
 
-// stop ends entry daemons first, then targets and the platform.
+// stop stops the entry daemons first, then the targets and the platform.
 func (c *cluster) stop() {
 	for _, e := range c.entries {
 		e.stop()
