--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -10,8 +10,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Serve runs the example until ctx ends, with load from nobody but the
-// operator's own hands.
+// Serve runs the example until ctx ends. It generates no load of its own: the
+// only requests are those that the operator sends.
 func Serve(ctx context.Context, o Options) error {
 	decl, err := declaration(&o)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// printTargets prints what the fake targets saw.
+// printTargets prints the request counts of the fake targets.
 func (c *cluster) printTargets(o Options) {
 	var started, cut, abandoned int
 	for _, t := range c.targets {
@@ -54,7 +54,8 @@
 	fmt.Fprintf(o.Out, "try        curl -i http://%s/services/%s/x\n", c.entries[0].Self().Caller, repeatable(c.decl))
 }
 
-// repeatable names a service that takes requests without an Idempotency-Key.
+// repeatable returns a service that accepts requests without an
+// Idempotency-Key, or the first service if there is none.
 func repeatable(d *model.Declaration) model.ServiceName {
 	for _, s := range d.Services {
 		if s.Repeatable {
