--- a/internal/dev/load.go
+++ b/internal/dev/load.go
@@ -1,5 +1,5 @@
-// Package dev runs a whole deployment on loopback in one process: the
-// platform's stand-in, entry daemons, fake targets and callers.
+// Package dev runs a complete deployment on loopback in one process: a stand-in
+// for the platform, entry daemons, fake targets and callers.
 package dev
 
 import (
@@ -19,33 +19,34 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// loadTimeout is how long a caller of the example waits for an answer. It is
-// longer than any service's own timeout, so that the system answers first.
+// loadTimeout is the callers' request timeout. It is longer than any service's
+// timeout, so that the system under test answers first.
 const loadTimeout = 20 * time.Second
 
-// thinkTime is how long a caller thinks between two requests.
+// thinkTime is how long a caller waits between two requests.
 const thinkTime = 20 * time.Millisecond
 
-// Tally is what the callers of the example got.
+// Tally counts the answers that the callers of the example got, by outcome.
 type Tally struct {
 	Ran, NotRun, Unknown atomic.Int64
 	// Broken counts connections that broke or answers that were cut short.
 	Broken atomic.Int64
 	// Wrong counts answers that belong to another request.
 	Wrong atomic.Int64
-	// Refused counts connections that a leaving entry VM did not take; the
-	// balancer tries the next one.
+	// Refused counts connections refused by an entry VM that shuts down. The
+	// platform's balancer would try the next one.
 	Refused atomic.Int64
 
 	mu            sync.Mutex
-	notRun        []string // keys of requests that were said not to have run
-	brokenDetails []string // how the first connections broke
+	notRun        []string // keys of requests answered with the outcome not-run
+	brokenDetails []string // errors of the first broken connections
 }
 
-// maxBrokenShown is how many broken connections are told apart.
+// maxBrokenShown is how many broken connections are recorded in detail.
 const maxBrokenShown = 10
 
-// recordBroken counts a connection that broke so long after its request.
+// recordBroken counts a connection that broke the given time after its request
+// was sent.
 func (t *Tally) recordBroken(err error, id string, after time.Duration) {
 	t.Broken.Add(1)
 	t.mu.Lock()
@@ -55,14 +56,16 @@
 	}
 }
 
-// describeBroken tells how the first connections broke.
+// describeBroken returns the errors of the first broken connections, one a
+// line.
 func (t *Tally) describeBroken() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return strings.Join(t.brokenDetails, "\n")
 }
 
-// recordNotRun remembers a key, to be checked against what the targets ran.
+// recordNotRun counts an answer of not-run and keeps its key, which is later
+// checked against what the targets ran.
 func (t *Tally) recordNotRun(key string) {
 	t.NotRun.Add(1)
 	t.mu.Lock()
@@ -70,20 +73,21 @@
 	t.notRun = append(t.notRun, key)
 }
 
-// notRunKeys returns the keys that were said not to have run.
+// notRunKeys returns the keys of requests answered with the outcome not-run.
 func (t *Tally) notRunKeys() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.notRun)
 }
 
-// Sent returns how many requests got an answer of any kind.
+// Sent returns how many requests ended with an outcome or a broken connection.
+// Refused connections are not included.
 func (t *Tally) Sent() int64 {
 	return t.Ran.Load() + t.NotRun.Load() + t.Unknown.Load() + t.Broken.Load()
 }
 
-// balancer stands in for the platform's: it knows which entry VMs are ready
-// and sends each request to one of them.
+// balancer simulates the platform's load balancer: it picks a random entry VM
+// among those that it was told are ready.
 type balancer struct {
 	mu    sync.Mutex
 	bases []string
@@ -101,7 +105,7 @@
 	return b.bases[rng.IntN(len(b.bases))]
 }
 
-// load runs callers for every service until ctx ends.
+// load generates requests to services and counts their outcomes.
 type load struct {
 	balancer *balancer
 	client   *http.Client
@@ -114,7 +118,8 @@
 	return &load{balancer: b, client: &http.Client{Transport: transport, Timeout: loadTimeout}, tally: &Tally{}}
 }
 
-// run starts callers per service and waits until all have ended.
+// run starts the given number of callers for each service and returns once ctx
+// has ended and all of them have stopped.
 func (l *load) run(ctx context.Context, services []model.Service, callers int) {
 	var wg sync.WaitGroup
 	for i := range services {
@@ -130,8 +135,8 @@
 	l.client.CloseIdleConnections()
 }
 
-// caller sends one request after the other. Requests in flight when ctx ends
-// are waited for, so that none is cut by the load itself.
+// caller sends one request after the other until ctx ends. It waits for a
+// request in flight at that time, so that the load itself cuts none.
 func (l *load) caller(ctx context.Context, s *model.Service, c int) {
 	rng := rand.New(rand.NewPCG(uint64(c), 1))
 	for ctx.Err() == nil {
@@ -151,7 +156,7 @@
 		panic(err)
 	}
 	req.Header.Set("Pumicestage-Caller", caller)
-	// Repeatable services need no key; here it lets the targets count by it.
+	// Repeatable services need no key; the targets count runs by it.
 	req.Header.Set("Idempotency-Key", `"`+id+`"`)
 	sent := time.Now()
 	resp, err := l.client.Do(req)
@@ -168,7 +173,7 @@
 	l.count(resp, id, string(body))
 }
 
-// failed tells a connection that was never taken from one that broke.
+// failed counts a failed request as a refused or as a broken connection.
 func (l *load) failed(err error, id string, after time.Duration) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		l.tally.Refused.Add(1)
