--- a/internal/dev/once.go
+++ b/internal/dev/once.go
@@ -18,34 +18,36 @@
 )
 
 const (
-	// callersPerService is the example's load: below what the pools carry.
+	// callersPerService is the number of concurrent callers of each service.
+	// Their load stays below the capacity of the pools.
 	callersPerService = 6
-	// startTimeout bounds how long the deployment may take to come up.
+	// startTimeout bounds how long the deployment may take to start.
 	startTimeout = 15 * time.Second
 	// waveTimeout bounds the wave, so that the run ends within a minute.
 	waveTimeout = 40 * time.Second
-	// changedLimit is what the example's change sets: above what any load of
-	// it reaches.
+	// changedLimit is the service limit that the example's change sets. It is
+	// above any load of the example, so that it rejects no request.
 	changedLimit = 1000
-	// pollInterval is how often progress is looked at, and so how exactly times
-	// are measured.
+	// pollInterval is how often progress is polled, and so the resolution of
+	// the reported times.
 	pollInterval = 20 * time.Millisecond
-	// probation of the example's wave is short, as nothing there is slow.
+	// probation is the probation of the example's waves. It is short because
+	// nothing in the example is slow.
 	probation = 200 * time.Millisecond
 )
 
-// Options say what to run.
+// Options configure Once and Serve.
 type Options struct {
-	Example string         // folder of the declaration
-	Wave    model.WaveName // that Once runs; the first declared if empty
+	Example string         // directory of the declaration
+	Wave    model.WaveName // wave that Once runs; the first declared if empty
 	Out     io.Writer
 	Log     logr.Logger
 	// FixedPorts uses the documented ports; otherwise any free ones.
 	FixedPorts bool
 }
 
-// Once applies the example, sends load, runs a maintenance wave under it and
-// reports. The error says which promise broke.
+// Once applies the example's declaration, runs a maintenance wave under load and
+// prints a report. The error names every guarantee that was violated.
 func Once(ctx context.Context, o Options) error {
 	decl, err := declaration(&o)
 	if err != nil {
@@ -76,7 +78,8 @@
 	return errors.Join(r.verdict(), w.verdict(l.tally))
 }
 
-// declaration reads the example and shortens what only waits.
+// declaration loads the example and shortens the probation of its waves. It
+// sets o.Wave to the first declared wave if it is empty.
 func declaration(o *Options) (*model.Declaration, error) {
 	decl, err := config.Load(o.Example)
 	if err != nil {
@@ -91,8 +94,9 @@
 	return decl, nil
 }
 
-// bringUp applies the declaration as an operator does, and waits until every
-// entry VM has it in force, knows every VM and has seen it healthy.
+// bringUp applies the declaration through the operator API and waits until every
+// entry VM has it in force, knows every VM and has seen it healthy. It then
+// applies one change and records how long that takes.
 func (c *cluster) bringUp(ctx context.Context, r *report) error {
 	if _, err := c.apply(ctx, "dev-example"); err != nil {
 		return err
@@ -153,8 +157,8 @@
 
 func (c *cluster) inForce() bool { return len(c.callerBases()) == len(c.entries) }
 
-// allKnown reports whether every entry VM knows every VM and that its view is
-// current: orders are refused before.
+// allKnown reports whether every entry VM knows every VM and has a current view.
+// Until then entry VMs refuse orders.
 func (c *cluster) allKnown() bool {
 	for _, e := range c.entries {
 		s := e.View().Load()
@@ -165,8 +169,8 @@
 	return true
 }
 
-// allUp reports whether every entry VM has seen every VM healthy: until then
-// budgets count them as down, and refuse planned stops.
+// allUp reports whether every entry VM has seen every VM healthy. Until then
+// budgets count the others as down and refuse planned stops.
 func (c *cluster) allUp(ctx context.Context) bool {
 	for _, e := range c.entries {
 		budgets, err := e.Fleet().Budgets(ctx)
@@ -224,7 +228,8 @@
 	return nil
 }
 
-// until waits for a condition.
+// until polls a condition until it holds. It returns an error after limit, and
+// ctx's error when ctx ends.
 func (c *cluster) until(ctx context.Context, limit time.Duration, what string, done func() bool) error {
 	deadline := time.Now().Add(limit)
 	for !done() {
