--- a/internal/dev/past.go
+++ b/internal/dev/past.go
@@ -10,8 +10,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// historyChecker replays the store's history, one revision after the other, and keeps
-// what it finds wrong in it.
+// historyChecker replays the store's history revision by revision and collects
+// the violated guarantees.
 type historyChecker struct {
 	decl    *model.Declaration
 	vms     map[string]model.VM
@@ -21,7 +21,7 @@
 	broken  []error
 }
 
-// claimValue is what of a claim's value the past goes by.
+// claimValue holds the fields of a claim's stored value that are checked.
 type claimValue struct{ ID, Stage string }
 
 // The stages of a claim.
@@ -31,7 +31,7 @@
 	stageRecorded = "recorded"
 )
 
-// checkHistory returns the promises that the store's history shows broken.
+// checkHistory returns the guarantees that the store's history shows violated.
 func (w *observer) checkHistory() []error {
 	p := &historyChecker{
 		decl:    w.c.decl,
@@ -79,7 +79,7 @@
 	return v
 }
 
-// putVM checks that a VM changes its pool only once nothing runs on it.
+// putVM checks that a VM changes its pool only when nothing runs on it.
 func (p *historyChecker) putVM(key string, vm model.VM) {
 	before, known := p.vms[key]
 	empty := before.State == model.VMEmpty || before.State == model.VMProbation
@@ -87,8 +87,8 @@
 	p.vms[key] = vm
 }
 
-// putClaim checks that a claim goes to another holder only once it was
-// released, and that what is recorded stays.
+// putClaim checks that a claim changes its holder only after it was released,
+// and that a recorded claim never changes.
 func (p *historyChecker) putClaim(key string, c claimValue) {
 	before, known := p.claims[key]
 	switch {
@@ -102,8 +102,8 @@
 	p.claims[key] = c
 }
 
-// checkBudgets checks that planned stops alone never take a service below its
-// budget, in any revision.
+// checkBudgets checks that planned stops alone do not take a service below its
+// budget in the revision.
 func (p *historyChecker) checkBudgets(rev infra.Revision) {
 	for name, l := range p.ledgers {
 		s := p.decl.Service(name)
