--- a/internal/dev/report.go
+++ b/internal/dev/report.go
@@ -10,14 +10,14 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// report is what a run came to. Requests cut and double runs are counted by
+// report holds the results of a run. Cut requests and double runs are counted by
 // the fake targets and the stand-in, never by the code under test.
 type report struct {
 	began   time.Time
 	inForce time.Duration
 
 	rollOut    time.Duration
-	bufferCost float64 // mean VMs out of service while the wave ran
+	bufferCost float64 // mean number of VMs out of service while the wave ran
 	moves      int
 	status     fleet.WaveStatus
 
@@ -25,7 +25,7 @@
 	cut, doubleRuns, falseNotRuns, budgetBroken, notRebooted int
 }
 
-// meter looks at the fleet while the wave runs.
+// meter samples the number of VMs out of service while the wave runs.
 type meter struct {
 	c       *cluster
 	r       *report
@@ -35,7 +35,8 @@
 
 func newMeter(c *cluster, r *report) *meter { return &meter{c: c, r: r} }
 
-// sample counts what is out of service now, by the targets themselves.
+// sample counts the VMs that are out of service now, as reported by the
+// targets themselves, and the services below their budget.
 func (m *meter) sample() {
 	out := make(map[model.PoolName]int)
 	all := make(map[model.PoolName]int)
@@ -63,7 +64,7 @@
 	return n
 }
 
-// collectCounts reads the counts once all load has ended.
+// collectCounts copies the counts into the report. The load must have ended.
 func (r *report) collectCounts(c *cluster, t *Tally) {
 	r.sent, r.ran, r.notRun, r.unknown = t.Sent(), t.Ran.Load(), t.NotRun.Load(), t.Unknown.Load()
 	r.broken, r.wrong, r.refused = t.Broken.Load(), t.Wrong.Load(), t.Refused.Load()
@@ -99,8 +100,8 @@
 	return twice
 }
 
-// falseNotRuns counts requests that were said not to have run and that a
-// target ran.
+// falseNotRuns counts requests that were answered with not-run although a target
+// ran them.
 func (c *cluster) falseNotRuns(t *Tally) int {
 	runs := c.runs()
 	n := 0
@@ -126,7 +127,7 @@
 	fmt.Fprintf(w, "took                        %s\n", time.Since(r.began).Round(time.Millisecond))
 }
 
-// verdict returns an error that names every promise that broke.
+// verdict returns an error that names every violated guarantee, or nil.
 func (r *report) verdict() error {
 	var broken []error
 	check := func(n int64, what string) {
