--- a/internal/dev/reverts.go
+++ b/internal/dev/reverts.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// reverts counts how often an entry VM's generation became smaller.
+// reverts counts how often the configuration generation of a watched entry VM
+// decreased.
 type reverts struct {
 	mu    sync.Mutex
 	n     int
