--- a/internal/dev/wire.go
+++ b/internal/dev/wire.go
@@ -9,15 +9,15 @@
 	"github.com/pumicestage/pumicestage/internal/daemon"
 )
 
-// wire is all that one entry VM sends over; cutting it is how a lost VM looks
-// from outside. Stalling it is how a VM looks that stands still: nothing of it
-// goes out until it wakes, and then everything does, however late.
+// wire holds all outgoing connections of one entry VM and injects faults into
+// them. Cutting it simulates a lost VM. Stalling it simulates a paused VM:
+// nothing is sent until it resumes, and then everything is, however late.
 type wire struct {
 	next daemon.DialFunc
 
 	mu      sync.Mutex
 	dead    bool
-	stalled chan struct{} // closed when the stall ends; nil where there is none
+	stalled chan struct{} // closed when the stall ends; nil if not stalled
 	conns   map[*wireConn]struct{}
 }
 
@@ -44,7 +44,7 @@
 	return c, nil
 }
 
-// cut ends every connection and lets none open.
+// cut closes every connection and makes later dials fail.
 func (w *wire) cut() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,7 +55,7 @@
 	clear(w.conns)
 }
 
-// stall holds everything back until the returned function is called.
+// stall holds back all traffic until the returned function is called.
 func (w *wire) stall() (resume func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,7 +76,8 @@
 	}
 }
 
-// await waits for the end of a stall, or for done.
+// await waits for the end of a stall. It returns an error if done is closed
+// first.
 func (w *wire) await(done <-chan struct{}) error {
 	w.mu.Lock()
 	stalled := w.stalled
@@ -120,8 +121,8 @@
 	return n, err
 }
 
-// Write implements net.Conn. What is written during a stall goes out after it,
-// also where its writer has given up: it was under way.
+// Write implements net.Conn. Data written during a stall is sent after it, even
+// if the writer has since closed the connection, as data in transit would be.
 func (c *wireConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,11 +133,12 @@
 	return c.Conn.Write(p)
 }
 
-// flush sends what was written during the stall.
+// flush sends the data written during the stall and closes the connection if
+// its user has closed it meanwhile.
 func (c *wireConn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, _ = c.Conn.Write(c.unsent) // a failure shows at the next call
+	_, _ = c.Conn.Write(c.unsent) // the next call returns the error
 	c.unsent = nil
 	if c.isClosed() {
 		c.drop()
