--- a/internal/dev/witness.go
+++ b/internal/dev/witness.go
@@ -15,15 +15,17 @@
 )
 
 const (
-	// maxDetectionDelay is how long ago a VM may have failed for a planned stop to
-	// be ordered in ignorance of it: list, probe and digest each lag behind.
+	// maxDetectionDelay bounds the time from a VM's failure until entry VMs
+	// know of it, as list, probe and digest each lag. A planned stop ordered
+	// within it may still count the failed VM as serving.
 	maxDetectionDelay = 5 * time.Second
-	// historyTimeout bounds the wait for the store's history once all is over.
+	// historyTimeout bounds the wait for the store's history at the end of a
+	// run.
 	historyTimeout = 45 * time.Second
 )
 
-// observer sees a cluster from outside: by the stand-in's store, the machines
-// and the fake targets. It finds broken promises whatever the daemons think.
+// observer checks a cluster's guarantees from outside, by the stand-in's store,
+// the machines and the fake targets, independently of the daemons' own state.
 type observer struct {
 	c       *cluster
 	stop    context.CancelFunc
@@ -32,11 +34,11 @@
 
 	mu      sync.Mutex
 	batches []infra.WatchBatch
-	failed  map[model.VMID]time.Time // when it was failed on purpose; absent while up
-	faults  []error                  // promises broken
+	failed  map[model.VMID]time.Time // when the test made it fail; absent while up
+	faults  []error                  // violated guarantees
 }
 
-// watchAll starts a witness of everything from now on.
+// watchAll starts an observer of the store, the entry VMs and drains.
 func (c *cluster) watchAll() (*observer, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	w := &observer{c: c, stop: stop, failed: make(map[model.VMID]time.Time)}
@@ -65,7 +67,8 @@
 	}
 }
 
-// fail stops a VM unplanned; the returned function starts it again.
+// fail makes a VM fail without a planned stop. The returned function starts it
+// again.
 func (w *observer) fail(vm model.VMID) (recover func()) {
 	w.mu.Lock()
 	w.failed[vm] = time.Now()
@@ -79,8 +82,9 @@
 	}
 }
 
-// checkDrain counts who still serves at the moment a VM was told to drain. Every
-// service of its pool must keep its budget, but for VMs that failed just now.
+// checkDrain counts the VMs that still serve when one is ordered to drain. Every
+// service of its pool must keep its budget; VMs that failed less than
+// maxDetectionDelay ago count as serving.
 func (w *observer) checkDrain(id model.VMID) {
 	vms := w.stored()
 	for _, s := range w.c.decl.ServicesOf(vms[id].Pool) {
@@ -93,7 +97,8 @@
 	}
 }
 
-// count returns a service's VMs, and those of them that serve without id.
+// count returns the number of a service's VMs, and how many of them serve
+// without id.
 func (w *observer) count(s *model.Service, vms map[model.VMID]model.VM, id model.VMID) (total, serving int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,7 +125,7 @@
 	return false
 }
 
-// stored returns the VMs as the store has them now.
+// stored returns the VMs as currently stored.
 func (w *observer) stored() map[model.VMID]model.VM {
 	vms := make(map[model.VMID]model.VM)
 	kvs, _, err := w.c.platform.Store.Range(context.Background(), infra.VMPrefix)
@@ -136,7 +141,8 @@
 	return vms
 }
 
-// finish ends what the witness sees, once it has seen all up to now.
+// finish stops the observer once it has received the store's history up to
+// the current revision.
 func (w *observer) finish() {
 	until := w.c.platform.Store.Revision()
 	_ = w.c.until(context.Background(), historyTimeout, "the store's history", func() bool {
@@ -150,8 +156,8 @@
 	w.reverts.wait()
 }
 
-// verdict names every promise that is seen broken from outside, once all
-// faults are healed and load has ended.
+// verdict returns an error that names every violated guarantee, or nil. All
+// faults must be healed and the load must have ended.
 func (w *observer) verdict(t *Tally) error {
 	w.finish()
 	broken := append(w.faults, w.checkHistory()...)
