--- a/internal/dev/answers_test.go
+++ b/internal/dev/answers_test.go
@@ -16,11 +16,10 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// Targets answer late, twice, short, with broken framing, or not at all, and
-// every entry VM of a zone is lost on the way. A caller must get its own whole
-// answer, or see that it did not: a kept connection would carry the second
-// answer to the next caller, a missing length would make half an answer look
-// whole.
+// Targets answer late, twice, short, with broken framing or not at all, and
+// every entry VM of one zone is lost meanwhile. A caller must get its own
+// complete answer or an error. A reused connection could carry a second answer
+// to the next caller; without a length, a truncated answer would seem complete.
 func TestCallersGetTheirOwnWholeAnswer(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -47,10 +46,11 @@
 	assert.Assert(t, l.tally.Broken.Load()+l.tally.Unknown.Load() > 0, "no fault was met")
 }
 
-// A caller sends one key to every entry VM at once and again after each
-// answer, while targets break off without an answer, the store loses replies and
-// requests, goes down, and an entry VM is lost before it recorded the outcome. Whoever claims first may send; all
-// others must not, also when the first is gone for ever.
+// A caller repeatedly sends one key to every entry VM at once, while targets
+// reset connections, the store loses replies and requests and goes down, and an
+// entry VM is lost before it has recorded the outcome. Only the entry VM that
+// claims the key first may send the request; the others must not, even if the
+// first never returns.
 func TestNotRepeatableRequestsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -75,8 +75,8 @@
 	assert.Equal(t, c.doubleRuns(), 0)
 }
 
-// injectFaults goes through the platform's faults, lets targets break off without
-// an answer, and loses an entry VM.
+// injectFaults makes targets reset connections, injects the platform's faults one
+// after the other and kills an entry VM.
 func (c *cluster) injectFaults() {
 	for _, target := range c.targets {
 		target.SetFault(faketarget.Reset, 2)
@@ -92,7 +92,7 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// sendRepeatedly sends the key to every entry VM at once, some times over.
+// sendRepeatedly sends the key to every entry VM at once, six times over.
 func (c *cluster) sendRepeatedly(key string, outcomes *outcomeLog) {
 	client := &http.Client{Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
@@ -106,8 +106,8 @@
 	}
 }
 
-// post sends one request and returns its outcome, empty where there was no
-// whole answer.
+// post sends one request and returns its outcome, or an empty string if there was
+// no complete answer.
 func post(client *http.Client, address, service, key string) string {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/services/"+service+"/"+key, strings.NewReader(key))
 	if err != nil {
@@ -125,7 +125,7 @@
 	return resp.Header.Get("Pumicestage-Outcome")
 }
 
-// outcomeLog are the outcomes told for each key.
+// outcomeLog records the outcomes answered for each key.
 type outcomeLog struct {
 	mu  sync.Mutex
 	all map[string][]string
@@ -140,7 +140,7 @@
 	s.all[key] = append(s.all[key], outcome)
 }
 
-// final returns the last whole outcome of each key.
+// final returns the last outcome of each key, ignoring incomplete answers.
 func (s *outcomeLog) final() map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
