--- a/internal/dev/config_test.go
+++ b/internal/dev/config_test.go
@@ -15,10 +15,11 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Operators apply at once while a zone is cut off, an entry VM in it is lost
-// and comes back knowing nothing. It must take what its peer there holds, not
-// nothing, and serve callers by it; after the heal every entry VM must come to the newest generation,
-// and none may ever step back on the way.
+// A zone is cut off, an entry VM in it restarts without state, and operators
+// apply changes meanwhile. The restarted entry VM must take the configuration of
+// its peer in the zone and serve callers with it. Once the zone is connected
+// again, every entry VM must reach the newest generation, and none may ever go
+// back to an older one.
 func TestConfigurationIsInForceEverywhereAndNeverReverts(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -53,9 +54,9 @@
 	assert.Equal(t, reverts.count(), 0)
 }
 
-// Someone puts an older declaration back into the store past the system, as a
-// restore from a backup does. Every entry VM must keep the one that was
-// accepted, also one that has just lost its connections and reads all anew.
+// An older declaration is written to the store directly, as a restore from a
+// backup does. Every entry VM must keep the newer one that it had accepted, even
+// if it loses its connections and reads everything again.
 func TestConfigurationOutlivesAnOlderOneInTheStore(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -84,7 +85,7 @@
 	assert.Assert(t, c.generationEverywhere(3))
 }
 
-// applyTimes applies so many changes, from a place that is not cut off.
+// applyTimes applies n changes over a connection that is not cut off.
 func (c *cluster) applyTimes(t *testing.T, n int) {
 	t.Helper()
 	store := gateway.New(gateway.Options{Endpoints: []string{c.base}})
