--- a/internal/dev/graceful_test.go
+++ b/internal/dev/graceful_test.go
@@ -15,7 +15,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// startQuickWave starts the wave over the service quick alone.
+// startQuickWave starts the wave over the pool quick alone.
 func (c *cluster) startQuickWave(t *testing.T) {
 	t.Helper()
 	o := fleet.Order{Change: "quick-wave", Actor: "test"}
@@ -23,8 +23,8 @@
 	assert.NilError(t, err)
 }
 
-// occupy keeps every target of quick at work for about six seconds, past the
-// entry VMs, and returns when the work has begun.
+// occupy keeps every target of quick busy for about six seconds with a request
+// that bypasses the entry VMs. It returns once the requests have started.
 func (c *cluster) occupy(t *testing.T) {
 	t.Helper()
 	for id, target := range c.targets {
@@ -52,7 +52,7 @@
 	return ""
 }
 
-// leavingVM returns a VM that leaves for the wave.
+// leavingVM returns a VM in the state leaving, or an empty ID if there is none.
 func (w *observer) leavingVM() model.VMID {
 	for id, vm := range w.stored() {
 		if vm.State == model.VMLeaving {
@@ -63,9 +63,9 @@
 }
 
 // A VM leaves for maintenance and waits for a long request; meanwhile two of
-// the other three fail. A reboot granted before would leave one VM where two
-// must serve, so the VM has to be put back and none
-// rebooted.
+// the other three fail. Rebooting it on the earlier grant would leave one VM
+// serving where two are required, so it must return to its pool and no VM may
+// be rebooted.
 func TestNoRebootWhereTheBudgetBrokeMeanwhile(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -89,9 +89,9 @@
 	assert.Equal(t, c.serving("quick"), 2)
 }
 
-// An entry VM is live in the store, and says nothing of what it has seen: cut
-// off, or behind. It may send to a VM for as long as it does not know that the
-// VM leaves, so no VM may be rebooted before it says so, or its lease lapses.
+// An entry VM is registered in the store but acknowledges nothing, because it is
+// cut off or lags. It may send requests to a leaving VM until it knows of that,
+// so no VM may be rebooted before it acknowledges or its lease expires.
 func TestNoRebootBeforeEveryEntryVMKnows(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -121,8 +121,8 @@
 	assert.Assert(t, c.platform.Machines.Tally().Reboots >= 4)
 }
 
-// Every VM works on a request of six seconds while the wave passes. It has to
-// wait for each: a reboot would cut the answer somebody waits for.
+// Every VM of the pool runs a six-second request when the wave reaches it. The
+// wave must wait for each, as a reboot would cut the request.
 func TestPlannedStopsWaitForLongRequests(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
