--- a/internal/dev/harness_test.go
+++ b/internal/dev/harness_test.go
@@ -13,12 +13,12 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// waitTimeout bounds every wait of these tests. It is no measure of anything:
-// a promise with a time in it says so in its test.
+// waitTimeout bounds every wait of these tests. It asserts no latency: tests of
+// a guaranteed time have bounds of their own.
 const waitTimeout = 45 * time.Second
 
-// smallFleet declares two zones with two services of four VMs each: quick may
-// be repeated, once may not.
+// smallFleet declares two zones and two services of four VMs each. Requests to
+// quick are repeatable, requests to once are not.
 func smallFleet() *model.Declaration {
 	d := &model.Declaration{Deployment: "small", Zones: []model.ZoneName{"za", "zb"}, Weights: model.Weights{RollOutTime: 1, BufferCost: 1, Moves: 1}}
 	for _, name := range []string{"quick", "once"} {
@@ -39,7 +39,7 @@
 	return d
 }
 
-// startSmall starts a cluster of the small fleet with everything in its pool.
+// startSmall starts a cluster of the small fleet and waits until every VM is up.
 func startSmall(t *testing.T) *cluster {
 	t.Helper()
 	c, err := startCluster(context.Background(), smallFleet(), false, logr.Discard())
@@ -49,7 +49,7 @@
 	return c
 }
 
-// await waits for a condition of the cluster.
+// await waits until a condition holds and fails the test after waitTimeout.
 func (c *cluster) await(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	assert.NilError(t, c.until(context.Background(), waitTimeout, what, done))
@@ -62,7 +62,7 @@
 	assert.NilError(t, err)
 }
 
-// awaitWaveEnd waits until the wave has finished, as an entry VM sees it.
+// awaitWaveEnd waits until the entry VM with index at reports the wave finished.
 func (c *cluster) awaitWaveEnd(t *testing.T, at int) {
 	t.Helper()
 	var last fleet.WaveStatus
@@ -76,7 +76,8 @@
 	assert.NilError(t, err, "%+v", last)
 }
 
-// serving counts the targets of a service that take work now, by themselves.
+// serving counts the targets of a service that now accept work, as reported by
+// the targets themselves.
 func (c *cluster) serving(s model.ServiceName) int {
 	n := 0
 	for _, vm := range c.decl.VMs {
@@ -87,11 +88,12 @@
 	return n
 }
 
-// isolate cuts a zone off from the platform and every other zone, or heals it.
+// isolate cuts a zone off from the platform and every other zone, or reconnects
+// it.
 func (c *cluster) isolate(zone string, on bool) { c.platform.Network.Isolate(zone, on) }
 
-// resumeUntilEnd waits for the end of the wave, and lets it go on where it has
-// paused itself over faults that are healed.
+// resumeUntilEnd waits for the end of the wave and resumes it whenever it has
+// paused itself because of injected faults.
 func (c *cluster) resumeUntilEnd(t *testing.T) {
 	t.Helper()
 	ctx := context.Background()
