--- a/internal/dev/history_test.go
+++ b/internal/dev/history_test.go
@@ -17,20 +17,22 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// configObject is the configuration among the objects of a history.
+// configObject is the name of the configuration as an object of a history.
 const configObject = "configuration"
 
-// casCall is a call on one object: a VM's key by revision, or the
-// configuration by generation. A call without a version to write is a read.
+// casCall is a compare-and-set call on one object: a VM's key, versioned by
+// revision, or the configuration, versioned by generation. A call that wrote no
+// version is a read.
 type casCall struct {
 	object    string
-	ifVersion int64 // the version it is conditional on; 0 for any
-	written   int64 // the version it made; 0 where it was refused
-	refusedBy int64 // the version that refused it; 0 if not told
+	ifVersion int64 // version it is conditional on; 0 if unconditional
+	written   int64 // version it wrote; 0 if it was refused
+	refusedBy int64 // version named by the refusal; 0 if none
 }
 
-// casObject is the specification: versions follow each other, a write is based
-// on the newest, a refusal names it or, where it names none, differs from it.
+// casObject is the specification. Versions increase, and a conditional write is
+// based on the newest. A refusal names the newest version; if it names none, the
+// call's condition differs from the newest version.
 var casObject = porcupine.Model{
 	Partition: byObject,
 	Init:      func() any { return int64(0) },
@@ -59,7 +61,7 @@
 	return out
 }
 
-// history is what operators asked and were told.
+// history records the operators' calls and their results.
 type history struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -75,9 +77,9 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: who, Input: call, Call: began, Return: ended})
 }
 
-// order carries out an order on a VM and returns the revision that the
-// operator saw by it, 0 if none. One of unknown outcome is left out here: what
-// it wrote, if it did, is in the store's own history.
+// order carries out an order on a VM and returns the revision that the operator
+// learned from it, 0 if none. An order of unknown outcome is not recorded: its
+// write, if any, is in the store's own history.
 func (h *history) order(who int, vm model.VMID, o fleet.Order, do func() (fleet.Outcome, error)) infra.Revision {
 	began := sinceEpoch()
 	out, err := do()
@@ -97,8 +99,8 @@
 	return 0
 }
 
-// apply carries out a change of the configuration and returns the generation
-// to base the next one on: its own, or what an entry VM shows.
+// apply carries out a change of the configuration and returns the generation to
+// base the next change on: its own or, after an error, that of current.
 func (h *history) apply(on uint64, do func() (uint64, error), current func() uint64) uint64 {
 	began := sinceEpoch()
 	made, err := do()
@@ -109,8 +111,8 @@
 	return made
 }
 
-// check checks that what was told fits one order of events per object,
-// together with every write that the store holds and nobody was told of.
+// check checks that the recorded calls on each object are linearizable, together
+// with the writes in the store's history that no caller got a reply for.
 func (h *history) check(t *testing.T, w *observer) {
 	t.Helper()
 	told := make(map[string]map[int64]bool)
@@ -133,8 +135,8 @@
 		w.c.platform.Machines.Tally().Reboots)
 }
 
-// writes returns every write of a VM or the configuration, each on top of the
-// one before.
+// writes returns every write of a VM or the configuration in the store's history,
+// each conditional on the previous one.
 func (w *observer) writes(t *testing.T) []casCall {
 	t.Helper()
 	last := make(map[string]int64)
