--- a/internal/dev/jobs_test.go
+++ b/internal/dev/jobs_test.go
@@ -13,9 +13,9 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// A wave passes over VMs on which jobs run, the platform loses replies, and the
-// entry VM that places the jobs is lost. A job that may not be repeated must
-// start once and end; a reboot must wait for every task, or move one that
+// A wave reboots VMs on which jobs run, the platform loses replies, and the entry
+// VM that places the jobs is lost. A job that is not repeatable must start
+// exactly once and finish. A reboot must wait for every task, or move it if it
 // checkpoints.
 func TestWaveNeitherCutsNorRepeatsJobs(t *testing.T) {
 	t.Parallel()
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkpoints reports whether the nth job may be stopped and go on elsewhere.
+// checkpoints reports whether the nth job can be stopped and resumed elsewhere.
 func checkpoints(n int) bool { return n%4 == 0 }
 
 func testJobs(n int) []model.Job {
