--- a/internal/dev/leaving_test.go
+++ b/internal/dev/leaving_test.go
@@ -11,13 +11,13 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// maxLeaveDelay is after how long a leaving target must get no new work.
+// maxLeaveDelay is the time after which a leaving target must get no new work.
 const maxLeaveDelay = 3 * time.Second
 
-// A target leaves: by an order in the store, also where the target itself never
-// hears of it, or by its own word while the platform is down. After a few seconds no entry VM of any zone may send it
-// anything, although those of the other zone hear of it only by relay, digest
-// or health answer.
+// A target leaves by an order in the store, which the target itself may not
+// receive, or announces that it drains while the platform is down. After
+// maxLeaveDelay no entry VM of any zone may send it requests, although those of
+// the other zone learn of it only by relay, digest or health answer.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
