--- a/internal/dev/pool_test.go
+++ b/internal/dev/pool_test.go
@@ -15,10 +15,10 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Four operators order the same VMs into another pool at four entry VMs at
-// once. Each VM has one winner; the losers must be told who won. Every version
-// of a VM's key that the store ever held names one pool, and it changes only
-// once the VM is empty.
+// Four operators concurrently move the same VMs to another pool, each at another
+// entry VM. One order for each VM must succeed, and the others must be refused
+// with the winner or for the budget. In the store's history a VM's pool may
+// change only when the VM is empty.
 func TestVMIsInOnePoolThroughRacingMoves(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -52,8 +52,8 @@
 	assert.Check(t, errors.Join(w.checkHistory()...))
 }
 
-// moves are ordered at once: one VM out of each service, as the second of one
-// service would be refused for the reserve that moves leave.
+// moves are ordered concurrently: one VM of each service, as a second one of the
+// same service would be refused for the reserve that moves must leave.
 var moves = map[model.VMID]model.PoolName{"quick-0": "once", "once-0": "quick"}
 
 func inPool(vm model.VM, pool model.PoolName) bool {
@@ -65,9 +65,9 @@
 	return errors.As(err, &r) && (r.Winner != "" || r.Code == fleet.CodeBudget)
 }
 
-// Four operators drain the four VMs of one service at once, each another one at
-// another entry VM, time and again while the platform loses replies. Each by
-// itself keeps the budget; all together would leave nobody serving.
+// Four operators repeatedly drain the four VMs of one service at once, each
+// another VM at another entry VM, while the platform loses replies. Each drain
+// alone keeps the budget; all together would leave no VM serving.
 func TestRacingDrainsKeepTheBudget(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
