--- a/internal/dev/replace_test.go
+++ b/internal/dev/replace_test.go
@@ -8,14 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// balancerLag is how late the platform's balancer learns that an entry VM is
-// not ready.
+// balancerLag is the time until the platform's balancer learns that an entry VM
+// is not ready.
 const balancerLag = 500 * time.Millisecond
 
-// Every entry VM is replaced, one after the other, while callers go on over
-// kept connections, and the balancer learns of it half a second late. A leaving
-// one must go on taking requests so long and tell kept connections to close, or
-// callers meet a refusal, a closed port, or a connection that breaks.
+// Every entry VM is replaced, one after the other, while callers keep sending over
+// reused connections and the balancer learns of it half a second late. An entry
+// VM that shuts down must accept requests for that time and tell callers to
+// close reused connections; otherwise callers get a refusal, a closed port or a
+// broken connection.
 func TestEntryVMsAreReplacedUnderLoad(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -47,7 +48,7 @@
 	assert.Assert(t, l.tally.Ran.Load() > 0)
 }
 
-// without returns the caller ports of all other entry VMs.
+// without returns the caller base URLs of the ready entry VMs other than n.
 func (c *cluster) without(n int) []string {
 	var bases []string
 	for i, e := range c.entries {
