--- a/internal/dev/rest_bench_test.go
+++ b/internal/dev/rest_bench_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// idleDuration is how long a deployment at rest is looked at.
+	// idleDuration is how long an idle deployment is measured.
 	idleDuration = 20 * time.Second
-	// settleDuration lets what a change or the start brought about come to its end.
+	// settleDuration is the wait after the start until the deployment is idle.
 	settleDuration = 5 * time.Second
 	// changes are applied one after the other, changeEvery apart.
 	changes        = 20
 	changeInterval = 500 * time.Millisecond
 )
 
-// BenchmarkRest is what eight entry VMs cost with nothing to do, by the number
-// of VMs: the slope of control. Processor time and memory are of the whole
-// process, so fake targets and the stand-in are in them: an upper bound.
+// BenchmarkRest measures the cost of eight idle entry VMs by the number of VMs,
+// which shows how control traffic scales. Processor time and memory are those of
+// the whole process, with fake targets and the stand-in: an upper bound.
 func BenchmarkRest(b *testing.B) {
 	for _, vms := range []int{40, 200, 1000} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// BenchmarkChange is what one change of the declaration costs eight entry VMs
-// together, beyond rest, until it is in force on all of them.
+// BenchmarkChange measures the cost of one change of the declaration until it is
+// in force on all eight entry VMs, beyond their cost when idle.
 func BenchmarkChange(b *testing.B) {
 	for _, vms := range []int{40, 200, 1000} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
@@ -51,7 +51,8 @@
 	}
 }
 
-// startWide starts a deployment of so many VMs and lets it settle.
+// startWide starts a deployment of the given number of VMs and waits until it is
+// idle.
 func startWide(b *testing.B, vms int) *cluster {
 	b.Helper()
 	c, err := startCluster(context.Background(), wideFleet(vms), false, logr.Discard())
@@ -66,7 +67,8 @@
 	return c
 }
 
-// usage is what a deployment has used up so far.
+// usage holds the bytes exchanged with the platform, the bytes sent to peers and
+// the processor time that a deployment has used since its start.
 type usage struct {
 	platform, peer int64
 	cpu            time.Duration
@@ -77,8 +79,8 @@
 	return usage{n.BytesIn + n.BytesOut, c.peerBytes(), processorTime()}
 }
 
-// changeOften reports the cost of a change as the difference to as long a
-// time at rest.
+// changeOften reports the cost of a change as the difference from an idle period
+// of the same length.
 func (c *cluster) changeOften(b *testing.B) {
 	before := c.usage()
 	time.Sleep(changes * changeInterval)
@@ -139,7 +141,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// wideFleet declares four zones with ten VMs a pool and one service a pool.
+// wideFleet declares four zones, pools of ten VMs and one service for each pool.
 func wideFleet(vms int) *model.Declaration {
 	d := &model.Declaration{Deployment: "wide", Zones: []model.ZoneName{"za", "zb", "zc", "zd"}, Weights: model.Weights{RollOutTime: 1}}
 	for p := range vms / 10 {
