--- a/internal/dev/schedule_test.go
+++ b/internal/dev/schedule_test.go
@@ -23,14 +23,15 @@
 
 var seeds = flag.Int("seeds", 2, "how many random fault schedules to play")
 
-// scheduleSteps is how many faults one schedule draws; two last at a time.
+// scheduleSteps is how many faults one schedule injects; each lasts until the
+// next one has been active for a while, so that two overlap.
 const scheduleSteps = 16
 
-// Faults befall the cluster by a seed, two at a time, while callers send,
-// repeat keys at many entry VMs, and operators drain, undrain, move, start and
-// resume a wave and change the configuration at each other's backs. Whatever
-// is refused or late meanwhile, no promise breaks, what was told fits one order
-// of events, and after the faults every VM gets back into a pool.
+// Seeded random faults are injected, two at a time, while callers send requests
+// and repeat keys at many entry VMs, and operators concurrently drain, undrain and
+// move VMs, start and resume a wave and change the configuration. Orders may be
+// refused or late, but no guarantee may be violated, the operators' calls must be
+// linearizable, and after the faults every VM must return to a pool.
 func TestFaultSchedule(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(*seeds) {
@@ -100,7 +101,7 @@
 	return s.c.entries[n%len(s.c.entries)]
 }
 
-// injectFault starts a fault drawn by the seed and returns what ends it.
+// injectFault starts a random fault and returns the function that ends it.
 func (s *schedule) injectFault() (heal func()) {
 	zone := string(s.c.decl.Zones[s.rng.IntN(2)])
 	n := s.rng.IntN(len(s.c.entries))
@@ -139,10 +140,10 @@
 		s.c.targets[vm].SetFault(faketarget.Fault(1+s.rng.IntN(int(faketarget.Silent))), 10)
 		s.replaceEntry(n)
 	}
-	return func() {} // also a quiet time, in which orders get through
+	return func() {} // without a fault, so that orders succeed too
 }
 
-// replaceEntry loses an entry VM; another takes its place and ID.
+// replaceEntry kills an entry VM and starts another one under the same ID.
 func (s *schedule) replaceEntry(n int) {
 	old := s.entry(n)
 	old.kill()
@@ -156,8 +157,8 @@
 	s.load.balancer.set(s.c.allBases())
 }
 
-// allBases returns the base URLs of all entry VMs, ready or not: the balancer
-// is behind.
+// allBases returns the caller base URLs of all entry VMs, ready or not, as a
+// balancer that lags would use them.
 func (c *cluster) allBases() []string {
 	var bases []string
 	for _, e := range c.entries {
@@ -166,8 +167,8 @@
 	return bases
 }
 
-// operate gives orders at random entry VMs, half of them on condition of the
-// revision that the operator saw last.
+// operate gives orders at random entry VMs, about half of them conditional on the
+// revision that the operator last saw.
 func (s *schedule) operate(ctx context.Context, who int, rng *rand.Rand) {
 	seen := make(map[model.VMID]infra.Revision)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -203,8 +204,8 @@
 	}
 }
 
-// configure changes the configuration on condition of the generation it saw
-// last, over a way of its own to the platform.
+// configure changes the configuration, conditional on the generation that it last
+// saw, over its own connection to the platform.
 func (s *schedule) configure(ctx context.Context) {
 	store := gateway.New(gateway.Options{Endpoints: []string{s.c.base}, Timeout: 2 * time.Second})
 	decl := *s.c.decl
@@ -223,8 +224,8 @@
 	}
 }
 
-// repeatKey sends one request of a service that runs at most once, over and
-// over, to whatever entry VM.
+// repeatKey repeatedly sends the same request to random entry VMs. Its service
+// is not repeatable, so the request may run at most once.
 func (s *schedule) repeatKey(ctx context.Context, key string, rng *rand.Rand) {
 	client := &http.Client{Timeout: 8 * time.Second}
 	defer client.CloseIdleConnections()
@@ -234,7 +235,7 @@
 	}
 }
 
-// cancelWave ends the wave, if one was started and still runs.
+// cancelWave cancels the wave if it is running or paused.
 func (s *schedule) cancelWave(t *testing.T) {
 	t.Helper()
 	n := 0
