--- a/internal/dev/wave_test.go
+++ b/internal/dev/wave_test.go
@@ -10,11 +10,10 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// Callers go on getting answers while every VM is rebooted, although a VM
-// fails, the entry VM that carries the wave is lost, and the platform is out
-// for two seconds. The ledger, the recount before each reboot and the drain
-// must hold: two VMs of each service always serve, no request is cut, and the
-// wave ends under another entry VM.
+// A wave reboots every VM under load while a VM fails, the entry VM that runs the
+// wave is lost and the platform is down for two seconds. The ledger, the recount
+// before each reboot and the drain must ensure that two VMs of each service
+// always serve and no request is cut. The wave must end under another entry VM.
 func TestWaveEndsWithBudgetsHeldAndNothingCut(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
@@ -45,7 +44,8 @@
 	assert.Assert(t, l.tally.Ran.Load() > 0)
 }
 
-// minServing remembers the least number of targets that served at once.
+// minServing records the lowest number of targets of each service that served at
+// the same time.
 type minServing struct {
 	of   map[string]int
 	stop func()
