--- a/internal/dev/witness_test.go
+++ b/internal/dev/witness_test.go
@@ -11,7 +11,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// startObserver starts a witness that ends with the test at the latest.
+// startObserver starts an observer that stops at the end of the test at the latest.
 func (c *cluster) startObserver(t *testing.T) *observer {
 	t.Helper()
 	w, err := c.watchAll()
@@ -20,8 +20,8 @@
 	return w
 }
 
-// settle undrains what orders left drained until every VM is in a pool and its
-// target serves.
+// settle undrains VMs that orders left drained and waits until every VM is in a
+// pool and its target serves.
 func (w *observer) settle(t *testing.T) {
 	t.Helper()
 	n := 0
@@ -35,7 +35,7 @@
 			back = false
 			if n%20 == 1 {
 				o := fleet.Order{Change: model.ChangeID(fmt.Sprintf("settle-%s-%d", id, n)), Actor: "test"}
-				_, _ = w.c.entries[0].Fleet().Undrain(context.Background(), id, o) // refused where a wave holds it
+				_, _ = w.c.entries[0].Fleet().Undrain(context.Background(), id, o) // refused while a wave holds the VM
 			}
 		}
 		return back
