--- a/internal/dev/worst_test.go
+++ b/internal/dev/worst_test.go
@@ -10,25 +10,26 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// A wave runs under load while the worst that may befall it does. Whatever
-// waits or is retried, every planned stop keeps the budgets and cuts nothing,
-// no request runs twice, none that is said not to have run ran, no
-// configuration goes back, and the wave ends once the fault is over.
+// A wave runs under load through severe faults. Steps may be delayed or retried,
+// but every planned stop must keep the budgets and cut nothing, no request may
+// run twice, none answered with not-run may have run, no entry VM may go back to
+// an older configuration, and the wave must end once the fault is over.
 func TestWaveUnderTheWorstFaults(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name string
-		// injectFault makes the fault befall the cluster and ends it.
+		// injectFault injects the fault for a while, then ends it.
 		injectFault func(c *cluster, w *observer)
 	}{
-		// Both zones go on with the platform and see the same work to do, but
-		// no digest, relay or acknowledgement passes between them.
+		// Both zones reach the platform and see the same work, but no digest,
+		// relay or acknowledgement passes between them.
 		{"zones parted from each other", func(c *cluster, _ *observer) {
 			c.platform.Network.Cut("za", "zb")
 			time.Sleep(4 * time.Second)
 			c.platform.Network.Heal("za", "zb")
 		}},
-		// No connection breaks and nothing arrives: what was sent comes late.
+		// No connection breaks and nothing arrives until the fault ends; what was
+		// sent then arrives late.
 		{"a zone falls silent", func(c *cluster, _ *observer) {
 			c.platform.Network.DropAll("zb", true)
 			time.Sleep(4 * time.Second)
@@ -41,8 +42,8 @@
 			time.Sleep(3 * time.Second)
 			c.platform.Faults.Clear()
 		}},
-		// The list shows a VM live that has failed; its service's budget has
-		// room for one stop less.
+		// The list shows a failed VM as live; its service's budget allows one
+		// stop less.
 		{"stale list over a failed VM", func(c *cluster, w *observer) {
 			c.platform.Faults.Set(standin.AnyZone, standin.Fault{StaleList: true})
 			recover := w.fail("once-3")
@@ -50,8 +51,9 @@
 			c.platform.Faults.Clear()
 			recover()
 		}},
-		// The entry VM that started the wave stands still until its leases
-		// have lapsed and others have gone on; then all it had under way goes out.
+		// The entry VM that started the wave is paused until its leases have
+		// expired and others have taken over; then all its held-back writes are
+		// sent.
 		{"an entry VM stands still beyond its leases", func(c *cluster, _ *observer) {
 			resume := c.entries[0].wire.stall()
 			time.Sleep(12 * time.Second)
