--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -160,7 +160,7 @@
 		},
 		OnStart: func() {
 			if err := t.Boot(); err != nil {
-				c.log.Error(err, "VM stays down", "vm", id)
+				c.log.Error(err, "fake target failed to boot", "vm", id)
 			}
 		},
 		Requests: t.InFlight,
@@ -196,7 +196,7 @@
 	c.tasks.Go(func() {
 		err := d.Run(ctx)
 		if err != nil {
-			c.log.Error(err, "entry VM ended", "entry", s.ID)
+			c.log.Error(err, "entry daemon ended with an error", "entry", s.ID)
 		}
 		close(e.done)
 	})
