--- a/internal/dev/harness_test.go
+++ b/internal/dev/harness_test.go
@@ -55,7 +55,7 @@
 	assert.NilError(t, c.until(context.Background(), waitTimeout, what, done))
 }
 
-// startWave starts the startWave at an entry VM.
+// startWave starts the wave named all at the entry VM with index at.
 func (c *cluster) startWave(t *testing.T, at int) {
 	t.Helper()
 	_, err := c.entries[at].Fleet().StartWave(context.Background(), "all", nil, fleet.Order{Change: "test-wave", Actor: "test"})
