--- a/internal/dev/rest_bench_test.go
+++ b/internal/dev/rest_bench_test.go
@@ -104,7 +104,7 @@
 	b.ReportMetric(inForce.Seconds()*1000, "ms-in-force-max")
 }
 
-// measureIdle reports what one period at measureIdle cost, per second and entry VM.
+// measureIdle reports the cost of an idle period per second and entry VM.
 func (c *cluster) measureIdle(b *testing.B) {
 	c.platform.Counts.Reset()
 	sent := c.peerBytes()
