--- a/internal/dev/leaving_test.go
+++ b/internal/dev/leaving_test.go
@@ -28,12 +28,12 @@
 			_, err := c.entries[0].Fleet().Drain(context.Background(), "quick-0", fleet.Order{Change: "leave", Actor: "test"})
 			return err
 		}},
-		{"order in the store, the target deaf to it", func(c *cluster) error {
+		{"order in the store, ignored by the target", func(c *cluster) error {
 			c.ignoreDrain.Store(true)
 			_, err := c.entries[0].Fleet().Drain(context.Background(), "quick-0", fleet.Order{Change: "leave", Actor: "test"})
 			return err
 		}},
-		{"its own word, platform down", func(c *cluster) error {
+		{"announced by the target, platform down", func(c *cluster) error {
 			c.platform.Faults.Set(standin.AnyZone, standin.Fault{Down: true})
 			c.targets["quick-0"].Drain()
 			return nil
