--- a/internal/dev/worst_test.go
+++ b/internal/dev/worst_test.go
@@ -23,14 +23,14 @@
 	}{
 		// Both zones reach the platform and see the same work, but no digest,
 		// relay or acknowledgement passes between them.
-		{"zones parted from each other", func(c *cluster, _ *observer) {
+		{"zones cut off from each other", func(c *cluster, _ *observer) {
 			c.platform.Network.Cut("za", "zb")
 			time.Sleep(4 * time.Second)
 			c.platform.Network.Heal("za", "zb")
 		}},
 		// No connection breaks and nothing arrives until the fault ends; what was
 		// sent then arrives late.
-		{"a zone falls silent", func(c *cluster, _ *observer) {
+		{"a zone drops all traffic", func(c *cluster, _ *observer) {
 			c.platform.Network.DropAll("zb", true)
 			time.Sleep(4 * time.Second)
 			c.platform.Network.DropAll("zb", false)
@@ -54,7 +54,7 @@
 		// The entry VM that started the wave is paused until its leases have
 		// expired and others have taken over; then all its held-back writes are
 		// sent.
-		{"an entry VM stands still beyond its leases", func(c *cluster, _ *observer) {
+		{"an entry VM paused beyond its leases", func(c *cluster, _ *observer) {
 			resume := c.entries[0].wire.stall()
 			time.Sleep(12 * time.Second)
 			resume()
