--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -69,7 +69,7 @@
 type entryVM struct {
 	*daemon.Daemon
 	n    int
-	wire *wire
+	wire *faultDialer
 	stop func()
 	done chan struct{}
 }
@@ -185,7 +185,7 @@
 
 func (c *cluster) startEntry(ctx context.Context, n int, zone model.ZoneName, seeds []string) (*entryVM, error) {
 	s := c.settings(n, zone, seeds)
-	w := newWire(c.platform.Network.Dialer(string(zone)))
+	w := newFaultDialer(c.platform.Network.Dialer(string(zone)))
 	d, err := daemon.New(daemon.Options{Settings: s, Log: c.log.WithValues("entry", s.ID), Dial: w.dial, FleetPassInterval: fleetPassInterval})
 	if err != nil {
 		return nil, err
--- a/internal/dev/wire.go
+++ b/internal/dev/wire.go
@@ -9,24 +9,24 @@
 	"github.com/pumicestage/pumicestage/internal/daemon"
 )
 
-// wire holds all outgoing connections of one entry VM and injects faults into
+// faultDialer holds all outgoing connections of one entry VM and injects faults into
 // them. Cutting it simulates a lost VM. Stalling it simulates a paused VM:
 // nothing is sent until it resumes, and then everything is, however late.
-type wire struct {
+type faultDialer struct {
 	next daemon.DialFunc
 
 	mu      sync.Mutex
 	dead    bool
 	stalled chan struct{} // closed when the stall ends; nil if not stalled
-	conns   map[*wireConn]struct{}
+	conns   map[*faultConn]struct{}
 }
 
-func newWire(next daemon.DialFunc) *wire {
-	return &wire{next: next, conns: make(map[*wireConn]struct{})}
+func newFaultDialer(next daemon.DialFunc) *faultDialer {
+	return &faultDialer{next: next, conns: make(map[*faultConn]struct{})}
 }
 
-func (w *wire) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if err := w.await(ctx.Done()); err != nil {
+func (w *faultDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if err := w.awaitStallEnd(ctx.Done()); err != nil {
 		return nil, err
 	}
 	conn, err := w.next(ctx, network, address)
@@ -39,13 +39,13 @@
 		conn.Close()
 		return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ENETDOWN}
 	}
-	c := &wireConn{Conn: conn, wire: w, closed: make(chan struct{})}
+	c := &faultConn{Conn: conn, dialer: w, closed: make(chan struct{})}
 	w.conns[c] = struct{}{}
 	return c, nil
 }
 
 // cut closes every connection and makes later dials fail.
-func (w *wire) cut() {
+func (w *faultDialer) cut() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.dead = true
@@ -56,7 +56,7 @@
 }
 
 // stall holds back all traffic until the returned function is called.
-func (w *wire) stall() (resume func()) {
+func (w *faultDialer) stall() (resume func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	stalled := make(chan struct{})
@@ -64,7 +64,7 @@
 	return func() {
 		w.mu.Lock()
 		w.stalled = nil
-		var open []*wireConn
+		var open []*faultConn
 		for c := range w.conns {
 			open = append(open, c)
 		}
@@ -76,9 +76,9 @@
 	}
 }
 
-// await waits for the end of a stall. It returns an error if done is closed
+// awaitStallEnd waits for the end of a stall. It returns an error if done is closed
 // first.
-func (w *wire) await(done <-chan struct{}) error {
+func (w *faultDialer) awaitStallEnd(done <-chan struct{}) error {
 	w.mu.Lock()
 	stalled := w.stalled
 	w.mu.Unlock()
@@ -93,15 +93,15 @@
 	}
 }
 
-func (w *wire) isStalled() bool {
+func (w *faultDialer) isStalled() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stalled != nil
 }
 
-type wireConn struct {
+type faultConn struct {
 	net.Conn
-	wire   *wire
+	dialer *faultDialer
 	closed chan struct{}
 	once   sync.Once
 
@@ -110,12 +110,12 @@
 }
 
 // Read implements net.Conn.
-func (c *wireConn) Read(p []byte) (int, error) {
+func (c *faultConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 {
 		return n, err
 	}
-	if err := c.wire.await(c.closed); err != nil {
+	if err := c.dialer.awaitStallEnd(c.closed); err != nil {
 		return 0, err
 	}
 	return n, err
@@ -123,10 +123,10 @@
 
 // Write implements net.Conn. Data written during a stall is sent after it, even
 // if the writer has since closed the connection, as data in transit would be.
-func (c *wireConn) Write(p []byte) (int, error) {
+func (c *faultConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.wire.isStalled() || len(c.unsent) > 0 {
+	if c.dialer.isStalled() || len(c.unsent) > 0 {
 		c.unsent = append(c.unsent, p...)
 		return len(p), nil
 	}
@@ -135,17 +135,17 @@
 
 // flush sends the data written during the stall and closes the connection if
 // its user has closed it meanwhile.
-func (c *wireConn) flush() {
+func (c *faultConn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, _ = c.Conn.Write(c.unsent) // the next call returns the error
 	c.unsent = nil
 	if c.isClosed() {
-		c.drop()
+		c.closeConn()
 	}
 }
 
-func (c *wireConn) isClosed() bool {
+func (c *faultConn) isClosed() bool {
 	select {
 	case <-c.closed:
 		return true
@@ -155,19 +155,19 @@
 }
 
 // Close implements net.Conn.
-func (c *wireConn) Close() error {
+func (c *faultConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.unsent) > 0 {
 		return nil // flush closes it
 	}
-	return c.drop()
+	return c.closeConn()
 }
 
-func (c *wireConn) drop() error {
-	c.wire.mu.Lock()
-	delete(c.wire.conns, c)
-	c.wire.mu.Unlock()
+func (c *faultConn) closeConn() error {
+	c.dialer.mu.Lock()
+	delete(c.dialer.conns, c)
+	c.dialer.mu.Unlock()
 	return c.Conn.Close()
 }
