--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -68,16 +68,16 @@
 // entryVM is one running entry daemon.
 type entryVM struct {
 	*daemon.Daemon
-	n    int
-	wire *faultDialer
-	stop func()
-	done chan struct{}
+	n      int
+	dialer *faultDialer
+	stop   func()
+	done   chan struct{}
 }
 
 // kill simulates the loss of the VM: it cuts all connections, ends the daemon
 // without a shutdown and waits for it to return.
 func (e *entryVM) kill() {
-	e.wire.cut()
+	e.dialer.cut()
 	e.Kill()
 	<-e.done
 }
@@ -192,7 +192,7 @@
 	}
 	c.platform.Network.Place(d.Self().Peer, string(zone))
 	ctx, cancel := context.WithCancel(ctx)
-	e := &entryVM{Daemon: d, n: n, wire: w, stop: cancel, done: make(chan struct{})}
+	e := &entryVM{Daemon: d, n: n, dialer: w, stop: cancel, done: make(chan struct{})}
 	c.tasks.Go(func() {
 		err := d.Run(ctx)
 		if err != nil {
--- a/internal/dev/schedule_test.go
+++ b/internal/dev/schedule_test.go
@@ -135,7 +135,7 @@
 	case 8:
 		return s.w.fail(vm)
 	case 9:
-		return s.entry(n).wire.stall()
+		return s.entry(n).dialer.stall()
 	case 10:
 		s.c.targets[vm].SetFault(faketarget.Fault(1+s.rng.IntN(int(faketarget.Silent))), 10)
 		s.replaceEntry(n)
--- a/internal/dev/worst_test.go
+++ b/internal/dev/worst_test.go
@@ -55,7 +55,7 @@
 		// expired and others have taken over; then all its held-back writes are
 		// sent.
 		{"an entry VM paused beyond its leases", func(c *cluster, _ *observer) {
-			resume := c.entries[0].wire.stall()
+			resume := c.entries[0].dialer.stall()
 			time.Sleep(12 * time.Second)
 			resume()
 		}},
