--- a/internal/dev/history_test.go
+++ b/internal/dev/history_test.go
@@ -115,17 +115,17 @@
 // with the writes in the store's history that no caller got a reply for.
 func (h *history) check(t *testing.T, w *observer) {
 	t.Helper()
-	told := make(map[string]map[int64]bool)
+	reported := make(map[string]map[int64]bool)
 	for _, op := range h.ops {
 		call := op.Input.(casCall)
-		if told[call.object] == nil {
-			told[call.object] = make(map[int64]bool)
+		if reported[call.object] == nil {
+			reported[call.object] = make(map[int64]bool)
 		}
-		told[call.object][call.written] = true
+		reported[call.object][call.written] = true
 	}
 	ops := h.ops
 	for i, call := range w.writes(t) {
-		if !told[call.object][call.written] {
+		if !reported[call.object][call.written] {
 			ops = append(ops, porcupine.Operation{ClientId: 1000 + i, Input: call, Call: 0, Return: math.MaxInt64})
 		}
 	}
