--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -131,6 +131,8 @@
 	return e
 }
 
+// generationOf returns the generation of d, or 0 if d is nil, which stands for no
+// declaration.
 func generationOf(d *model.Declaration) uint64 {
 	if d == nil {
 		return 0
