--- a/internal/config/removal.go
+++ b/internal/config/removal.go
@@ -61,8 +61,8 @@
 // removal is a change from old to new, indexed to check what it removes.
 type removal struct {
 	old, new *model.Declaration
-	live     map[model.VMID]model.VM
-	kept     map[model.VMID]model.VMDecl
+	live     map[model.VMID]model.VM           // current pool and state; may lack VMs
+	kept     map[model.VMID]model.VMDecl       // VMs that new declares
 	byPool   map[model.PoolName][]model.VMDecl // old's VMs by the pool that they are in now
 }
 
@@ -124,8 +124,9 @@
 	return t.after < t.before && t.available < need
 }
 
-// currentPool returns the pool that the VM is in and whether the VM counts as
-// available.
+// currentPool returns the pool that the VM is in now and whether the VM counts as
+// available, which it does only in the state model.VMInPool. A VM that live does
+// not contain counts as available in its declared pool.
 func currentPool(vm model.VMDecl, live map[model.VMID]model.VM) (model.PoolName, bool) {
 	if now, ok := live[vm.ID]; ok {
 		return now.Pool, now.State == model.VMInPool
