--- a/internal/infra/etcdjson/etcdjson.go
+++ b/internal/infra/etcdjson/etcdjson.go
@@ -58,7 +58,8 @@
 }
 
 // Error is the body of a response whose status is not 200, and the last message
-// of a stream that failed.
+// of a stream that failed. Error and Message both hold the text of the error;
+// Message may be empty.
 type Error struct {
 	Error   string `json:"error"`
 	Code    Code   `json:"code"`
@@ -241,7 +242,7 @@
 // empty string.
 const EventDelete = "DELETE"
 
-// Event is one change of a key.
+// Event is one change of a key. Type is EventDelete, or empty for a put.
 type Event struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
