--- a/internal/infra/machineapi/wire.go
+++ b/internal/infra/machineapi/wire.go
@@ -23,7 +23,7 @@
 	PathUsage    = "/usage"
 )
 
-// Machine is an entry of MachineList.
+// Machine is an entry of MachineList. Its fields are those of infra.Machine.
 type Machine struct {
 	VM      model.VMID `json:"vm"`
 	Live    bool       `json:"live"`
@@ -43,7 +43,8 @@
 	Attempt model.AttemptID `json:"attempt"`
 }
 
-// InFlight is the response to GET PathInFlight.
+// InFlight is the response to GET PathInFlight. Count is the number of requests
+// and tasks in progress on the VM.
 type InFlight struct {
 	Count int `json:"count"`
 }
@@ -55,7 +56,8 @@
 	Accelerators int64 `json:"accelerators,omitempty"`
 }
 
-// Task is the body of POST PathTasks and an entry of TaskList.
+// Task is the body of POST PathTasks and an entry of TaskList. Its fields are those
+// of infra.Task; TTLMs is the TTL in milliseconds.
 type Task struct {
 	Attempt model.AttemptID `json:"attempt"`
 	Job     model.JobID     `json:"job"`
@@ -71,12 +73,14 @@
 	Tasks []Task `json:"tasks"`
 }
 
-// StopRequest is the body of a request to stop a task.
+// StopRequest is the body of POST PathStop, which ends a task. If Checkpoint is
+// set, the task's progress is saved first.
 type StopRequest struct {
 	Checkpoint bool `json:"checkpoint,omitempty"`
 }
 
-// ThrottleRequest is the body of a request to limit a task to MilliCPU.
+// ThrottleRequest is the body of POST PathThrottle, which limits a task's processor
+// time to MilliCPU thousandths of a processor.
 type ThrottleRequest struct {
 	MilliCPU int64 `json:"milli_cpu"`
 }
