--- a/internal/infra/standin/machines.go
+++ b/internal/infra/standin/machines.go
@@ -42,19 +42,19 @@
 	Finished    map[model.JobID]int // tasks that succeeded, by job
 }
 
-// vm is a simulated VM. Machines.mu guards the fields that change.
+// vm is a simulated VM. Machines.mu guards live and the fields below it.
 type vm struct {
 	id         model.VMID
 	capacity   model.Resources
 	runner     Runner
-	runnerMu   sync.Mutex // serializes calls of the runner
-	live       bool
-	leaving    bool
-	draining   bool
-	failsTasks bool
-	boots      int
+	runnerMu   sync.Mutex         // serializes calls of the runner
+	live       bool               // running, not down
+	leaving    bool               // the platform is about to remove the VM
+	draining   bool               // set by Drain; cleared by Undrain and at each start
+	failsTasks bool               // each task fails right after its start
+	boots      int                // starts after Add, by a reboot or Recover
 	tasks      map[*task]struct{} // running tasks
-	history    []snapshot
+	history    []snapshot         // by time, oldest first; see recordLocked
 }
 
 // snapshot is the state of a VM from a point in time until the next snapshot.
@@ -310,7 +310,7 @@
 	return v.live
 }
 
-// stop stops the runner and returns how many requests that aborted.
+// stop stops the VM's runner and returns the number of requests that this aborted.
 func (v *vm) stop() int {
 	v.runnerMu.Lock()
 	defer v.runnerMu.Unlock()
