--- a/internal/infra/standin/network.go
+++ b/internal/infra/standin/network.go
@@ -34,6 +34,7 @@
 // pair is an unordered pair of places; pairOf puts them in order.
 type pair struct{ a, b string }
 
+// pairOf returns the pair of a and b, which is the same in either order.
 func pairOf(a, b string) pair {
 	if b < a {
 		a, b = b, a
