--- a/internal/infra/standin/store.go
+++ b/internal/infra/standin/store.go
@@ -109,6 +109,8 @@
 	writeJSON(w, http.StatusOK, etcdjson.LeaseResponse{Header: header(s.Store.Revision()), ID: etcdjson.Int64(id), TTL: req.TTL})
 }
 
+// keepAlive handles PathKeepAlive: it renews a lease once and answers with the TTL in
+// seconds. An expired or unknown lease is reported as TTL 0, not as an error.
 func (s *Server) keepAlive(w http.ResponseWriter, r *http.Request) {
 	var req etcdjson.LeaseRequest
 	if !readJSON(w, r, &req) {
