--- a/internal/infra/standin/txn.go
+++ b/internal/infra/standin/txn.go
@@ -102,6 +102,8 @@
 	return out
 }
 
+// rangeResponse converts the read of one key to its wire format. A kv whose
+// ModRevision is zero stands for an absent key and gives a response without keys.
 func rangeResponse(kv infra.KV, rev infra.Revision) *etcdjson.RangeResponse {
 	res := &etcdjson.RangeResponse{Header: header(rev)}
 	if kv.ModRevision != 0 {
