--- a/cmd/pumicestage/apply.go
+++ b/cmd/pumicestage/apply.go
@@ -31,7 +31,8 @@
 	wait           time.Duration
 }
 
-// addApply registers the apply command.
+// addApply registers the apply command, which sends a declaration from INI files
+// to an entry VM and waits until all live entry VMs have it in force.
 func addApply(app *kingpin.Application, c *cli) {
 	f := &applyFlags{}
 	cmd := app.Command("apply", "Put a declaration in force, and wait until every live entry VM has it.")
@@ -123,9 +124,11 @@
 	return &config.RemovalError{Broken: preview.Broken}
 }
 
-// annotateError adds to err what the operator needs next: the change ID to
-// repeat the request with where its outcome is unknown, and the differences
-// where it conflicts with another change. A nil err stays nil.
+// annotateError adds to err, the error of an apply or order with the change ID
+// change, what the operator needs next. If it is unknown whether the request
+// took effect, that is the change ID to repeat it with. If the request was
+// refused because another change came first, it is the differences from the
+// declaration in force to the refused one. A nil err stays nil.
 func annotateError(change string, err error) error {
 	var unreachable *client.UnreachableError
 	var refused *client.ProblemError
@@ -142,7 +145,8 @@
 	return err
 }
 
-// applyResultText returns the last line that apply prints.
+// applyResultText returns the last line that the apply command prints for an
+// accepted declaration; change is its change ID.
 func applyResultText(r api.ChangeReply, change string) string {
 	switch {
 	case r.Unchanged:
@@ -238,4 +242,5 @@
 	return c.stdout
 }
 
+// newChangeID returns a random change ID for an apply or an order.
 func newChangeID() string { return "c-" + strings.ToLower(rand.Text()) }
