--- a/cmd/pumicestage/bench_test.go
+++ b/cmd/pumicestage/bench_test.go
@@ -44,8 +44,9 @@
 
 var operatorAddress = regexp.MustCompile(`operators (http://\S+)`)
 
-// serveExample starts a whole deployment on loopback, stops it at the end of the
-// benchmark, and returns the operator address of an entry VM.
+// serveExample starts a complete deployment on loopback that uses the declaration
+// in exampleDir, stops it at the end of the benchmark, and returns the URL of the
+// operator API of an entry VM.
 func serveExample(b *testing.B) string {
 	ctx, cancel := context.WithCancel(context.Background())
 	out := &addressWriter{found: make(chan string, 1)}
