--- a/cmd/pumicestage/cli_test.go
+++ b/cmd/pumicestage/cli_test.go
@@ -22,6 +22,7 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
+// exampleDir is the folder of the declaration that the tests use.
 const exampleDir = "../../examples/encuesta-viva"
 
 // testServer is an operator API fixture and its URL.
@@ -52,6 +53,8 @@
 	stdout, stderr string
 }
 
+// run runs the pumicestage command line args in this process, with --server set
+// to the fixture's URL and stdin as its standard input.
 func (b *testServer) run(stdin string, args ...string) output {
 	var out, errs bytes.Buffer
 	c := newCLI(strings.NewReader(stdin), &out, &errs)
