--- a/cmd/pumicestage/do.go
+++ b/cmd/pumicestage/do.go
@@ -13,7 +13,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// addDo registers the do command.
+// addDo registers the do command, which sends one order, such as "drain", to an
+// entry VM.
 func addDo(app *kingpin.Application, c *cli) {
 	cmd := app.Command("do", "Give an order: drain, undrain, move, start, pause, resume, cancel, set or submit.")
 	words := cmd.Arg("order", "The order, as one argument or many.").Required().Strings()
@@ -25,9 +26,10 @@
 	}))
 }
 
-// orderText joins the arguments to one order. It quotes again the arguments with
-// spaces and the one after "reason", as the shell has removed their quotes. A
-// single argument is the whole order and stays as it is.
+// orderText joins the command-line arguments to one order, a statement of package
+// lang that changes state. It puts quotation marks around arguments with spaces
+// and around the one after the keyword "reason", because the operator's shell has
+// removed them. A single argument is the whole order and is returned unchanged.
 func orderText(words []string) string {
 	if len(words) == 1 {
 		return words[0]
