--- a/cmd/pumicestage/shell.go
+++ b/cmd/pumicestage/shell.go
@@ -29,7 +29,7 @@
 // terminal, and otherwise reads it as a script.
 func addShell(app *kingpin.Application, c *cli) {
 	cmd := app.Command("shell", "Ask questions and give orders at a prompt with history and completion.")
-	history := cmd.Flag("history", "File that keeps the history; empty for none.").Default(defaultHistory()).String()
+	history := cmd.Flag("history", "File that keeps the history; empty for none.").Default(defaultHistoryPath()).String()
 	cmd.Action(action(func(ctx context.Context) error {
 		if !liner.TerminalSupported() || c.stdin != io.Reader(os.Stdin) || !isTerminal(os.Stdin) {
 			return c.runScript(ctx)
@@ -38,7 +38,10 @@
 	}))
 }
 
-func defaultHistory() string {
+// defaultHistoryPath returns the default path of the file that keeps the lines
+// entered at the prompt, in the user's home directory. It is empty, which keeps
+// no history, if the home directory is not known.
+func defaultHistoryPath() string {
 	home, err := os.UserHomeDir()
 	if err != nil {
 		return ""
