--- a/cmd/pumicestage/tls.go
+++ b/cmd/pumicestage/tls.go
@@ -11,13 +11,14 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// tlsFlags holds the flags for operator ports that use TLS. An empty ca means
-// no TLS settings.
+// tlsFlags holds the flags for connections to operator ports that use TLS. An
+// empty ca means that the other fields have no effect and Go's default HTTP
+// client is used.
 type tlsFlags struct {
-	ca   string
-	name string
-	cert string
-	key  string
+	ca   string // path of the PEM file of the authority that signs the entry VMs' certificates
+	name string // server name to verify in these certificates; empty for the host of --server
+	cert string // path of the PEM file of the client certificate; empty for none
+	key  string // path of the PEM file of the private key of cert
 }
 
 func (f *tlsFlags) add(app *kingpin.Application) {
