--- a/cmd/pumicestage/token.go
+++ b/cmd/pumicestage/token.go
@@ -9,7 +9,9 @@
 	"github.com/pumicestage/pumicestage/internal/access"
 )
 
-// addToken registers the token command, which needs no server.
+// addToken registers the token command, which makes the secret token by which an
+// operator authenticates to the operator API. It prints the token and the section
+// with the token's hash for the token file, and needs no server.
 func addToken(app *kingpin.Application, c *cli) {
 	cmd := app.Command("token", "Make a token for an operator. The token goes to standard output, the section for the token file to standard error.")
 	name := cmd.Arg("name", "The operator's name.").Required().String()
