--- a/internal/dev/rest_bench_test.go
+++ b/internal/dev/rest_bench_test.go
@@ -19,7 +19,7 @@
 	idleDuration = 20 * time.Second
 	// settleDuration is the wait after the start until the deployment is idle.
 	settleDuration = 5 * time.Second
-	// changes are applied one after the other, changeEvery apart.
+	// changes are applied one after the other, changeInterval apart.
 	changes        = 20
 	changeInterval = 500 * time.Millisecond
 )
