--- a/internal/fleet/harness_test.go
+++ b/internal/fleet/harness_test.go
@@ -43,6 +43,8 @@
 	storeDown  bool           // the outage affects all nodes
 }
 
+// newSimulation returns a simulation of the declared VMs, controlled by the given
+// number of entry VMs.
 func newSimulation(d *model.Declaration, nodes int) *simulation {
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC))
 	w := &simulation{clock: clock, store: memstore.New(clock), decl: d}
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -154,10 +154,12 @@
 
 // Undrain returns a VM that an order drained or is moving to its pool.
 func (f *Fleet) Undrain(ctx context.Context, vm model.VMID, o Order) (Outcome, error) {
-	return f.retryConflicts(func() (Outcome, error) { return f.undrainOnce(ctx, vm, o) })
+	return f.retryConflicts(func() (Outcome, error) { return f.tryUndrain(ctx, vm, o) })
 }
 
-func (f *Fleet) undrainOnce(ctx context.Context, id model.VMID, o Order) (Outcome, error) {
+// tryUndrain does one attempt of Undrain. It fails with a conflict error if
+// another write came first.
+func (f *Fleet) tryUndrain(ctx context.Context, id model.VMID, o Order) (Outcome, error) {
 	c, err := f.readVM(ctx, id)
 	if err != nil {
 		return Outcome{}, err
@@ -197,10 +199,12 @@
 // Cut lets a leaving VM become empty or reboot although requests or tasks still run on it, which
 // interrupts them. Nothing else ever interrupts running work.
 func (f *Fleet) Cut(ctx context.Context, vm model.VMID, o Order) (Outcome, error) {
-	return f.retryConflicts(func() (Outcome, error) { return f.cutOnce(ctx, vm, o) })
+	return f.retryConflicts(func() (Outcome, error) { return f.tryCut(ctx, vm, o) })
 }
 
-func (f *Fleet) cutOnce(ctx context.Context, id model.VMID, o Order) (Outcome, error) {
+// tryCut does one attempt of Cut. It fails with a conflict error if another write
+// came first.
+func (f *Fleet) tryCut(ctx context.Context, id model.VMID, o Order) (Outcome, error) {
 	c, err := f.readVM(ctx, id)
 	if err != nil {
 		return Outcome{}, err
--- a/internal/fleet/pass.go
+++ b/internal/fleet/pass.go
@@ -17,7 +17,8 @@
 // unknownAge is the age reported for a view or list that was never received.
 const unknownAge = 24 * time.Hour
 
-// pass is the evidence that one pass of the reconciler, or one order, is based on.
+// pass is the evidence that one pass of the reconciler, or one order, is based on:
+// a view of the fleet and the platform's list of VMs.
 type pass struct {
 	f        *Fleet
 	now      time.Time
--- a/internal/fleet/scenario_test.go
+++ b/internal/fleet/scenario_test.go
@@ -94,13 +94,13 @@
 
 // result holds the figures of one run of a strategy.
 type result struct {
-	rollOut          time.Duration
+	rollOut          time.Duration // simulated time of the whole run
 	peak             int           // maximum number of VMs out by planned stops at once: the spare VMs required
 	outTime          time.Duration // VM time out by planned stops
-	missedByStops    int           // ticks in which a service missed its budget because of planned stops
-	missedByFailures int           // ticks in which a service missed its budget because of failures alone
-	rebootedWithWork int
-	moves            int
+	missedByStops    int           // ticks of compareTick in which a service missed its budget because of planned stops
+	missedByFailures int           // ticks of compareTick in which a service missed its budget because of failures alone
+	rebootedWithWork int           // reboots of a VM that had work or could still be sent some
+	moves            int           // VMs that are in another pool than declared at the end
 	finished         bool
 }
 
--- a/internal/fleet/step.go
+++ b/internal/fleet/step.go
@@ -35,8 +35,8 @@
 // call that hangs does not keep the pass from the other VMs and waves.
 const stepTimeout = 5 * time.Second
 
-// maxPassAge is the age at which a pass is replaced by one on newer evidence; a
-// slow platform can make a pass take long.
+// maxPassAge is the age at which a pass is replaced by one that uses the present
+// view and list of VMs. A slow platform can make a pass take long.
 const maxPassAge = 2 * time.Second
 
 // withStepTimeout runs one step with a deadline of stepTimeout.
--- a/internal/fleet/waveorder.go
+++ b/internal/fleet/waveorder.go
@@ -10,10 +10,12 @@
 // StartWave starts a declared wave on the given pools, or on its declared pools
 // if none are given.
 func (f *Fleet) StartWave(ctx context.Context, name model.WaveName, pools []model.PoolName, o Order) (Outcome, error) {
-	return f.retryConflicts(func() (Outcome, error) { return f.startOnce(ctx, name, pools, o) })
+	return f.retryConflicts(func() (Outcome, error) { return f.tryStartWave(ctx, name, pools, o) })
 }
 
-func (f *Fleet) startOnce(ctx context.Context, name model.WaveName, pools []model.PoolName, o Order) (Outcome, error) {
+// tryStartWave does one attempt of StartWave. It fails with a conflict error if
+// another write came first.
+func (f *Fleet) tryStartWave(ctx context.Context, name model.WaveName, pools []model.PoolName, o Order) (Outcome, error) {
 	p := f.newPass()
 	pools, err := p.wavePools(name, pools)
 	if err != nil {
