--- a/internal/relay/source.go
+++ b/internal/relay/source.go
@@ -343,7 +343,8 @@
 	}
 }
 
-// mergeCollected merges the collected changes of VMs into the state.
+// mergeCollected merges the changes that collectVMs has added since the last merge
+// into the state, and clears them.
 func (s *storeSource) mergeCollected() {
 	if s.collected.Versions.Revision == 0 {
 		return
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -247,7 +247,8 @@
 }
 
 // addVMDelta adds the changes of VMs after have to u. It adds all VMs if the
-// deletions needed are no longer kept or the lineage differs.
+// deletions needed are no longer kept, or if have is based on another full read of
+// the store (see versions.Lineage).
 func (s *state) addVMDelta(have versions, u *update) {
 	from := have.Revision
 	u.Full = from == 0 || from < s.tombstoneFloor || have.Lineage != s.current.Lineage
