--- a/internal/dev/cluster.go
+++ b/internal/dev/cluster.go
@@ -183,6 +183,9 @@
 	return nil
 }
 
+// startEntry starts the daemon of the entry VM with the index n, counted from 0
+// over all zones. seeds are the peer addresses of entry VMs that it joins; the
+// first entry VM has none.
 func (c *cluster) startEntry(ctx context.Context, n int, zone model.ZoneName, seeds []string) (*entryVM, error) {
 	s := c.settings(n, zone, seeds)
 	w := newFaultDialer(c.platform.Network.Dialer(string(zone)))
--- a/internal/dev/history.go
+++ b/internal/dev/history.go
@@ -113,10 +113,11 @@
 		members := p.members(s)
 		left := members - len(l.Stops)
 		p.expect(left >= s.Budget.MinAvailable.Of(members), "revision %d: %d of %d VMs of %s stopped", rev, len(l.Stops), members, name)
-		p.expect(distinct(l.Stops), "revision %d: a VM is stopped twice in %s", rev, name)
+		p.expect(distinctVMs(l.Stops), "revision %d: a VM is stopped twice in %s", rev, name)
 	}
 }
 
+// members returns the number of VMs in the pools of a service.
 func (p *historyChecker) members(s *model.Service) int {
 	n := 0
 	for _, vm := range p.vms {
@@ -127,7 +128,8 @@
 	return n
 }
 
-func distinct(stops []fleet.Stop) bool {
+// distinctVMs reports whether no VM occurs in more than one of the stops.
+func distinctVMs(stops []fleet.Stop) bool {
 	ids := make([]model.VMID, 0, len(stops))
 	for _, s := range stops {
 		ids = append(ids, s.VM)
--- a/internal/dev/observer.go
+++ b/internal/dev/observer.go
@@ -38,8 +38,10 @@
 	faults  []error                  // violated guarantees
 }
 
-// watchAll starts an observer of the store, the entry VMs and drains.
-func (c *cluster) watchAll() (*observer, error) {
+// newObserver starts an observer that records every change of the store, watches
+// each entry VM for a decrease of its configuration generation, and checks the
+// budgets whenever a VM is ordered to drain.
+func (c *cluster) newObserver() (*observer, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	w := &observer{c: c, stop: stop, failed: make(map[model.VMID]time.Time)}
 	batches, err := c.platform.Store.Watch(ctx, infra.Root, 1)
@@ -56,12 +58,13 @@
 	return w, nil
 }
 
+// collect records the batches of the watch until its channel is closed.
 func (w *observer) collect(batches <-chan infra.WatchBatch) {
 	for b := range batches {
 		w.mu.Lock()
 		w.batches = append(w.batches, b)
 		if b.Err != nil {
-			w.faults = append(w.faults, fmt.Errorf("the witness lost its watch: %w", b.Err))
+			w.faults = append(w.faults, fmt.Errorf("the observer's watch of the store failed: %w", b.Err))
 		}
 		w.mu.Unlock()
 	}
--- a/internal/dev/observer_test.go
+++ b/internal/dev/observer_test.go
@@ -14,7 +14,7 @@
 // startObserver starts an observer that stops at the end of the test at the latest.
 func (c *cluster) startObserver(t *testing.T) *observer {
 	t.Helper()
-	w, err := c.watchAll()
+	w, err := c.newObserver()
 	assert.NilError(t, err)
 	t.Cleanup(w.stop)
 	return w
--- a/internal/dev/once.go
+++ b/internal/dev/once.go
@@ -40,9 +40,10 @@
 type Options struct {
 	Example string         // directory of the declaration
 	Wave    model.WaveName // wave that Once runs; the first declared if empty
-	Out     io.Writer
+	Out     io.Writer      // receives the report of Once, or the addresses and counts of Serve
 	Log     logr.Logger
-	// FixedPorts uses the documented ports; otherwise any free ones.
+	// FixedPorts makes the entry VMs listen on ports counted up from CallerPort,
+	// OperatorPort and PeerPort. Otherwise they use any free ports.
 	FixedPorts bool
 }
 
@@ -62,7 +63,7 @@
 	if err := c.bringUp(ctx, r); err != nil {
 		return err
 	}
-	w, err := c.watchAll()
+	w, err := c.newObserver()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -110,18 +111,18 @@
 	if err := c.until(ctx, startTimeout, "every VM counted as up", func() bool { return c.allUp(ctx) }); err != nil {
 		return err
 	}
-	return c.change(ctx, r)
+	return c.applyExampleChange(ctx, r)
 }
 
-// change applies a change to the running deployment and measures how long it
-// takes until every entry VM has it in force.
-func (c *cluster) change(ctx context.Context, r *report) error {
+// applyExampleChange sets the limit of the first declared service to changedLimit,
+// and records how long it takes until every entry VM has the change in force.
+func (c *cluster) applyExampleChange(ctx context.Context, r *report) error {
 	c.decl.Services[0].Limit = changedLimit
 	return c.changeTo(ctx, r, "dev-change")
 }
 
-// changeTo applies the declaration as it is now under the change ID, and waits
-// until every entry VM has it in force.
+// changeTo applies the declaration as it is now under the change ID, waits until
+// every entry VM has it in force, and records in r how long that took.
 func (c *cluster) changeTo(ctx context.Context, r *report, change model.ChangeID) error {
 	began := time.Now()
 	generation, err := c.apply(ctx, change)
--- a/internal/dev/pool_test.go
+++ b/internal/dev/pool_test.go
@@ -16,8 +16,9 @@
 )
 
 // Four operators concurrently move the same VMs to another pool, each at another
-// entry VM. One order for each VM must succeed, and the others must be refused
-// with the winner or for the budget. In the store's history a VM's pool may
+// entry VM. One order for each VM must succeed. The others must be refused, either
+// naming the order that succeeded or because the move would violate a service's
+// availability budget. In the store's history a VM's pool may
 // change only when the VM is empty.
 func TestVMIsInOnePoolThroughRacingMoves(t *testing.T) {
 	t.Parallel()
@@ -53,7 +54,8 @@
 }
 
 // moves are ordered concurrently: one VM of each service, as a second one of the
-// same service would be refused for the reserve that moves must leave.
+// same service would be refused: an order that is given while another stop is in
+// progress must leave spare VMs for an unplanned failure (see wave.Reserve).
 var moves = map[model.VMID]model.PoolName{"quick-0": "once", "once-0": "quick"}
 
 func inPool(vm model.VM, pool model.PoolName) bool {
--- a/internal/dev/report.go
+++ b/internal/dev/report.go
@@ -33,6 +33,7 @@
 	out     int
 }
 
+// newMeter returns a meter of the cluster's VMs that adds its results to r.
 func newMeter(c *cluster, r *report) *meter { return &meter{c: c, r: r} }
 
 // sample counts the VMs that are out of service now, as reported by the
--- a/internal/dev/reverts.go
+++ b/internal/dev/reverts.go
@@ -14,6 +14,8 @@
 	tasks sync.WaitGroup
 }
 
+// watch counts the decreases of an entry VM's configuration generation, polled
+// every millisecond until ctx is done.
 func (r *reverts) watch(ctx context.Context, e *entryVM) {
 	r.tasks.Go(func() {
 		var highest uint64
--- a/internal/dev/schedule_test.go
+++ b/internal/dev/schedule_test.go
@@ -60,7 +60,7 @@
 	heal := func() {}
 	for range scheduleSteps {
 		next := s.injectFault()
-		s.sleep(300, 900)
+		s.sleepRandom(300, 900)
 		heal()
 		heal = next
 	}
@@ -90,7 +90,9 @@
 	mu sync.Mutex // guards c.entries against replacement
 }
 
-func (s *schedule) sleep(from, to int) {
+// sleepRandom sleeps for a random time of at least from and less than to, in
+// milliseconds.
+func (s *schedule) sleepRandom(from, to int) {
 	time.Sleep(time.Duration(from+s.rng.IntN(to-from)) * time.Millisecond)
 }
 
