--- a/policy/crashes/trials.go
+++ b/policy/crashes/trials.go
@@ -62,18 +62,19 @@
 }
 
 const (
-	// minTrial is the shortest duration of a trial, which must include an answer of the worker.
+	// minTrial is the shortest duration of a trial: long enough for the worker to report at least
+	// once that it still runs the suspect.
 	minTrial = 50 * time.Millisecond
 	// trialMargin is the ratio of the duration of a trial to the longest recent time to crash.
 	trialMargin = 4
-	// timesKept is how many times to crash are remembered. With fewer than minTimes of them the
-	// usual values are used.
+	// timesKept is how many times to crash are remembered. With fewer than minTimes of them a
+	// trial takes MaxTrialDuration and the spacing is defaultSpacing.
 	timesKept, minTimes = 8, 3
 
-	// Bounds of the spacing between jobs on a worker, and its ratio to the longest recent time
-	// to crash.
-	minSpacing, usualSpacing, maxSpacing = 20 * time.Millisecond, 40 * time.Millisecond, 100 * time.Millisecond
-	spacingMargin                        = 2
+	// Bounds and default of the time between the starts of two jobs' tasks on a worker (see
+	// JobSpacing), and its ratio to the longest recent time to crash.
+	minSpacing, defaultSpacing, maxSpacing = 20 * time.Millisecond, 40 * time.Millisecond, 100 * time.Millisecond
+	spacingMargin                          = 2
 )
 
 // TimesToCrash keeps how long after their start tasks crashed their workers, from tasks that
@@ -96,7 +97,7 @@
 // another may start there, so that a crash can be attributed to one of the two.
 func (o *TimesToCrash) JobSpacing() time.Duration {
 	if len(o.seen) < minTimes {
-		return usualSpacing
+		return defaultSpacing
 	}
 	return min(maxSpacing, max(minSpacing, spacingMargin*slices.Max(o.seen)))
 }
