--- a/policy/dispatch/sim_peers_test.go
+++ b/policy/dispatch/sim_peers_test.go
@@ -21,9 +21,9 @@
 		switch {
 		case peer == e:
 		case peer.zone == e.zone || s.optimistic:
-			s.after(linkLocal, func() { peer.digests[e.id] = simDigest{s.now, loads, msg} })
+			s.after(sameZoneLatency, func() { peer.digests[e.id] = simDigest{s.now, loads, msg} })
 		case n%4 == 0:
-			s.after(linkRemote, func() { peer.digests[e.id] = simDigest{s.now, nil, msg} })
+			s.after(crossZoneLatency, func() { peer.digests[e.id] = simDigest{s.now, nil, msg} })
 		}
 	}
 	s.after(digestInterval, func() { s.digest(e, n+1) })
--- a/policy/dispatch/sim_test.go
+++ b/policy/dispatch/sim_test.go
@@ -17,12 +17,12 @@
 // from one seed.
 
 const (
-	linkLocal      = 100 * time.Microsecond
-	linkRemote     = 1500 * time.Microsecond
-	digestInterval = 250 * time.Millisecond
-	tickInterval   = 50 * time.Millisecond
-	meanService    = 100 * time.Millisecond
-	settleTime     = 5 * time.Second
+	sameZoneLatency  = 100 * time.Microsecond
+	crossZoneLatency = 1500 * time.Microsecond
+	digestInterval   = 250 * time.Millisecond
+	tickInterval     = 50 * time.Millisecond
+	meanService      = 100 * time.Millisecond
+	settleTime       = 5 * time.Second
 )
 
 // scenario describes one run of the simulation.
@@ -270,11 +270,12 @@
 	}
 }
 
-func (s *sim) link(e *simEntry, t *simTarget) time.Duration {
+// oneWayLatency returns how long a message takes from e to t, or back.
+func (s *sim) oneWayLatency(e *simEntry, t *simTarget) time.Duration {
 	if e.zone == t.vm.Zone {
-		return linkLocal
+		return sameZoneLatency
 	}
-	return linkRemote
+	return crossZoneLatency
 }
 
 func (s *sim) send(r *simRequest, t *simTarget) {
@@ -285,11 +286,11 @@
 	t.granted++
 	s.results.peakGranted = max(s.results.peakGranted, t.granted)
 	sent := s.now
-	s.after(s.link(r.entry, t), func() { s.reach(r, t, sent) })
+	s.after(s.oneWayLatency(r.entry, t), func() { s.reach(r, t, sent) })
 }
 
 func (s *sim) reach(r *simRequest, t *simTarget, sent time.Time) {
-	back := s.link(r.entry, t)
+	back := s.oneWayLatency(r.entry, t)
 	switch {
 	case t.down:
 		s.after(back, func() { s.notRun(r, t, NotSent) })
