--- a/policy/model/declaration.go
+++ b/policy/model/declaration.go
@@ -7,7 +7,7 @@
 	Zone     ZoneName
 	Rack     RackName
 	Pool     PoolName
-	Address  string // host:port of the runner
+	Address  string // host:port of the VM's runner, the server that runs requests and tasks on it
 	Capacity Resources
 }
 
--- a/policy/model/model.go
+++ b/policy/model/model.go
@@ -133,7 +133,7 @@
 	Zone     ZoneName
 	Rack     RackName
 	Pool     PoolName // the only pool that the VM belongs to
-	Address  string   // host:port of the VM's runner
+	Address  string   // host:port of the VM's runner, the server that runs requests and tasks on it
 	Capacity Resources
 	State    VMState
 	MoveTo   PoolName  // the pool that the VM moves to once it is empty; empty if it isn't moving
@@ -192,7 +192,7 @@
 	Class      Class
 	Repeatable bool          // false: a request runs at most once, and needs an Idempotency-Key
 	Timeout    time.Duration // time limit for an answer if the caller gives none
-	Slots      int           // max requests that a runner works on at a time
+	Slots      int           // max requests in progress at a time on a runner (the server on each VM)
 	Conns      int           // max connections to a runner
 	Limit      int           // max requests in flight; 0: as many as the slots of live runners allow
 	Remember   time.Duration // how long an Idempotency-Key is kept
