--- a/policy/placement/feasible.go
+++ b/policy/placement/feasible.go
@@ -96,7 +96,7 @@
 	_, out.Constraint = shortfall(r.Size, best.Capacity)
 	out.Nearest = best.ID
 	out.Detail = fmt.Sprintf("needs %s, the nearest worker %s has %s",
-		amount(r.Size, out.Constraint), best.ID, amount(best.Capacity, out.Constraint))
+		formatAmount(r.Size, out.Constraint), best.ID, formatAmount(best.Capacity, out.Constraint))
 }
 
 func (p *planner) nearestFree(r *Request, out *Refusal) {
@@ -118,7 +118,7 @@
 		_, constraint := shortfall(r.Size, share)
 		return Refusal{Job: r.Job.ID, Permanent: true, Constraint: ConstraintQuota, Detail: fmt.Sprintf(
 			"needs %s, team %s is guaranteed %s, and work that is not repeatable can't borrow",
-			amount(r.Size, constraint), r.Job.Team, amount(share, constraint))}
+			formatAmount(r.Size, constraint), r.Job.Team, formatAmount(share, constraint))}
 	}
 	return Refusal{Job: r.Job.ID, Constraint: ConstraintQuota, Detail: fmt.Sprintf(
 		"waits for team %s to use less of its guarantee; work that is not repeatable can't borrow", r.Job.Team)}
@@ -144,7 +144,9 @@
 	return float64(need-have) / float64(need)
 }
 
-func amount(r model.Resources, c Constraint) string {
+// formatAmount returns the amount of r in the dimension that c constrains, with its unit:
+// memory, accelerators, or else processors.
+func formatAmount(r model.Resources, c Constraint) string {
 	switch c {
 	case ConstraintMemory:
 		return fmt.Sprintf("%d MB of memory", r.MemoryMB)
