--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -9,7 +9,9 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-func job(declared int64) *model.Job {
+// jobDeclaring returns a job that declares the same number of thousandths of a processor and
+// MB of memory, and one accelerator.
+func jobDeclaring(declared int64) *model.Job {
 	return &model.Job{Kind: "k", Repeatable: true, Declared: model.Resources{MilliCPU: declared, MemoryMB: declared, Accelerators: 1}}
 }
 
@@ -27,7 +29,7 @@
 }
 
 func TestSize(t *testing.T) {
-	nonRepeatable := job(1000)
+	nonRepeatable := jobDeclaring(1000)
 	nonRepeatable.Repeatable = false
 	for _, tc := range []struct {
 		name     string
@@ -36,16 +38,16 @@
 		minMB    int64
 		cpu, mem int64
 	}{
-		{"no report: as declared", NewUsageHistory(), job(1000), 0, 1000, 1000},
-		{"too few jobs: as declared", historyOf(300, 300, 300), job(1000), 0, 1000, 1000},
-		{"declared too large", historyOf(300, 300, 300, 300), job(1200), 0, 309, 360},
-		{"declared too small", historyOf(4000, 4000, 4000, 4000), job(1000), 0, 4120, 4800},
-		{"a high outlier changes nothing", historyOf(300, 300, 300, 300, 90000), job(1000), 0, 309, 360},
-		{"nor does a stalled job", historyOf(300, 300, 300, 300, 1), job(1000), 0, 309, 360},
-		{"memory follows the second largest, processors the median", historyOf(100, 100, 100, 500, 500), job(1000), 0, 103, 600},
-		{"never below a tenth of the declaration", historyOf(5, 5, 5, 5), job(10000), 0, 1000, 1000},
+		{"no report: as declared", NewUsageHistory(), jobDeclaring(1000), 0, 1000, 1000},
+		{"too few jobs: as declared", historyOf(300, 300, 300), jobDeclaring(1000), 0, 1000, 1000},
+		{"declared too large", historyOf(300, 300, 300, 300), jobDeclaring(1200), 0, 309, 360},
+		{"declared too small", historyOf(4000, 4000, 4000, 4000), jobDeclaring(1000), 0, 4120, 4800},
+		{"a high outlier changes nothing", historyOf(300, 300, 300, 300, 90000), jobDeclaring(1000), 0, 309, 360},
+		{"nor does a stalled job", historyOf(300, 300, 300, 300, 1), jobDeclaring(1000), 0, 309, 360},
+		{"memory follows the second largest, processors the median", historyOf(100, 100, 100, 500, 500), jobDeclaring(1000), 0, 103, 600},
+		{"never below a tenth of the declaration", historyOf(5, 5, 5, 5), jobDeclaring(10000), 0, 1000, 1000},
 		{"a job that is not repeatable gets the larger of the two", historyOf(300, 300, 300, 300), nonRepeatable, 0, 1000, 1000},
-		{"at least the memory minimum of a job that ran out of it", historyOf(300, 300, 300, 300), job(1000), 2000, 309, 2000},
+		{"at least the memory minimum of a job that ran out of it", historyOf(300, 300, 300, 300), jobDeclaring(1000), 2000, 309, 2000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := tc.history.Size(tc.job, tc.minMB)
@@ -59,7 +61,7 @@
 	for range 100 {
 		b.Report("k", "j1", model.Resources{MilliCPU: 50000, MemoryMB: 50000}, ample)
 	}
-	assert.Equal(t, b.Size(job(1000), 0).MemoryMB, int64(1000))
+	assert.Equal(t, b.Size(jobDeclaring(1000), 0).MemoryMB, int64(1000))
 }
 
 func TestEstimateOfJobsThatUseAllTheyGetDoesNotGrow(t *testing.T) {
@@ -69,10 +71,10 @@
 	// not exceed counts as enough.
 	b := NewUsageHistory()
 	for i := range 100 {
-		given := b.Size(job(1000), 0)
+		given := b.Size(jobDeclaring(1000), 0)
 		b.Report("k", model.JobID(fmt.Sprint(i)), given, given)
 	}
-	assert.Equal(t, b.Size(job(1000), 0), job(1000).Declared)
+	assert.Equal(t, b.Size(jobDeclaring(1000), 0), jobDeclaring(1000).Declared)
 }
 
 func TestEstimateFollowsChangedUsage(t *testing.T) {
@@ -80,7 +82,7 @@
 	for i := range maxPeaks {
 		b.Report("k", model.JobID(fmt.Sprint("new", i)), model.Resources{MilliCPU: 600, MemoryMB: 600}, ample)
 	}
-	assert.Equal(t, b.Size(job(1000), 0).MemoryMB, int64(720))
+	assert.Equal(t, b.Size(jobDeclaring(1000), 0).MemoryMB, int64(720))
 }
 
 func TestOutOfMemoryBeforeTheFirstUsageReport(t *testing.T) {
@@ -90,7 +92,7 @@
 	for i := range minJobs {
 		b.ReportExceeded("k", model.JobID(fmt.Sprint(i)), model.Resources{MilliCPU: 1000, MemoryMB: 1000})
 	}
-	assert.Equal(t, b.Size(job(1000), 0), model.Resources{MilliCPU: 1000, MemoryMB: 2000, Accelerators: 1})
+	assert.Equal(t, b.Size(jobDeclaring(1000), 0), model.Resources{MilliCPU: 1000, MemoryMB: 2000, Accelerators: 1})
 }
 
 func TestKindsAreBounded(t *testing.T) {
