--- a/policy/pools/pools.go
+++ b/policy/pools/pools.go
@@ -226,8 +226,9 @@
 
 func ceilShare(evenShare, share float64) int { return int(math.Ceil(evenShare * share)) }
 
-// park returns the moves to the parked pool of VMs that have been empty for at
-// least parkAfter. Each pool keeps at least keep VMs.
+// park returns moves of VMs that have been empty for at least parkAfter to the
+// parked pool, the one whose VMs are switched off. Pools with demand give
+// none away, and each other pool keeps at least keep VMs.
 func park(pools []Pool, keep int) []Move {
 	i := slices.IndexFunc(pools, func(p Pool) bool { return p.Parked })
 	if i < 0 {
