--- a/policy/upkeep/upkeep_test.go
+++ b/policy/upkeep/upkeep_test.go
@@ -35,10 +35,11 @@
 	assert.DeepEqual(t, Decide(input(6*time.Second, busyVM)).Drain, []string{"busy"})
 }
 
-// Guards against a late wave: a step moves one of its long-running tasks at a time,
-// and with a dozen on VMs of the wave it is too late to begin draining after the
-// burst. Such VMs are drained at once, after the empty ones. With two or three tasks
-// they wait for the end of the burst, in which their capacity is needed.
+// Guards against a wave that misses its deadline. The tasks of a step of a job move one
+// after the other if they are long-running. With a dozen of them on VMs of the wave, it
+// is too late to begin draining when the burst of jobs in the VMs' pool has ended, so
+// such VMs are drained at once, after the empty ones. With two or three tasks, draining
+// waits for the end of the burst, in which the pool needs the VMs.
 func TestVMsWithSlowMovesDrainFromTheStart(t *testing.T) {
 	longRunning := candidate("long-running", 3)
 	longRunning.Backlog, longRunning.LongRunning, longRunning.SerialMoveTime = true, 2, 30*time.Second
