--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -56,6 +56,9 @@
 	confirmedAt time.Duration
 }
 
+// newOperatorState returns a state without a configuration or waves. onChange is called
+// after each change of the configuration. The caller doesn't hold mu then, but may hold
+// confirmMu, so onChange must not call Confirm.
 func newOperatorState(store infra.Store, clock engine.Clock, log logr.Logger, onChange func()) *operatorState {
 	return &operatorState{store: store, clock: clock, log: log, onChange: onChange, waves: make(map[string]fleetowner.OrderedWave)}
 }
