--- a/internal/dev/jobs_test.go
+++ b/internal/dev/jobs_test.go
@@ -13,21 +13,21 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// A wave passes over VMs on which jobs run, the platform loses replies, and the
-// entry VM that places the jobs is lost. A job that may not be repeated must
-// start once and end; a reboot must wait for every task, or move one that
+// A wave reboots VMs on which jobs run, the platform loses replies, and the entry
+// VM that places the jobs is lost. A job that is not repeatable must start
+// exactly once and finish. A reboot must wait for every task, or move it if it
 // checkpoints.
 func TestWaveNeitherCutsNorRepeatsJobs(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
 	ctx := context.Background()
-	ids, err := c.entries[0].Jobs().Submit(ctx, "jobs", someJobs(24))
+	ids, err := c.entries[0].Jobs().Submit(ctx, "jobs", testJobs(24))
 	assert.NilError(t, err)
 	for n, id := range ids {
 		c.platform.Machines.SetBehaviour(id, standin.Behaviour{RunTime: time.Duration(500+n*150) * time.Millisecond})
 	}
 	c.await(t, "tasks on the VMs", func() bool { return len(c.platform.Machines.Tally().Starts) >= len(ids)/2 })
-	c.quickWave(t)
+	c.startQuickWave(t)
 	for range 4 {
 		c.platform.Faults.Set(standin.AnyZone, standin.Fault{LoseReplies: 6, LoseRequests: 3})
 		time.Sleep(300 * time.Millisecond)
@@ -60,10 +60,10 @@
 	}
 }
 
-// checkpoints reports whether the nth job may be stopped and go on elsewhere.
+// checkpoints reports whether the nth job can be stopped and resumed elsewhere.
 func checkpoints(n int) bool { return n%4 == 0 }
 
-func someJobs(n int) []model.Job {
+func testJobs(n int) []model.Job {
 	var all []model.Job
 	for i := range n {
 		all = append(all, model.Job{
--- a/internal/dev/witness.go
+++ b/internal/dev/observer.go
@@ -15,16 +15,18 @@
 )
 
 const (
-	// noticeWithin is how long ago a VM may have failed for a planned stop to
-	// be ordered in ignorance of it: list, probe and digest each lag behind.
-	noticeWithin = 5 * time.Second
-	// historyLimit bounds the wait for the store's history once all is over.
-	historyLimit = 45 * time.Second
+	// maxDetectionDelay bounds the time from a VM's failure until entry VMs
+	// know of it, as list, probe and digest each lag. A planned stop ordered
+	// within it may still count the failed VM as serving.
+	maxDetectionDelay = 5 * time.Second
+	// historyTimeout bounds the wait for the store's history at the end of a
+	// run.
+	historyTimeout = 45 * time.Second
 )
 
-// witness sees a cluster from outside: by the stand-in's store, the machines
-// and the fake targets. It finds broken promises whatever the daemons think.
-type witness struct {
+// observer checks a cluster's guarantees from outside, by the stand-in's store,
+// the machines and the fake targets, independently of the daemons' own state.
+type observer struct {
 	c       *cluster
 	stop    context.CancelFunc
 	reverts reverts
@@ -32,14 +34,14 @@
 
 	mu      sync.Mutex
 	batches []infra.WatchBatch
-	failed  map[model.VMID]time.Time // when it was failed on purpose; absent while up
-	faults  []error                  // promises broken
+	failed  map[model.VMID]time.Time // when the test made it fail; absent while up
+	faults  []error                  // violated guarantees
 }
 
-// watchAll starts a witness of everything from now on.
-func (c *cluster) watchAll() (*witness, error) {
+// watchAll starts an observer of the store, the entry VMs and drains.
+func (c *cluster) watchAll() (*observer, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &witness{c: c, stop: stop, failed: make(map[model.VMID]time.Time)}
+	w := &observer{c: c, stop: stop, failed: make(map[model.VMID]time.Time)}
 	batches, err := c.platform.Store.Watch(ctx, infra.Root, 1)
 	if err != nil {
 		stop()
@@ -49,12 +51,12 @@
 	for _, e := range c.entries {
 		w.reverts.watch(ctx, e)
 	}
-	onDrain := w.drained
-	c.drained.Store(&onDrain)
+	onDrain := w.checkDrain
+	c.onDrained.Store(&onDrain)
 	return w, nil
 }
 
-func (w *witness) collect(batches <-chan infra.WatchBatch) {
+func (w *observer) collect(batches <-chan infra.WatchBatch) {
 	for b := range batches {
 		w.mu.Lock()
 		w.batches = append(w.batches, b)
@@ -65,8 +67,9 @@
 	}
 }
 
-// fail stops a VM unplanned; the returned function starts it again.
-func (w *witness) fail(vm model.VMID) (recover func()) {
+// fail makes a VM fail without a planned stop. The returned function starts it
+// again.
+func (w *observer) fail(vm model.VMID) (recover func()) {
 	w.mu.Lock()
 	w.failed[vm] = time.Now()
 	w.mu.Unlock()
@@ -79,9 +82,10 @@
 	}
 }
 
-// drained counts who still serves at the moment a VM was told to drain. Every
-// service of its pool must keep its budget, but for VMs that failed just now.
-func (w *witness) drained(id model.VMID) {
+// checkDrain counts the VMs that still serve when one is ordered to drain. Every
+// service of its pool must keep its budget; VMs that failed less than
+// maxDetectionDelay ago count as serving.
+func (w *observer) checkDrain(id model.VMID) {
 	vms := w.stored()
 	for _, s := range w.c.decl.ServicesOf(vms[id].Pool) {
 		total, serving := w.count(s, vms, id)
@@ -93,8 +97,9 @@
 	}
 }
 
-// count returns a service's VMs, and those of them that serve without id.
-func (w *witness) count(s *model.Service, vms map[model.VMID]model.VM, id model.VMID) (total, serving int) {
+// count returns the number of a service's VMs, and how many of them serve
+// without id.
+func (w *observer) count(s *model.Service, vms map[model.VMID]model.VM, id model.VMID) (total, serving int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for other, vm := range vms {
@@ -103,7 +108,7 @@
 		}
 		total++
 		failedAt, failed := w.failed[other]
-		excused := failed && time.Since(failedAt) < noticeWithin
+		excused := failed && time.Since(failedAt) < maxDetectionDelay
 		if other != id && (w.c.targets[other].Serving() || excused) {
 			serving++
 		}
@@ -120,8 +125,8 @@
 	return false
 }
 
-// stored returns the VMs as the store has them now.
-func (w *witness) stored() map[model.VMID]model.VM {
+// stored returns the VMs as currently stored.
+func (w *observer) stored() map[model.VMID]model.VM {
 	vms := make(map[model.VMID]model.VM)
 	kvs, _, err := w.c.platform.Store.Range(context.Background(), infra.VMPrefix)
 	for _, kv := range kvs {
@@ -136,10 +141,11 @@
 	return vms
 }
 
-// end ends what the witness sees, once it has seen all up to now.
-func (w *witness) end() {
+// finish stops the observer once it has received the store's history up to
+// the current revision.
+func (w *observer) finish() {
 	until := w.c.platform.Store.Revision()
-	_ = w.c.until(context.Background(), historyLimit, "the store's history", func() bool {
+	_ = w.c.until(context.Background(), historyTimeout, "the store's history", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		n := len(w.batches)
@@ -150,10 +156,10 @@
 	w.reverts.wait()
 }
 
-// verdict names every promise that is seen broken from outside, once all
-// faults are healed and load has ended.
-func (w *witness) verdict(t *Tally) error {
-	w.end()
+// verdict returns an error that names every violated guarantee, or nil. All
+// faults must be healed and the load must have ended.
+func (w *observer) verdict(t *Tally) error {
+	w.finish()
 	broken := append(w.faults, w.checkHistory()...)
 	check := func(n int, what string) {
 		if n != 0 {
--- a/internal/dev/witness_test.go
+++ b/internal/dev/observer_test.go
@@ -11,8 +11,8 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// witnessed starts a witness that ends with the test at the latest.
-func (c *cluster) witnessed(t *testing.T) *witness {
+// startObserver starts an observer that stops at the end of the test at the latest.
+func (c *cluster) startObserver(t *testing.T) *observer {
 	t.Helper()
 	w, err := c.watchAll()
 	assert.NilError(t, err)
@@ -20,12 +20,12 @@
 	return w
 }
 
-// settle undrains what orders left drained until every VM is in a pool and its
-// target serves.
-func (w *witness) settle(t *testing.T) {
+// settle undrains VMs that orders left drained and waits until every VM is in a
+// pool and its target serves.
+func (w *observer) settle(t *testing.T) {
 	t.Helper()
 	n := 0
-	err := w.c.until(context.Background(), waitLimit, "every VM back in a pool", func() bool {
+	err := w.c.until(context.Background(), waitTimeout, "every VM back in a pool", func() bool {
 		n++
 		back := true
 		for id, vm := range w.stored() {
@@ -35,7 +35,7 @@
 			back = false
 			if n%20 == 1 {
 				o := fleet.Order{Change: model.ChangeID(fmt.Sprintf("settle-%s-%d", id, n)), Actor: "test"}
-				_, _ = w.c.entries[0].Fleet().Undrain(context.Background(), id, o) // refused where a wave holds it
+				_, _ = w.c.entries[0].Fleet().Undrain(context.Background(), id, o) // refused while a wave holds the VM
 			}
 		}
 		return back
--- a/internal/dev/once.go
+++ b/internal/dev/once.go
@@ -18,34 +18,36 @@
 )
 
 const (
-	// callersPerService is the example's load: below what the pools carry.
+	// callersPerService is the number of concurrent callers of each service.
+	// Their load stays below the capacity of the pools.
 	callersPerService = 6
-	// startLimit bounds how long the deployment may take to come up.
-	startLimit = 15 * time.Second
-	// waveLimit bounds the wave, so that the run ends within a minute.
-	waveLimit = 40 * time.Second
-	// changedLimit is what the example's change sets: above what any load of
-	// it reaches.
+	// startTimeout bounds how long the deployment may take to start.
+	startTimeout = 15 * time.Second
+	// waveTimeout bounds the wave, so that the run ends within a minute.
+	waveTimeout = 40 * time.Second
+	// changedLimit is the service limit that the example's change sets. It is
+	// above any load of the example, so that it rejects no request.
 	changedLimit = 1000
-	// lookEvery is how often progress is looked at, and so how exactly times
-	// are measured.
-	lookEvery = 20 * time.Millisecond
-	// probation of the example's wave is short, as nothing there is slow.
+	// pollInterval is how often progress is polled, and so the resolution of
+	// the reported times.
+	pollInterval = 20 * time.Millisecond
+	// probation is the probation of the example's waves. It is short because
+	// nothing in the example is slow.
 	probation = 200 * time.Millisecond
 )
 
-// Options say what to run.
+// Options configure Once and Serve.
 type Options struct {
-	Example string         // folder of the declaration
-	Wave    model.WaveName // that Once runs; the first declared if empty
+	Example string         // directory of the declaration
+	Wave    model.WaveName // wave that Once runs; the first declared if empty
 	Out     io.Writer
 	Log     logr.Logger
 	// FixedPorts uses the documented ports; otherwise any free ones.
 	FixedPorts bool
 }
 
-// Once applies the example, sends load, runs a maintenance wave under it and
-// reports. The error says which promise broke.
+// Once applies the example's declaration, runs a maintenance wave under load and
+// prints a report. The error names every guarantee that was violated.
 func Once(ctx context.Context, o Options) error {
 	decl, err := declaration(&o)
 	if err != nil {
@@ -71,12 +73,13 @@
 	if err != nil {
 		return err
 	}
-	r.take(c, l.tally)
+	r.collectCounts(c, l.tally)
 	r.print(o.Out)
 	return errors.Join(r.verdict(), w.verdict(l.tally))
 }
 
-// declaration reads the example and shortens what only waits.
+// declaration loads the example and shortens the probation of its waves. It
+// sets o.Wave to the first declared wave if it is empty.
 func declaration(o *Options) (*model.Declaration, error) {
 	decl, err := config.Load(o.Example)
 	if err != nil {
@@ -91,19 +94,20 @@
 	return decl, nil
 }
 
-// bringUp applies the declaration as an operator does, and waits until every
-// entry VM has it in force, knows every VM and has seen it healthy.
+// bringUp applies the declaration through the operator API and waits until every
+// entry VM has it in force, knows every VM and has seen it healthy. It then
+// applies one change and records how long that takes.
 func (c *cluster) bringUp(ctx context.Context, r *report) error {
 	if _, err := c.apply(ctx, "dev-example"); err != nil {
 		return err
 	}
-	if err := c.until(ctx, startLimit, "declaration in force on every entry VM", c.inForce); err != nil {
+	if err := c.until(ctx, startTimeout, "declaration in force on every entry VM", c.inForce); err != nil {
 		return err
 	}
-	if err := c.until(ctx, startLimit, "current view of every VM", c.allKnown); err != nil {
+	if err := c.until(ctx, startTimeout, "current view of every VM", c.allKnown); err != nil {
 		return err
 	}
-	if err := c.until(ctx, startLimit, "every VM counted as up", func() bool { return c.allUp(ctx) }); err != nil {
+	if err := c.until(ctx, startTimeout, "every VM counted as up", func() bool { return c.allUp(ctx) }); err != nil {
 		return err
 	}
 	return c.change(ctx, r)
@@ -132,7 +136,7 @@
 		}
 		return true
 	}
-	err = c.until(ctx, startLimit, "change in force on every entry VM", everywhere)
+	err = c.until(ctx, startTimeout, "change in force on every entry VM", everywhere)
 	r.inForce = time.Since(began)
 	return err
 }
@@ -153,20 +157,20 @@
 
 func (c *cluster) inForce() bool { return len(c.callerBases()) == len(c.entries) }
 
-// allKnown reports whether every entry VM knows every VM and that its view is
-// current: orders are refused before.
+// allKnown reports whether every entry VM knows every VM and has a current view.
+// Until then entry VMs refuse orders.
 func (c *cluster) allKnown() bool {
 	for _, e := range c.entries {
 		s := e.View().Load()
-		if len(s.VMs) != len(c.decl.VMs) || time.Since(s.AsOf) > startLimit {
+		if len(s.VMs) != len(c.decl.VMs) || time.Since(s.AsOf) > startTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// allUp reports whether every entry VM has seen every VM healthy: until then
-// budgets count them as down, and refuse planned stops.
+// allUp reports whether every entry VM has seen every VM healthy. Until then
+// budgets count the others as down and refuse planned stops.
 func (c *cluster) allUp(ctx context.Context) bool {
 	for _, e := range c.entries {
 		budgets, err := e.Fleet().Budgets(ctx)
@@ -208,8 +212,8 @@
 		return trace.Wrap(err, "start wave %s", name)
 	}
 	meter := newMeter(c, r)
-	err := c.until(ctx, waveLimit, "end of the wave", func() bool {
-		meter.look()
+	err := c.until(ctx, waveTimeout, "end of the wave", func() bool {
+		meter.sample()
 		s, err := f.WaveStatus(ctx, name)
 		if err != nil {
 			return false
@@ -224,7 +228,8 @@
 	return nil
 }
 
-// until waits for a condition.
+// until polls a condition until it holds. It returns an error after limit, and
+// ctx's error when ctx ends.
 func (c *cluster) until(ctx context.Context, limit time.Duration, what string, done func() bool) error {
 	deadline := time.Now().Add(limit)
 	for !done() {
@@ -234,7 +239,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
