--- a/internal/infra/contract/bench_test.go
+++ b/internal/infra/contract/bench_test.go
@@ -21,14 +21,14 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// The benchmarks give the slopes that the page on capacity works with: bytes
-// on the wire, both ways with HTTP's headers, and processor time of client and
+// The benchmarks give the cost per call that capacity planning relies on: bytes
+// sent and received, including HTTP headers, and processor time of client and
 // stand-in together. Compare times within one run only.
 
-// vmBytes is about the size of a VM's record in the store.
+// vmBytes is the approximate size of a VM's record in the store.
 const vmBytes = 300
 
-// bench is a gateway to a stand-in whose traffic is measured.
+// bench is a gateway client of a stand-in whose traffic is measured.
 type bench struct {
 	srv    *standin.Server
 	client *gateway.Store
@@ -47,7 +47,8 @@
 	return bench{srv: srv, client: client, url: url}
 }
 
-// measure runs one call b.N times and reports what each costs.
+// measure runs call b.N times and reports the average bytes and processor time
+// of one.
 func (w bench) measure(b *testing.B, call func(n int) error) {
 	b.Helper()
 	assert.NilError(b, call(-1)) // opens the connection
@@ -74,7 +75,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func fill(b *testing.B, s infra.Store, n int) {
+func putVMs(b *testing.B, s infra.Store, n int) {
 	b.Helper()
 	for i := range n {
 		_, err := s.Txn(context.Background(), infra.Txn{Then: []infra.Op{
@@ -92,7 +93,7 @@
 	}
 	b.Run("get/memstore", func(b *testing.B) {
 		s := memstore.New(clockwork.NewRealClock())
-		fill(b, s, 50)
+		putVMs(b, s, 50)
 		call := get(s)
 		for n := range b.N {
 			assert.NilError(b, call(n))
@@ -100,7 +101,7 @@
 	})
 	b.Run("get/gateway", func(b *testing.B) {
 		w := newBench(b)
-		fill(b, w.srv.Store, 50)
+		putVMs(b, w.srv.Store, 50)
 		w.measure(b, get(w.client))
 	})
 	b.Run("keepalive/gateway", func(b *testing.B) {
@@ -112,7 +113,7 @@
 	for _, vms := range []int{50, 500, 3600} {
 		b.Run(fmt.Sprintf("range/gateway/%d", vms), func(b *testing.B) {
 			w := newBench(b)
-			fill(b, w.srv.Store, vms)
+			putVMs(b, w.srv.Store, vms)
 			w.measure(b, func(int) error { _, _, err := w.client.Range(ctx, infra.VMPrefix); return err })
 		})
 	}
@@ -133,7 +134,8 @@
 	}
 }
 
-// BenchmarkWatchFanOut is one change of a VM seen by so many watches.
+// BenchmarkWatchFanOut measures the delivery of one change of a VM to a number
+// of watches.
 func BenchmarkWatchFanOut(b *testing.B) {
 	value := bytes.Repeat([]byte("x"), vmBytes)
 	for _, watches := range []int{1, 8, 32} {
@@ -158,7 +160,7 @@
 	}
 }
 
-// BenchmarkWaitingWatch is the memory of one waiting watch, of client and
+// BenchmarkWaitingWatch measures the memory of one open watch, of client and
 // stand-in together.
 func BenchmarkWaitingWatch(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,7 +174,8 @@
 	b.ReportMetric(float64(memoryInUse()-before)/float64(b.N), "B-memory/watch")
 }
 
-// memoryInUse is heap and stacks after a collection.
+// memoryInUse returns the bytes of heap and stacks in use after a garbage
+// collection.
 func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/infra/contract/contract.go
+++ b/internal/infra/contract/contract.go
@@ -1,6 +1,5 @@
-// Package contract holds one suite of tests for each interface to the
-// platform. An adapter is held to its interface by one call of RunStore or
-// RunMachines.
+// Package contract contains a test suite for each interface to the platform.
+// An implementation is tested with one call of RunStore or RunMachines.
 package contract
 
 import (
@@ -13,45 +12,44 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// deadline ends a call that no case means to end; it is far beyond what a
-// busy machine needs, and no case waits for it.
-const deadline = 20 * time.Second
+// callTimeout bounds every call and wait so that a hanging one fails the test.
+// It is far longer than a busy machine needs, and no passing case waits for it.
+const callTimeout = 20 * time.Second
 
-// Store is a fresh store under test. The switches of faults that cannot be
-// brought about are nil; the cases that need them are then not part of the
-// suite.
+// Store is an empty store under test and the controls of its service. A control
+// of a fault that cannot be injected is nil; the cases that need it are omitted.
 type Store struct {
 	Client infra.Store // under test
-	Rival  infra.Store // another way to the same service, without faults
+	Rival  infra.Store // another client of the same service, not subject to the injected faults
 
-	Advance func(d time.Duration)    // moves the service's clock on
-	Compact func(rev infra.Revision) // forgets history up to rev
-	// Tick lets the service notice lapsed leases, where it does not do so by
-	// itself; nil where it does.
+	Advance func(d time.Duration)    // advances the service's clock
+	Compact func(rev infra.Revision) // compacts the history up to rev
+	// Tick makes the service expire leases that are due; nil if it does so by
+	// itself.
 	Tick func()
-	// Waiting returns how many watches wait at the service.
+	// Waiting returns the number of watches open at the service.
 	Waiting func() int
 
-	Down         func(on bool) // the service cannot be reached
-	Pause        func(on bool) // the service reads calls and does not act on them yet
-	Held         func() int    // how many calls a pause holds
-	LoseReplies  func(n int)   // of the next n writes, after their effect
-	LoseRequests func(n int)   // of the next n writes
-	Garble       func(n int)   // the next n replies are cut short
-	RateLimit    func()        // from now on one read and one write pass
-	// CondReadsOnly is true where a transaction reads only keys that its
-	// conditions name, and only where they do not hold.
+	Down         func(on bool) // makes the service unreachable
+	Pause        func(on bool) // the service reads calls but does not process them until resumed
+	Held         func() int    // number of calls that a pause holds back
+	LoseReplies  func(n int)   // loses the replies to the next n writes, which take effect
+	LoseRequests func(n int)   // loses the requests of the next n writes, which have no effect
+	Garble       func(n int)   // truncates the next n replies
+	RateLimit    func()        // from now on only one more read and one more write are accepted
+	// CondReadsOnly is true if a transaction reads only keys that its conditions
+	// name, and only when they do not hold.
 	CondReadsOnly bool
-	// TextKeys is true where keys are text: bytes that are no UTF-8 do not fit.
+	// TextKeys is true if keys must be valid UTF-8.
 	TextKeys bool
-	// Resumes is true where a watch goes on after the way to the service was
-	// down for a moment.
+	// Resumes is true if a watch continues after a short loss of connection to
+	// the service.
 	Resumes bool
 }
 
 func ctxOf(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), deadline)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -76,34 +74,36 @@
 	assert.Assert(t, infra.IsKind(err, want), "got %v, want kind %q", err, want)
 }
 
-// next returns the watch's next batch; an absent one ends the test.
-func next(t *testing.T, ch <-chan infra.WatchBatch) infra.WatchBatch {
+// nextBatch returns the watch's next batch. It fails the test if the watch is
+// closed or no batch arrives within callTimeout.
+func nextBatch(t *testing.T, ch <-chan infra.WatchBatch) infra.WatchBatch {
 	t.Helper()
 	select {
 	case b, ok := <-ch:
 		assert.Assert(t, ok, "the watch ended without an error")
 		return b
-	case <-time.After(deadline):
-		t.Fatal("no event")
+	case <-time.After(callTimeout):
+		t.Fatalf("no batch arrived within %v", callTimeout)
 		return infra.WatchBatch{}
 	}
 }
 
-// ended checks that the watch is closed.
-func ended(t *testing.T, ch <-chan infra.WatchBatch) {
+// wantClosed checks that the watch's channel is closed without another batch.
+func wantClosed(t *testing.T, ch <-chan infra.WatchBatch) {
 	t.Helper()
 	select {
 	case b, ok := <-ch:
-		assert.Assert(t, !ok, "unexpected %+v", b)
-	case <-time.After(deadline):
-		t.Fatal("the watch goes on")
+		assert.Assert(t, !ok, "unexpected batch %+v", b)
+	case <-time.After(callTimeout):
+		t.Fatalf("the watch is still open after %v", callTimeout)
 	}
 }
 
-// eventually waits until cond holds.
+// eventually polls cond until it holds, and fails the test with message what
+// after callTimeout.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(deadline); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(callTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if cond() {
 			return
 		}
--- a/internal/infra/contract/faults.go
+++ b/internal/infra/contract/faults.go
@@ -10,8 +10,8 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// calls are all kinds of call; each must name its failures alike.
-var calls = []struct {
+// storeCalls has one call of each kind; all must classify failures alike.
+var storeCalls = []struct {
 	name   string
 	writes bool
 	do     func(ctx context.Context, s infra.Store) error
@@ -42,12 +42,12 @@
 
 var faultCases = []storeCase{
 	{
-		name:  "while the service is down every call is certain not to have been sent",
+		name:  "while the service is down every call fails as certainly not sent",
 		needs: func(s Store) bool { return s.Down != nil },
 		run: func(t *testing.T, s Store) {
-			put(t, s.Client, "b", "warm") // leaves a connection that the cut closes
+			put(t, s.Client, "b", "warm") // leaves an open connection, which going down closes
 			s.Down(true)
-			for _, c := range calls {
+			for _, c := range storeCalls {
 				err := c.do(ctxOf(t), s.Client)
 				assert.Assert(t, infra.IsKind(err, infra.KindUnavailable), "%s: %v", c.name, err)
 			}
@@ -56,15 +56,15 @@
 		},
 	},
 	{
-		name:  "past the deadline a read is unavailable and a write unknown",
+		name:  "a read abandoned during a pause is unavailable, a write unknown",
 		needs: func(s Store) bool { return s.Pause != nil },
-		run:   pastDeadline,
+		run:   abandonedCalls,
 	},
 	{
 		name:  "a write whose request is lost is unknown and without effect",
 		needs: func(s Store) bool { return s.LoseRequests != nil },
 		run: func(t *testing.T, s Store) {
-			for _, c := range calls {
+			for _, c := range storeCalls {
 				if !c.writes {
 					continue
 				}
@@ -101,13 +101,13 @@
 		},
 	},
 	{
-		name:  "over the limits a call is refused and has no effect",
+		name:  "a call over the rate limits is rejected and has no effect",
 		needs: func(s Store) bool { return s.RateLimit != nil },
 		run: func(t *testing.T, s Store) {
 			s.RateLimit()
 			put(t, s.Client, "b", "passes")
 			get(t, s.Client, "b")
-			for _, c := range calls {
+			for _, c := range storeCalls {
 				err := c.do(ctxOf(t), s.Client)
 				assert.Assert(t, infra.IsKind(err, infra.KindRateLimited), "%s: %v", c.name, err)
 			}
@@ -117,12 +117,13 @@
 	},
 }
 
-// The service reads the call and stops before it acts, as under a long pause
-// of its process; the client gives up. When the service goes on it does what
-// it has read: the client must not have been told that nothing happened.
-func pastDeadline(t *testing.T, s Store) {
+// abandonedCalls has the service read a call and stop before processing it, as
+// in a long pause of its process, while the client cancels the call. The
+// resumed service still processes the call, so the client must not have been
+// told that a write had no effect.
+func abandonedCalls(t *testing.T, s Store) {
 	put(t, s.Client, "a", "before")
-	for _, c := range calls {
+	for _, c := range storeCalls {
 		want := infra.KindUnavailable
 		if c.writes {
 			want = infra.KindUnknown
@@ -131,12 +132,12 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		failed := make(chan error, 1)
 		go func() { failed <- c.do(ctx, s.Client) }()
-		eventually(t, c.name+" did not arrive", func() bool { return s.Held() == 1 })
+		eventually(t, c.name+" did not reach the service", func() bool { return s.Held() == 1 })
 		cancel()
 		err := <-failed
 		assert.Assert(t, infra.IsKind(err, want), "%s: %v", c.name, err)
 		s.Pause(false)
 		eventually(t, c.name+" is still held", func() bool { return s.Held() == 0 })
 	}
-	eventually(t, "the write was forgotten", func() bool { return string(get(t, s.Rival, "a").Value) == "client" })
+	eventually(t, "the held write was not applied after the pause", func() bool { return string(get(t, s.Rival, "a").Value) == "client" })
 }
--- a/internal/infra/contract/history_test.go
+++ b/internal/infra/contract/history_test.go
@@ -18,8 +18,8 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// The history's size: enough that several clients meet on each key under each
-// fault, small enough that the check takes well under a second.
+// Size of the history: large enough that several clients contend for each key
+// under each fault, small enough that the check takes well under a second.
 const (
 	historyClients = 4
 	historyOps     = 40
@@ -29,31 +29,32 @@
 
 var historyKeys = [2]string{"pair/a", "pair/b"}
 
-// pair is the state that the history is about: the values of two keys.
+// pair is the modelled state: the values of the two historyKeys.
 type pair [2]string
 
-// step is one call: a read of both keys, or a change of some under conditions.
-type step struct {
+// operation is one call: a read of both keys, or a conditional write of one or
+// both.
+type operation struct {
 	read   bool
 	writes [2]bool
-	expect pair // the values that the conditions are bound to
+	expect pair // the values that the conditions require
 	value  string
 }
 
-// outcome is what the client was told.
+// outcome is the result that the client was given.
 type outcome struct {
-	kind infra.Kind // 0: done
-	seen pair       // by a read
+	kind infra.Kind // 0: success
+	seen pair       // result of a read
 }
 
-// pairModel says which outcomes are right. A change that is "unknown" may have
-// been made or not; any other is certain.
+// pairModel defines which outcomes are correct. A write whose outcome is unknown
+// may or may not have taken effect; every other outcome is certain.
 var pairModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{pair{}} },
-	Step: func(state, in, out any) []any { return stepPair(state.(pair), in.(step), out.(outcome)) },
+	Step: func(state, in, out any) []any { return stepPair(state.(pair), in.(operation), out.(outcome)) },
 }
 
-func stepPair(state pair, in step, out outcome) []any {
+func stepPair(state pair, in operation, out outcome) []any {
 	if in.read {
 		if out.seen == state {
 			return []any{state}
@@ -72,7 +73,7 @@
 	return nil
 }
 
-func (in step) apply(state pair) (bool, pair) {
+func (in operation) apply(state pair) (bool, pair) {
 	after := state
 	for i := range state {
 		if !in.writes[i] {
@@ -86,11 +87,11 @@
 	return true, after
 }
 
-// Several clients change two keys, alone or together, while replies and
-// requests are lost, cut short, held past the deadline, or the way is cut. The
-// outcomes they are told must fit one order of all changes: a "conflict" for a
-// change that others saw, or a "done" for one that nobody can have seen, would
-// let two reconcilers act on one VM.
+// Several clients write two keys, singly or together, while requests and replies
+// are lost, truncated or delayed past the timeout, or the service is down. The
+// outcomes reported must be linearizable: a conflict reported for a write that
+// others saw, or a success for one that nobody can have seen, would let two
+// reconcilers act on one VM.
 func TestCommitHistoryUnderFaults(t *testing.T) {
 	for seed := range uint64(historySeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -99,25 +100,25 @@
 			h.run(seed)
 			result, _ := porcupine.CheckOperationsVerbose(pairModel.ToModel(), h.ops, 30*time.Second)
 			assert.Equal(t, result, porcupine.Ok)
-			assert.Assert(t, h.told[0] > 0 && h.told[infra.KindUnknown] > 0, "outcomes %v", h.told)
+			assert.Assert(t, h.counts[0] > 0 && h.counts[infra.KindUnknown] > 0, "outcomes %v", h.counts)
 		})
 	}
 }
 
 type history struct {
-	t     *testing.T
-	srv   *standin.Server
-	url   string
-	began time.Time
-
-	mu   sync.Mutex
-	ops  []porcupine.Operation
-	told map[infra.Kind]int
+	t         *testing.T
+	srv       *standin.Server
+	url       string
+	startedAt time.Time
+
+	mu     sync.Mutex
+	ops    []porcupine.Operation
+	counts map[infra.Kind]int
 }
 
 func newHistory(t *testing.T) *history {
 	srv, url := serve(t, clockwork.NewRealClock())
-	return &history{t: t, srv: srv, url: url, began: time.Now(), told: make(map[infra.Kind]int)}
+	return &history{t: t, srv: srv, url: url, startedAt: time.Now(), counts: make(map[infra.Kind]int)}
 }
 
 func (h *history) run(seed uint64) {
@@ -139,16 +140,16 @@
 		if !ok {
 			continue
 		}
-		h.srv.Faults.Set(zone, drawFault(rnd))
-		in := step{expect: state, value: fmt.Sprintf("%d.%d", id, n)}
+		h.srv.Faults.Set(zone, randomFault(rnd))
+		in := operation{expect: state, value: fmt.Sprintf("%d.%d", id, n)}
 		in.writes = [][2]bool{{true, false}, {false, true}, {true, true}}[rnd.IntN(3)]
 		h.change(id, s, in, revs)
 	}
 	h.srv.Faults.Set(zone, standin.Fault{})
 }
 
-// drawFault picks what befalls the next change and its repeats.
-func drawFault(rnd *rand.Rand) standin.Fault {
+// randomFault returns the fault injected into the next write and its retries.
+func randomFault(rnd *rand.Rand) standin.Fault {
 	switch rnd.IntN(12) {
 	case 0, 1, 2:
 		return standin.Fault{LoseReplies: 1}
@@ -181,11 +182,11 @@
 			}
 		}
 	}
-	h.note(porcupine.Operation{ClientId: id, Input: step{read: true}, Call: call, Output: outcome{seen: state}, Return: h.now()})
+	h.record(porcupine.Operation{ClientId: id, Input: operation{read: true}, Call: call, Output: outcome{seen: state}, Return: h.now()})
 	return state, revs, true
 }
 
-func (h *history) change(id int, s infra.Store, in step, revs [2]infra.Revision) {
+func (h *history) change(id int, s infra.Store, in operation, revs [2]infra.Revision) {
 	var txn infra.Txn
 	for i, key := range historyKeys {
 		if in.writes[i] {
@@ -197,22 +198,22 @@
 	_, err := infra.Commit(context.Background(), s, txn)
 	kind := infra.KindOf(err)
 	if kind == infra.KindUnavailable {
-		return // certainly not made; the check would allow it anywhere
+		return // certainly had no effect, so it does not constrain the order
 	}
 	op := porcupine.Operation{ClientId: id, Input: in, Call: call, Output: outcome{kind: kind}, Return: h.now()}
 	if kind == infra.KindUnknown {
-		op.Return = math.MaxInt64 // may take effect at any time after
+		op.Return = math.MaxInt64 // may take effect at any later time
 	}
-	h.note(op)
+	h.record(op)
 }
 
-func (h *history) now() int64 { return int64(time.Since(h.began)) }
+func (h *history) now() int64 { return int64(time.Since(h.startedAt)) }
 
-func (h *history) note(op porcupine.Operation) {
+func (h *history) record(op porcupine.Operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, op)
-	if !op.Input.(step).read {
-		h.told[op.Output.(outcome).kind]++
+	if !op.Input.(operation).read {
+		h.counts[op.Output.(outcome).kind]++
 	}
 }
--- a/internal/infra/contract/machines.go
+++ b/internal/infra/contract/machines.go
@@ -13,11 +13,12 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// Machines are fresh machines under test. The switches of faults that cannot
-// be brought about are nil.
+// Machines is an empty set of machines under test and the controls of the
+// service behind it. A control of a fault that cannot be injected is nil; the
+// cases that need it are omitted. Fields named as in Store have the same meaning.
 type Machines struct {
 	Client  infra.Machines    // under test
-	Control *standin.Machines // what stands behind it
+	Control *standin.Machines // the machines that Client operates on
 
 	Advance      func(d time.Duration)
 	Down         func(on bool)
@@ -30,7 +31,7 @@
 	StaleList    func(on bool)
 }
 
-// MachinesFactory makes fresh machines for one case.
+// MachinesFactory returns new Machines for one case.
 type MachinesFactory func(t *testing.T) Machines
 
 type machinesCase struct {
@@ -39,7 +40,7 @@
 	run   func(t *testing.T, m Machines)
 }
 
-// RunMachines holds machines to infra.Machines.
+// RunMachines runs the suite of infra.Machines, each case on new machines.
 func RunMachines(t *testing.T, fresh MachinesFactory) {
 	probe := fresh(t)
 	for _, cases := range [][]machinesCase{vmCases, taskCases, machineFaultCases} {
@@ -52,32 +53,32 @@
 	}
 }
 
-// worker is what each worker of the suite offers.
-var worker = model.Resources{MilliCPU: 4000, MemoryMB: 8192}
+// vmSize is the capacity of each VM in the suite.
+var vmSize = model.Resources{MilliCPU: 4000, MemoryMB: 8192}
 
-// fakeRunner notes what befalls it.
+// fakeRunner records the hooks called on it, in order.
 type fakeRunner struct {
-	told     []string
+	calls    []string
 	requests int
 }
 
 func (r *fakeRunner) hooks() standin.Hooks {
-	note := func(what string) func() { return func() { r.told = append(r.told, what) } }
+	record := func(what string) func() { return func() { r.calls = append(r.calls, what) } }
 	return standin.Hooks{
-		OnDrain: note("drain"), OnUndrain: note("undrain"), OnStart: note("start"),
-		OnStop:   func() int { note("stop")(); return r.requests },
+		OnDrain: record("drain"), OnUndrain: record("undrain"), OnStart: record("start"),
+		OnStop:   func() int { record("stop")(); return r.requests },
 		Requests: func() int { return r.requests },
 	}
 }
 
-func (r *fakeRunner) wantTold(t *testing.T, want string) {
+func (r *fakeRunner) wantCalls(t *testing.T, want string) {
 	t.Helper()
-	assert.Equal(t, strings.Join(r.told, " "), want)
+	assert.Equal(t, strings.Join(r.calls, " "), want)
 }
 
 func addVM(m Machines, id model.VMID) *fakeRunner {
 	r := &fakeRunner{}
-	m.Control.Add(id, worker, r.hooks())
+	m.Control.Add(id, vmSize, r.hooks())
 	return r
 }
 
@@ -96,7 +97,7 @@
 		m.Control.Fail("v2")
 		assert.DeepEqual(t, listed(t, m).Machines, []infra.Machine{{VM: "v1", Live: true, Leaving: true}, {VM: "v2"}})
 	}},
-	{name: "the list lags and says how much", run: func(t *testing.T, m Machines) {
+	{name: "the list lags and reports its age", run: func(t *testing.T, m Machines) {
 		addVM(m, "v1")
 		m.Control.SetListLag(5 * time.Second)
 		m.Advance(time.Minute)
@@ -118,19 +119,19 @@
 			assert.NilError(t, m.Client.Undrain(ctxOf(t), "v1", "a1"))
 		}
 		assert.NilError(t, m.Client.Drain(ctxOf(t), "v1", "a2"))
-		r.wantTold(t, "drain undrain drain")
+		r.wantCalls(t, "drain undrain drain")
 	}},
-	{name: "a reboot happens once for each attempt and counts what it cut", run: func(t *testing.T, m Machines) {
+	{name: "a reboot happens once for each attempt and counts the requests it cut off", run: func(t *testing.T, m Machines) {
 		r := addVM(m, "v1")
 		r.requests = 3
 		for _, attempt := range []model.AttemptID{"a1", "a1", "a2"} {
 			assert.NilError(t, m.Client.Reboot(ctxOf(t), "v1", attempt))
 		}
-		r.wantTold(t, "stop start stop start")
+		r.wantCalls(t, "stop start stop start")
 		assert.Equal(t, listed(t, m).Machines[0].Boots, 2)
 		assert.Equal(t, m.Control.Tally().CutByReboot, 6)
 	}},
-	{name: "a reboot takes its time and ends a drain", run: func(t *testing.T, m Machines) {
+	{name: "a VM is down for the time of its reboot, which ends a drain", run: func(t *testing.T, m Machines) {
 		r := addVM(m, "v1")
 		m.Control.SetRebootTime(time.Minute)
 		assert.NilError(t, m.Client.Drain(ctxOf(t), "v1", "a1"))
@@ -138,13 +139,13 @@
 		assert.DeepEqual(t, listed(t, m).Machines, []infra.Machine{{VM: "v1"}})
 		m.Advance(time.Minute)
 		eventually(t, "the VM stays down", func() bool { return listed(t, m).Machines[0].Live })
-		assert.NilError(t, m.Client.StartTask(ctxOf(t), sleeper("t1")))
-		assert.Equal(t, len(r.told), 3)
+		assert.NilError(t, m.Client.StartTask(ctxOf(t), endlessTask("t1")))
+		assert.Equal(t, len(r.calls), 3)
 	}},
-	{name: "in flight are the runner's requests and the VM's tasks", run: func(t *testing.T, m Machines) {
+	{name: "the in-flight count includes the runner's requests and the VM's tasks", run: func(t *testing.T, m Machines) {
 		r := addVM(m, "v1")
 		r.requests = 2
-		assert.NilError(t, m.Client.StartTask(ctxOf(t), sleeper("t1")))
+		assert.NilError(t, m.Client.StartTask(ctxOf(t), endlessTask("t1")))
 		n, err := m.Client.InFlight(ctxOf(t), "v1")
 		assert.NilError(t, err)
 		assert.Equal(t, n, 3)
@@ -152,15 +153,16 @@
 	{name: "a VM or task that does not exist is not found", run: func(t *testing.T, m Machines) {
 		_, err := m.Client.InFlight(ctxOf(t), "none")
 		wantKind(t, err, infra.KindNotFound)
-		for _, do := range effects {
+		for _, do := range commands {
 			err := do.run(ctxOf(t), m.Client, "a1")
 			assert.Assert(t, infra.IsKind(err, infra.KindNotFound), "%s: %v", do.name, err)
 		}
 	}},
 }
 
-// effects are all orders, each on VM v1 or on the task of its attempt.
-var effects = []struct {
+// commands has every call that changes something, each on VM v1 or on the task
+// of its attempt.
+var commands = []struct {
 	name string
 	run  func(ctx context.Context, m infra.Machines, attempt model.AttemptID) error
 }{
@@ -170,7 +172,7 @@
 	}},
 	{"reboot", func(ctx context.Context, m infra.Machines, a model.AttemptID) error { return m.Reboot(ctx, "v1", a) }},
 	{"start task", func(ctx context.Context, m infra.Machines, a model.AttemptID) error {
-		return m.StartTask(ctx, sleeper(a))
+		return m.StartTask(ctx, endlessTask(a))
 	}},
 	{"renew task", func(ctx context.Context, m infra.Machines, a model.AttemptID) error { return m.RenewTask(ctx, a) }},
 	{"stop task", func(ctx context.Context, m infra.Machines, a model.AttemptID) error {
@@ -183,7 +185,7 @@
 
 var machineFaultCases = []machinesCase{
 	{
-		name:  "a frozen list stays as it is and as old as it is",
+		name:  "a stale list keeps its content and its timestamp",
 		needs: func(m Machines) bool { return m.StaleList != nil },
 		run: func(t *testing.T, m Machines) {
 			addVM(m, "v1")
@@ -198,52 +200,52 @@
 		},
 	},
 	{
-		name:  "while the control is down every order is certain not to have been sent",
+		name:  "while the service is down every command fails as certainly not sent",
 		needs: func(m Machines) bool { return m.Down != nil },
 		run: func(t *testing.T, m Machines) {
 			r := addVM(m, "v1")
-			listed(t, m) // leaves a connection that the cut closes
+			listed(t, m) // leaves an open connection, which going down closes
 			m.Down(true)
-			for _, do := range effects {
+			for _, do := range commands {
 				err := do.run(ctxOf(t), m.Client, "a1")
 				assert.Assert(t, infra.IsKind(err, infra.KindUnavailable), "%s: %v", do.name, err)
 			}
 			_, err := m.Client.List(ctxOf(t))
 			wantKind(t, err, infra.KindUnavailable)
 			m.Down(false)
-			r.wantTold(t, "")
+			r.wantCalls(t, "")
 		},
 	},
 	{
-		name:  "an order whose reply or request was lost is unknown, and its repeat does it once",
+		name:  "a command whose reply or request is lost is unknown, and its retry executes it once",
 		needs: func(m Machines) bool { return m.LoseReplies != nil },
 		run: func(t *testing.T, m Machines) {
 			for attempt, lose := range map[model.AttemptID]func(int){"a1": m.LoseReplies, "a2": m.LoseRequests} {
-				r := addVM(m, "v1") // replaces the former one
-				for _, do := range effects[:3] {
+				r := addVM(m, "v1") // replaces the previous VM
+				for _, do := range commands[:3] {
 					lose(1)
 					err := do.run(ctxOf(t), m.Client, attempt)
 					assert.Assert(t, infra.IsKind(err, infra.KindUnknown), "%s: %v", do.name, err)
 					assert.NilError(t, do.run(ctxOf(t), m.Client, attempt))
 				}
-				r.wantTold(t, "drain undrain stop start")
+				r.wantCalls(t, "drain undrain stop start")
 			}
 		},
 	},
-	{name: "a held order that was repeated comes to nothing when it arrives", needs: func(m Machines) bool { return m.Pause != nil }, run: heldOrder},
+	{name: "a delayed copy of a repeated command has no effect", needs: func(m Machines) bool { return m.Pause != nil }, run: delayedCommand},
 	{
-		name:  "over the limits an order is refused and has no effect",
+		name:  "a command over the rate limits is rejected and has no effect",
 		needs: func(m Machines) bool { return m.RateLimit != nil },
 		run: func(t *testing.T, m Machines) {
 			r := addVM(m, "v1")
 			m.RateLimit()
 			assert.NilError(t, m.Client.Drain(ctxOf(t), "v1", "a1"))
 			wantKind(t, m.Client.Undrain(ctxOf(t), "v1", "a1"), infra.KindRateLimited)
-			r.wantTold(t, "drain")
+			r.wantCalls(t, "drain")
 		},
 	},
 	{
-		name:  "a malformed reply makes a question invalid and an order unknown",
+		name:  "a malformed reply makes a read invalid and a command unknown",
 		needs: func(m Machines) bool { return m.Garble != nil },
 		run: func(t *testing.T, m Machines) {
 			addVM(m, "v1")
@@ -255,17 +257,17 @@
 	},
 }
 
-// The control reads a drain and stops; the reconciler gives up and repeats it
-// under the same attempt, and later takes the drain back. When the control
-// goes on, the first copy must not drain the VM for good: nobody would ever
-// take that back.
-func heldOrder(t *testing.T, m Machines) {
+// delayedCommand has the service read a drain and pause. The reconciler cancels
+// the call, repeats it under the same attempt, and later undrains the VM. Once
+// the service resumes, the first copy must not drain the VM again, because
+// nothing would ever undrain it.
+func delayedCommand(t *testing.T, m Machines) {
 	r := addVM(m, "v1")
 	m.Pause(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
 	go func() { failed <- m.Client.Drain(ctx, "v1", "a1") }()
-	eventually(t, "the order did not arrive", func() bool { return m.Held() == 1 })
+	eventually(t, "the drain did not reach the service", func() bool { return m.Held() == 1 })
 	cancel()
 	wantKind(t, <-failed, infra.KindUnknown)
 
@@ -274,6 +276,6 @@
 	m.Pause(false)
 	eventually(t, "the first copy is still held", func() bool { return m.Held() == 0 })
 
-	assert.NilError(t, m.Client.Undrain(ctxOf(t), "v1", "a3")) // comes after the copy on the VM's turn
-	r.wantTold(t, "drain undrain undrain")
+	assert.NilError(t, m.Client.Undrain(ctxOf(t), "v1", "a3")) // runs after the delayed copy: a VM's calls run in order
+	r.wantCalls(t, "drain undrain undrain")
 }
--- a/internal/infra/contract/store.go
+++ b/internal/infra/contract/store.go
@@ -13,16 +13,16 @@
 	"github.com/pumicestage/pumicestage/internal/infra"
 )
 
-// StoreFactory makes a fresh store for one case.
+// StoreFactory returns a new, empty store for one case.
 type StoreFactory func(t *testing.T) Store
 
 type storeCase struct {
 	name  string
-	needs func(s Store) bool // nil: every store can show it
+	needs func(s Store) bool // nil: the case applies to every store
 	run   func(t *testing.T, s Store)
 }
 
-// RunStore holds a store to infra.Store.
+// RunStore runs the suite of infra.Store, each case on a new store.
 func RunStore(t *testing.T, fresh StoreFactory) {
 	probe := fresh(t)
 	for _, cases := range [][]storeCase{keyCases, leaseCases, watchCases, faultCases, commitCases} {
@@ -45,7 +45,7 @@
 	}},
 	{name: "values come back byte for byte with their revisions", run: func(t *testing.T, s Store) {
 		value := []byte{0, 0xff, '"', '\n', 0x80}
-		key := "k\x00" + oddKey(s) + "/ü"
+		key := "k\x00" + nonASCIIKey(s) + "/ü"
 		first := put(t, s.Client, key, string(value))
 		second := put(t, s.Client, key, "")
 		kv := get(t, s.Client, key)
@@ -55,8 +55,8 @@
 		put(t, s.Client, key, string(value))
 		assert.Assert(t, bytes.Equal(get(t, s.Client, key).Value, value))
 	}},
-	{name: "range gives the prefix alone, in order", run: func(t *testing.T, s Store) {
-		last := "a/" + oddKey(s)
+	{name: "a range returns only keys with the prefix, in order", run: func(t *testing.T, s Store) {
+		last := "a/" + nonASCIIKey(s)
 		for _, key := range []string{"a/2", "a0", "a/1", "a", last} {
 			put(t, s.Rival, key, key)
 		}
@@ -74,7 +74,7 @@
 		assert.Equal(t, get(t, s.Client, "a").ModRevision, infra.Revision(0))
 		assert.Assert(t, txn(t, s.Client, absent).Succeeded)
 	}},
-	{name: "a transaction that only reads leaves the revision", needs: readsInTxn, run: func(t *testing.T, s Store) {
+	{name: "a transaction that only reads does not change the revision", needs: readsInTxn, run: func(t *testing.T, s Store) {
 		rev := put(t, s.Client, "a", "1")
 		res := txn(t, s.Client, infra.Txn{Then: []infra.Op{infra.Read("a"), infra.Read("b"), infra.Delete("b")}})
 		assert.Equal(t, res.Revision, rev)
@@ -82,7 +82,7 @@
 		assert.Equal(t, res.Reads[1].Key, "b")
 		assert.Equal(t, res.Reads[1].ModRevision, infra.Revision(0))
 	}},
-	{name: "a value of the limit fits, one byte more is refused whole", run: oversized},
+	{name: "a value of maximum size fits; with one byte more the whole transaction is rejected", run: oversized},
 	{name: "too many operations and a key put twice are invalid", run: func(t *testing.T, s Store) {
 		var many []infra.Op
 		for i := range infra.MaxTxnOps + 1 {
@@ -103,13 +103,14 @@
 		wantKind(t, err, infra.KindUnavailable)
 		assert.Equal(t, get(t, s.Rival, "a").ModRevision, infra.Revision(0))
 	}},
-	{name: "of concurrent increments under conditions none is lost", run: increments},
+	{name: "no concurrent conditional increment is lost", run: increments},
 }
 
 func readsInTxn(s Store) bool { return !s.CondReadsOnly }
 
-// oddKey is a key that sorts after a to z and is not plain ASCII.
-func oddKey(s Store) string {
+// nonASCIIKey returns a key that sorts after a to z and is not ASCII; it is
+// not valid UTF-8 unless the store requires that.
+func nonASCIIKey(s Store) string {
 	if s.TextKeys {
 		return "\u00ff"
 	}
@@ -118,17 +119,17 @@
 
 func allOrNothing(t *testing.T, s Store) {
 	rev := put(t, s.Rival, "a", "1")
-	step := infra.Txn{
+	update := infra.Txn{
 		If:   []infra.Cond{{Key: "a", ModRevision: rev}, {Key: "b"}},
 		Then: []infra.Op{infra.Put("a", []byte("2")), infra.Put("b", []byte("2"))},
 		Else: []infra.Op{infra.Read("b"), infra.Read("a")},
 	}
 	if readsInTxn(s) {
-		step.Then = append(step.Then, infra.Read("a"), infra.Read("c"))
+		update.Then = append(update.Then, infra.Read("a"), infra.Read("c"))
 	}
 
-	first := txn(t, s.Client, step)
-	second := txn(t, s.Client, step)
+	first := txn(t, s.Client, update)
+	second := txn(t, s.Client, update)
 
 	assert.Assert(t, first.Succeeded)
 	if readsInTxn(s) {
@@ -167,7 +168,7 @@
 					t.Errorf("get: %v", err)
 					return
 				}
-				n, _ := strconv.Atoi(string(kv.Value)) // absent is 0
+				n, _ := strconv.Atoi(string(kv.Value)) // 0 if the key is absent
 				res, err := s.Client.Txn(ctxOf(t), infra.Txn{
 					If:   []infra.Cond{{Key: "n", ModRevision: kv.ModRevision}},
 					Then: []infra.Op{infra.Put("n", []byte(strconv.Itoa(n+1)))},
@@ -205,7 +206,7 @@
 }
 
 var leaseCases = []storeCase{
-	{name: "a leased key lives while renewed and vanishes when the lease lapses", run: func(t *testing.T, s Store) {
+	{name: "a leased key exists while the lease is renewed and is deleted when it expires", run: func(t *testing.T, s Store) {
 		lease := grant(t, s, 10*time.Second)
 		putLeased(t, s, "a", lease)
 		s.Advance(8 * time.Second)
@@ -217,44 +218,44 @@
 		wantKind(t, s.Client.KeepAlive(ctxOf(t), lease), infra.KindLeaseNotFound)
 		wantKind(t, s.Client.Revoke(ctxOf(t), lease), infra.KindLeaseNotFound)
 	}},
-	{name: "a revoked lease takes its keys along at once", run: func(t *testing.T, s Store) {
+	{name: "revoking a lease deletes its keys at once", run: func(t *testing.T, s Store) {
 		lease := grant(t, s, time.Minute)
 		putLeased(t, s, "a", lease)
 		put(t, s.Client, "b", "stays")
 		assert.NilError(t, s.Client.Revoke(ctxOf(t), lease))
 		assert.DeepEqual(t, keysOf(t, s, ""), []string{"b"})
 	}},
-	{name: "a key written anew without the lease outlives it", run: func(t *testing.T, s Store) {
+	{name: "a key rewritten without its lease outlives the lease", run: func(t *testing.T, s Store) {
 		lease := grant(t, s, time.Minute)
 		putLeased(t, s, "a", lease)
 		put(t, s.Client, "a", "unleased")
 		assert.NilError(t, s.Client.Revoke(ctxOf(t), lease))
 		assert.Equal(t, string(get(t, s.Client, "a").Value), "unleased")
 	}},
-	{name: "a write under a lapsed lease is refused whole", run: func(t *testing.T, s Store) {
+	{name: "a transaction that writes under an expired lease is rejected as a whole", run: func(t *testing.T, s Store) {
 		lease := grant(t, s, 10*time.Second)
 		s.Advance(11 * time.Second)
 		_, err := s.Client.Txn(ctxOf(t), infra.Txn{Then: []infra.Op{infra.Put("b", nil), infra.PutLeased("a", nil, lease)}})
 		wantKind(t, err, infra.KindLeaseNotFound)
 		assert.Equal(t, len(keysOf(t, s, "")), 0)
 	}},
-	{name: "a holder paused past its lease fails its write", run: pausedHolder},
+	{name: "a write by a holder paused past its lease fails", run: pausedHolder},
 }
 
-// The holder of a shard stops for longer than its lease (a long pause of its
-// process), another takes the shard over, then the first goes on as if nothing
-// had happened. Its write must fail, or both would act on the same VM.
+// pausedHolder has the holder of a shard pause for longer than its lease, as in
+// a long pause of its process. Another takes the shard over, then the first
+// resumes unaware. Its write must fail, or both would act on the same VM.
 func pausedHolder(t *testing.T, s Store) {
 	hold := infra.Txn{If: []infra.Cond{{Key: "shard"}}}
 	lease := grant(t, s, 10*time.Second)
 	hold.Then = []infra.Op{infra.PutLeased("shard", []byte("first"), lease)}
-	mine := txn(t, s.Client, hold).Revision
+	firstRevision := txn(t, s.Client, hold).Revision
 
 	s.Advance(11 * time.Second)
 	hold.Then = []infra.Op{infra.Put("shard", []byte("second"))}
 	assert.Assert(t, txn(t, s.Rival, hold).Succeeded)
 	late := txn(t, s.Client, infra.Txn{
-		If:   []infra.Cond{{Key: "shard", ModRevision: mine}},
+		If:   []infra.Cond{{Key: "shard", ModRevision: firstRevision}},
 		Then: []infra.Op{infra.Put("work", []byte("first"))},
 	})
 
