--- a/internal/infra/contract/contract.go
+++ b/internal/infra/contract/contract.go
@@ -24,9 +24,9 @@
 
 	Advance func(d time.Duration)    // advances the service's clock
 	Compact func(rev infra.Revision) // compacts the history up to rev
-	// Tick makes the service expire leases that are due; nil if it does so by
+	// ExpireLeases makes the service expire leases that are due; nil if it does so by
 	// itself.
-	Tick func()
+	ExpireLeases func()
 	// Waiting returns the number of watches open at the service.
 	Waiting func() int
 
--- a/internal/infra/contract/contract_test.go
+++ b/internal/infra/contract/contract_test.go
@@ -23,7 +23,7 @@
 		s := memstore.New(clock)
 		return contract.Store{
 			Client: s, Rival: s, Compact: s.Compact, Waiting: s.Watches,
-			Advance: clock.Advance, Tick: s.ExpireLeases,
+			Advance: clock.Advance, ExpireLeases: s.ExpireLeases,
 		}
 	})
 }
@@ -35,7 +35,7 @@
 		f := faulty.Wrap(s)
 		return contract.Store{
 			Client: f, Rival: s, Compact: s.Compact, Waiting: s.Watches,
-			Advance: clock.Advance, Tick: s.ExpireLeases,
+			Advance: clock.Advance, ExpireLeases: s.ExpireLeases,
 			Down: f.SetDown, LoseReplies: f.LoseReplies, LoseRequests: f.LoseRequests,
 		}
 	})
--- a/internal/infra/contract/watch.go
+++ b/internal/infra/contract/watch.go
@@ -41,8 +41,8 @@
 		putLeased(t, s, "a", lease)
 		assert.Equal(t, nextBatch(t, ch).Events[0].Kind, infra.EventPut)
 		s.Advance(11 * time.Second)
-		if s.Tick != nil {
-			s.Tick()
+		if s.ExpireLeases != nil {
+			s.ExpireLeases()
 		}
 		assert.Equal(t, nextBatch(t, ch).Events[0].Kind, infra.EventDelete)
 	}},
