--- a/internal/infra/contract/contract.go
+++ b/internal/infra/contract/contract.go
@@ -27,8 +27,8 @@
 	// ExpireLeases makes the service expire leases that are due; nil if it does so by
 	// itself.
 	ExpireLeases func()
-	// Waiting returns the number of watches open at the service.
-	Waiting func() int
+	// OpenWatches returns the number of watches open at the service.
+	OpenWatches func() int
 
 	Down         func(on bool) // makes the service unreachable
 	Pause        func(on bool) // the service reads calls but does not process them until resumed
--- a/internal/infra/contract/contract_test.go
+++ b/internal/infra/contract/contract_test.go
@@ -22,7 +22,7 @@
 		clock := clockwork.NewFakeClock()
 		s := memstore.New(clock)
 		return contract.Store{
-			Client: s, Rival: s, Compact: s.Compact, Waiting: s.Watches,
+			Client: s, Rival: s, Compact: s.Compact, OpenWatches: s.Watches,
 			Advance: clock.Advance, ExpireLeases: s.ExpireLeases,
 		}
 	})
@@ -34,7 +34,7 @@
 		s := memstore.New(clock)
 		f := faulty.Wrap(s)
 		return contract.Store{
-			Client: f, Rival: s, Compact: s.Compact, Waiting: s.Watches,
+			Client: f, Rival: s, Compact: s.Compact, OpenWatches: s.Watches,
 			Advance: clock.Advance, ExpireLeases: s.ExpireLeases,
 			Down: f.SetDown, LoseReplies: f.LoseReplies, LoseRequests: f.LoseRequests,
 		}
@@ -54,7 +54,7 @@
 	})
 	set := func(f standin.Fault) { srv.Faults.Set(zone, f) }
 	return contract.Store{
-		Client: client, Rival: srv.Store, Compact: srv.Store.Compact, Waiting: srv.Store.Watches,
+		Client: client, Rival: srv.Store, Compact: srv.Store.Compact, OpenWatches: srv.Store.Watches,
 		Advance:      clock.Advance,
 		Down:         func(on bool) { set(standin.Fault{Down: on}) },
 		Pause:        func(on bool) { set(standin.Fault{Paused: on}) },
--- a/internal/infra/contract/watch.go
+++ b/internal/infra/contract/watch.go
@@ -58,10 +58,10 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ch, err := s.Client.Watch(ctx, "", 1)
 		assert.NilError(t, err)
-		eventually(t, "the watch did not open at the service", func() bool { return s.Waiting() == 1 })
+		eventually(t, "the watch did not open at the service", func() bool { return s.OpenWatches() == 1 })
 		cancel()
 		wantClosed(t, ch)
-		eventually(t, "the canceled watch is still open at the service", func() bool { return s.Waiting() == 0 })
+		eventually(t, "the canceled watch is still open at the service", func() bool { return s.OpenWatches() == 0 })
 	}},
 	{name: "a slow reader misses nothing", run: func(t *testing.T, s Store) {
 		ch := watch(t, s, "", 1)
