--- a/internal/dev/history_test.go
+++ b/internal/dev/history_test.go
@@ -17,32 +17,34 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// configObject is the configuration among the objects of a history.
+// configObject is the name of the configuration as an object of a history.
 const configObject = "configuration"
 
-// casCall is a call on one object: a VM's key by revision, or the
-// configuration by generation. A call without a version to write is a read.
+// casCall is a compare-and-set call on one object: a VM's key, versioned by
+// revision, or the configuration, versioned by generation. A call that wrote no
+// version is a read.
 type casCall struct {
-	object string
-	on     int64 // the version it is conditional on; 0 for any
-	write  int64 // the version it made; 0 where it was refused
-	seen   int64 // the version that refused it; 0 if not told
+	object    string
+	ifVersion int64 // version it is conditional on; 0 if unconditional
+	written   int64 // version it wrote; 0 if it was refused
+	refusedBy int64 // version named by the refusal; 0 if none
 }
 
-// casObject is the specification: versions follow each other, a write is based
-// on the newest, a refusal names it or, where it names none, differs from it.
+// casObject is the specification. Versions increase, and a conditional write is
+// based on the newest. A refusal names the newest version; if it names none, the
+// call's condition differs from the newest version.
 var casObject = porcupine.Model{
 	Partition: byObject,
 	Init:      func() any { return int64(0) },
 	Step: func(state, input, _ any) (bool, any) {
 		now, call := state.(int64), input.(casCall)
 		switch {
-		case call.write != 0:
-			return (call.on == 0 || call.on == now) && call.write > now, call.write
-		case call.seen != 0:
-			return call.seen == now, now
+		case call.written != 0:
+			return (call.ifVersion == 0 || call.ifVersion == now) && call.written > now, call.written
+		case call.refusedBy != 0:
+			return call.refusedBy == now, now
 		}
-		return call.on != now, now
+		return call.ifVersion != now, now
 	},
 }
 
@@ -59,7 +61,7 @@
 	return out
 }
 
-// history is what operators asked and were told.
+// history records the operators' calls and their results.
 type history struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -75,55 +77,55 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: who, Input: call, Call: began, Return: ended})
 }
 
-// order carries out an order on a VM and returns the revision that the
-// operator saw by it, 0 if none. One of unknown outcome is left out here: what
-// it wrote, if it did, is in the store's own history.
+// order carries out an order on a VM and returns the revision that the operator
+// learned from it, 0 if none. An order of unknown outcome is not recorded: its
+// write, if any, is in the store's own history.
 func (h *history) order(who int, vm model.VMID, o fleet.Order, do func() (fleet.Outcome, error)) infra.Revision {
 	began := sinceEpoch()
 	out, err := do()
 	ended := sinceEpoch()
-	call := casCall{object: infra.VMKey(vm), on: int64(o.IfRevision)}
+	call := casCall{object: infra.VMKey(vm), ifVersion: int64(o.IfRevision)}
 	var refusal *fleet.Refusal
 	switch {
 	case err == nil && !out.Repeated:
-		call.write = int64(out.Revision)
+		call.written = int64(out.Revision)
 		h.add(who, call, began, ended)
 		return out.Revision
 	case errors.As(err, &refusal) && refusal.Revision != 0:
-		call.seen = int64(refusal.Revision)
+		call.refusedBy = int64(refusal.Revision)
 		h.add(who, call, began, ended)
 		return refusal.Revision
 	}
 	return 0
 }
 
-// apply carries out a change of the configuration and returns the generation
-// to base the next one on: its own, or what an entry VM shows.
-func (h *history) apply(on uint64, do func() (uint64, error), look func() uint64) uint64 {
+// apply carries out a change of the configuration and returns the generation to
+// base the next change on: its own or, after an error, that of current.
+func (h *history) apply(on uint64, do func() (uint64, error), current func() uint64) uint64 {
 	began := sinceEpoch()
 	made, err := do()
 	if err != nil {
-		return look()
+		return current()
 	}
-	h.add(100, casCall{object: configObject, on: int64(on), write: int64(made)}, began, sinceEpoch())
+	h.add(100, casCall{object: configObject, ifVersion: int64(on), written: int64(made)}, began, sinceEpoch())
 	return made
 }
 
-// check checks that what was told fits one order of events per object,
-// together with every write that the store holds and nobody was told of.
-func (h *history) check(t *testing.T, w *witness) {
+// check checks that the recorded calls on each object are linearizable, together
+// with the writes in the store's history that no caller got a reply for.
+func (h *history) check(t *testing.T, w *observer) {
 	t.Helper()
-	told := make(map[string]map[int64]bool)
+	reported := make(map[string]map[int64]bool)
 	for _, op := range h.ops {
 		call := op.Input.(casCall)
-		if told[call.object] == nil {
-			told[call.object] = make(map[int64]bool)
+		if reported[call.object] == nil {
+			reported[call.object] = make(map[int64]bool)
 		}
-		told[call.object][call.write] = true
+		reported[call.object][call.written] = true
 	}
 	ops := h.ops
 	for i, call := range w.writes(t) {
-		if !told[call.object][call.write] {
+		if !reported[call.object][call.written] {
 			ops = append(ops, porcupine.Operation{ClientId: 1000 + i, Input: call, Call: 0, Return: math.MaxInt64})
 		}
 	}
@@ -133,14 +135,14 @@
 		w.c.platform.Machines.Tally().Reboots)
 }
 
-// writes returns every write of a VM or the configuration, each on top of the
-// one before.
-func (w *witness) writes(t *testing.T) []casCall {
+// writes returns every write of a VM or the configuration in the store's history,
+// each conditional on the previous one.
+func (w *observer) writes(t *testing.T) []casCall {
 	t.Helper()
 	last := make(map[string]int64)
 	var calls []casCall
 	add := func(object string, version int64) {
-		calls = append(calls, casCall{object: object, on: last[object], write: version})
+		calls = append(calls, casCall{object: object, ifVersion: last[object], written: version})
 		last[object] = version
 	}
 	for _, b := range w.batches {
--- a/internal/dev/report.go
+++ b/internal/dev/report.go
@@ -10,14 +10,14 @@
 	"github.com/pumicestage/pumicestage/policy/model"
 )
 
-// report is what a run came to. Requests cut and double runs are counted by
+// report holds the results of a run. Cut requests and double runs are counted by
 // the fake targets and the stand-in, never by the code under test.
 type report struct {
 	began   time.Time
 	inForce time.Duration
 
 	rollOut    time.Duration
-	bufferCost float64 // mean VMs out of service while the wave ran
+	bufferCost float64 // mean number of VMs out of service while the wave ran
 	moves      int
 	status     fleet.WaveStatus
 
@@ -25,18 +25,19 @@
 	cut, doubleRuns, falseNotRuns, budgetBroken, notRebooted int
 }
 
-// meter looks at the fleet while the wave runs.
+// meter samples the number of VMs out of service while the wave runs.
 type meter struct {
-	c     *cluster
-	r     *report
-	looks int
-	out   int
+	c       *cluster
+	r       *report
+	samples int
+	out     int
 }
 
 func newMeter(c *cluster, r *report) *meter { return &meter{c: c, r: r} }
 
-// look counts what is out of service now, by the targets themselves.
-func (m *meter) look() {
+// sample counts the VMs that are out of service now, as reported by the
+// targets themselves, and the services below their budget.
+func (m *meter) sample() {
 	out := make(map[model.PoolName]int)
 	all := make(map[model.PoolName]int)
 	for _, vm := range m.c.decl.VMs {
@@ -46,8 +47,8 @@
 			m.out++
 		}
 	}
-	m.looks++
-	m.r.bufferCost = float64(m.out) / float64(m.looks)
+	m.samples++
+	m.r.bufferCost = float64(m.out) / float64(m.samples)
 	for _, s := range m.c.decl.Services {
 		if total, gone := sum(s, all), sum(s, out); total-gone < s.Budget.MinAvailable.Of(total) {
 			m.r.budgetBroken++
@@ -63,8 +64,8 @@
 	return n
 }
 
-// take reads the counts once all load has ended.
-func (r *report) take(c *cluster, t *Tally) {
+// collectCounts copies the counts into the report. The load must have ended.
+func (r *report) collectCounts(c *cluster, t *Tally) {
 	r.sent, r.ran, r.notRun, r.unknown = t.Sent(), t.Ran.Load(), t.NotRun.Load(), t.Unknown.Load()
 	r.broken, r.wrong, r.refused = t.Broken.Load(), t.Wrong.Load(), t.Refused.Load()
 	for _, target := range c.targets {
@@ -99,8 +100,8 @@
 	return twice
 }
 
-// falseNotRuns counts requests that were said not to have run and that a
-// target ran.
+// falseNotRuns counts requests that were answered with not-run although a target
+// ran them.
 func (c *cluster) falseNotRuns(t *Tally) int {
 	runs := c.runs()
 	n := 0
@@ -126,7 +127,7 @@
 	fmt.Fprintf(w, "took                        %s\n", time.Since(r.began).Round(time.Millisecond))
 }
 
-// verdict returns an error that names every promise that broke.
+// verdict returns an error that names every violated guarantee, or nil.
 func (r *report) verdict() error {
 	var broken []error
 	check := func(n int64, what string) {
--- a/internal/dev/rest_bench_test.go
+++ b/internal/dev/rest_bench_test.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// restFor is how long a deployment at rest is looked at.
-	restFor = 20 * time.Second
-	// settleFor lets what a change or the start brought about come to its end.
-	settleFor = 5 * time.Second
-	// changes are applied one after the other, changeEvery apart.
-	changes     = 20
-	changeEvery = 500 * time.Millisecond
+	// idleDuration is how long an idle deployment is measured.
+	idleDuration = 20 * time.Second
+	// settleDuration is the wait after the start until the deployment is idle.
+	settleDuration = 5 * time.Second
+	// changes are applied one after the other, changeInterval apart.
+	changes        = 20
+	changeInterval = 500 * time.Millisecond
 )
 
-// BenchmarkRest is what eight entry VMs cost with nothing to do, by the number
-// of VMs: the slope of control. Processor time and memory are of the whole
-// process, so fake targets and the stand-in are in them: an upper bound.
+// BenchmarkRest measures the cost of eight idle entry VMs by the number of VMs,
+// which shows how control traffic scales. Processor time and memory are those of
+// the whole process, with fake targets and the stand-in: an upper bound.
 func BenchmarkRest(b *testing.B) {
 	for _, vms := range []int{40, 200, 1000} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
 			c := startWide(b, vms)
 			for range b.N {
-				c.rest(b)
+				c.measureIdle(b)
 			}
 		})
 	}
 }
 
-// BenchmarkChange is what one change of the declaration costs eight entry VMs
-// together, beyond rest, until it is in force on all of them.
+// BenchmarkChange measures the cost of one change of the declaration until it is
+// in force on all eight entry VMs, beyond their cost when idle.
 func BenchmarkChange(b *testing.B) {
 	for _, vms := range []int{40, 200, 1000} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
@@ -51,7 +51,8 @@
 	}
 }
 
-// startWide starts a deployment of so many VMs and lets it settle.
+// startWide starts a deployment of the given number of VMs and waits until it is
+// idle.
 func startWide(b *testing.B, vms int) *cluster {
 	b.Helper()
 	c, err := startCluster(context.Background(), wideFleet(vms), false, logr.Discard())
@@ -62,11 +63,12 @@
 	if err := c.bringUp(context.Background(), &report{}); err != nil {
 		b.Fatal(err)
 	}
-	time.Sleep(settleFor)
+	time.Sleep(settleDuration)
 	return c
 }
 
-// usage is what a deployment has used up so far.
+// usage holds the bytes exchanged with the platform, the bytes sent to peers and
+// the processor time that a deployment has used since its start.
 type usage struct {
 	platform, peer int64
 	cpu            time.Duration
@@ -77,11 +79,11 @@
 	return usage{n.BytesIn + n.BytesOut, c.peerBytes(), processorTime()}
 }
 
-// changeOften reports the cost of a change as the difference to as long a
-// time at rest.
+// changeOften reports the cost of a change as the difference from an idle period
+// of the same length.
 func (c *cluster) changeOften(b *testing.B) {
 	before := c.usage()
-	time.Sleep(changes * changeEvery)
+	time.Sleep(changes * changeInterval)
 	rested := c.usage()
 	var inForce time.Duration
 	for i := range changes {
@@ -92,7 +94,7 @@
 			b.Fatal(err)
 		}
 		inForce = max(inForce, r.inForce)
-		time.Sleep(changeEvery - time.Since(began))
+		time.Sleep(changeInterval - time.Since(began))
 	}
 	after := c.usage()
 	per := func(rest, busy int64) float64 { return float64(busy-rest) / changes / float64(len(c.entries)) }
@@ -102,19 +104,19 @@
 	b.ReportMetric(inForce.Seconds()*1000, "ms-in-force-max")
 }
 
-// rest reports what one period at rest cost, per second and entry VM.
-func (c *cluster) rest(b *testing.B) {
+// measureIdle reports the cost of an idle period per second and entry VM.
+func (c *cluster) measureIdle(b *testing.B) {
 	c.platform.Counts.Reset()
 	sent := c.peerBytes()
 	cpu := processorTime()
-	time.Sleep(restFor)
-	perEntry := restFor.Seconds() * float64(len(c.entries))
+	time.Sleep(idleDuration)
+	perEntry := idleDuration.Seconds() * float64(len(c.entries))
 	counts := c.platform.Counts.Counts()
 	b.ReportMetric(float64(c.peerBytes()-sent)/perEntry, "peer-B/s/entry")
 	b.ReportMetric(float64(counts.BytesOut+counts.BytesIn)/perEntry, "platform-B/s/entry")
 	b.ReportMetric(100*(processorTime()-cpu).Seconds()/perEntry, "%core/entry")
 	for _, kind := range []standin.Kind{standin.KindWrite, standin.KindRange, standin.KindKeepAlive, standin.KindMachines} {
-		b.ReportMetric(float64(counts.Calls[kind])/restFor.Seconds(), string(kind)+"/s")
+		b.ReportMetric(float64(counts.Calls[kind])/idleDuration.Seconds(), string(kind)+"/s")
 	}
 	b.ReportMetric(float64(counts.Waiting), "watches")
 	var mem runtime.MemStats
@@ -139,7 +141,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// wideFleet declares four zones with ten VMs a pool and one service a pool.
+// wideFleet declares four zones, pools of ten VMs and one service for each pool.
 func wideFleet(vms int) *model.Declaration {
 	d := &model.Declaration{Deployment: "wide", Zones: []model.ZoneName{"za", "zb", "zc", "zd"}, Weights: model.Weights{RollOutTime: 1}}
 	for p := range vms / 10 {
--- a/internal/dev/wave_test.go
+++ b/internal/dev/wave_test.go
@@ -10,17 +10,16 @@
 	"github.com/pumicestage/pumicestage/internal/infra/standin"
 )
 
-// Callers go on getting answers while every VM is rebooted, although a VM
-// fails, the entry VM that carries the wave is lost, and the platform is out
-// for two seconds. The ledger, the recount before each reboot and the drain
-// must hold: two VMs of each service always serve, no request is cut, and the
-// wave ends under another entry VM.
+// A wave reboots every VM under load while a VM fails, the entry VM that runs the
+// wave is lost and the platform is down for two seconds. The ledger, the recount
+// before each reboot and the drain must ensure that two VMs of each service
+// always serve and no request is cut. The wave must end under another entry VM.
 func TestWaveEndsWithBudgetsHeldAndNothingCut(t *testing.T) {
 	t.Parallel()
 	c := startSmall(t)
 	l, stopLoad := c.startLoad(context.Background(), c.decl.Services)
-	least := c.watchServing()
-	c.wave(t, 0)
+	lowest := c.watchServing()
+	c.startWave(t, 0)
 
 	c.await(t, "a first reboot", func() bool { return c.platform.Machines.Tally().Reboots > 0 })
 	c.entries[0].kill()
@@ -31,28 +30,29 @@
 	c.platform.Faults.Set(standin.AnyZone, standin.Fault{Down: true})
 	time.Sleep(2 * time.Second)
 	c.platform.Faults.Clear()
-	c.waveEnds(t, 1)
+	c.awaitWaveEnd(t, 1)
 	stopLoad()
 
-	least.stop()
+	lowest.stop()
 	tally := c.platform.Machines.Tally()
 	assert.Equal(t, tally.CutByReboot, 0)
 	assert.Assert(t, tally.Reboots >= len(c.decl.VMs))
-	assert.Assert(t, least.of["quick"] >= 2, "quick fell to %d", least.of["quick"])
-	assert.Assert(t, least.of["once"] >= 2, "once fell to %d", least.of["once"])
+	assert.Assert(t, lowest.of["quick"] >= 2, "quick fell to %d", lowest.of["quick"])
+	assert.Assert(t, lowest.of["once"] >= 2, "once fell to %d", lowest.of["once"])
 	assert.Equal(t, c.falseNotRuns(l.tally), 0)
 	assert.Equal(t, l.tally.Wrong.Load(), int64(0))
 	assert.Assert(t, l.tally.Ran.Load() > 0)
 }
 
-// lowWater remembers the least number of targets that served at once.
-type lowWater struct {
+// minServing records the lowest number of targets of each service that served at
+// the same time.
+type minServing struct {
 	of   map[string]int
 	stop func()
 }
 
-func (c *cluster) watchServing() *lowWater {
-	w := &lowWater{of: map[string]int{"quick": 4, "once": 4}}
+func (c *cluster) watchServing() *minServing {
+	w := &minServing{of: map[string]int{"quick": 4, "once": 4}}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
--- a/internal/infra/standin/machines_http.go
+++ b/internal/infra/standin/machines_http.go
@@ -71,21 +71,21 @@
 }
 
 func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Effect
+	var req machineapi.MachineRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.Drain(r.Context(), vmOf(r), req.Attempt))
 	}
 }
 
 func (s *Server) undrain(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Effect
+	var req machineapi.MachineRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.Undrain(r.Context(), vmOf(r), req.Attempt))
 	}
 }
 
 func (s *Server) reboot(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Effect
+	var req machineapi.MachineRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.Reboot(r.Context(), vmOf(r), req.Attempt))
 	}
@@ -103,14 +103,14 @@
 }
 
 func (s *Server) stopTask(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Stop
+	var req machineapi.StopRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.StopTask(r.Context(), attemptOf(r), req.Checkpoint))
 	}
 }
 
 func (s *Server) throttleTask(w http.ResponseWriter, r *http.Request) {
-	var req machineapi.Throttle
+	var req machineapi.ThrottleRequest
 	if readJSON(w, r, &req) {
 		reply(w, struct{}{}, s.Machines.ThrottleTask(r.Context(), attemptOf(r), req.MilliCPU))
 	}
