--- a/internal/engine/advice.go
+++ b/internal/engine/advice.go
@@ -19,7 +19,8 @@
 	ticketMargin = 150 * time.Millisecond
 )
 
-// permitted returns those of the workers for which the step has a valid ticket.
+// permitted returns those of the workers on which the advisor's tickets still allow the step's tasks
+// to start, for at least ticketMargin.
 func (s *step) permitted(workers []*taskplan.Worker, now time.Duration) map[work.WorkerID]bool {
 	ok := make(map[work.WorkerID]bool)
 	for _, w := range workers {
--- a/internal/engine/crash_sim_test.go
+++ b/internal/engine/crash_sim_test.go
@@ -134,6 +134,8 @@
 
 func (w *crashSim) dead() []work.WorkerID { return w.workerIDs(true) }
 
+// workerIDs returns, sorted, the IDs of the workers that have crashed if dead is set, otherwise of
+// those that run.
 func (w *crashSim) workerIDs(dead bool) []work.WorkerID {
 	var out []work.WorkerID
 	for id, l := range w.simWorkers {
--- a/internal/engine/job.go
+++ b/internal/engine/job.go
@@ -129,7 +129,8 @@
 	t.state = state
 }
 
-// occurrence is one execution of a job's steps; repeated jobs have several.
+// occurrence is one execution of a job's steps; repeated jobs have several. It is live from when it is
+// due until all of its steps are done.
 type occurrence struct {
 	number int
 	due    time.Duration
@@ -162,8 +163,8 @@
 	begun   bool    // a task of it has started
 	size    float64 // total core-seconds, by estimate
 
-	liveOccurrences []*occurrence
-	nextOccurrence  int // number of the next occurrence
+	liveOccurrences []*occurrence // have become due and are not finished
+	nextOccurrence  int           // number of the next occurrence
 
 	// final is the state that the job ended in; callers see it only once it is stored.
 	final  work.State
@@ -237,7 +238,7 @@
 	return work.Queued
 }
 
-// eachTask calls f for every task of the live occurrences.
+// eachTask calls f for every task of the job's live occurrences.
 func (j *job) eachTask(f func(*task)) {
 	for _, o := range j.liveOccurrences {
 		for _, s := range o.steps {
--- a/internal/engine/limits.go
+++ b/internal/engine/limits.go
@@ -247,8 +247,9 @@
 	return true
 }
 
-// recordHeldBack adds the size of tasks that the share kept from starting to heldBack. It is bounded by
-// the pool's free capacity: a larger share would not let tasks start that the pool can't hold.
+// recordHeldBack adds size to heldBack, the resources needed by tasks that can't start because the cell's
+// share of the workspace's limit is used up. The sum is bounded by the pool's free capacity: a larger share
+// would not let tasks start that the pool can't hold.
 func (a *account) recordHeldBack(size work.Resources, pool *taskplan.Planner) {
 	if a.poolExhausted {
 		return
--- a/internal/engine/limits_model_test.go
+++ b/internal/engine/limits_model_test.go
@@ -165,6 +165,7 @@
 	return true, w.ledgerRev
 }
 
+// put writes the ledger to the simulated store, under a new revision.
 func (w *limitWorld) put(l workspace.Ledger) {
 	raw, err := json.Marshal(l)
 	assert.NilError(w.m.t, err)
--- a/internal/engine/losses.go
+++ b/internal/engine/losses.go
@@ -165,8 +165,8 @@
 	c.unattributed = wait
 }
 
-// continuedAfter reports whether the run was found in a later incarnation of the worker: its
-// start had reached that one.
+// continuedAfter reports whether the run is not lost with the incarnation w, as a later incarnation
+// runs it: that one had received the start order.
 func (l *lostRun) continuedAfter(w *worker) bool {
 	return l.task.worker != nil && l.task.worker != w && l.task.run == l.run
 }
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -61,6 +61,8 @@
 	m.Txns.Add(infra.KindOf(err).String(), 1)
 }
 
+// countShareChange counts a transaction that changes the cell's shares of workspace limits. If it is
+// neither stored nor failed with err, another cell had changed a ledger first.
 func (m *Metrics) countShareChange(stored bool, err error) {
 	switch {
 	case m == nil:
--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -41,7 +41,8 @@
 	Gauge int
 }
 
-// RunEnd is the end of a run. The worker lists it until it is acknowledged.
+// RunEnd is the end of a run. The worker lists it in its answers to polls until the owner acknowledges it
+// by Hold.AckedThrough.
 type RunEnd struct {
 	Seq        int64 // 1 greater than that of the worker's previous end
 	Task       work.TaskRef
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -114,8 +114,9 @@
 	}
 }
 
-// idleCheckInterval is how often an idle session checks whether a poll is due, in case a
-// wake-up was missed while orders were not allowed.
+// idleCheckInterval is how often an idle session checks whether a poll is due without being woken.
+// A wake-up has no effect while the owner's lease doesn't allow it to give orders, and isn't
+// repeated.
 const idleCheckInterval = 1 * time.Second
 
 // idle waits until the session is woken, idleCheckInterval has passed or ctx ends.
--- a/internal/engine/shares.go
+++ b/internal/engine/shares.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// confirmConfigIfDue reads the configuration shortly before its confirmation expires, if the cell uses
-// more than its provisional share of a limit. It could not use that without a confirmation.
+// confirmConfigIfDue reads the operator's configuration again shortly before MaxConfigDelay has passed
+// since it was last known to be the newest, if the cell needs more of a workspace's limit than its
+// provisional share. After that time the cell may use only this share, as the limit may have been lowered.
 func (e *Engine) confirmConfigIfDue(ctx context.Context) {
 	within := e.Bounds.MaxConfigDelay
 	if e.Configs == nil || within == 0 || e.Clock.Now() < e.Configs.Confirmed()+within-confirmLeadTime {
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// trialCapacity returns on how many more workers suspects may be tried.
+// trialCapacity returns on how many more workers tasks may be started that are suspected of
+// crashing their workers; negative if such tasks are on trial on more workers than allowed.
 func (c *Core) trialCapacity(now time.Duration) int {
 	idle := 0
 	if now >= c.othersWaitedAt+otherWorkHoldoff {
--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -68,7 +68,8 @@
 	d.notifyLocked()
 }
 
-// Change applies a change of a key. Changes older than what the directory holds are ignored.
+// Change applies a change of a duty's key that a watch of the store reported. It is ignored if the
+// directory holds a later revision of the key.
 func (d *Directory) Change(ev infra.Event) {
 	if ev.Kind == infra.EventDelete {
 		d.remove(ev.KV.Key, ev.KV.ModRevision)
