--- a/internal/engine/ports.go
+++ b/internal/engine/ports.go
@@ -34,8 +34,8 @@
 type Run struct {
 	Task       work.TaskRef
 	Run        int
-	Checkpoint string
-	Percent    int // of the work that is done; 100 for a long-running task whose start-up is over
+	Checkpoint string // the newest that the worker reports for the run; empty if it reports none
+	Percent    int    // of the work that is done; 100 for a long-running task whose start-up is over
 	// Gauge is the worker's estimate over the last half second: for a serving task the tail
 	// latency in milliseconds, otherwise the processor use in thousandths of a core.
 	Gauge int
@@ -48,7 +48,7 @@
 	Task       work.TaskRef
 	Run        int
 	How        work.End
-	Checkpoint string
+	Checkpoint string // the newest that the worker reports for the run; empty if it reports none
 }
 
 // Listing is a worker's answer to a poll.
--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -23,8 +23,8 @@
 // workers for trials: bursts have short pauses.
 const otherWorkHoldoff = 3 * time.Second
 
-// vmsForTrials returns how many VMs suspects could use. Counted as a backlog, they would
-// request VMs that other pools need; while other work waits here, they wait.
+// vmsForTrials returns how many VMs waiting suspects could use for their trials. Counted as a backlog,
+// they would request VMs that other pools need; while other work waits here, they wait.
 func (c *Core) vmsForTrials(now time.Duration) int {
 	if now < c.othersWaitedAt+otherWorkHoldoff {
 		return 0
--- a/internal/ownership/directory.go
+++ b/internal/ownership/directory.go
@@ -50,7 +50,7 @@
 	return out
 }
 
-// Replace replaces the directory's content by the listed keys.
+// Replace replaces the directory's content by the listed keys of duties.
 func (d *Directory) Replace(kvs []infra.KV) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
