--- a/internal/engine/trials.go
+++ b/internal/engine/trials.go
@@ -23,8 +23,8 @@
 // workers for trials: bursts have short pauses.
 const otherWorkHoldoff = 3 * time.Second
 
-// vmsForTrials returns how many VMs suspects could use. Counted as a backlog, they would
-// request VMs that other pools need; while other work waits here, they wait.
+// vmsForTrials returns how many VMs waiting suspects could use for their trials. Counted as a backlog,
+// they would request VMs that other pools need; while other work waits here, they wait.
 func (c *Core) vmsForTrials(now time.Duration) int {
 	if now < c.othersWaitedAt+otherWorkHoldoff {
 		return 0
@@ -50,7 +50,8 @@
 	}
 }
 
-// trialCapacity returns on how many more workers suspects may be tried.
+// trialCapacity returns on how many more workers tasks may be started that are suspected of
+// crashing their workers; negative if such tasks are on trial on more workers than allowed.
 func (c *Core) trialCapacity(now time.Duration) int {
 	idle := 0
 	if now >= c.othersWaitedAt+otherWorkHoldoff {
