--- a/internal/infra/machineapi/client.go
+++ b/internal/infra/machineapi/client.go
@@ -130,7 +130,7 @@
 func statusError(call httpcall.Call, a httpcall.Response) error {
 	var p Problem
 	if err := json.Unmarshal(a.Body, &p); err != nil {
-		p.Message = "no error message in response body"
+		p.Message = "no further word"
 	}
 	return infra.Errorf(call.Op, kindOfStatus(call, a.Status), "status %d: %s", a.Status, p.Message)
 }
--- a/internal/ownerlink/client.go
+++ b/internal/ownerlink/client.go
@@ -19,7 +19,7 @@
 
 // ErrNotSent is returned when there is no connection to the peer. The request certainly
 // did not leave, so it may be sent elsewhere.
-var ErrNotSent = errors.New("ownerlink: request not sent: no connection to the peer")
+var ErrNotSent = errors.New("ownerlink: the owner can't be reached")
 
 // dialTimeout bounds a connection attempt: a VM behind a network partition does not answer.
 const dialTimeout = 400 * time.Millisecond
--- a/internal/ownerlink/writer.go
+++ b/internal/ownerlink/writer.go
@@ -18,7 +18,7 @@
 )
 
 // errBacklog is returned by write once more than maxPending bytes would wait.
-var errBacklog = errors.New("ownerlink: send buffer is full: the peer reads too slowly or not at all")
+var errBacklog = errors.New("ownerlink: the peer does not read")
 
 // frameWriter writes whole frames for several goroutines. It combines messages that are
 // ready at the same time into one write: a burst makes a hundred calls in a millisecond, and
